--- a/crates/celerywinch_fleet/src/metrics.rs
+++ b/crates/celerywinch_fleet/src/metrics.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_metrics::Meter;
-use celerywinch_origin::JobNote;
+use celerywinch_origin::JobEvent;
 use celerywinch_pool::{Note, Order};
 use celerywinch_types::{FleetMsg, JobEnd, SpreadMsg};
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
@@ -173,8 +173,8 @@
         }
     }
 
-    pub(crate) fn answered(&self, note: &JobNote) {
-        if let JobNote::Answered { end, took, .. } = note {
+    pub(crate) fn answered(&self, note: &JobEvent) {
+        if let JobEvent::Answered { end, took, .. } = note {
             let label = match end {
                 JobEnd::Completed => "completed",
                 JobEnd::Failed => "failed",
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_domains::{Change, Domains, Me, PeerView, Peers};
-use celerywinch_origin::{CallerId, Input as OriginInput, JobNote, NewJob, Origin};
+use celerywinch_origin::{CallerId, Input as OriginInput, JobEvent, NewJob, Origin};
 use celerywinch_pool::{Answer, Call, CallKey, Grant, Input as PoolInput, Note, Pool, PoolConfig};
 use celerywinch_types::{
     Beat, Crashes, DataCentreId, Evacuations, FleetMsg, Holding, InstanceId, JobEnd, Learned,
@@ -120,7 +120,7 @@
     /// A decision of the dispatcher.
     Dispatch(Note),
     /// A decision of the origin.
-    Origin(JobNote),
+    Origin(JobEvent),
 }
 
 /// A member of a fleet.
@@ -354,7 +354,7 @@
         match arrived {
             Some(index) => {
                 let (_, job) = self.arrivals.remove(index);
-                let note = JobNote::CallerLeft {
+                let note = JobEvent::CallerLeft {
                     job: job.id,
                     took: 0,
                 };
@@ -702,7 +702,7 @@
                 celerywinch_origin::Output::Answer(caller, end) => {
                     out.push(Output::Answer(caller, end));
                 }
-                celerywinch_origin::Output::Note(note) => out.push(Output::Origin(note)),
+                celerywinch_origin::Output::Event(event) => out.push(Output::Origin(event)),
             }
         }
     }
--- a/crates/celerywinch_member/tests/arrivals.rs
+++ b/crates/celerywinch_member/tests/arrivals.rs
@@ -1,7 +1,7 @@
 //! Jobs whose callers are gone before they are handed in.
 
 use celerywinch_member::{Input, Member, MemberConfig, Output};
-use celerywinch_origin::{CallerId, JobNote, NewJob};
+use celerywinch_origin::{CallerId, JobEvent, NewJob};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
     DataCentreId, Incarnation, InstanceId, JobId, JobPlan, Part, Process, Queue, Room, RunNumber,
@@ -78,9 +78,9 @@
         member.handle(Time(2), Input::CallerGone(CALLER), &mut out);
     }
     member.handle(Time(3), Input::Flush, &mut out);
-    let submitted = |output: &&Output| matches!(output, Output::Origin(JobNote::Submitted { .. }));
+    let submitted = |output: &&Output| matches!(output, Output::Origin(JobEvent::Submitted { .. }));
     assert_eq!(out.iter().filter(submitted).count(), case.submitted);
-    let left = Output::Origin(JobNote::CallerLeft { job: JOB, took: 0 });
+    let left = Output::Origin(JobEvent::CallerLeft { job: JOB, took: 0 });
     assert_eq!(out.contains(&left), case.gone);
     assert_eq!(member.open_jobs(), case.submitted);
 }
--- a/crates/celerywinch_origin/src/note.rs
+++ b/crates/celerywinch_origin/src/event.rs
@@ -6,7 +6,7 @@
 /// A decision about a job.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub enum JobNote {
+pub enum JobEvent {
     /// A job was accepted for its caller.
     Submitted {
         /// The job.
@@ -56,7 +56,7 @@
     },
 }
 
-impl JobNote {
+impl JobEvent {
     /// Whether it tells of something that goes as it should.
     #[must_use]
     pub fn is_routine(&self) -> bool {
--- a/crates/celerywinch_origin/src/lib.rs
+++ b/crates/celerywinch_origin/src/lib.rs
@@ -9,11 +9,11 @@
 //! every 50 ms.
 
 mod choice;
+mod event;
 mod job;
 mod lost;
-mod note;
 mod origin;
 
 pub use choice::Holder;
-pub use note::JobNote;
+pub use event::JobEvent;
 pub use origin::{CallerId, Input, NewJob, Origin, Output};
--- a/crates/celerywinch_origin/src/lost.rs
+++ b/crates/celerywinch_origin/src/lost.rs
@@ -5,7 +5,7 @@
 
 use celerywinch_types::{Doubt, InstanceId, JobEnd, JobId, TaskId, Time, WorkMsg};
 
-use crate::JobNote;
+use crate::JobEvent;
 use crate::job::{Place, Trace};
 use crate::origin::{COME_BACK_MS, Origin, Output};
 
@@ -109,11 +109,11 @@
             if lost {
                 job.doubtful = true;
                 self.open.insert(job.id);
-                let note = JobNote::DispatcherLost {
+                let note = JobEvent::DispatcherLost {
                     job: job.id,
                     dispatcher: peer,
                 };
-                out.push(Output::Note(note));
+                out.push(Output::Event(note));
             }
         }
     }
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -12,7 +12,7 @@
 use crate::choice::{Choice, Wanted, choose};
 use crate::job::{Job, Place, Trace};
 use crate::lost::{Left, SURELY_ENDED};
-use crate::{Holder, JobNote};
+use crate::{Holder, JobEvent};
 
 /// How long a new job waits for a dispatcher, where none is known. A change of hands takes up to
 /// 500 ms; most objectives are over by then, and the caller is told when to come back.
@@ -74,7 +74,7 @@
     /// Answer a caller.
     Answer(CallerId, JobEnd),
     /// A decision for the logs.
-    Note(JobNote),
+    Event(JobEvent),
 }
 
 /// The jobs of the callers of one entry.
@@ -215,7 +215,7 @@
         }
         let id = new.id;
         let job = Job::new(now, id, caller, new.queue, new.plan, new.first_run);
-        out.push(Output::Note(JobNote::Submitted {
+        out.push(Output::Event(JobEvent::Submitted {
             job: id,
             queue: job.queue.name.clone(),
             tasks: job.tasks.len(),
@@ -237,7 +237,7 @@
             return;
         }
         let took = now.since(job.arrived).as_millis() as u32;
-        out.push(Output::Note(JobNote::CallerLeft { job: id, took }));
+        out.push(Output::Event(JobEvent::CallerLeft { job: id, took }));
         self.drop_job(id, out);
     }
 
@@ -259,7 +259,7 @@
         let Some(job) = self.drop_job(id, out) else {
             return;
         };
-        out.push(Output::Note(JobNote::Answered {
+        out.push(Output::Event(JobEvent::Answered {
             job: id,
             end,
             took: now.since(job.arrived).as_millis() as u32,
@@ -522,7 +522,7 @@
         }
         left.tell(self.hands, out);
         let count = orders.len();
-        out.push(Output::Note(JobNote::HandedIn {
+        out.push(Output::Event(JobEvent::HandedIn {
             job: id,
             domain: holder.domain,
             to: holder.instance,
--- a/crates/celerywinch_origin/tests/hand_in.rs
+++ b/crates/celerywinch_origin/tests/hand_in.rs
@@ -95,7 +95,7 @@
                 Output::Send(to, WorkMsg::Drop { tasks, .. }) => self.dropped.push((to, tasks)),
                 Output::Send(_, msg @ WorkMsg::Named { .. }) => self.named.push(msg),
                 Output::Answer(_, end) => self.answers.push(end),
-                Output::Send(..) | Output::Note(_) => {}
+                Output::Send(..) | Output::Event(_) => {}
             }
         }
     }
