--- a/crates/celerywinch_member/src/beats.rs
+++ b/crates/celerywinch_member/src/beats.rs
@@ -99,8 +99,8 @@
                 domain,
                 instance,
                 load: holding.load,
-                close: self.counts_on(instance),
-                near: self.is_near(instance),
+                preferred: self.counts_on(instance),
+                local: self.is_near(instance),
             });
         let input = OriginInput::Holders(holders.collect());
         self.origin_input(now, input, out);
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -259,7 +259,7 @@
     /// The open work, of callers and as dispatcher, a line for each job or step. For logs and checks.
     #[must_use]
     pub fn open_work(&self, now: Time) -> Vec<String> {
-        let mut lines = self.origin.open_places();
+        let mut lines = self.origin.describe_jobs();
         lines.extend(self.pool.open_steps(now));
         lines
     }
@@ -396,7 +396,7 @@
                 self.compare_domains(now, out);
             }
             self.measure(now);
-            if self.stale || self.origin.misses_holder() {
+            if self.stale || self.origin.holders_incomplete() {
                 self.update_holders(now, out);
             } else {
                 let me = self.config.me.instance;
--- a/crates/celerywinch_origin/src/choice.rs
+++ b/crates/celerywinch_origin/src/choice.rs
@@ -23,9 +23,9 @@
     pub load: Load,
     /// Whether it is one of those that this origin works with; the others get work only of dispatchers that they
     /// take over from.
-    pub close: bool,
+    pub preferred: bool,
     /// Whether it is in this origin's data centre.
-    pub near: bool,
+    pub local: bool,
 }
 
 /// What is to be handed in.
@@ -58,7 +58,7 @@
     holder: Holder,
     free: u32,
     /// Whether the origin's data centre is one of them.
-    near: bool,
+    local: bool,
 }
 
 /// One with room, or else the one that will have room first.
@@ -73,21 +73,21 @@
 pub(crate) fn choose(holders: &[Holder], wanted: &Wanted) -> Option<Choice> {
     let mut all = candidates(holders, wanted.dc);
     let alone = all.len() == 1;
-    if all.iter().any(|c| c.holder.close) {
-        all.retain(|c| c.holder.close);
+    if all.iter().any(|c| c.holder.preferred) {
+        all.retain(|c| c.holder.preferred);
     }
     let untried = |c: &&Candidate| !wanted.full.contains(&c.holder.instance);
     let roomy = all.iter().filter(|c| c.free > 0).filter(untried);
     let mut roomy: Vec<_> = roomy.copied().collect();
     // Work that stays in one data centre is not touched by the loss of another one. Whoever has no room there is not
     // asked a second time: others in this data centre are as busy.
-    if wanted.full.is_empty() && roomy.iter().any(|c| c.holder.near) {
-        roomy.retain(|c| c.holder.near);
+    if wanted.full.is_empty() && roomy.iter().any(|c| c.holder.local) {
+        roomy.retain(|c| c.holder.local);
     }
     let roomy = two(roomy, wanted);
     let most = roomy
         .iter()
-        .max_by_key(|c| (c.free.min(wanted.tasks), c.near, c.free));
+        .max_by_key(|c| (c.free.min(wanted.tasks), c.local, c.free));
     if let Some(best) = most
         && (wanted.full.len() < MOST_FULL || alone)
     {
@@ -97,7 +97,7 @@
         });
     }
     let class = usize::from(wanted.priority).min(2);
-    let wait = |c: &&Candidate| c.holder.load.wait[class] + if c.near { 0 } else { ELSEWHERE_MS };
+    let wait = |c: &&Candidate| c.holder.load.wait[class] + if c.local { 0 } else { ELSEWHERE_MS };
     let drawn = two(all, wanted);
     let first = drawn.iter().min_by_key(wait)?;
     Some(Choice {
@@ -112,10 +112,10 @@
         let candidate = all.entry(holder.instance).or_insert(Candidate {
             holder: *holder,
             free: 0,
-            near: false,
+            local: false,
         });
         candidate.free += holder.load.free;
-        candidate.near |= holder.domain.dc == own;
+        candidate.local |= holder.domain.dc == own;
     }
     all.into_values().collect()
 }
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -83,7 +83,7 @@
     dc: DataCentreId,
     without: Without,
     pub(crate) holders: Vec<Holder>,
-    misses_holder: bool,
+    holders_incomplete: bool,
     /// The domains that a process was last known to dispatch for.
     pub(crate) held: BTreeMap<InstanceId, Arc<BTreeSet<Domain>>>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
@@ -107,7 +107,7 @@
             dc,
             without,
             holders: Vec::new(),
-            misses_holder: false,
+            holders_incomplete: false,
             held: BTreeMap::new(),
             jobs: BTreeMap::new(),
             callers: BTreeMap::new(),
@@ -132,7 +132,7 @@
 
     /// One line for each open job: how many callers wait, and where its tasks are. For logs and checks.
     #[must_use]
-    pub fn open_places(&self) -> Vec<String> {
+    pub fn describe_jobs(&self) -> Vec<String> {
         let line = |job: &Job| {
             let places: Vec<_> = job.tasks.values().map(|task| &task.place).collect();
             format!(
@@ -180,7 +180,7 @@
             }
         }
         self.holders = holders;
-        self.misses_holder = false;
+        self.holders_incomplete = false;
     }
 
     fn set_loads(&mut self, dispatcher: InstanceId, holdings: &[Holding]) {
@@ -196,8 +196,8 @@
     /// Whether a dispatcher was left out since the holders were told last: it gave work back, and may dispatch on
     /// for other domains.
     #[must_use]
-    pub fn misses_holder(&self) -> bool {
-        self.misses_holder
+    pub fn holders_incomplete(&self) -> bool {
+        self.holders_incomplete
     }
 
     /// Dispatchers that have work of this origin, or may have.
@@ -382,7 +382,7 @@
     fn wait_for_holder(&mut self, job: JobId, from: InstanceId) {
         self.open.insert(job);
         self.holders.retain(|holder| holder.instance != from);
-        self.misses_holder = true;
+        self.holders_incomplete = true;
     }
 
     fn finish_if_done(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
--- a/crates/celerywinch_origin/tests/hand_in.rs
+++ b/crates/celerywinch_origin/tests/hand_in.rs
@@ -21,8 +21,8 @@
         },
         instance: InstanceId(instance),
         load: Load { free, wait: [0; 3] },
-        close: true,
-        near: true,
+        preferred: true,
+        local: true,
     }
 }
 
@@ -178,13 +178,13 @@
 #[case::room_for_a_part(Nearness { rooms: (9, 1), first: true })]
 #[case::no_room(Nearness { rooms: (9, 0), first: false })]
 fn jobs_go_to_dispatchers_of_their_data_centre_first(#[case] case: Nearness) {
-    let (far, near) = case.rooms;
+    let (far, local) = case.rooms;
     let mut rig = Rig::new(2, &[]);
     let mut holders: Vec<_> = (1..=5).map(|instance| holder(instance, far)).collect();
     for holder in &mut holders {
-        holder.near = false;
+        holder.local = false;
     }
-    holders.push(holder(6, near));
+    holders.push(holder(6, local));
     rig.take(Input::Holders(holders));
     let (first, order) = rig.last();
     assert_eq!(first == InstanceId(6), case.first);
