--- a/crates/celerywinch_dispatch/src/dispatch.rs
+++ b/crates/celerywinch_dispatch/src/dispatch.rs
@@ -345,7 +345,7 @@
     }
 
     /// The next task to start, if any can; call until `None`.
-    pub fn next(&mut self, now: Time) -> Option<Start> {
+    pub fn next_start(&mut self, now: Time) -> Option<Start> {
         let mut heads: Vec<(KindName, Head)> = Vec::new();
         for kind in self.queue.waiting_kinds() {
             let head = self.queue.head(&kind, |team| self.over_quota(team));
@@ -478,8 +478,8 @@
 
     /// Jobs that wait although even the fastest run would end too late.
     #[must_use]
-    pub fn hopeless(&self, now: Time) -> Vec<JobId> {
-        self.queue.hopeless(|kind| {
+    pub fn infeasible_jobs(&self, now: Time) -> Vec<JobId> {
+        self.queue.infeasible_jobs(|kind| {
             let fastest = self
                 .kinds
                 .get(kind)
@@ -496,7 +496,7 @@
 
     /// Kinds whose tasks wait, with how many, to borrow slots for.
     #[must_use]
-    pub fn demand(&self) -> Vec<(KindName, usize)> {
+    pub fn slot_demand(&self) -> Vec<(KindName, usize)> {
         let kinds = self.queue.waiting_kinds();
         kinds
             .into_iter()
@@ -509,7 +509,7 @@
 
     /// Endpoints known, and how many of them are set aside or on probation.
     #[must_use]
-    pub fn census(&self) -> (usize, usize) {
+    pub fn endpoint_counts(&self) -> (usize, usize) {
         let known = self.endpoints.values().filter(|e| e.usable());
         let suspended = known.clone().filter(|e| e.health.suspended());
         (known.count(), suspended.count())
@@ -517,7 +517,7 @@
 
     /// The announcement behind an endpoint, while it has calls or a lease.
     #[must_use]
-    pub fn note(&self, id: EndpointId) -> Option<&EndpointNote> {
+    pub fn announcement(&self, id: EndpointId) -> Option<&EndpointNote> {
         self.endpoints.get(id).map(|endpoint| &endpoint.note)
     }
 }
--- a/crates/celerywinch_dispatch/src/health.rs
+++ b/crates/celerywinch_dispatch/src/health.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthChange {
     /// It gets no work until its pause is over.
-    SetAside,
+    Quarantined,
     /// It is trusted again.
     Restored,
 }
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Trust {
     Good,
-    SetAside { until: Time },
+    Quarantined { until: Time },
     Probation { successes: u32 },
 }
 
@@ -79,7 +79,7 @@
                 };
                 None
             }
-            Trust::Good | Trust::SetAside { .. } => None,
+            Trust::Good | Trust::Quarantined { .. } => None,
         }
     }
 
@@ -94,15 +94,15 @@
     pub fn failure(&mut self, now: Time, blame: bool) -> Option<HealthChange> {
         self.failures += 1;
         self.end_pause(now);
-        if !blame || matches!(self.trust, Trust::SetAside { .. }) {
+        if !blame || matches!(self.trust, Trust::Quarantined { .. }) {
             return None;
         }
         let pause = FIRST_PAUSE * 2_u32.saturating_pow(self.pauses.min(8));
-        self.trust = Trust::SetAside {
+        self.trust = Trust::Quarantined {
             until: now + pause.min(LONGEST_PAUSE),
         };
         self.pauses += 1;
-        Some(HealthChange::SetAside)
+        Some(HealthChange::Quarantined)
     }
 
     /// How many tasks the endpoint may have at once, of `share`.
@@ -112,13 +112,13 @@
     pub fn allowance(&self, now: Time, share: u16) -> u16 {
         match self.trust {
             Trust::Good => share,
-            Trust::SetAside { until } if until > now => 0,
-            Trust::SetAside { .. } | Trust::Probation { .. } => share.min(1),
+            Trust::Quarantined { until } if until > now => 0,
+            Trust::Quarantined { .. } | Trust::Probation { .. } => share.min(1),
         }
     }
 
     fn end_pause(&mut self, now: Time) {
-        if matches!(self.trust, Trust::SetAside { until } if until <= now) {
+        if matches!(self.trust, Trust::Quarantined { until } if until <= now) {
             self.trust = Trust::Probation { successes: 0 };
         }
     }
--- a/crates/celerywinch_dispatch/src/loans.rs
+++ b/crates/celerywinch_dispatch/src/loans.rs
@@ -93,7 +93,7 @@
     }
 
     /// A loan came back.
-    pub fn returned(&mut self, peer: InstanceId, id: u64) {
+    pub fn end_loan(&mut self, peer: InstanceId, id: u64) {
         if self.lent.get(&id).is_some_and(|loan| loan.peer == peer)
             && let Some(loan) = self.lent.remove(&id)
         {
@@ -111,7 +111,7 @@
     }
 
     /// Ends loans that ran out, and gives back those of no use; returns what to give back.
-    pub fn tick(&mut self, now: Time) -> Vec<(InstanceId, u64)> {
+    pub fn expire_loans(&mut self, now: Time) -> Vec<(InstanceId, u64)> {
         let over: Vec<_> = self
             .lent
             .values()
--- a/crates/celerywinch_dispatch/src/queue.rs
+++ b/crates/celerywinch_dispatch/src/queue.rs
@@ -104,7 +104,7 @@
     }
 
     /// Jobs whose next task can no longer be done: `latest` is the last useful start by kind.
-    pub(crate) fn hopeless(&self, latest: impl Fn(&str) -> Time) -> Vec<JobId> {
+    pub(crate) fn infeasible_jobs(&self, latest: impl Fn(&str) -> Time) -> Vec<JobId> {
         let mut jobs = Vec::new();
         for (kind, queue) in &self.kinds {
             let limit = latest(kind);
--- a/crates/celerywinch_entry/src/entry.rs
+++ b/crates/celerywinch_entry/src/entry.rs
@@ -167,7 +167,7 @@
     /// Figures for status pages and metrics.
     #[must_use]
     pub fn status(&self) -> Status {
-        let (endpoints, suspended) = self.dispatch.census();
+        let (endpoints, suspended) = self.dispatch.endpoint_counts();
         Status {
             open: self.jobs.len(),
             queued: self.dispatch.queued(),
@@ -274,7 +274,7 @@
         for replica in self.replicas.values_mut() {
             replica.expire(wall, EXPIRE_MOST);
         }
-        for job in self.dispatch.hopeless(now) {
+        for job in self.dispatch.infeasible_jobs(now) {
             self.give_up(now, job, out);
         }
         self.trade_slots(now, out);
--- a/crates/celerywinch_entry/src/slots.rs
+++ b/crates/celerywinch_entry/src/slots.rs
@@ -19,7 +19,7 @@
 
     /// Gives back what is over or of no use.
     fn return_slots(&mut self, now: Time, out: &mut Vec<Output>) {
-        for (peer, loan) in self.dispatch.tick(now) {
+        for (peer, loan) in self.dispatch.expire_loans(now) {
             let msg = PeerMsg::Slot(SlotMsg::Return { loan });
             out.push(Output::Send(peer, msg));
         }
@@ -37,7 +37,7 @@
         self.borrowed = now;
         let lenders: Vec<_> = self.peers.local().map(|(id, _)| id).collect();
         for lender in lenders {
-            for (kind, count) in self.dispatch.demand() {
+            for (kind, count) in self.dispatch.slot_demand() {
                 let count = u16::try_from(count).unwrap_or(u16::MAX);
                 let msg = PeerMsg::Slot(SlotMsg::Borrow { kind, count });
                 out.push(Output::Send(lender, msg));
@@ -70,7 +70,7 @@
                 };
                 self.dispatch.borrow(now, loan);
             }
-            SlotMsg::Return { loan } => self.dispatch.returned(from, loan),
+            SlotMsg::Return { loan } => self.dispatch.end_loan(from, loan),
         }
     }
 }
--- a/crates/celerywinch_entry/src/tasks.rs
+++ b/crates/celerywinch_entry/src/tasks.rs
@@ -58,7 +58,7 @@
         if self.dispatch.queued() == 0 || !self.holds_lease(now) {
             return;
         }
-        while let Some(start) = self.dispatch.next(now) {
+        while let Some(start) = self.dispatch.next_start(now) {
             self.start(now, &start, out);
         }
     }
@@ -87,7 +87,7 @@
         let held = matches!(job.phase, Phase::Running(_));
         let serving = self
             .dispatch
-            .note(start.endpoint)
+            .announcement(start.endpoint)
             .is_some_and(|note| note.state == EndpointState::Serving);
         let detail = || format!("task {index} of key {key}");
         self.assert(queued, Invariant::SingleStart, detail, out);
@@ -181,7 +181,7 @@
             .finish(now, call.endpoint, call.sent, work, end);
         if let Some(change) = change {
             let state = match change {
-                HealthChange::SetAside => "set_aside",
+                HealthChange::Quarantined => "set_aside",
                 HealthChange::Restored => "restored",
             };
             out.push(Output::Event(Event::Health {
@@ -202,7 +202,7 @@
     fn addr_of(&self, endpoint: EndpointId) -> std::net::SocketAddr {
         let unknown = std::net::SocketAddr::from(([0, 0, 0, 0], 0));
         self.dispatch
-            .note(endpoint)
+            .announcement(endpoint)
             .map_or(unknown, |note| note.addr)
     }
 
