--- a/crates/celerywinch_claims/src/claim.rs
+++ b/crates/celerywinch_claims/src/claim.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress<T> {
     /// More replies are needed.
-    Wait,
+    Pending,
     /// The phase is over.
     Done(T),
 }
@@ -152,7 +152,7 @@
     }
 
     /// The replicas that have not answered, for sending the request again.
-    pub fn silent(&self) -> impl Iterator<Item = InstanceId> + '_ {
+    pub fn unanswered(&self) -> impl Iterator<Item = InstanceId> + '_ {
         self.group
             .members()
             .iter()
@@ -164,7 +164,7 @@
     pub fn answer(&mut self, from: InstanceId, grant: Option<Grant>) -> Progress<Verdict> {
         let known = self.state.answers.iter().any(|(id, _)| *id == from);
         if known || !self.group.contains(from) {
-            return Progress::Wait;
+            return Progress::Pending;
         }
         let taken = match &grant {
             Some(Grant::Taken(holder)) if self.state.first == Some(from) => Some(*holder),
@@ -194,7 +194,7 @@
         }
         let silent = self.group.members().len() - self.state.answers.len();
         if granted + silent >= self.group.majority() {
-            return Progress::Wait;
+            return Progress::Pending;
         }
         Progress::Done(self.loss())
     }
@@ -242,7 +242,7 @@
 impl Claim<Settling> {
     /// Starts to settle a key that this instance did not claim.
     #[must_use]
-    pub fn observe(key: Key, digest: u64, group: Arc<Group>, ballot: Ballot) -> Self {
+    pub fn settle_key(key: Key, digest: u64, group: Arc<Group>, ballot: Ballot) -> Self {
         Self {
             key,
             digest,
@@ -269,14 +269,14 @@
         promise: Promise,
     ) -> Progress<(u64, Outcome)> {
         if ballot != self.state.ballot || !self.group.contains(from) {
-            return Progress::Wait;
+            return Progress::Pending;
         }
         self.state.promises.add(from, promise);
         if self.state.promises.len() < self.group.majority() {
-            return Progress::Wait;
+            return Progress::Pending;
         }
         let digest = self.state.promises.digest().unwrap_or(self.digest);
-        Progress::Done((digest, self.state.promises.verdict(&self.group)))
+        Progress::Done((digest, self.state.promises.proposal(&self.group)))
     }
 
     /// Takes an abstention; `Done` when a majority can no longer be had.
@@ -288,7 +288,7 @@
         if usable < self.group.majority() {
             return Progress::Done(());
         }
-        Progress::Wait
+        Progress::Pending
     }
 
     /// Proposes what the promises call for.
@@ -319,7 +319,7 @@
     }
 
     /// The replicas that have not accepted, for sending the request again.
-    pub fn silent(&self) -> impl Iterator<Item = InstanceId> + '_ {
+    pub fn unanswered(&self) -> impl Iterator<Item = InstanceId> + '_ {
         self.group
             .members()
             .iter()
@@ -330,13 +330,13 @@
     /// Takes an acceptance; when there is a majority, the outcome is decided.
     pub fn accepted(&mut self, from: InstanceId, ballot: Ballot) -> Progress<Outcome> {
         if ballot != self.state.ballot || !self.group.contains(from) {
-            return Progress::Wait;
+            return Progress::Pending;
         }
         if !self.state.accepted.contains(&from) {
             self.state.accepted.push(from);
         }
         if self.state.accepted.len() < self.group.majority() {
-            return Progress::Wait;
+            return Progress::Pending;
         }
         Progress::Done(self.state.outcome.clone())
     }
@@ -381,7 +381,7 @@
     /// key is settled as not run, if no holder can have had a majority of the votes, and as may
     /// have run otherwise.
     #[must_use]
-    pub fn verdict(&self, group: &Group) -> Outcome {
+    pub fn proposal(&self, group: &Group) -> Outcome {
         let accepted = self
             .promises
             .iter()
--- a/crates/celerywinch_claims/src/lib.rs
+++ b/crates/celerywinch_claims/src/lib.rs
@@ -11,7 +11,7 @@
 //!    key whose holder is gone with a ballot of round 2 or more.
 //!
 //! Whoever settles a key may say "not run" only if no holder can have had a majority of the votes
-//! ([`Promises::verdict`]); otherwise the outcome is a failure that says the work may have run.
+//! ([`Promises::proposal`]); otherwise the outcome is a failure that says the work may have run.
 //!
 //! A replica keeps nothing on disk. After a restart it abstains on every key that is old enough to
 //! have been voted on in an earlier life ([`Replica`]).
@@ -25,4 +25,4 @@
 
 pub use claim::{Claim, Deciding, Held, Progress, Promises, Settling, Verdict, Voting};
 pub use group::{Group, Homes};
-pub use replica::{Limits, Promise, Refused, Replica};
+pub use replica::{Limits, Promise, Rejection, Replica};
--- a/crates/celerywinch_claims/src/replica.rs
+++ b/crates/celerywinch_claims/src/replica.rs
@@ -36,9 +36,9 @@
 
 /// Why a replica did not promise or accept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum Rejection {
     /// It has promised this higher ballot.
-    Outbid(Ballot),
+    Preempted(Ballot),
     /// The key may have been voted on in an earlier life of the replica.
     Abstains,
 }
@@ -159,13 +159,18 @@
     }
 
     /// Promises to accept nothing below `ballot`, and to vote no more on `key`.
-    pub fn prepare(&mut self, wall: WallMs, key: &Key, ballot: Ballot) -> Result<Promise, Refused> {
+    pub fn prepare(
+        &mut self,
+        wall: WallMs,
+        key: &Key,
+        ballot: Ballot,
+    ) -> Result<Promise, Rejection> {
         if self.abstains(wall, key) {
-            return Err(Refused::Abstains);
+            return Err(Rejection::Abstains);
         }
         let record = self.record(wall, key);
         if ballot < record.promised {
-            return Err(Refused::Outbid(record.promised));
+            return Err(Rejection::Preempted(record.promised));
         }
         record.promised = ballot;
         Ok(Promise {
@@ -183,13 +188,13 @@
         digest: u64,
         ballot: Ballot,
         outcome: &Outcome,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), Rejection> {
         if self.abstains(wall, key) {
-            return Err(Refused::Abstains);
+            return Err(Rejection::Abstains);
         }
         let record = self.record(wall, key);
         if ballot < record.promised {
-            return Err(Refused::Outbid(record.promised));
+            return Err(Rejection::Preempted(record.promised));
         }
         record.promised = ballot;
         record.digest = digest;
--- a/crates/celerywinch_claims/tests/settling.rs
+++ b/crates/celerywinch_claims/tests/settling.rs
@@ -78,7 +78,7 @@
     for (instance, vote) in case.promises {
         promises.add(InstanceId(*instance), promise(vote.state()));
     }
-    let verdict = promises.verdict(&Arc::new(group));
+    let verdict = promises.proposal(&Arc::new(group));
     let not_run = matches!(
         &verdict,
         Outcome::Refusal(refusal) if refusal.reason == RefusalReason::Unclaimed
@@ -103,5 +103,9 @@
     let mut promises = Promises::default();
     promises.add(InstanceId(1), at(1, &answer));
     promises.add(InstanceId(2), at(3, &other));
-    assert_eq!(promises.verdict(&group), other, "the highest ballot counts");
+    assert_eq!(
+        promises.proposal(&group),
+        other,
+        "the highest ballot counts"
+    );
 }
--- a/crates/celerywinch_entry/src/claims.rs
+++ b/crates/celerywinch_entry/src/claims.rs
@@ -1,6 +1,6 @@
 //! Messages about claims: as a replica, and as the one that asks.
 
-use celerywinch_claims::{Progress, Promise, Refused, Replica, Verdict};
+use celerywinch_claims::{Progress, Promise, Rejection, Replica, Verdict};
 use celerywinch_dispatch::JobId;
 use celerywinch_types::{
     Ballot, ClaimMsg, ClaimReply, Grant, Holder, InstanceId, Key, Outcome, PeerMsg, Time, VoteState,
@@ -90,7 +90,7 @@
             return;
         };
         let (key, digest, holder) = (claim.key().clone(), claim.digest(), claim.holder());
-        let silent: Vec<_> = claim.silent().collect();
+        let silent: Vec<_> = claim.unanswered().collect();
         let vote = || ClaimMsg::Vote {
             key: key.clone(),
             digest,
@@ -195,8 +195,8 @@
             return;
         }
         match claim.answer(from, grant) {
-            Progress::Wait if granted && from != self.me() => self.ask_votes(now, id, out),
-            Progress::Wait => {}
+            Progress::Pending if granted && from != self.me() => self.ask_votes(now, id, out),
+            Progress::Pending => {}
             Progress::Done(verdict) => self.vote_over(now, id, verdict, out),
         }
     }
@@ -281,7 +281,7 @@
         let Some(Phase::Deciding(claim)) = self.jobs.get(id).map(|job| &job.phase) else {
             return;
         };
-        let silent: Vec<_> = claim.silent().collect();
+        let silent: Vec<_> = claim.unanswered().collect();
         let (key, digest, ballot) = (claim.key().clone(), claim.digest(), claim.ballot());
         let outcome = claim.outcome().clone();
         let accept = || ClaimMsg::Accept {
@@ -366,7 +366,7 @@
     }
 }
 
-fn promise_reply(key: Key, ballot: Ballot, promise: Result<Promise, Refused>) -> ClaimReply {
+fn promise_reply(key: Key, ballot: Ballot, promise: Result<Promise, Rejection>) -> ClaimReply {
     match promise {
         Ok(promise) => ClaimReply::Promised {
             key,
@@ -379,21 +379,21 @@
     }
 }
 
-fn accept_reply(key: Key, ballot: Ballot, accepted: Result<(), Refused>) -> ClaimReply {
+fn accept_reply(key: Key, ballot: Ballot, accepted: Result<(), Rejection>) -> ClaimReply {
     match accepted {
         Ok(()) => ClaimReply::Accepted { key, ballot },
         Err(refused) => refusal_reply(key, ballot, refused),
     }
 }
 
-fn refusal_reply(key: Key, ballot: Ballot, refused: Refused) -> ClaimReply {
+fn refusal_reply(key: Key, ballot: Ballot, refused: Rejection) -> ClaimReply {
     match refused {
-        Refused::Outbid(promised) => ClaimReply::Outbid {
+        Rejection::Preempted(promised) => ClaimReply::Outbid {
             key,
             ballot,
             promised,
         },
-        Refused::Abstains => ClaimReply::Abstained { key },
+        Rejection::Abstains => ClaimReply::Abstained { key },
     }
 }
 
--- a/crates/celerywinch_entry/src/settle.rs
+++ b/crates/celerywinch_entry/src/settle.rs
@@ -73,7 +73,7 @@
             return;
         };
         let (key, digest) = (job.key.clone(), job.digest);
-        let claim = Claim::observe(key.clone(), digest, group.clone(), ballot);
+        let claim = Claim::settle_key(key.clone(), digest, group.clone(), ballot);
         job.phase = Phase::Settling(claim);
         out.push(Output::Event(Event::Settling { key: key.clone() }));
         self.schedule_resend(now, id, RESEND * 2);
@@ -168,7 +168,7 @@
         let Some(group) = self.homes.group(self.config.dc).cloned() else {
             return;
         };
-        let claim = Claim::observe(job.key.clone(), job.digest, group, promised);
+        let claim = Claim::settle_key(job.key.clone(), job.digest, group, promised);
         // The resend timer raises the ballot above the one seen.
         job.phase = Phase::Settling(claim);
         let pause = Duration::from_millis(self.random.random_range(1..=DUEL_PAUSE_MS));
