--- a/crates/celerywinch_origin/src/choice.rs
+++ b/crates/celerywinch_origin/src/choice.rs
@@ -6,11 +6,11 @@
 
 /// Another dispatcher must be this much faster to be chosen when all are full: two messages between
 /// data centres, and the load that others choose it for at the same moment, in ms.
-const ELSEWHERE_MS: u32 = 15;
+const REMOTE_PENALTY_MS: u32 = 15;
 /// So many dispatchers may give tasks of a job back for want of room; the next one keeps them. Each
 /// costs up to two messages between data centres (3 ms), and its processor time. With 2 or 6 fewer jobs are
 /// served in a burst: 913 and 911 of 1,000 in time against 927, in the simulation of a divided deployment.
-const MOST_FULL: usize = 3;
+const MAX_FULL: usize = 3;
 
 /// The dispatcher of a domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 
 /// What is to be handed in.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Wanted<'a> {
+pub(crate) struct Request<'a> {
     /// The origin's data centre.
     pub(crate) dc: DataCentreId,
     /// The job.
@@ -49,7 +49,7 @@
     /// The dispatcher.
     pub(crate) holder: Holder,
     /// Whether it gives back what finds no room.
-    pub(crate) pass: bool,
+    pub(crate) may_return: bool,
 }
 
 /// A dispatcher with all of its domains.
@@ -70,39 +70,40 @@
 /// long. So the first ones that are tried give back what they cannot start at once: a job is
 /// refused, or waits, only after several had no room for it. With 350 workers under 16 dispatchers and
 /// a burst of 1.8 times the usual load 927 of 1,000 jobs end in time by that, and 813 without it.
-pub(crate) fn choose(holders: &[Holder], wanted: &Wanted) -> Option<Choice> {
-    let mut all = candidates(holders, wanted.dc);
+pub(crate) fn choose(holders: &[Holder], request: &Request) -> Option<Choice> {
+    let mut all = candidates(holders, request.dc);
     let alone = all.len() == 1;
     if all.iter().any(|c| c.holder.preferred) {
         all.retain(|c| c.holder.preferred);
     }
-    let untried = |c: &&Candidate| !wanted.full.contains(&c.holder.instance);
-    let roomy = all.iter().filter(|c| c.free > 0).filter(untried);
-    let mut roomy: Vec<_> = roomy.copied().collect();
+    let untried = |c: &&Candidate| !request.full.contains(&c.holder.instance);
+    let with_room = all.iter().filter(|c| c.free > 0).filter(untried);
+    let mut with_room: Vec<_> = with_room.copied().collect();
     // Work that stays in one data centre is not touched by the loss of another one. Whoever has no room there is not
     // asked a second time: others in this data centre are as busy.
-    if wanted.full.is_empty() && roomy.iter().any(|c| c.holder.local) {
-        roomy.retain(|c| c.holder.local);
+    if request.full.is_empty() && with_room.iter().any(|c| c.holder.local) {
+        with_room.retain(|c| c.holder.local);
     }
-    let roomy = two(roomy, wanted);
-    let most = roomy
+    let with_room = draw_two(with_room, request);
+    let most = with_room
         .iter()
-        .max_by_key(|c| (c.free.min(wanted.tasks), c.local, c.free));
+        .max_by_key(|c| (c.free.min(request.tasks), c.local, c.free));
     if let Some(best) = most
-        && (wanted.full.len() < MOST_FULL || alone)
+        && (request.full.len() < MAX_FULL || alone)
     {
         return Some(Choice {
             holder: best.holder,
-            pass: !alone,
+            may_return: !alone,
         });
     }
-    let class = usize::from(wanted.priority).min(2);
-    let wait = |c: &&Candidate| c.holder.load.wait[class] + if c.local { 0 } else { ELSEWHERE_MS };
-    let drawn = two(all, wanted);
+    let class = usize::from(request.priority).min(2);
+    let wait =
+        |c: &&Candidate| c.holder.load.wait[class] + if c.local { 0 } else { REMOTE_PENALTY_MS };
+    let drawn = draw_two(all, request);
     let first = drawn.iter().min_by_key(wait)?;
     Some(Choice {
         holder: first.holder,
-        pass: false,
+        may_return: false,
     })
 }
 
@@ -120,8 +121,8 @@
     all.into_values().collect()
 }
 
-fn two(mut candidates: Vec<Candidate>, wanted: &Wanted) -> Vec<Candidate> {
-    candidates.sort_by_key(|c| score(wanted.job.0, u64::from(c.holder.instance.0)));
+fn draw_two(mut candidates: Vec<Candidate>, request: &Request) -> Vec<Candidate> {
+    candidates.sort_by_key(|c| score(request.job.0, u64::from(c.holder.instance.0)));
     candidates.truncate(2);
     candidates
 }
--- a/crates/celerywinch_origin/src/job.rs
+++ b/crates/celerywinch_origin/src/job.rs
@@ -12,7 +12,7 @@
 
 /// What is known of a run that may be at work.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Trace {
+pub(crate) struct PossibleRun {
     /// The domains where it may be.
     pub(crate) domains: Arc<BTreeSet<Domain>>,
     /// Whether later runs may have been started.
@@ -20,18 +20,18 @@
     /// Since when nobody extends its lease, as far as is known.
     pub(crate) since: Time,
     /// The dispatcher that had it and was thought to be lost; it may have it still.
-    pub(crate) at: Option<InstanceId>,
+    pub(crate) dispatcher: Option<InstanceId>,
 }
 
 /// Where a task is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Place {
+pub(crate) enum TaskState {
     /// To be handed in.
-    Todo,
+    Pending,
     /// To be handed in to whoever dispatches where it may be running.
-    Unsure(Trace),
+    MaybeRunning(PossibleRun),
     /// At a dispatcher, which got it with this doubt.
-    Out(InstanceId, Option<Trace>),
+    Submitted(InstanceId, Option<PossibleRun>),
     /// Done.
     Done,
 }
@@ -39,15 +39,15 @@
 /// A task.
 #[derive(Clone, Debug)]
 pub(crate) struct Task {
-    pub(crate) place: Place,
+    pub(crate) state: TaskState,
     pub(crate) failures: u32,
     /// Workers that have ended under it.
     pub(crate) crashes: Crashes,
     pub(crate) run: RunNumber,
     /// The last time that it was handed in.
-    pub(crate) hand: u32,
+    pub(crate) submission: u32,
     /// The first of those times at the dispatcher that has it.
-    pub(crate) first: u32,
+    pub(crate) first_submission: u32,
 }
 
 impl Task {
@@ -59,8 +59,8 @@
             crashes: self.crashes,
             run: self.run,
             doubt,
-            hand: self.hand,
-            first: self.first,
+            hand: self.submission,
+            first: self.first_submission,
         }
     }
 }
@@ -93,12 +93,12 @@
         for (step, number) in plan.steps.iter().zip(0u16..) {
             for index in 0..step.count {
                 let task = Task {
-                    place: Place::Todo,
+                    state: TaskState::Pending,
                     failures: 0,
                     crashes: Crashes::default(),
                     run: first_run,
-                    hand: 0,
-                    first: 0,
+                    submission: 0,
+                    first_submission: 0,
                 };
                 tasks.insert((number, index), task);
             }
@@ -117,16 +117,22 @@
 
     fn step_done(&self, step: u16) -> bool {
         let mut tasks = self.tasks.range((step, 0)..=(step, u16::MAX));
-        tasks.all(|(_, task)| task.place == Place::Done)
+        tasks.all(|(_, task)| task.state == TaskState::Done)
     }
 
     pub(crate) fn done(&self) -> bool {
-        self.tasks.values().all(|task| task.place == Place::Done)
+        self.tasks
+            .values()
+            .all(|task| task.state == TaskState::Done)
     }
 
     /// Whether anything of it may have run. What a dispatcher gave back for want of room has not.
-    pub(crate) fn begun(&self) -> bool {
-        self.doubtful || self.tasks.values().any(|task| task.place != Place::Todo)
+    pub(crate) fn may_have_started(&self) -> bool {
+        self.doubtful
+            || self
+                .tasks
+                .values()
+                .any(|task| task.state != TaskState::Pending)
     }
 
     /// Steps whose turn has come and which have tasks to hand in.
@@ -134,8 +140,10 @@
         let open = |step: &u16| {
             let plan = &self.plan.steps[usize::from(*step)];
             let mut tasks = self.tasks.range((*step, 0)..=(*step, u16::MAX));
-            let todo = |place: &Place| matches!(place, Place::Todo | Place::Unsure(_));
-            tasks.any(|(_, task)| todo(&task.place))
+            let todo = |state: &TaskState| {
+                matches!(state, TaskState::Pending | TaskState::MaybeRunning(_))
+            };
+            tasks.any(|(_, task)| todo(&task.state))
                 && plan.after.iter().all(|s| self.step_done(*s))
         };
         let count = u16::try_from(self.plan.steps.len()).unwrap_or(u16::MAX);
@@ -143,7 +151,7 @@
     }
 
     /// Ms of the longest chain of steps, by the caller's guesses.
-    fn chain(&self) -> u32 {
+    fn critical_path(&self) -> u32 {
         let mut ends: Vec<u32> = Vec::new();
         for step in &self.plan.steps {
             let before = step.after.iter().filter_map(|s| ends.get(usize::from(*s)));
@@ -173,7 +181,7 @@
             age: u32::try_from(age).unwrap_or(u32::MAX),
             slack: self.queue.slack,
             target: self.queue.target,
-            chain: self.chain(),
+            chain: self.critical_path(),
             fresh: false,
             pass: false,
             tasks,
@@ -182,10 +190,10 @@
 
     /// Dispatchers that have tasks of the job, or may have.
     pub(crate) fn dispatchers(&self) -> Vec<InstanceId> {
-        let out = self.tasks.values().filter_map(|task| match &task.place {
-            Place::Out(instance, _) => Some(*instance),
-            Place::Unsure(trace) => trace.at,
-            Place::Todo | Place::Done => None,
+        let out = self.tasks.values().filter_map(|task| match &task.state {
+            TaskState::Submitted(instance, _) => Some(*instance),
+            TaskState::MaybeRunning(run) => run.dispatcher,
+            TaskState::Pending | TaskState::Done => None,
         });
         let mut out: Vec<_> = out.collect();
         out.sort_unstable();
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -9,20 +9,20 @@
     RunNumber, Session, TaskEnd, TaskNews, Time, Without, WorkMsg, domain, identifier,
 };
 
-use crate::choice::{Choice, Wanted, choose};
-use crate::job::{Job, Place, Trace};
-use crate::lost::{Left, SURELY_ENDED};
+use crate::choice::{Choice, Request, choose};
+use crate::job::{Job, PossibleRun, TaskState};
+use crate::lost::{LOST_RUN_TIMEOUT, Withdrawals};
 use crate::{Holder, JobEvent};
 
 /// How long a new job waits for a dispatcher, where none is known. A change of hands takes up to
 /// 500 ms; most objectives are over by then, and the caller is told when to come back.
-const NO_DISPATCHER: Duration = Duration::from_millis(200);
+const DISPATCHER_TIMEOUT: Duration = Duration::from_millis(200);
 /// When it is told to come back, in ms: after a change of hands.
-pub(crate) const COME_BACK_MS: u32 = 500;
+pub(crate) const RETRY_AFTER_MS: u32 = 500;
 /// A change of hands takes up to 500 ms.
-const CHANGE_OF_HANDS: Duration = Duration::from_millis(600);
+const HANDOFF_TIMEOUT: Duration = Duration::from_millis(600);
 /// A job that is older is answered as unsure: no caller waits for longer.
-const OLDEST: Duration = Duration::from_secs(30);
+const MAX_JOB_AGE: Duration = Duration::from_secs(30);
 
 identifier! {
     /// A caller that waits.
@@ -85,16 +85,16 @@
     pub(crate) holders: Vec<Holder>,
     holders_incomplete: bool,
     /// The domains that a process was last known to dispatch for.
-    pub(crate) held: BTreeMap<InstanceId, Arc<BTreeSet<Domain>>>,
+    pub(crate) owned: BTreeMap<InstanceId, Arc<BTreeSet<Domain>>>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
     callers: BTreeMap<CallerId, JobId>,
     /// Jobs with tasks to hand in.
-    pub(crate) open: BTreeSet<JobId>,
+    pub(crate) pending: BTreeSet<JobId>,
     /// Since when no dispatcher is known.
-    alone: Option<Time>,
+    unserved_since: Option<Time>,
     /// How often anything was handed in. A job that comes again gets numbers of its own, or what was
     /// told of the first one would be taken for an answer.
-    pub(crate) hands: u32,
+    pub(crate) submissions: u32,
     /// How often each dispatcher was taken for lost.
     pub(crate) sessions: BTreeMap<InstanceId, Session>,
 }
@@ -108,12 +108,12 @@
             without,
             holders: Vec::new(),
             holders_incomplete: false,
-            held: BTreeMap::new(),
+            owned: BTreeMap::new(),
             jobs: BTreeMap::new(),
             callers: BTreeMap::new(),
-            open: BTreeSet::new(),
-            alone: None,
-            hands: 0,
+            pending: BTreeSet::new(),
+            unserved_since: None,
+            submissions: 0,
             sessions: BTreeMap::new(),
         }
     }
@@ -134,7 +134,7 @@
     #[must_use]
     pub fn describe_jobs(&self) -> Vec<String> {
         let line = |job: &Job| {
-            let places: Vec<_> = job.tasks.values().map(|task| &task.place).collect();
+            let places: Vec<_> = job.tasks.values().map(|task| &task.state).collect();
             format!(
                 "job {}: {} callers, {places:?}",
                 job.id.0,
@@ -147,8 +147,10 @@
     /// Whether a dispatcher is known, or was until lately: a change of hands is over by then.
     #[must_use]
     pub fn has_dispatcher(&self, now: Time) -> bool {
-        let alone = self.alone.map_or(Duration::ZERO, |since| now.since(since));
-        alone < CHANGE_OF_HANDS
+        let alone = self
+            .unserved_since
+            .map_or(Duration::ZERO, |since| now.since(since));
+        alone < HANDOFF_TIMEOUT
     }
 
     /// Takes an input and appends what the host is to do.
@@ -159,24 +161,24 @@
             Input::Work(from, msg) => self.work(now, from, msg, out),
             Input::Holders(holders) => self.set_holders(holders),
             Input::Loads(dispatcher, holdings) => self.set_loads(dispatcher, &holdings),
-            Input::LinkReset(peer) => self.hand_in_again(now, peer, out),
+            Input::LinkReset(peer) => self.resubmit(now, peer, out),
             Input::PeerLost(peer) => self.peer_lost(now, peer, out),
-            Input::Paused => self.give_up_all(now, out),
+            Input::Paused => self.end_all(now, out),
             Input::Tick => self.tick(now, out),
         }
-        self.hand_in(now, out);
+        self.submit_pending(now, out);
     }
 
     fn set_holders(&mut self, holders: Vec<Holder>) {
-        let mut held: BTreeMap<InstanceId, BTreeSet<Domain>> = BTreeMap::new();
+        let mut owned: BTreeMap<InstanceId, BTreeSet<Domain>> = BTreeMap::new();
         for holder in &holders {
-            let domains = held.entry(holder.instance).or_default();
+            let domains = owned.entry(holder.instance).or_default();
             domains.insert(holder.domain);
         }
-        for (instance, domains) in held {
-            let known = self.held.get(&instance);
+        for (instance, domains) in owned {
+            let known = self.owned.get(&instance);
             if known.is_none_or(|known| **known != domains) {
-                self.held.insert(instance, Arc::new(domains));
+                self.owned.insert(instance, Arc::new(domains));
             }
         }
         self.holders = holders;
@@ -221,7 +223,7 @@
             tasks: job.tasks.len(),
         }));
         self.jobs.insert(id, job);
-        self.open.insert(id);
+        self.pending.insert(id);
         self.finish_if_done(now, id, out);
     }
 
@@ -243,12 +245,12 @@
 
     /// Forgets a job; what still runs of it is stopped.
     fn drop_job(&mut self, id: JobId, out: &mut Vec<Output>) -> Option<Job> {
-        self.open.remove(&id);
+        self.pending.remove(&id);
         let job = self.jobs.remove(&id)?;
         for dispatcher in job.dispatchers() {
             let cancel = WorkMsg::Cancel {
                 job: id,
-                last: self.hands,
+                last: self.submissions,
             };
             out.push(Output::Send(dispatcher, cancel));
         }
@@ -285,8 +287,8 @@
                 }
             }
             WorkMsg::Resync(ask) => {
-                self.hand_in_again(now, from, out);
-                let unsure = self.unsure_at(from);
+                self.resubmit(now, from, out);
+                let unsure = self.lost_tasks(from);
                 out.push(Output::Send(from, WorkMsg::Named { ask, unsure }));
             }
             // For dispatchers, not for origins.
@@ -309,25 +311,25 @@
         let Some(task) = job.tasks.get_mut(&(id.step, id.index)) else {
             return;
         };
-        let Place::Out(at, trace) = task.place.clone() else {
+        let TaskState::Submitted(at, run) = task.state.clone() else {
             return;
         };
-        if at != from || (news.gives_back() && hand != task.hand) {
+        if at != from || (news.gives_back() && hand != task.submission) {
             return;
         }
         match end {
             TaskEnd::Done => {
-                task.place = Place::Done;
-                if hand != task.hand {
+                task.state = TaskState::Done;
+                if hand != task.submission {
                     // The result was held up, and the dispatcher may have taken the task again since: it would
                     // run it once more, as a task that is done is named in no cancellation of its job.
                     let drop = WorkMsg::Drop {
                         tasks: vec![id],
-                        last: self.hands,
+                        last: self.submissions,
                     };
                     out.push(Output::Send(from, drop));
                 }
-                self.open.insert(id.job);
+                self.pending.insert(id.job);
                 self.finish_if_done(now, id.job, out);
             }
             TaskEnd::Failed => self.answer(now, id.job, JobEnd::Failed, out),
@@ -340,37 +342,39 @@
             TaskEnd::Refused(_) if job.doubtful => self.answer(now, id.job, JobEnd::Unsure, out),
             TaskEnd::Refused(later) => self.answer(now, id.job, JobEnd::Refused(later), out),
             TaskEnd::Full => {
-                task.place = Place::Todo;
+                task.state = TaskState::Pending;
                 if !job.full.contains(&from) {
                     job.full.push(from);
                 }
-                self.open.insert(id.job);
-                self.believe_full(from);
+                self.pending.insert(id.job);
+                self.mark_full(from);
             }
             TaskEnd::Returned { at, failures, run } => {
                 job.doubtful = true;
                 task.failures = failures;
                 task.run = task.run.max(run);
-                task.place = at.map_or(Place::Todo, |at| Place::Unsure(last_run(now, at)));
-                self.wait_for_holder(id.job, from);
+                task.state = at.map_or(TaskState::Pending, |at| {
+                    TaskState::MaybeRunning(run_at(now, at))
+                });
+                self.await_holder(id.job, from);
             }
             TaskEnd::Doubtful => {
                 job.doubtful = true;
-                let again = task.hand != task.first;
-                let as_it_came = trace.clone().filter(|_| !again);
-                let reach = self.held.get(&from).cloned().unwrap_or_default();
-                let trace = as_it_came.unwrap_or_else(|| {
+                let again = task.submission != task.first_submission;
+                let as_it_came = run.clone().filter(|_| !again);
+                let reach = self.owned.get(&from).cloned().unwrap_or_default();
+                let run = as_it_came.unwrap_or_else(|| {
                     task.run = task.run.past_lost();
-                    named_again(now, &reach, trace.as_ref())
+                    run_after_resubmission(now, &reach, run.as_ref())
                 });
-                task.place = Place::Unsure(trace);
-                self.wait_for_holder(id.job, from);
+                task.state = TaskState::MaybeRunning(run);
+                self.await_holder(id.job, from);
             }
         }
     }
 
     /// Until the next heartbeat tells.
-    fn believe_full(&mut self, dispatcher: InstanceId) {
+    fn mark_full(&mut self, dispatcher: InstanceId) {
         let holders = self.holders.iter_mut();
         for holder in holders.filter(|holder| holder.instance == dispatcher) {
             holder.load.free = 0;
@@ -379,8 +383,8 @@
 
     /// A dispatcher gave work back: it holds its data centre no more, and the next heartbeat tells
     /// who does. Until then work would go back and forth.
-    fn wait_for_holder(&mut self, job: JobId, from: InstanceId) {
-        self.open.insert(job);
+    fn await_holder(&mut self, job: JobId, from: InstanceId) {
+        self.pending.insert(job);
         self.holders.retain(|holder| holder.instance != from);
         self.holders_incomplete = true;
     }
@@ -393,80 +397,85 @@
 
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.holders.is_empty() {
-            self.alone.get_or_insert(now);
+            self.unserved_since.get_or_insert(now);
         } else {
-            self.alone = None;
+            self.unserved_since = None;
         }
         let given_up = self
-            .alone
-            .is_some_and(|since| now.since(since) >= SURELY_ENDED);
-        for id in self.open.clone() {
+            .unserved_since
+            .is_some_and(|since| now.since(since) >= LOST_RUN_TIMEOUT);
+        for id in self.pending.clone() {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
             let age = now.since(job.arrived);
-            if !job.begun() && age >= NO_DISPATCHER {
-                self.answer(now, id, JobEnd::Refused(COME_BACK_MS), out);
-            } else if age >= OLDEST || given_up {
+            if !job.may_have_started() && age >= DISPATCHER_TIMEOUT {
+                self.answer(now, id, JobEnd::Refused(RETRY_AFTER_MS), out);
+            } else if age >= MAX_JOB_AGE || given_up {
                 self.answer(now, id, JobEnd::Unsure, out);
             }
         }
     }
 
     /// Hands in what is to be handed in.
-    fn hand_in(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.open.is_empty() || self.holders.is_empty() {
+    fn submit_pending(&mut self, now: Time, out: &mut Vec<Output>) {
+        if self.pending.is_empty() || self.holders.is_empty() {
             return;
         }
-        for id in std::mem::take(&mut self.open) {
-            let left = self.hand_in_job(now, id, out);
+        for id in std::mem::take(&mut self.pending) {
+            let left = self.submit_job(now, id, out);
             if left {
-                self.open.insert(id);
+                self.pending.insert(id);
             }
         }
     }
 
     /// Hands in a job's open steps; true if something is left to hand in.
-    fn hand_in_job(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) -> bool {
+    fn submit_job(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) -> bool {
         let Some(job) = self.jobs.get(&id) else {
             return false;
         };
         let mut left = false;
         for step in job.open_steps() {
-            left |= self.hand_in_step(now, id, step, out);
+            left |= self.submit_step(now, id, step, out);
         }
         left
     }
 
-    fn hand_in_step(&mut self, now: Time, id: JobId, step: u16, out: &mut Vec<Output>) -> bool {
+    fn submit_step(&mut self, now: Time, id: JobId, step: u16, out: &mut Vec<Output>) -> bool {
         let mut left = false;
-        self.settle_unsure(now, id, step, out);
+        self.release_ended(now, id, step, out);
         for holder in self.holders.clone() {
-            let reach = self.held.get(&holder.instance).cloned().unwrap_or_default();
+            let reach = self
+                .owned
+                .get(&holder.instance)
+                .cloned()
+                .unwrap_or_default();
             let finds =
-                |trace: &Trace| !trace.domains.is_empty() && trace.domains.is_subset(&reach);
-            let here = |place: &Place| matches!(place, Place::Unsure(trace) if finds(trace));
+                |run: &PossibleRun| !run.domains.is_empty() && run.domains.is_subset(&reach);
+            let here =
+                |state: &TaskState| matches!(state, TaskState::MaybeRunning(run) if finds(run));
             let choice = Choice {
                 holder,
-                pass: false,
+                may_return: false,
             };
             self.send_tasks(now, id, step, choice, here, out);
         }
-        self.leave_behind(now, id, step, out);
+        self.drop_at_recovered(now, id, step, out);
         let job = &self.jobs[&id];
         let tasks = job.tasks.range((step, 0)..=(step, u16::MAX));
         let todo = tasks
             .clone()
-            .filter(|(_, t)| t.place == Place::Todo)
+            .filter(|(_, t)| t.state == TaskState::Pending)
             .count();
         left |= tasks
             .clone()
-            .any(|(_, t)| matches!(t.place, Place::Unsure(..)));
+            .any(|(_, t)| matches!(t.state, TaskState::MaybeRunning(..)));
         if todo == 0 {
             return left;
         }
         let count = u32::try_from(todo).unwrap_or(u32::MAX);
-        let wanted = Wanted {
+        let wanted = Request {
             dc: self.dc,
             job: id,
             priority: job.queue.priority,
@@ -475,7 +484,14 @@
         };
         match choose(&self.holders, &wanted) {
             Some(choice) => {
-                self.send_tasks(now, id, step, choice, |place| *place == Place::Todo, out);
+                self.send_tasks(
+                    now,
+                    id,
+                    step,
+                    choice,
+                    |state| *state == TaskState::Pending,
+                    out,
+                );
             }
             None => left = true,
         }
@@ -488,39 +504,39 @@
         id: JobId,
         step: u16,
         choice: Choice,
-        wanted: impl Fn(&Place) -> bool,
+        wanted: impl Fn(&TaskState) -> bool,
         out: &mut Vec<Output>,
     ) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         let holder = choice.holder;
-        let fresh = !job.begun();
-        self.hands += 1;
+        let fresh = !job.may_have_started();
+        self.submissions += 1;
         let mut orders = Vec::new();
-        let mut left = Left::default();
+        let mut withdrawals = Withdrawals::default();
         for ((_, index), task) in job.tasks.range_mut((step, 0)..=(step, u16::MAX)) {
-            if wanted(&task.place) {
-                let trace = match &mut task.place {
-                    Place::Unsure(trace) => {
-                        if trace.at != Some(holder.instance) {
-                            left.take(trace, id, step, *index);
+            if wanted(&task.state) {
+                let run = match &mut task.state {
+                    TaskState::MaybeRunning(run) => {
+                        if run.dispatcher != Some(holder.instance) {
+                            withdrawals.add(run, id, step, *index);
                         }
-                        Some(trace.clone())
+                        Some(run.clone())
                     }
-                    Place::Todo | Place::Out(..) | Place::Done => None,
+                    TaskState::Pending | TaskState::Submitted(..) | TaskState::Done => None,
                 };
-                task.hand = self.hands;
-                task.first = self.hands;
-                let doubt = trace.as_ref().map_or(Doubt::None, |trace| trace.doubt);
+                task.submission = self.submissions;
+                task.first_submission = self.submissions;
+                let doubt = run.as_ref().map_or(Doubt::None, |run| run.doubt);
                 orders.push(task.order(*index, doubt));
-                task.place = Place::Out(holder.instance, trace);
+                task.state = TaskState::Submitted(holder.instance, run);
             }
         }
         if orders.is_empty() {
             return;
         }
-        left.tell(self.hands, out);
+        withdrawals.send(self.submissions, out);
         let count = orders.len();
         out.push(Output::Event(JobEvent::HandedIn {
             job: id,
@@ -537,7 +553,7 @@
         let mut order = job.order(now, step, orders);
         order.session = session.copied().unwrap_or_default();
         order.fresh = fresh;
-        order.pass = choice.pass && !self.without.lacks(Mechanism::Passing);
+        order.pass = choice.may_return && !self.without.lacks(Mechanism::Passing);
         out.push(Output::Send(holder.instance, WorkMsg::Submit(order)));
         // Until the next heartbeat tells, the room is believed to be taken.
         let mut taken = u32::try_from(count).unwrap_or(u32::MAX);
@@ -551,24 +567,28 @@
 }
 
 /// The last run of a task may be at work in a domain that its dispatcher gave up.
-fn last_run(now: Time, domain: Domain) -> Trace {
-    Trace {
+fn run_at(now: Time, domain: Domain) -> PossibleRun {
+    PossibleRun {
         domains: Arc::new(BTreeSet::from([domain])),
         doubt: Doubt::Last,
         since: now,
-        at: None,
+        dispatcher: None,
     }
 }
 
 /// A dispatcher has given a task back that was named to it again, as messages may be lost: it may have started
 /// it after the first time, and have told so in what was lost. To take it for as sure as it came
 /// would let its next dispatcher find an end before that run, and start it a second time.
-fn named_again(now: Time, reach: &BTreeSet<Domain>, came: Option<&Trace>) -> Trace {
-    let before = came.iter().flat_map(|trace| trace.domains.iter());
-    Trace {
+fn run_after_resubmission(
+    now: Time,
+    reach: &BTreeSet<Domain>,
+    came: Option<&PossibleRun>,
+) -> PossibleRun {
+    let before = came.iter().flat_map(|run| run.domains.iter());
+    PossibleRun {
         domains: Arc::new(before.chain(reach).copied().collect()),
         doubt: Doubt::Open,
         since: now,
-        at: None,
+        dispatcher: None,
     }
 }
