--- a/crates/celerywinch_origin/src/choice.rs
+++ b/crates/celerywinch_origin/src/choice.rs
@@ -1,16 +1,17 @@
-//! Which dispatcher gets a step of a job.
+//! Choice of the dispatcher for the tasks of a step.
 
 use std::collections::BTreeMap;
 
 use celerywinch_types::{DataCentreId, Domain, InstanceId, JobId, Load, score};
 
-/// Another dispatcher must be this much faster to be chosen when all are full: two messages between
-/// data centres, and the load that others choose it for at the same moment, in ms.
+/// Time added to the expected wait at a dispatcher of another data centre when all are full, in ms: two messages between
+/// data centres, and the load that other origins send it at the same moment.
 const REMOTE_PENALTY_MS: u32 = 15;
-/// So many dispatchers may give tasks of a job back for want of room; the next one keeps them. Each
-/// costs up to two messages between data centres (3 ms), and its processor time. With 2 or 6 fewer jobs are
-/// served in a burst: 913 and 911 of 1,000 in time against 927, in the simulation of a divided deployment.
-const MAX_FULL: usize = 3;
+/// Number of dispatchers that may return tasks of a job for lack of room; the next one keeps them.
+///
+/// Each attempt costs up to two messages between data centres (3 ms) and processor time. In the simulation of a divided
+/// deployment, 927 of 1,000 jobs of a burst end in time with 3, 913 with 2 and 911 with 6.
+const MAX_RETURNS: usize = 3;
 
 /// The dispatcher of a domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,16 +20,16 @@
     pub domain: Domain,
     /// The entry that dispatches for it.
     pub instance: InstanceId,
-    /// Its room, less what was handed in since it was told.
+    /// Its last reported load, with the tasks submitted since taken off its free places.
     pub load: Load,
-    /// Whether it is one of those that this origin works with; the others get work only of dispatchers that they
-    /// take over from.
+    /// Whether it is one of the dispatchers that this origin submits new tasks to. Any other gets only the tasks of
+    /// dispatchers whose domains it has taken over, as long as a preferred one is known.
     pub preferred: bool,
     /// Whether it is in this origin's data centre.
     pub local: bool,
 }
 
-/// What is to be handed in.
+/// The tasks to be submitted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Request<'a> {
     /// The origin's data centre.
@@ -37,63 +38,63 @@
     pub(crate) job: JobId,
     /// 0 comes first.
     pub(crate) priority: u8,
-    /// How many tasks.
+    /// Number of tasks.
     pub(crate) tasks: u32,
-    /// Dispatchers that had no room for them.
+    /// Dispatchers that returned them for lack of room.
     pub(crate) full: &'a [InstanceId],
 }
 
-/// To whom it is handed in.
+/// The dispatcher chosen, and how the tasks are submitted to it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Choice {
     /// The dispatcher.
     pub(crate) holder: Holder,
-    /// Whether it gives back what finds no room.
+    /// Whether the dispatcher returns tasks that it cannot start at once.
     pub(crate) may_return: bool,
 }
 
-/// A dispatcher with all of its domains.
+/// A dispatcher, with the sum over all of its domains.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     holder: Holder,
     free: u32,
-    /// Whether the origin's data centre is one of them.
+    /// Whether one of its domains is in the origin's data centre.
     local: bool,
 }
 
-/// One with room, or else the one that will have room first.
+/// Chooses a dispatcher with free places, or else the one with the shortest expected wait.
 ///
-/// Of several, two are drawn by the job's number and the better of them is taken: all origins know
-/// the same figures, and would all turn to the best one until the next heartbeat.
+/// Two candidates are drawn by a hash of the job's number and the better one is taken (power of two choices). All origins
+/// have the same load figures, and would otherwise all choose the same dispatcher until the next heartbeat.
 ///
-/// Where there are several dispatchers, what is known of their room is older than most tasks are
-/// long. So the first ones that are tried give back what they cannot start at once: a job is
-/// refused, or waits, only after several had no room for it. With 350 workers under 16 dispatchers and
-/// a burst of 1.8 times the usual load 927 of 1,000 jobs end in time by that, and 813 without it.
+/// With several dispatchers, the load figures are older than most tasks run. The first dispatchers tried therefore
+/// return tasks that they cannot start at once, and a job is refused, or waits, only after several had no room for it.
+/// With 350 workers under 16 dispatchers and a burst of 1.8 times the usual load, 927 of 1,000 jobs end in time with this
+/// rule and 813 without it.
 pub(crate) fn choose(holders: &[Holder], request: &Request) -> Option<Choice> {
     let mut all = candidates(holders, request.dc);
-    let alone = all.len() == 1;
+    let single = all.len() == 1;
     if all.iter().any(|c| c.holder.preferred) {
         all.retain(|c| c.holder.preferred);
     }
     let untried = |c: &&Candidate| !request.full.contains(&c.holder.instance);
     let with_room = all.iter().filter(|c| c.free > 0).filter(untried);
     let mut with_room: Vec<_> = with_room.copied().collect();
-    // Work that stays in one data centre is not touched by the loss of another one. Whoever has no room there is not
-    // asked a second time: others in this data centre are as busy.
+    // A job that stays in one data centre is not affected by the loss of another one. After a dispatcher had no room, the
+    // local ones are not preferred any more: the others in this data centre are as busy.
     if request.full.is_empty() && with_room.iter().any(|c| c.holder.local) {
         with_room.retain(|c| c.holder.local);
     }
     let with_room = draw_two(with_room, request);
-    let most = with_room
+    let best = with_room
         .iter()
         .max_by_key(|c| (c.free.min(request.tasks), c.local, c.free));
-    if let Some(best) = most
-        && (request.full.len() < MAX_FULL || alone)
+    if let Some(best) = best
+        && (request.full.len() < MAX_RETURNS || single)
     {
         return Some(Choice {
             holder: best.holder,
-            may_return: !alone,
+            may_return: !single,
         });
     }
     let class = usize::from(request.priority).min(2);
--- a/crates/celerywinch_origin/src/event.rs
+++ b/crates/celerywinch_origin/src/event.rs
@@ -1,9 +1,9 @@
-//! Decisions about jobs worth a line in the logs, with what decided them.
+//! Events of jobs, written to the structured log.
 
 use celerywinch_types::{Domain, InstanceId, JobEnd, JobId};
 use serde::Serialize;
 
-/// A decision about a job.
+/// An event of a job, with the figures that it depended on.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum JobEvent {
@@ -13,10 +13,10 @@
         job: JobId,
         /// Its queue.
         queue: String,
-        /// How many tasks it has.
+        /// Number of its tasks.
         tasks: usize,
     },
-    /// Tasks were handed to a dispatcher.
+    /// Tasks were submitted to a dispatcher.
     HandedIn {
         /// The job.
         job: JobId,
@@ -24,40 +24,40 @@
         domain: Domain,
         /// The dispatcher.
         to: InstanceId,
-        /// How many tasks.
+        /// Number of tasks.
         tasks: usize,
-        /// How many of them may be running already.
+        /// Number of those that may already be running.
         unsure: usize,
-        /// Places that the dispatcher was believed to have.
+        /// Free places at the dispatcher, as last reported less later submissions.
         free: u32,
     },
-    /// A dispatcher was lost with open tasks.
+    /// A dispatcher with open tasks of the job was lost.
     DispatcherLost {
         /// The job.
         job: JobId,
         /// The dispatcher.
         dispatcher: InstanceId,
     },
-    /// The caller got its answer.
+    /// The callers were answered.
     Answered {
         /// The job.
         job: JobId,
         /// How it ended.
         end: JobEnd,
-        /// Ms since it arrived.
+        /// Ms since the job arrived.
         took: u32,
     },
-    /// The caller left before its answer.
+    /// The last caller disconnected before the answer.
     CallerLeft {
         /// The job.
         job: JobId,
-        /// Ms since it arrived.
+        /// Ms since the job arrived.
         took: u32,
     },
 }
 
 impl JobEvent {
-    /// Whether it tells of something that goes as it should.
+    /// Whether the event is part of normal operation.
     #[must_use]
     pub fn is_routine(&self) -> bool {
         match self {
--- a/crates/celerywinch_origin/src/job.rs
+++ b/crates/celerywinch_origin/src/job.rs
@@ -1,4 +1,4 @@
-//! A job and where its tasks are.
+//! A job and the states of its tasks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,48 +10,48 @@
 
 use crate::CallerId;
 
-/// What is known of a run that may be at work.
+/// What is known of a run of a task that may still be going on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PossibleRun {
-    /// The domains where it may be.
+    /// The domains of the workers that may have it.
     pub(crate) domains: Arc<BTreeSet<Domain>>,
     /// Whether later runs may have been started.
     pub(crate) doubt: Doubt,
-    /// Since when nobody extends its lease, as far as is known.
+    /// Since when its lease is not renewed, as far as this origin knows.
     pub(crate) since: Time,
-    /// The dispatcher that had it and was thought to be lost; it may have it still.
+    /// The dispatcher that had the task when it was reported as lost; it may still have it.
     pub(crate) dispatcher: Option<InstanceId>,
 }
 
-/// Where a task is.
+/// The state of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum TaskState {
-    /// To be handed in.
+    /// To be submitted to any dispatcher.
     Pending,
-    /// To be handed in to whoever dispatches where it may be running.
+    /// To be submitted to the owner of the domains where it may be running.
     MaybeRunning(PossibleRun),
-    /// At a dispatcher, which got it with this doubt.
+    /// Submitted to a dispatcher, with the run that may have been going on at that time.
     Submitted(InstanceId, Option<PossibleRun>),
     /// Done.
     Done,
 }
 
-/// A task.
+/// One task of a job.
 #[derive(Clone, Debug)]
 pub(crate) struct Task {
     pub(crate) state: TaskState,
     pub(crate) failures: u32,
-    /// Workers that have ended under it.
+    /// Crashes of workers while they ran it.
     pub(crate) crashes: Crashes,
     pub(crate) run: RunNumber,
-    /// The last time that it was handed in.
+    /// Number of its last submission.
     pub(crate) submission: u32,
-    /// The first of those times at the dispatcher that has it.
+    /// Number of its first submission to its current dispatcher.
     pub(crate) first_submission: u32,
 }
 
 impl Task {
-    /// What a dispatcher is told of it.
+    /// Returns the part of the submission that concerns this task.
     pub(crate) fn order(&self, index: u16, doubt: Doubt) -> TaskOrder {
         TaskOrder {
             index,
@@ -65,7 +65,7 @@
     }
 }
 
-/// A job.
+/// An open job.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub(crate) id: JobId,
@@ -74,9 +74,9 @@
     pub(crate) plan: JobPlan,
     pub(crate) arrived: Time,
     pub(crate) tasks: BTreeMap<(u16, u16), Task>,
-    /// Whether a task came back that may have run.
+    /// Whether one of its tasks was returned or lost and may have run.
     pub(crate) doubtful: bool,
-    /// Dispatchers that had no room for its tasks.
+    /// Dispatchers that returned its tasks because they had no room.
     pub(crate) full: Vec<InstanceId>,
 }
 
@@ -126,7 +126,7 @@
             .all(|task| task.state == TaskState::Done)
     }
 
-    /// Whether anything of it may have run. What a dispatcher gave back for want of room has not.
+    /// Whether any of its tasks may have run. Tasks that a dispatcher returned for lack of room have not.
     pub(crate) fn may_have_started(&self) -> bool {
         self.doubtful
             || self
@@ -135,7 +135,7 @@
                 .any(|task| task.state != TaskState::Pending)
     }
 
-    /// Steps whose turn has come and which have tasks to hand in.
+    /// Returns the steps that have tasks to submit and whose preceding steps are done.
     pub(crate) fn open_steps(&self) -> Vec<u16> {
         let open = |step: &u16| {
             let plan = &self.plan.steps[usize::from(*step)];
@@ -150,7 +150,7 @@
         (0..count).filter(open).collect()
     }
 
-    /// Ms of the longest chain of steps, by the caller's guesses.
+    /// Returns the length of the critical path, in ms, by the caller's estimates of run times.
     fn critical_path(&self) -> u32 {
         let mut ends: Vec<u32> = Vec::new();
         for step in &self.plan.steps {
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Dispatchers that have tasks of the job, or may have.
+    /// Returns the dispatchers that have tasks of the job, or may have.
     pub(crate) fn dispatchers(&self) -> Vec<InstanceId> {
         let out = self.tasks.values().filter_map(|task| match &task.state {
             TaskState::Submitted(instance, _) => Some(*instance),
--- a/crates/celerywinch_origin/src/lib.rs
+++ b/crates/celerywinch_origin/src/lib.rs
@@ -1,12 +1,12 @@
 //! Jobs whose callers wait for the end.
 //!
-//! [`Origin`] is the state machine of the entry that holds the caller's connection. It hands tasks
-//! to the dispatchers of data centres, hands them in again when a dispatcher is lost or gives them
-//! back, and answers the caller once. Nothing of it outlives the process: a caller whose
-//! connection breaks sends its job again, to any entry.
+//! [`Origin`] is the state machine of the entry that the caller is connected to. It submits tasks to
+//! the dispatchers of data centres, submits them again when a dispatcher is lost or returns them,
+//! and answers the caller once. Its state is in memory only: a caller whose connection breaks
+//! submits its job again, to any entry.
 //!
-//! The host guarantees that time is monotonic and counts suspensions, and calls `Tick` at least
-//! every 50 ms.
+//! The host guarantees that time is monotonic and includes suspensions, and sends `Input::Tick` at
+//! least every 50 ms.
 
 mod choice;
 mod event;
--- a/crates/celerywinch_origin/src/lost.rs
+++ b/crates/celerywinch_origin/src/lost.rs
@@ -1,4 +1,4 @@
-//! Dispatchers that may be lost, and messages to them.
+//! Handling of lost dispatchers, and of lost messages to and from dispatchers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 use crate::job::{PossibleRun, TaskState};
 use crate::origin::{Origin, Output, RETRY_AFTER_MS};
 
-/// A task that may run at a lost dispatcher has ended by then: the time for which the dispatcher may
-/// start it without hearing its origin (500 ms), and the longest lease with its errors (931 ms).
+/// Time after which a task of a lost dispatcher can no longer be running: a dispatcher starts tasks for at most 500 ms
+/// after the last contact with their origin, and the longest lease, with clock errors, is 931 ms.
 pub(crate) const LOST_RUN_TIMEOUT: Duration = Duration::from_millis(1_450);
 
-/// Tasks that dispatchers may have which were taken for lost, and are not to start any more.
+/// Tasks that dispatchers reported as lost may still have and must not start, by dispatcher.
 ///
-/// One that was silent for a moment has its tasks still. It would start them at any time, beside
-/// the one that they have gone to meanwhile: it is told to drop them before they go there. If it does
-/// not hear that, it does not hear its origin either, and drops all that is of it.
+/// A dispatcher that was unreachable for a moment still has its tasks, and could start one that another dispatcher has
+/// got since. It is told to drop them before they are submitted elsewhere. If that message does not arrive, the
+/// dispatcher has no contact with this origin either, and drops all of the origin's tasks.
 #[derive(Debug, Default)]
 pub(crate) struct Withdrawals {
     tasks: BTreeMap<InstanceId, Vec<TaskId>>,
 }
 
 impl Withdrawals {
-    /// Notes a task that does not go back to where it was.
+    /// Records a task that is not submitted to its earlier dispatcher again.
     pub(crate) fn add(&mut self, run: &mut PossibleRun, job: JobId, step: u16, index: u16) {
         if let Some(at) = run.dispatcher.take() {
             let task = TaskId { job, step, index };
@@ -32,6 +32,7 @@
         }
     }
 
+    /// Sends the `Drop` messages; `last` is the number of the last submission.
     pub(crate) fn send(self, last: u32, out: &mut Vec<Output>) {
         for (at, tasks) in self.tasks {
             out.push(Output::Send(at, WorkMsg::Drop { tasks, last }));
@@ -40,8 +41,8 @@
 }
 
 impl Origin {
-    /// What a dispatcher has is named to it again, for messages either way may be lost. It takes
-    /// only what it does not know.
+    /// Submits all tasks of a dispatcher to it again, since messages in either direction may have been lost. The
+    /// dispatcher accepts only those that it does not have.
     pub(crate) fn resubmit(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         let session = self.session(peer);
         for job in self.jobs.values_mut() {
@@ -71,12 +72,12 @@
         }
     }
 
-    /// Tasks that a dispatcher had when it was last taken for lost.
-    pub(crate) fn lost_tasks(&self, dispatcher: InstanceId) -> Vec<TaskId> {
+    /// Returns the tasks that a dispatcher had when it was last reported as lost.
+    pub(crate) fn lost_tasks(&self, peer: InstanceId) -> Vec<TaskId> {
         let mut found = Vec::new();
         for job in self.jobs.values() {
-            let there = |state: &TaskState| matches!(state, TaskState::MaybeRunning(t) if t.dispatcher == Some(dispatcher));
-            let tasks = job.tasks.iter().filter(|(_, task)| there(&task.state));
+            let lost = |state: &TaskState| matches!(state, TaskState::MaybeRunning(run) if run.dispatcher == Some(peer));
+            let tasks = job.tasks.iter().filter(|(_, task)| lost(&task.state));
             found.extend(tasks.map(|((step, index), _)| TaskId {
                 job: job.id,
                 step: *step,
@@ -86,7 +87,7 @@
         found
     }
 
-    /// What a lost dispatcher had may go on running, and goes to its successor.
+    /// Marks the tasks of a lost dispatcher as possibly running; they are submitted to its successor.
     pub(crate) fn peer_lost(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         self.holders.retain(|holder| holder.instance != peer);
         self.sessions.entry(peer).or_default().0 += 1;
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Dispatchers have dropped what a process had that stood still; its callers may have gone to
-    /// other entries with the same jobs.
+    /// Answers all callers after a suspension of this process. Dispatchers have dropped its tasks meanwhile, and its
+    /// callers may have submitted the same jobs to other entries.
     pub(crate) fn end_all(&mut self, now: Time, out: &mut Vec<Output>) {
         let jobs = self
             .jobs
@@ -136,9 +137,9 @@
         }
     }
 
-    /// A dispatcher that was taken for lost is heard again, but no longer dispatches where the tasks may
-    /// be running, so they do not go back to it. It is told to drop them, and only a whole wait after
-    /// that it surely has.
+    /// Tells dispatchers that were lost and are reachable again to drop the tasks that they cannot continue, because
+    /// they no longer own the domains where the tasks may be running. The wait for the end of these tasks starts anew:
+    /// only [`LOST_RUN_TIMEOUT`] after this message is it certain that the dispatcher does not start them.
     pub(crate) fn drop_at_recovered(
         &mut self,
         now: Time,
@@ -151,9 +152,9 @@
         };
         let mut withdrawals = Withdrawals::default();
         for ((_, index), task) in job.tasks.range_mut((step, 0)..=(step, u16::MAX)) {
-            let heard = |at| self.holders.iter().any(|holder| holder.instance == at);
+            let reachable = |at| self.holders.iter().any(|holder| holder.instance == at);
             if let TaskState::MaybeRunning(run) = &mut task.state
-                && run.dispatcher.is_some_and(heard)
+                && run.dispatcher.is_some_and(reachable)
             {
                 run.since = now;
                 withdrawals.add(run, id, step, *index);
@@ -162,7 +163,7 @@
         withdrawals.send(self.submissions, out);
     }
 
-    /// A task that can no longer be running is handed in like a new one.
+    /// Makes tasks that can no longer be running pending, to be submitted like new ones.
     pub(crate) fn release_ended(&mut self, now: Time, id: JobId, step: u16, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -1,4 +1,4 @@
-//! The state machine.
+//! The state machine of the jobs whose callers are connected to this entry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,93 +14,93 @@
 use crate::lost::{LOST_RUN_TIMEOUT, Withdrawals};
 use crate::{Holder, JobEvent};
 
-/// How long a new job waits for a dispatcher, where none is known. A change of hands takes up to
-/// 500 ms; most objectives are over by then, and the caller is told when to come back.
+/// How long a new job waits while no dispatcher is known. A handoff takes up to 500 ms, by which time most latency
+/// targets have been missed, so the job is refused earlier and the caller is told when to retry.
 const DISPATCHER_TIMEOUT: Duration = Duration::from_millis(200);
-/// When it is told to come back, in ms: after a change of hands.
+/// Retry delay given to such a caller, in ms: the longest duration of a handoff.
 pub(crate) const RETRY_AFTER_MS: u32 = 500;
-/// A change of hands takes up to 500 ms.
+/// How long a handoff may leave this entry without a dispatcher. A handoff takes up to 500 ms.
 const HANDOFF_TIMEOUT: Duration = Duration::from_millis(600);
-/// A job that is older is answered as unsure: no caller waits for longer.
+/// Jobs with tasks still to be submitted at this age are answered as unsure: no caller waits longer.
 const MAX_JOB_AGE: Duration = Duration::from_secs(30);
 
 identifier! {
-    /// A caller that waits.
+    /// A caller waiting for the end of a job.
     pub struct CallerId(pub u64);
 }
 
 domain! {
-    /// A job of a caller.
+    /// A job as submitted by a caller.
     pub struct NewJob {
-        /// Its number.
+        /// The job's number.
         pub id: JobId,
-        /// Its queue.
+        /// The queue it was submitted to.
         pub queue: Queue,
-        /// What it consists of.
+        /// Its steps and what their tasks need.
         pub plan: JobPlan,
-        /// Run numbers start above this one; higher for a job that is sent again.
+        /// Run numbers start above this one; it is higher for a job that is submitted again.
         pub first_run: RunNumber,
     }
 }
 
-/// What happened outside.
+/// An event for the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A caller submits a job.
     Submit(CallerId, NewJob),
-    /// A caller waits no more.
+    /// A caller has disconnected.
     CallerGone(CallerId),
-    /// A dispatcher tells of ends.
+    /// A message from a dispatcher.
     Work(InstanceId, WorkMsg),
-    /// Who dispatches, and how much room there is.
+    /// The current dispatchers of all domains and their free capacity.
     Holders(Vec<Holder>),
-    /// The room of a dispatcher, where it dispatches for the same domains as before.
+    /// New load figures of a dispatcher whose domains have not changed.
     Loads(InstanceId, Vec<Holding>),
-    /// Messages to this dispatcher may be lost.
+    /// The link to this dispatcher was reset; messages in either direction may be lost.
     LinkReset(InstanceId),
-    /// A process is not heard any more.
+    /// The failure detector reports this process as lost.
     PeerLost(InstanceId),
-    /// This process stood still: what it knows is of the past.
+    /// This process was suspended, and its state is out of date.
     Paused,
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
-/// What the host is to do.
+/// An action for the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Tell a dispatcher.
+    /// Send a message to a dispatcher.
     Send(InstanceId, WorkMsg),
     /// Answer a caller.
     Answer(CallerId, JobEnd),
-    /// A decision for the logs.
+    /// Log an event.
     Event(JobEvent),
 }
 
-/// The jobs of the callers of one entry.
+/// The jobs of the callers connected to one entry.
 #[derive(Debug)]
 pub struct Origin {
     dc: DataCentreId,
     without: Without,
     pub(crate) holders: Vec<Holder>,
     holders_incomplete: bool,
-    /// The domains that a process was last known to dispatch for.
+    /// The domains that each dispatcher was last known to own.
     pub(crate) owned: BTreeMap<InstanceId, Arc<BTreeSet<Domain>>>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
     callers: BTreeMap<CallerId, JobId>,
-    /// Jobs with tasks to hand in.
+    /// Jobs with tasks to submit.
     pub(crate) pending: BTreeSet<JobId>,
     /// Since when no dispatcher is known.
     unserved_since: Option<Time>,
-    /// How often anything was handed in. A job that comes again gets numbers of its own, or what was
-    /// told of the first one would be taken for an answer.
+    /// Number of the last submission. It rises over all jobs, so that a job submitted again by its caller gets numbers
+    /// of its own; else a late reply about the first one would be taken for its answer.
     pub(crate) submissions: u32,
-    /// How often each dispatcher was taken for lost.
+    /// How often each dispatcher was reported as lost.
     pub(crate) sessions: BTreeMap<InstanceId, Session>,
 }
 
 impl Origin {
-    /// No jobs yet.
+    /// Creates an origin without jobs, in data centre `dc`.
     #[must_use]
     pub fn new(dc: DataCentreId, without: Without) -> Self {
         Self {
@@ -118,19 +118,20 @@
         }
     }
 
-    /// The session of a dispatcher: what it was handed under an earlier one may be elsewhere.
+    /// Returns the current session of a dispatcher. Tasks submitted under an earlier session may be elsewhere by now.
     #[must_use]
     pub fn session(&self, dispatcher: InstanceId) -> Session {
         self.sessions.get(&dispatcher).copied().unwrap_or_default()
     }
 
-    /// How many jobs are open.
+    /// Returns the number of open jobs.
     #[must_use]
     pub fn open_jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// One line for each open job: how many callers wait, and where its tasks are. For logs and checks.
+    /// Returns one line for each open job, with the number of waiting callers and the states of its tasks, for logs and
+    /// checks.
     #[must_use]
     pub fn describe_jobs(&self) -> Vec<String> {
         let line = |job: &Job| {
@@ -144,7 +145,7 @@
         self.jobs.values().map(line).collect()
     }
 
-    /// Whether a dispatcher is known, or was until lately: a change of hands is over by then.
+    /// Whether a dispatcher is known, or was within the time that a handoff takes.
     #[must_use]
     pub fn has_dispatcher(&self, now: Time) -> bool {
         let alone = self
@@ -153,7 +154,7 @@
         alone < HANDOFF_TIMEOUT
     }
 
-    /// Takes an input and appends what the host is to do.
+    /// Handles an input and appends the actions for the host to `out`.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Submit(caller, new) => self.submit(now, caller, new, out),
@@ -188,21 +189,21 @@
     fn set_loads(&mut self, dispatcher: InstanceId, holdings: &[Holding]) {
         let holders = self.holders.iter_mut();
         for holder in holders.filter(|holder| holder.instance == dispatcher) {
-            let told = holdings.iter().find(|h| h.domain == holder.domain);
-            if let Some(told) = told {
-                holder.load = told.load;
+            let reported = holdings.iter().find(|h| h.domain == holder.domain);
+            if let Some(reported) = reported {
+                holder.load = reported.load;
             }
         }
     }
 
-    /// Whether a dispatcher was left out since the holders were told last: it gave work back, and may dispatch on
-    /// for other domains.
+    /// Whether a dispatcher was removed since the last [`Input::Holders`] because it returned tasks. It may still own
+    /// other domains.
     #[must_use]
     pub fn holders_incomplete(&self) -> bool {
         self.holders_incomplete
     }
 
-    /// Dispatchers that have work of this origin, or may have.
+    /// Returns the dispatchers that have tasks of this origin, or may have.
     #[must_use]
     pub fn dispatchers(&self) -> BTreeSet<InstanceId> {
         self.jobs.values().flat_map(Job::dispatchers).collect()
@@ -211,7 +212,7 @@
     fn submit(&mut self, now: Time, caller: CallerId, new: NewJob, out: &mut Vec<Output>) {
         self.callers.insert(caller, new.id);
         if let Some(job) = self.jobs.get_mut(&new.id) {
-            // Sent again while the first is at work: one job, and both get its answer.
+            // Submitted again while the job is open: there is one job, and all its callers get its answer.
             job.callers.push(caller);
             return;
         }
@@ -243,7 +244,7 @@
         self.drop_job(id, out);
     }
 
-    /// Forgets a job; what still runs of it is stopped.
+    /// Removes a job and cancels its tasks at their dispatchers.
     fn drop_job(&mut self, id: JobId, out: &mut Vec<Output>) -> Option<Job> {
         self.pending.remove(&id);
         let job = self.jobs.remove(&id)?;
@@ -291,7 +292,7 @@
                 let unsure = self.lost_tasks(from);
                 out.push(Output::Send(from, WorkMsg::Named { ask, unsure }));
             }
-            // For dispatchers, not for origins.
+            // Sent to dispatchers, never to origins.
             WorkMsg::Submit(_)
             | WorkMsg::Cancel { .. }
             | WorkMsg::Drop { .. }
@@ -321,8 +322,8 @@
             TaskEnd::Done => {
                 task.state = TaskState::Done;
                 if hand != task.submission {
-                    // The result was held up, and the dispatcher may have taken the task again since: it would
-                    // run it once more, as a task that is done is named in no cancellation of its job.
+                    // The result was delayed, and the dispatcher may have accepted the task again since. It would run
+                    // it once more: the cancellation of a job does not go to dispatchers of completed tasks.
                     let drop = WorkMsg::Drop {
                         tasks: vec![id],
                         last: self.submissions,
@@ -333,12 +334,12 @@
                 self.finish_if_done(now, id.job, out);
             }
             TaskEnd::Failed => self.answer(now, id.job, JobEnd::Failed, out),
-            // A task given up after crashes of its workers has not used up its failed runs, so its job
+            // A task given up after crashes of its workers has not reached the queue's limit of failed runs, so its job
             // is not reported as failed.
             TaskEnd::GivenUp | TaskEnd::Superseded | TaskEnd::Unplaced => {
                 self.answer(now, id.job, JobEnd::Unsure, out);
             }
-            // Refused by one that does not know all: something of the job may have run elsewhere.
+            // The dispatcher does not know that a task of the job may have run elsewhere.
             TaskEnd::Refused(_) if job.doubtful => self.answer(now, id.job, JobEnd::Unsure, out),
             TaskEnd::Refused(later) => self.answer(now, id.job, JobEnd::Refused(later), out),
             TaskEnd::Full => {
@@ -360,12 +361,12 @@
             }
             TaskEnd::Doubtful => {
                 job.doubtful = true;
-                let again = task.submission != task.first_submission;
-                let as_it_came = run.clone().filter(|_| !again);
-                let reach = self.owned.get(&from).cloned().unwrap_or_default();
-                let run = as_it_came.unwrap_or_else(|| {
+                let resubmitted = task.submission != task.first_submission;
+                let unchanged = run.clone().filter(|_| !resubmitted);
+                let owned = self.owned.get(&from).cloned().unwrap_or_default();
+                let run = unchanged.unwrap_or_else(|| {
                     task.run = task.run.past_lost();
-                    run_after_resubmission(now, &reach, run.as_ref())
+                    run_after_resubmission(now, &owned, run.as_ref())
                 });
                 task.state = TaskState::MaybeRunning(run);
                 self.await_holder(id.job, from);
@@ -373,7 +374,7 @@
         }
     }
 
-    /// Until the next heartbeat tells.
+    /// Assumes that a dispatcher has no room until its next heartbeat reports its load.
     fn mark_full(&mut self, dispatcher: InstanceId) {
         let holders = self.holders.iter_mut();
         for holder in holders.filter(|holder| holder.instance == dispatcher) {
@@ -381,8 +382,8 @@
         }
     }
 
-    /// A dispatcher gave work back: it holds its data centre no more, and the next heartbeat tells
-    /// who does. Until then work would go back and forth.
+    /// Removes a dispatcher that returned tasks until the next heartbeat reports the owner of its domain. It no longer
+    /// owns the domain, and until then would get the tasks again and return them again.
     fn await_holder(&mut self, job: JobId, from: InstanceId) {
         self.pending.insert(job);
         self.holders.retain(|holder| holder.instance != from);
@@ -401,7 +402,7 @@
         } else {
             self.unserved_since = None;
         }
-        let given_up = self
+        let expired = self
             .unserved_since
             .is_some_and(|since| now.since(since) >= LOST_RUN_TIMEOUT);
         for id in self.pending.clone() {
@@ -411,70 +412,70 @@
             let age = now.since(job.arrived);
             if !job.may_have_started() && age >= DISPATCHER_TIMEOUT {
                 self.answer(now, id, JobEnd::Refused(RETRY_AFTER_MS), out);
-            } else if age >= MAX_JOB_AGE || given_up {
+            } else if age >= MAX_JOB_AGE || expired {
                 self.answer(now, id, JobEnd::Unsure, out);
             }
         }
     }
 
-    /// Hands in what is to be handed in.
+    /// Submits all pending tasks.
     fn submit_pending(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.pending.is_empty() || self.holders.is_empty() {
             return;
         }
         for id in std::mem::take(&mut self.pending) {
-            let left = self.submit_job(now, id, out);
-            if left {
+            let remaining = self.submit_job(now, id, out);
+            if remaining {
                 self.pending.insert(id);
             }
         }
     }
 
-    /// Hands in a job's open steps; true if something is left to hand in.
+    /// Submits a job's open steps; returns true if some of its tasks could not be submitted.
     fn submit_job(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) -> bool {
         let Some(job) = self.jobs.get(&id) else {
             return false;
         };
-        let mut left = false;
+        let mut remaining = false;
         for step in job.open_steps() {
-            left |= self.submit_step(now, id, step, out);
+            remaining |= self.submit_step(now, id, step, out);
         }
-        left
+        remaining
     }
 
     fn submit_step(&mut self, now: Time, id: JobId, step: u16, out: &mut Vec<Output>) -> bool {
-        let mut left = false;
+        let mut remaining = false;
         self.release_ended(now, id, step, out);
         for holder in self.holders.clone() {
-            let reach = self
+            let owned = self
                 .owned
                 .get(&holder.instance)
                 .cloned()
                 .unwrap_or_default();
-            let finds =
-                |run: &PossibleRun| !run.domains.is_empty() && run.domains.is_subset(&reach);
-            let here =
-                |state: &TaskState| matches!(state, TaskState::MaybeRunning(run) if finds(run));
+            let owns_all =
+                |run: &PossibleRun| !run.domains.is_empty() && run.domains.is_subset(&owned);
+            let resumable =
+                |state: &TaskState| matches!(state, TaskState::MaybeRunning(run) if owns_all(run));
             let choice = Choice {
                 holder,
                 may_return: false,
             };
-            self.send_tasks(now, id, step, choice, here, out);
+            self.send_tasks(now, id, step, choice, resumable, out);
         }
         self.drop_at_recovered(now, id, step, out);
         let job = &self.jobs[&id];
         let tasks = job.tasks.range((step, 0)..=(step, u16::MAX));
-        let todo = tasks
+        let pending = tasks
             .clone()
             .filter(|(_, t)| t.state == TaskState::Pending)
             .count();
-        left |= tasks
+        remaining |= tasks
             .clone()
             .any(|(_, t)| matches!(t.state, TaskState::MaybeRunning(..)));
-        if todo == 0 {
-            return left;
+        if pending == 0 {
+            return remaining;
         }
-        let count = u32::try_from(todo).unwrap_or(u32::MAX);
+        let count = u32::try_from(pending).unwrap_or(u32::MAX);
         let wanted = Request {
             dc: self.dc,
             job: id,
@@ -493,9 +494,9 @@
                     out,
                 );
             }
-            None => left = true,
+            None => remaining = true,
         }
-        left
+        remaining
     }
 
     fn send_tasks(
@@ -555,7 +556,7 @@
         order.fresh = fresh;
         order.pass = choice.may_return && !self.without.lacks(Mechanism::Passing);
         out.push(Output::Send(holder.instance, WorkMsg::Submit(order)));
-        // Until the next heartbeat tells, the room is believed to be taken.
+        // Counts the room as taken until the next heartbeat reports the load.
         let mut taken = u32::try_from(count).unwrap_or(u32::MAX);
         let known = self.holders.iter_mut();
         for known in known.filter(|known| known.instance == holder.instance) {
@@ -566,7 +567,7 @@
     }
 }
 
-/// The last run of a task may be at work in a domain that its dispatcher gave up.
+/// Returns the state of a task whose last run may go on in a domain that its dispatcher no longer owns.
 fn run_at(now: Time, domain: Domain) -> PossibleRun {
     PossibleRun {
         domains: Arc::new(BTreeSet::from([domain])),
@@ -576,17 +577,18 @@
     }
 }
 
-/// A dispatcher has given a task back that was named to it again, as messages may be lost: it may have started
-/// it after the first time, and have told so in what was lost. To take it for as sure as it came
-/// would let its next dispatcher find an end before that run, and start it a second time.
+/// Returns the state of a task that a dispatcher returned in doubt after it was submitted to it again.
+///
+/// The dispatcher may have started a run after the first submission and reported it in a lost message. Were the earlier,
+/// narrower doubt kept, the next dispatcher could find the end of an earlier run and start the task a second time.
 fn run_after_resubmission(
     now: Time,
-    reach: &BTreeSet<Domain>,
-    came: Option<&PossibleRun>,
+    owned: &BTreeSet<Domain>,
+    earlier: Option<&PossibleRun>,
 ) -> PossibleRun {
-    let before = came.iter().flat_map(|run| run.domains.iter());
+    let before = earlier.iter().flat_map(|run| run.domains.iter());
     PossibleRun {
-        domains: Arc::new(before.chain(reach).copied().collect()),
+        domains: Arc::new(before.chain(owned).copied().collect()),
         doubt: Doubt::Open,
         since: now,
         dispatcher: None,
--- a/crates/celerywinch_origin/tests/submissions.rs
+++ b/crates/celerywinch_origin/tests/submissions.rs
@@ -1,4 +1,4 @@
-//! Handing tasks in at several dispatchers.
+//! Submission of tasks to several dispatchers.
 
 use std::time::Duration;
 
@@ -57,35 +57,35 @@
     }
 }
 
-/// An origin and what it has said.
-struct Rig {
+/// An origin and its outputs.
+struct Harness {
     origin: Origin,
     now: Time,
     sent: Vec<(InstanceId, StepOrder)>,
     dropped: Vec<(InstanceId, Vec<TaskId>)>,
-    named: Vec<WorkMsg>,
+    resyncs: Vec<WorkMsg>,
     answers: Vec<JobEnd>,
 }
 
-impl Rig {
-    /// With a job of so many tasks, and dispatchers that have this much room each.
+impl Harness {
+    /// Creates an origin with a job of so many tasks, and dispatchers with these numbers of free places.
     fn new(tasks: u16, rooms: &[u32]) -> Self {
-        let mut rig = Self {
+        let mut harness = Self {
             origin: Origin::new(DC, Without::default()),
             now: Time(1_000_000),
             sent: Vec::new(),
             dropped: Vec::new(),
-            named: Vec::new(),
+            resyncs: Vec::new(),
             answers: Vec::new(),
         };
         let holders = (1..).zip(rooms);
         let holders = holders.map(|(instance, free)| holder(instance, *free));
-        rig.take(Input::Holders(holders.collect()));
-        rig.take(Input::Submit(CALLER, job(tasks)));
-        rig
+        harness.handle(Input::Holders(holders.collect()));
+        harness.handle(Input::Submit(CALLER, job(tasks)));
+        harness
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         let mut out = Vec::new();
         self.now = self.now + Duration::from_millis(1);
         self.origin.handle(self.now, input, &mut out);
@@ -93,7 +93,7 @@
             match output {
                 Output::Send(to, WorkMsg::Submit(order)) => self.sent.push((to, order)),
                 Output::Send(to, WorkMsg::Drop { tasks, .. }) => self.dropped.push((to, tasks)),
-                Output::Send(_, msg @ WorkMsg::Named { .. }) => self.named.push(msg),
+                Output::Send(_, msg @ WorkMsg::Named { .. }) => self.resyncs.push(msg),
                 Output::Answer(_, end) => self.answers.push(end),
                 Output::Send(..) | Output::Event(_) => {}
             }
@@ -104,8 +104,8 @@
         self.sent.last().expect("an order").clone()
     }
 
-    /// A dispatcher tells the same of these tasks.
-    fn tell(&mut self, from: InstanceId, order: &StepOrder, indices: &[u16], end: TaskEnd) {
+    /// A dispatcher reports the same end for these tasks.
+    fn reply(&mut self, from: InstanceId, order: &StepOrder, indices: &[u16], end: TaskEnd) {
         let tasks = order.tasks.iter();
         let tasks = tasks.filter(|task| indices.contains(&task.index));
         let news = tasks.map(|task| TaskNews {
@@ -118,292 +118,294 @@
             end,
         });
         let news = news.collect();
-        self.take(Input::Work(from, WorkMsg::Ended(news)));
+        self.handle(Input::Work(from, WorkMsg::Ended(news)));
     }
 }
 
-/// A task runs twice, at two dispatchers: the first one has no room and gives it back; the link to
-/// it is reset before that message arrives, so the task is named to it again; then the message
-/// arrives, and the task goes to the second one, while the first one has it again.
+/// Guards against running a task at two dispatchers. The first one has no room and returns it; the link to it is reset
+/// before that message arrives, so the task is submitted to it again; then the message arrives, and the task goes to the
+/// second dispatcher although the first one has accepted it again.
 #[rstest]
 #[case::full(TaskEnd::Full)]
 #[case::returned(TaskEnd::Returned { at: None, failures: 0, run: RunNumber(1_000) })]
 #[case::doubtful(TaskEnd::Doubtful)]
-fn what_was_given_back_before_it_was_named_again_stays(#[case] end: TaskEnd) {
-    let mut rig = Rig::new(1, &[5, 5]);
-    let (first, order) = rig.last();
-    rig.take(Input::LinkReset(first));
-    let (again, named) = rig.last();
-    assert_eq!((again, named.tasks[0].doubt), (first, Doubt::Open));
-    let sent = rig.sent.len();
-    rig.tell(first, &order, &[0], end);
-    assert_eq!(rig.sent.len(), sent, "{:?}", rig.last());
-    // What answers the last naming counts.
-    rig.tell(first, &named, &[0], TaskEnd::Full);
-    let (other, order) = rig.last();
+fn return_sent_before_a_resubmission_is_ignored(#[case] end: TaskEnd) {
+    let mut harness = Harness::new(1, &[5, 5]);
+    let (first, order) = harness.last();
+    harness.handle(Input::LinkReset(first));
+    let (again, resubmitted) = harness.last();
+    assert_eq!((again, resubmitted.tasks[0].doubt), (first, Doubt::Open));
+    let sent = harness.sent.len();
+    harness.reply(first, &order, &[0], end);
+    assert_eq!(harness.sent.len(), sent, "{:?}", harness.last());
+    // A reply to the last submission counts.
+    harness.reply(first, &resubmitted, &[0], TaskEnd::Full);
+    let (other, order) = harness.last();
     assert_ne!(other, first);
     assert_eq!(order.tasks[0].doubt, Doubt::None);
 }
 
-/// A caller is refused though there is room: the dispatcher that its job went to had some when it
-/// last told, and has none. What it gives back goes to the next, and the last one that is tried may
-/// refuse it, as nothing of it has run.
+/// Guards against refusing a caller although a dispatcher has room. The dispatcher that its job went to had room
+/// by its last report, and has none. The tasks that it returns go to the next one, and the last one that is tried may
+/// refuse the job, as nothing of it has run.
 #[test]
 fn tasks_without_room_go_from_one_dispatcher_to_the_next() {
-    let mut rig = Rig::new(2, &[5, 5, 5, 5, 5]);
+    let mut harness = Harness::new(2, &[5, 5, 5, 5, 5]);
     let mut tried = Vec::new();
     for _ in 0..3 {
-        let (to, order) = rig.last();
+        let (to, order) = harness.last();
         assert!(order.pass && order.fresh, "{order:?}");
         assert!(!tried.contains(&to));
         tried.push(to);
-        rig.tell(to, &order, &[0, 1], TaskEnd::Full);
+        harness.reply(to, &order, &[0, 1], TaskEnd::Full);
     }
-    let (to, order) = rig.last();
+    let (to, order) = harness.last();
     assert!(!order.pass && order.fresh, "{order:?}");
-    rig.tell(to, &order, &[0], TaskEnd::Refused(100));
-    assert_eq!(rig.answers, [JobEnd::Refused(100)]);
+    harness.reply(to, &order, &[0], TaskEnd::Refused(100));
+    assert_eq!(harness.answers, [JobEnd::Refused(100)]);
 }
 
-struct Nearness {
+struct DispatcherRooms {
     /// Room of dispatchers in other data centres, and of the one in the origin's.
     rooms: (u32, u32),
-    /// Whether that one is tried first.
+    /// Whether the local one is tried first.
     first: bool,
 }
 
-/// Guards against jobs that are lost with any data centre that is cut off: their dispatchers were drawn from all of them. Whoever has
-/// no room there is not asked again.
+/// Guards against losing jobs with any data centre that is cut off, because their dispatchers are drawn from all data
+/// centres. A local dispatcher that had no room is not tried again.
 #[rstest]
-#[case::room_for_a_part(Nearness { rooms: (9, 1), first: true })]
-#[case::no_room(Nearness { rooms: (9, 0), first: false })]
-fn jobs_go_to_dispatchers_of_their_data_centre_first(#[case] case: Nearness) {
+#[case::room_for_a_part(DispatcherRooms { rooms: (9, 1), first: true })]
+#[case::no_room(DispatcherRooms { rooms: (9, 0), first: false })]
+fn local_dispatchers_are_preferred(#[case] case: DispatcherRooms) {
     let (far, local) = case.rooms;
-    let mut rig = Rig::new(2, &[]);
+    let mut harness = Harness::new(2, &[]);
     let mut holders: Vec<_> = (1..=5).map(|instance| holder(instance, far)).collect();
     for holder in &mut holders {
         holder.local = false;
     }
     holders.push(holder(6, local));
-    rig.take(Input::Holders(holders));
-    let (first, order) = rig.last();
+    harness.handle(Input::Holders(holders));
+    let (first, order) = harness.last();
     assert_eq!(first == InstanceId(6), case.first);
-    rig.tell(first, &order, &[0, 1], TaskEnd::Full);
-    let (second, _) = rig.last();
+    harness.reply(first, &order, &[0, 1], TaskEnd::Full);
+    let (second, _) = harness.last();
     assert!(second != first && second != InstanceId(6));
 }
 
-/// A refusal that says "not run" would be false: one task of the job runs at the first dispatcher, and
-/// the other went on from there. No later one may refuse the job.
+/// Guards against a false refusal ("not run"): one task of the job runs at the first dispatcher, which returned the
+/// other one. No later dispatcher may refuse the job.
 #[test]
-fn job_of_which_a_task_runs_cannot_be_refused() {
-    let mut rig = Rig::new(2, &[5, 5]);
-    let (to, order) = rig.last();
-    rig.tell(to, &order, &[1], TaskEnd::Full);
-    let (other, order) = rig.last();
+fn job_with_a_running_task_cannot_be_refused() {
+    let mut harness = Harness::new(2, &[5, 5]);
+    let (to, order) = harness.last();
+    harness.reply(to, &order, &[1], TaskEnd::Full);
+    let (other, order) = harness.last();
     assert_ne!(other, to);
     assert!(!order.fresh, "{order:?}");
     let indices: Vec<u16> = order.tasks.iter().map(|task| task.index).collect();
     assert_eq!(indices, [1]);
 }
 
-/// With one dispatcher there is nobody to hand on to: it keeps what finds no room.
+/// A single dispatcher keeps tasks that find no room, since there is no other to return them for.
 #[test]
-fn only_dispatcher_keeps_what_has_no_room() {
-    let rig = Rig::new(2, &[5]);
-    assert!(!rig.last().1.pass);
+fn single_dispatcher_keeps_tasks_without_room() {
+    let harness = Harness::new(2, &[5]);
+    assert!(!harness.last().1.pass);
 }
 
-/// A task runs twice: its dispatcher was not heard for a moment and has it still, though it no longer
-/// dispatches for the workers where the task may be running; when the wait for its end is over, the
-/// origin hands the task to another, and both start it. So the first one is told to drop it as soon as
-/// it is heard, and the whole wait begins then: 500 ms for which it may start the task without hearing its
-/// origin, and the longest lease, 931 ms.
+/// Guards against running a task twice. Its dispatcher was unreachable for a moment and still has it, but no longer owns
+/// the domain where the task may be running; after the wait for its end, the origin submits the task to another
+/// dispatcher, and both start it. The first one is therefore told to drop it as soon as it is reachable, and the wait
+/// starts anew: 500 ms for which a dispatcher starts tasks without contact with their origin, and the longest lease,
+/// 931 ms.
 #[test]
-fn dispatcher_that_is_heard_again_elsewhere_drops_the_task() {
-    let mut rig = Rig::new(1, &[5]);
-    let (lost, _) = rig.last();
-    rig.take(Input::PeerLost(lost));
-    rig.now = rig.now + Duration::from_millis(1_300);
+fn recovered_dispatcher_without_the_domain_drops_the_task() {
+    let mut harness = Harness::new(1, &[5]);
+    let (lost, _) = harness.last();
+    harness.handle(Input::PeerLost(lost));
+    harness.now = harness.now + Duration::from_millis(1_300);
     let elsewhere = Holder {
         instance: lost,
         ..holder(9, 5)
     };
-    rig.take(Input::Holders(vec![elsewhere]));
+    harness.handle(Input::Holders(vec![elsewhere]));
     let task = TaskId {
         job: JOB,
         step: 0,
         index: 0,
     };
-    assert_eq!(rig.dropped, [(lost, vec![task])]);
-    let sent = rig.sent.len();
-    rig.now = rig.now + Duration::from_millis(1_430);
-    rig.take(Input::Tick);
-    assert_eq!(rig.sent.len(), sent, "{:?}", rig.last());
-    rig.now = rig.now + Duration::from_millis(80);
-    rig.take(Input::Tick);
-    assert_eq!(rig.sent.len(), sent + 1);
+    assert_eq!(harness.dropped, [(lost, vec![task])]);
+    let sent = harness.sent.len();
+    harness.now = harness.now + Duration::from_millis(1_430);
+    harness.handle(Input::Tick);
+    assert_eq!(harness.sent.len(), sent, "{:?}", harness.last());
+    harness.now = harness.now + Duration::from_millis(80);
+    harness.handle(Input::Tick);
+    assert_eq!(harness.sent.len(), sent + 1);
 }
 
-/// A task runs twice: its dispatcher was not heard for a moment and has it still, waiting for room, while
-/// another has taken over the workers where it may be running, and gets it from the origin. Or nobody has
-/// taken them over, and it goes to another when it must have ended. The first one is told to drop it before
-/// the second one gets it.
+/// Guards against running a task twice. Its dispatcher was unreachable for a moment and still has it queued, while
+/// another one has taken over the domain where it may be running, and gets it from the origin; or no dispatcher
+/// has taken it over, and the task goes to another one when its run must have ended. The first one is told to drop it
+/// before the second one gets it.
 #[rstest]
 #[case::to_a_successor(0)]
 #[case::after_the_wait(1_600)]
-fn task_that_goes_elsewhere_is_dropped_where_it_was(#[case] wait: u64) {
-    let mut rig = Rig::new(1, &[5]);
-    let (lost, _) = rig.last();
-    let sent = rig.sent.len();
-    rig.take(Input::PeerLost(lost));
-    rig.now = rig.now + Duration::from_millis(wait);
+fn earlier_dispatcher_drops_a_task_that_goes_to_another(#[case] wait: u64) {
+    let mut harness = Harness::new(1, &[5]);
+    let (lost, _) = harness.last();
+    let sent = harness.sent.len();
+    harness.handle(Input::PeerLost(lost));
+    harness.now = harness.now + Duration::from_millis(wait);
     let successor = Holder {
         instance: InstanceId(7),
         ..holder(if wait == 0 { 1 } else { 9 }, 5)
     };
-    rig.take(Input::Holders(vec![successor]));
-    assert_eq!(rig.sent.len(), sent + 1);
-    assert_eq!(rig.last().0, InstanceId(7));
+    harness.handle(Input::Holders(vec![successor]));
+    assert_eq!(harness.sent.len(), sent + 1);
+    assert_eq!(harness.last().0, InstanceId(7));
     let task = TaskId {
         job: JOB,
         step: 0,
         index: 0,
     };
-    assert_eq!(rig.dropped, [(lost, vec![task])]);
+    assert_eq!(harness.dropped, [(lost, vec![task])]);
 }
 
-/// Work goes on for nobody, beside the same job at another entry, when the message that its caller has
-/// left is lost. A dispatcher asks after each such break, and is told of all that is wanted, also of
-/// what may go back to it.
+/// Guards against tasks that run without a caller, beside the same job at another entry, after the cancellation
+/// was lost. A dispatcher requests a resync after each reset of the link, and gets all tasks that are wanted, including
+/// those that may be submitted to it again.
 #[test]
-fn dispatcher_is_told_what_is_wanted() {
-    let mut rig = Rig::new(1, &[5]);
-    let (to, _) = rig.last();
-    rig.take(Input::Work(to, WorkMsg::Resync(7)));
-    let named = |unsure| WorkMsg::Named { ask: 7, unsure };
-    assert_eq!(rig.sent.len(), 2);
-    assert_eq!(rig.named, [named(Vec::new())]);
-    rig.take(Input::PeerLost(to));
-    rig.take(Input::Work(to, WorkMsg::Resync(7)));
+fn resync_names_all_wanted_tasks() {
+    let mut harness = Harness::new(1, &[5]);
+    let (to, _) = harness.last();
+    harness.handle(Input::Work(to, WorkMsg::Resync(7)));
+    let resync = |unsure| WorkMsg::Named { ask: 7, unsure };
+    assert_eq!(harness.sent.len(), 2);
+    assert_eq!(harness.resyncs, [resync(Vec::new())]);
+    harness.handle(Input::PeerLost(to));
+    harness.handle(Input::Work(to, WorkMsg::Resync(7)));
     let task = TaskId {
         job: JOB,
         step: 0,
         index: 0,
     };
-    assert_eq!(rig.named[1], named(vec![task]));
+    assert_eq!(harness.resyncs[1], resync(vec![task]));
 }
 
-/// A task runs twice: its hand-in is held up in a cut, and obeyed when the cut has healed and the task is
-/// at work elsewhere. Each time that a dispatcher is taken for lost what it was handed before is void: the
-/// session rises, and heartbeats and later hand-ins tell it.
+/// Guards against running a task twice. Its submission is delayed by a network partition, and accepted after the
+/// partition has healed, while the task runs elsewhere. Each time that a dispatcher is reported as lost its earlier
+/// submissions become void: the session number rises, and heartbeats and later submissions carry it.
 #[test]
 fn session_rises_when_a_dispatcher_is_lost() {
-    let mut rig = Rig::new(1, &[5]);
-    let (lost, order) = rig.last();
-    assert_eq!(order.session, rig.origin.session(lost));
-    rig.take(Input::PeerLost(lost));
-    assert!(rig.origin.session(lost) > order.session);
-    rig.take(Input::Holders(vec![holder(lost.0, 5)]));
-    let (to, again) = rig.last();
+    let mut harness = Harness::new(1, &[5]);
+    let (lost, order) = harness.last();
+    assert_eq!(order.session, harness.origin.session(lost));
+    harness.handle(Input::PeerLost(lost));
+    assert!(harness.origin.session(lost) > order.session);
+    harness.handle(Input::Holders(vec![holder(lost.0, 5)]));
+    let (to, again) = harness.last();
     assert_eq!(to, lost);
-    assert_eq!(again.session, rig.origin.session(lost));
+    assert_eq!(again.session, harness.origin.session(lost));
 }
 
-/// Two runs of one task: a dispatcher used numbers that the origin never heard of; the next one uses the same, and
-/// takes the end of the first run for that of its own. Numbers go on past all that the lost one can have used.
+/// Guards against two runs of one task. A dispatcher used run numbers that the origin never received; the next one uses
+/// the same numbers, and takes the end of the first run for that of its own. The next numbers are therefore above all
+/// that the lost dispatcher can have used.
 #[rstest]
 #[case::to_a_successor(0)]
 #[case::after_the_wait(1_600)]
-fn run_numbers_go_on_past_those_of_a_lost_dispatcher(#[case] wait: u64) {
-    let mut rig = Rig::new(1, &[5]);
-    let (lost, order) = rig.last();
-    rig.take(Input::PeerLost(lost));
-    rig.now = rig.now + Duration::from_millis(wait);
+fn run_numbers_are_above_those_of_a_lost_dispatcher(#[case] wait: u64) {
+    let mut harness = Harness::new(1, &[5]);
+    let (lost, order) = harness.last();
+    harness.handle(Input::PeerLost(lost));
+    harness.now = harness.now + Duration::from_millis(wait);
     let successor = Holder {
         instance: InstanceId(7),
         ..holder(if wait == 0 { 1 } else { 9 }, 5)
     };
-    rig.take(Input::Holders(vec![successor]));
-    let (_, again) = rig.last();
-    // Its dispatcher left tasks in doubt alone, each time by a step that is not told.
+    harness.handle(Input::Holders(vec![successor]));
+    let (_, again) = harness.last();
+    // The lost dispatcher may itself have given up runs in doubt twice, each time raising the number without reporting it.
     let used = order.tasks[0].run.past_unheard().past_unheard();
     assert!(again.tasks[0].run > used, "{again:?}");
 }
 
-/// Two runs of one task: a successor gets it with the number of its last run, finds that ended, starts the
-/// next one, and gives the task back; the message is lost in a break of the link, and what answers the
-/// second naming says only that it is in doubt. Taken for as sure as it came, it would be started again.
+/// Guards against two runs of one task. A successor gets it with the number of its last run, finds that run ended, starts
+/// the next one, and returns the task; that message is lost in a reset of the link, and the reply to the second
+/// submission says only that the task is in doubt. If the origin kept the doubt of the first submission, the task
+/// would be started again.
 #[test]
-fn task_in_doubt_that_was_named_again_may_have_run_meanwhile() {
-    let mut rig = Rig::new(1, &[5]);
-    let (first, order) = rig.last();
+fn resubmitted_task_in_doubt_may_have_run_meanwhile() {
+    let mut harness = Harness::new(1, &[5]);
+    let (first, order) = harness.last();
     let returned = TaskEnd::Returned {
         at: Some(holder(first.0, 0).domain),
         failures: 0,
         run: RunNumber(1_001),
     };
-    rig.tell(first, &order, &[0], returned);
+    harness.reply(first, &order, &[0], returned);
     let successor = Holder {
         instance: InstanceId(7),
         ..holder(first.0, 5)
     };
-    rig.take(Input::Holders(vec![successor]));
-    let (to, order) = rig.last();
+    harness.handle(Input::Holders(vec![successor]));
+    let (to, order) = harness.last();
     assert_eq!((to, order.tasks[0].doubt), (InstanceId(7), Doubt::Last));
-    rig.take(Input::LinkReset(to));
-    let (_, named) = rig.last();
-    rig.tell(to, &named, &[0], TaskEnd::Doubtful);
-    rig.take(Input::Holders(vec![holder(first.0, 5)]));
-    let (_, order) = rig.last();
+    harness.handle(Input::LinkReset(to));
+    let (_, resubmitted) = harness.last();
+    harness.reply(to, &resubmitted, &[0], TaskEnd::Doubtful);
+    harness.handle(Input::Holders(vec![holder(first.0, 5)]));
+    let (_, order) = harness.last();
     assert_eq!(order.tasks[0].doubt, Doubt::Open);
     assert!(order.tasks[0].run > RunNumber(1_002));
 }
 
-/// A caller waits until its deadline for a job that another entry has got since.
+/// Guards against a caller that waits until its deadline for a job that was submitted to another entry since.
 #[test]
 fn caller_of_a_superseded_job_is_answered() {
-    let mut rig = Rig::new(1, &[5]);
-    let (to, order) = rig.last();
-    rig.tell(to, &order, &[0], TaskEnd::Superseded);
-    assert_eq!(rig.answers, [JobEnd::Unsure]);
+    let mut harness = Harness::new(1, &[5]);
+    let (to, order) = harness.last();
+    harness.reply(to, &order, &[0], TaskEnd::Superseded);
+    assert_eq!(harness.answers, [JobEnd::Unsure]);
 }
 
-/// A refusal that says "not run" would be false: a dispatcher refuses a job from a hand-in of which it does not
-/// know that another dispatcher had it before.
+/// Guards against a false refusal ("not run"): a dispatcher refuses a job without knowing that another dispatcher
+/// had it before.
 #[test]
-fn refusal_of_a_job_in_doubt_is_not_told_as_not_run() {
-    let mut rig = Rig::new(1, &[5]);
-    let (lost, _) = rig.last();
-    rig.take(Input::PeerLost(lost));
-    rig.take(Input::Holders(vec![holder(lost.0, 5)]));
-    let (to, order) = rig.last();
-    rig.tell(to, &order, &[0], TaskEnd::Refused(100));
-    assert_eq!(rig.answers, [JobEnd::Unsure]);
+fn refusal_of_a_job_in_doubt_is_answered_as_unsure() {
+    let mut harness = Harness::new(1, &[5]);
+    let (lost, _) = harness.last();
+    harness.handle(Input::PeerLost(lost));
+    harness.handle(Input::Holders(vec![holder(lost.0, 5)]));
+    let (to, order) = harness.last();
+    harness.reply(to, &order, &[0], TaskEnd::Refused(100));
+    assert_eq!(harness.answers, [JobEnd::Unsure]);
 }
 
-/// Guards against running a task again after its caller got the result: a result that was held up arrives when the
-/// same dispatcher has been handed the task once more.
+/// Guards against running a task again after its caller got the result: a delayed result arrives after the task
+/// was submitted to the same dispatcher once more.
 #[rstest]
 #[case::late(true)]
 #[case::in_time(false)]
-fn task_whose_result_was_held_up_is_dropped_where_it_was_handed_in_again(#[case] late: bool) {
-    let mut rig = Rig::new(1, &[5]);
-    let (first, order) = rig.last();
+fn resubmitted_task_is_dropped_after_a_late_result(#[case] late: bool) {
+    let mut harness = Harness::new(1, &[5]);
+    let (first, order) = harness.last();
     if late {
-        rig.take(Input::PeerLost(first));
-        rig.take(Input::Holders(vec![holder(first.0, 5)]));
-        assert_eq!(rig.last().0, first, "it has the task again");
+        harness.handle(Input::PeerLost(first));
+        harness.handle(Input::Holders(vec![holder(first.0, 5)]));
+        assert_eq!(harness.last().0, first, "it has the task again");
     }
-    rig.tell(first, &order, &[0], TaskEnd::Done);
-    assert_eq!(rig.answers, [JobEnd::Completed]);
+    harness.reply(first, &order, &[0], TaskEnd::Done);
+    assert_eq!(harness.answers, [JobEnd::Completed]);
     let task = TaskId {
         job: JOB,
         step: 0,
         index: 0,
     };
     let dropped: &[_] = if late { &[(first, vec![task])] } else { &[] };
-    assert_eq!(rig.dropped, dropped);
+    assert_eq!(harness.dropped, dropped);
 }
 
 /// Guards against reporting a job as failed after crashes of workers, though none of its tasks has failed.
@@ -412,8 +414,8 @@
 #[case::workers_crashed(TaskEnd::GivenUp, JobEnd::Unsure)]
 #[case::no_worker_may_take_it(TaskEnd::Unplaced, JobEnd::Unsure)]
 fn job_fails_only_by_failed_runs(#[case] end: TaskEnd, #[case] answer: JobEnd) {
-    let mut rig = Rig::new(2, &[4]);
-    let (to, order) = rig.last();
-    rig.tell(to, &order, &[0], end);
-    assert_eq!(rig.answers, [answer]);
+    let mut harness = Harness::new(2, &[4]);
+    let (to, order) = harness.last();
+    harness.reply(to, &order, &[0], end);
+    assert_eq!(harness.answers, [answer]);
 }
