--- a/crates/celerywinch_dispatch/src/dispatch.rs
+++ b/crates/celerywinch_dispatch/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! The state machine that ties queue, routing, shares, loans and health together.
+//! The state machine that combines queue, routing, shares, loans and health.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -16,22 +16,22 @@
 use crate::routing::{Candidate, Placement, choose};
 use crate::{Admission, Estimate, Health, HealthChange, Policy, share};
 
-/// The most of a kind's endpoints that may be set aside, as a divisor: a third.
-const MOST_ASIDE: usize = 3;
-/// The share of a kind's runs that may fail before the kind itself is blamed.
-const KIND_FAILING: f64 = 0.5;
-/// Weight of a new run in the share of failures of a kind.
-const FAILING_WEIGHT: f64 = 0.02;
-/// The share of run times beyond which a call that is under way counts as overdue.
-const LONG: f64 = 0.95;
-/// The share of run times below which a task is not expected to end.
-const FASTEST: f64 = 0.01;
+/// Largest share of a kind's endpoints that may be quarantined or on probation, as a divisor: a third.
+const QUARANTINE_DIVISOR: usize = 3;
+/// Share of failed runs of a kind from which on failures are attributed to the kind, not to the endpoint.
+const KIND_FAILURE_LIMIT: f64 = 0.5;
+/// Weight of a new run in the moving average of a kind's failure rate.
+const FAILURE_WEIGHT: f64 = 0.02;
+/// Quantile of the run times beyond which a call in flight counts as overdue.
+const OVERDUE_QUANTILE: f64 = 0.95;
+/// Quantile of the run times that stands for the fastest run to be expected.
+const FASTEST_QUANTILE: f64 = 0.01;
 
 new_key_type! {
-    /// An endpoint, as long as it is known.
+    /// A known endpoint.
     pub struct EndpointId;
 
-    /// A job of this entry, as long as it is open.
+    /// An open job of this entry.
     pub struct JobId;
 }
 
@@ -44,20 +44,20 @@
     pub index: u32,
 }
 
-/// What is the same for all tasks of a job.
+/// The properties that all tasks of a job have in common.
 #[derive(Clone, Debug)]
 pub struct Work {
     /// The kind.
     pub kind: KindName,
     /// Its class.
     pub class: Class,
-    /// Who is charged.
+    /// The team that is charged.
     pub team: Arc<str>,
     /// When the answer is due.
     pub deadline: Time,
 }
 
-/// A task to be sent to an endpoint.
+/// A task to send to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Start {
     /// The task.
@@ -68,45 +68,48 @@
     pub addr: SocketAddr,
 }
 
-/// How a call to an endpoint ended, as far as its health is concerned.
+/// How a call to an endpoint ended, for the health of the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// A result, after this run time.
+    /// The endpoint returned a result, after this run time.
     Done(Duration),
     /// The task or the connection failed.
     Failed,
-    /// The endpoint said that it did not run the task: it is full or leaving.
+    /// The endpoint refused the task without running it, because it is full or leaving.
     Refused,
-    /// The call was cancelled here.
+    /// This entry cancelled the call.
     Cancelled,
 }
 
 #[derive(Debug)]
 pub(crate) struct Endpoint {
-    pub(crate) note: EndpointNote,
+    pub(crate) announcement: EndpointNote,
     pub(crate) share: u16,
     pub(crate) lent: u16,
     pub(crate) borrowed: u16,
     pub(crate) in_flight: u16,
     pub(crate) health: Health,
-    /// Refused a task as full: no further ones until then.
+    /// It gets no tasks until then, because it refused one as full.
     pub(crate) full_until: Time,
     pub(crate) gone: bool,
-    /// When each call under way was sent.
+    /// When each call in flight was sent.
     pub(crate) sent: Vec<Time>,
 }
 
 impl Endpoint {
-    /// Calls under way for longer than `long`.
-    pub(crate) fn overdue(&self, now: Time, long: Duration) -> usize {
-        self.sent.iter().filter(|at| now.since(**at) > long).count()
+    /// Returns the number of calls in flight for longer than `after`.
+    pub(crate) fn overdue(&self, now: Time, after: Duration) -> usize {
+        self.sent
+            .iter()
+            .filter(|at| now.since(**at) > after)
+            .count()
     }
 
     fn usable(&self) -> bool {
-        !self.gone && self.note.state == EndpointState::Serving
+        !self.gone && self.announcement.state == EndpointState::Serving
     }
 
-    pub(crate) fn own(&self) -> u16 {
+    pub(crate) fn own_slots(&self) -> u16 {
         (self.share + self.borrowed).saturating_sub(self.lent)
     }
 
@@ -114,28 +117,28 @@
         if !self.usable() || self.full_until > now {
             return 0;
         }
-        let own = self.own();
+        let own = self.own_slots();
         self.health
             .allowance(now, own)
             .saturating_sub(self.in_flight)
     }
 }
 
-/// An endpoint that said it is full is left alone this long.
-const FULL_PAUSE: Duration = Duration::from_millis(10);
+/// How long an endpoint gets no tasks after it refused one as full.
+const FULL_BACKOFF: Duration = Duration::from_millis(10);
 
 #[derive(Debug)]
 pub(crate) struct KindState {
     class: Class,
     estimate: Estimate,
     pub(crate) endpoints: Vec<EndpointId>,
-    failing: f64,
+    failure_rate: f64,
 }
 
-/// Decides what starts next and where.
+/// Decides which task starts next, and at which endpoint.
 #[derive(Debug)]
 pub struct Dispatch {
-    me: InstanceId,
+    instance: InstanceId,
     policy: Policy,
     owners: Vec<InstanceId>,
     pub(crate) endpoints: SlotMap<EndpointId, Endpoint>,
@@ -148,18 +151,18 @@
     pub(crate) lent: BTreeMap<u64, Loan>,
     pub(crate) borrowed: Vec<Loan>,
     pub(crate) next_loan: u64,
-    turn: usize,
+    next_index: usize,
     random: ChaCha8Rng,
 }
 
 impl Dispatch {
-    /// Starts without endpoints.
+    /// Creates a dispatch without endpoints.
     #[must_use]
-    pub fn new(me: InstanceId, policy: Policy, seed: u64) -> Self {
+    pub fn new(instance: InstanceId, policy: Policy, seed: u64) -> Self {
         Self {
-            me,
+            instance,
             policy,
-            owners: vec![me],
+            owners: vec![instance],
             endpoints: SlotMap::with_key(),
             by_addr: BTreeMap::new(),
             kinds: BTreeMap::new(),
@@ -170,12 +173,12 @@
             lent: BTreeMap::new(),
             borrowed: Vec::new(),
             next_loan: 1,
-            turn: 0,
+            next_index: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Takes over a catalogue; what is queued or running stays.
+    /// Applies a catalogue. Queued and running tasks are not affected.
     pub fn set_catalogue(&mut self, catalogue: &Catalogue) {
         for kind in catalogue.kinds() {
             self.kind_state(kind);
@@ -195,16 +198,16 @@
             .or_insert_with(|| KindState {
                 class: kind.class,
                 estimate: Estimate::new(kind.run),
-                endpoints: serving(endpoints, &kind.name),
-                failing: 0.0,
+                endpoints: endpoints_of(endpoints, &kind.name),
+                failure_rate: 0.0,
             });
         state.class = kind.class;
     }
 
-    /// Takes over which entries share the data centre's slots; this one is always among them.
+    /// Sets the entries that share the data centre's slots; this entry is always one of them.
     pub fn set_owners(&mut self, mut owners: Vec<InstanceId>) {
-        if !owners.contains(&self.me) {
-            owners.push(self.me);
+        if !owners.contains(&self.instance) {
+            owners.push(self.instance);
         }
         owners.sort_unstable();
         if owners == self.owners {
@@ -213,22 +216,27 @@
         self.owners = owners;
         for endpoint in self.endpoints.values_mut() {
             endpoint.share = self::share(
-                endpoint.note.addr,
-                endpoint.note.slots,
+                endpoint.announcement.addr,
+                endpoint.announcement.slots,
                 &self.owners,
-                self.me,
+                self.instance,
             );
         }
     }
 
-    /// Takes over an announcement. A new life of an address starts with a clean record, and its
-    /// earlier life's calls no longer count.
-    pub fn update(&mut self, note: &EndpointNote) {
-        if let Some(id) = self.by_addr.get(&note.addr).copied() {
+    /// Applies an endpoint's announcement. A new incarnation at an address starts without history, and calls to the
+    /// earlier one no longer count.
+    pub fn update(&mut self, announcement: &EndpointNote) {
+        if let Some(id) = self.by_addr.get(&announcement.addr).copied() {
             let endpoint = &mut self.endpoints[id];
-            if endpoint.note.incarnation == note.incarnation {
-                endpoint.share = share(note.addr, note.slots, &self.owners, self.me);
-                endpoint.note = note.clone();
+            if endpoint.announcement.incarnation == announcement.incarnation {
+                endpoint.share = share(
+                    announcement.addr,
+                    announcement.slots,
+                    &self.owners,
+                    self.instance,
+                );
+                endpoint.announcement = announcement.clone();
                 endpoint.gone = false;
                 self.index();
                 return;
@@ -236,8 +244,13 @@
             endpoint.gone = true;
         }
         let id = self.endpoints.insert(Endpoint {
-            share: share(note.addr, note.slots, &self.owners, self.me),
-            note: note.clone(),
+            share: share(
+                announcement.addr,
+                announcement.slots,
+                &self.owners,
+                self.instance,
+            ),
+            announcement: announcement.clone(),
             lent: 0,
             borrowed: 0,
             in_flight: 0,
@@ -246,37 +259,37 @@
             gone: false,
             sent: Vec::new(),
         });
-        self.by_addr.insert(note.addr, id);
-        self.sweep();
+        self.by_addr.insert(announcement.addr, id);
+        self.remove_gone();
         self.index();
     }
 
-    /// The endpoint's lease ran out: no new work.
+    /// Removes an endpoint whose lease has expired; it gets no new tasks.
     pub fn remove(&mut self, addr: SocketAddr) {
         if let Some(id) = self.by_addr.remove(&addr) {
             self.endpoints[id].gone = true;
-            self.sweep();
+            self.remove_gone();
             self.index();
         }
     }
 
-    /// Drops endpoints that are gone and have no call left.
-    fn sweep(&mut self) {
+    /// Removes endpoints that are gone and have no call in flight.
+    fn remove_gone(&mut self) {
         self.endpoints
             .retain(|_, endpoint| !endpoint.gone || endpoint.in_flight > 0);
     }
 
     fn index(&mut self) {
         for (name, kind) in &mut self.kinds {
-            kind.endpoints = serving(&self.endpoints, name);
+            kind.endpoints = endpoints_of(&self.endpoints, name);
         }
     }
 
-    /// Whether the job can be done in time, see [`Admission`].
+    /// Checks whether a job can be done in time, see [`Admission`].
     ///
     /// # Errors
     ///
-    /// The refusal to give.
+    /// Returns the refusal for the caller.
     pub fn admit(&self, now: Time, work: &Work, tasks: usize) -> Result<(), Refusal> {
         if self.policy != Policy::Shares {
             return Ok(());
@@ -289,18 +302,18 @@
         let ids = kind.map_or(&[][..], |k| &k.endpoints);
         let mut slots = 0;
         let mut all_slots = 0;
-        // Kinds share the slots, so the tasks of all of them count.
+        // Kinds share the slots, so the tasks of all kinds count.
         let mut in_flight = 0;
         for id in ids {
             let endpoint = &self.endpoints[*id];
-            // Lent slots come back when the borrower has no more use for them. If they did not count,
-            // an entry that has lent all would refuse its own callers as if it had a single slot.
+            // Lent slots count, because borrowers return them when they are idle. Otherwise an entry that has lent all
+            // of its slots would refuse its own callers as if it had a single one.
             let own = endpoint.share + endpoint.borrowed;
             slots += usize::from(endpoint.health.allowance(now, own));
-            all_slots += usize::from(endpoint.note.slots);
+            all_slots += usize::from(endpoint.announcement.slots);
             in_flight += usize::from(endpoint.in_flight);
         }
-        // The longest of n runs lies about where n in n + 1 of all runs end before.
+        // The longest of n runs is expected at the quantile n / (n + 1) of the run times.
         let share = tasks as f64 / (tasks as f64 + 1.0);
         let (mean, longest) = kind.map_or((Duration::ZERO, Duration::ZERO), |kind| {
             (kind.estimate.mean(), kind.estimate.quantile(share))
@@ -310,7 +323,7 @@
             slots,
             all_slots,
             in_flight,
-            ahead: self.queue.ahead(work.class),
+            ahead: self.queue.len_up_to(work.class),
             tasks,
             mean,
             longest,
@@ -318,7 +331,7 @@
         }
     }
 
-    /// Queues all tasks of a job.
+    /// Enqueues all tasks of a job.
     pub fn enqueue(&mut self, job: JobId, work: Work, tasks: u32) {
         for index in 0..tasks {
             self.enqueue_task(&work, TaskRef { job, index });
@@ -326,7 +339,7 @@
         self.jobs.insert(job, work);
     }
 
-    /// Queues a task again that its endpoint refused to run.
+    /// Enqueues a task again that its endpoint refused to run.
     pub fn requeue(&mut self, task: TaskRef) {
         if let Some(work) = self.jobs.get(&task.job).cloned() {
             self.enqueue_task(&work, task);
@@ -338,13 +351,13 @@
             .push(&work.kind, work.class, &work.team, work.deadline, task);
     }
 
-    /// Takes all waiting tasks of a job out of the queue and forgets the job.
+    /// Removes a job and all of its queued tasks.
     pub fn drop_job(&mut self, job: JobId) {
         self.queue.drop_job(job);
         self.jobs.remove(&job);
     }
 
-    /// The next task to start, if any can; call until `None`.
+    /// Returns the next task to start, or `None` if none can start. To be called until it returns `None`.
     pub fn next_start(&mut self, now: Time) -> Option<Start> {
         let mut heads: Vec<(KindName, Head)> = Vec::new();
         for kind in self.queue.waiting_kinds() {
@@ -363,7 +376,7 @@
             now,
             remaining: head.deadline.since(now),
             median: kind.estimate.quantile(0.5),
-            long: kind.estimate.quantile(LONG),
+            overdue_after: kind.estimate.quantile(OVERDUE_QUANTILE),
         };
         let endpoints = &self.endpoints;
         let candidates = kind.endpoints.iter().map(|id| Candidate {
@@ -373,7 +386,7 @@
         let id = choose(
             self.policy,
             &place,
-            &mut self.turn,
+            &mut self.next_index,
             &mut self.random,
             candidates,
         )?;
@@ -383,8 +396,8 @@
         let endpoint = &mut self.endpoints[id];
         endpoint.in_flight += 1;
         endpoint.sent.push(now);
-        let addr = endpoint.note.addr;
-        self.mark_used(now, addr);
+        let addr = endpoint.announcement.addr;
+        self.touch_loans(now, addr);
         Some(Start {
             task: head.task,
             endpoint: id,
@@ -392,7 +405,7 @@
         })
     }
 
-    fn mark_used(&mut self, now: Time, addr: SocketAddr) {
+    fn touch_loans(&mut self, now: Time, addr: SocketAddr) {
         let loans = self.borrowed.iter_mut();
         for loan in loans.filter(|loan| loan.slots.iter().any(|(a, _)| *a == addr)) {
             loan.used = now;
@@ -408,7 +421,7 @@
         running >= quota.div_ceil(owners)
     }
 
-    /// Takes the end of a call.
+    /// Records the end of a call.
     pub fn finish(
         &mut self,
         now: Time,
@@ -424,9 +437,10 @@
         let state = self.kinds.get_mut(kind)?;
         let failed = f64::from(u8::from(end == CallEnd::Failed));
         if matches!(end, CallEnd::Done(_) | CallEnd::Failed) {
-            state.failing = state.failing * (1.0 - FAILING_WEIGHT) + failed * FAILING_WEIGHT;
+            state.failure_rate =
+                state.failure_rate * (1.0 - FAILURE_WEIGHT) + failed * FAILURE_WEIGHT;
         }
-        let blame = self.blames(kind);
+        let blame = self.at_fault(kind);
         let state = self.kinds.get_mut(kind)?;
         let endpoint = self.endpoints.get_mut(id)?;
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
@@ -438,22 +452,22 @@
                 let median = state.estimate.quantile(0.5).max(Duration::from_micros(100));
                 state.estimate.record(now, run);
                 let ratio = run.as_secs_f64() / median.as_secs_f64();
-                endpoint.health.success(now, ratio)
+                endpoint.health.record_success(now, ratio)
             }
-            CallEnd::Failed => endpoint.health.failure(now, blame),
+            CallEnd::Failed => endpoint.health.record_failure(now, blame),
             CallEnd::Refused => {
-                endpoint.full_until = now + FULL_PAUSE;
+                endpoint.full_until = now + FULL_BACKOFF;
                 None
             }
             CallEnd::Cancelled => {
-                // A call that was given up because it took too long never tells its run time; if it
-                // did not count, a slow endpoint would be found out again and again.
+                // A call that was cancelled because it took too long never reports its run time. If it did not
+                // count, a slow endpoint would get tasks again and again before it is recognised as slow.
                 let ran = now.since(sent);
-                if ran > state.estimate.quantile(LONG) {
+                if ran > state.estimate.quantile(OVERDUE_QUANTILE) {
                     let median = state.estimate.quantile(0.5).max(Duration::from_micros(100));
                     endpoint
                         .health
-                        .slow(now, ran.as_secs_f64() / median.as_secs_f64());
+                        .record_slowness(now, ran.as_secs_f64() / median.as_secs_f64());
                 }
                 None
             }
@@ -465,36 +479,36 @@
         change
     }
 
-    /// Whether a failure is put down to the endpoint rather than to the kind.
-    fn blames(&self, kind: &str) -> bool {
+    /// Whether a failure is attributed to the endpoint rather than to the kind.
+    fn at_fault(&self, kind: &str) -> bool {
         let Some(state) = self.kinds.get(kind) else {
             return false;
         };
-        let aside = state.endpoints.iter();
-        let aside = aside.filter(|id| self.endpoints[**id].health.suspended());
-        let room = aside.count() * MOST_ASIDE < state.endpoints.len();
-        room && state.failing < KIND_FAILING
+        let quarantined = state.endpoints.iter();
+        let quarantined = quarantined.filter(|id| self.endpoints[**id].health.is_suspended());
+        let may_quarantine = quarantined.count() * QUARANTINE_DIVISOR < state.endpoints.len();
+        may_quarantine && state.failure_rate < KIND_FAILURE_LIMIT
     }
 
-    /// Jobs that wait although even the fastest run would end too late.
+    /// Returns the jobs with queued tasks that would end after the deadline even in the fastest run.
     #[must_use]
     pub fn infeasible_jobs(&self, now: Time) -> Vec<JobId> {
         self.queue.infeasible_jobs(|kind| {
             let fastest = self
                 .kinds
                 .get(kind)
-                .map_or(Duration::ZERO, |k| k.estimate.quantile(FASTEST));
+                .map_or(Duration::ZERO, |k| k.estimate.quantile(FASTEST_QUANTILE));
             now + fastest
         })
     }
 
-    /// Tasks that wait for a slot.
+    /// Returns the number of tasks that wait for a slot.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Kinds whose tasks wait, with how many, to borrow slots for.
+    /// Returns the kinds with waiting tasks and the number of those, to borrow slots for them.
     #[must_use]
     pub fn slot_demand(&self) -> Vec<(KindName, usize)> {
         let kinds = self.queue.waiting_kinds();
@@ -507,25 +521,27 @@
             .collect()
     }
 
-    /// Endpoints known, and how many of them are set aside or on probation.
+    /// Returns the number of serving endpoints, and how many of them are quarantined or on probation.
     #[must_use]
     pub fn endpoint_counts(&self) -> (usize, usize) {
         let known = self.endpoints.values().filter(|e| e.usable());
-        let suspended = known.clone().filter(|e| e.health.suspended());
+        let suspended = known.clone().filter(|e| e.health.is_suspended());
         (known.count(), suspended.count())
     }
 
-    /// The announcement behind an endpoint, while it has calls or a lease.
+    /// Returns the announcement of an endpoint, as long as it has calls in flight or a lease.
     #[must_use]
     pub fn announcement(&self, id: EndpointId) -> Option<&EndpointNote> {
-        self.endpoints.get(id).map(|endpoint| &endpoint.note)
+        self.endpoints
+            .get(id)
+            .map(|endpoint| &endpoint.announcement)
     }
 }
 
-fn serving(endpoints: &SlotMap<EndpointId, Endpoint>, kind: &str) -> Vec<EndpointId> {
+fn endpoints_of(endpoints: &SlotMap<EndpointId, Endpoint>, kind: &str) -> Vec<EndpointId> {
     let usable = endpoints.iter().filter(|(_, endpoint)| endpoint.usable());
     usable
-        .filter(|(_, endpoint)| endpoint.note.kinds.iter().any(|k| &**k == kind))
+        .filter(|(_, endpoint)| endpoint.announcement.kinds.iter().any(|k| &**k == kind))
         .map(|(id, _)| id)
         .collect()
 }
--- a/crates/celerywinch_dispatch/src/estimate.rs
+++ b/crates/celerywinch_dispatch/src/estimate.rs
@@ -1,64 +1,67 @@
-//! Learned run times of a kind; declared ones are only a start, they are often far off.
+//! Measured run times of a kind. Declared run times are often far off and are used only until enough runs are measured.
 
 use std::time::Duration;
 
 use celerywinch_types::Time;
 use hdrhistogram::Histogram;
 
-/// How long a generation of measurements is collected before it replaces the one before.
-const GENERATION: Duration = Duration::from_secs(10);
-/// How many measurements outweigh the declared run time.
-const ENOUGH: u64 = 20;
-/// Run times from 0.1 ms to 60 s are told apart, in microseconds.
-const LOW: u64 = 100;
-const HIGH: u64 = 60_000_000;
-/// The shortest run time that is believed while nothing is learned, against the declared one.
-const DECLARED_FLOOR: u32 = 10;
+/// How long a generation of measurements is collected, at least, before it replaces the previous one.
+const GENERATION_LENGTH: Duration = Duration::from_secs(10);
+/// Number of measurements from which on they replace the declared run time.
+const MIN_SAMPLES: u64 = 20;
+/// Bounds of the run times that the histogram distinguishes, in microseconds: 0.1 ms to 60 s.
+const MIN_RUN_US: u64 = 100;
+const MAX_RUN_US: u64 = 60_000_000;
+/// Divisor of the declared run time for low quantiles, as long as there are too few measurements.
+const DECLARED_DIVISOR: u32 = 10;
 
-/// The distribution of a kind's run times over the last seconds.
+/// The distribution of a kind's recent run times.
 #[derive(Debug)]
 pub struct Estimate {
     declared: Duration,
     recent: Histogram<u32>,
-    before: Histogram<u32>,
-    since: Time,
+    previous: Histogram<u32>,
+    started: Time,
 }
 
 impl Estimate {
-    /// Starts from the declared run time.
+    /// Creates an estimate from the declared run time.
     #[must_use]
     pub fn new(declared: Duration) -> Self {
-        let empty = || Histogram::new_with_bounds(LOW, HIGH, 2).expect("the bounds are constants");
+        let empty = || {
+            Histogram::new_with_bounds(MIN_RUN_US, MAX_RUN_US, 2).expect("the bounds are constants")
+        };
         Self {
             declared,
             recent: empty(),
-            before: empty(),
-            since: Time::default(),
+            previous: empty(),
+            started: Time::default(),
         }
     }
 
-    /// Takes a measured run time.
+    /// Records a measured run time.
     pub fn record(&mut self, now: Time, run: Duration) {
-        if now.since(self.since) > GENERATION && self.recent.len() >= ENOUGH {
-            std::mem::swap(&mut self.recent, &mut self.before);
+        if now.since(self.started) > GENERATION_LENGTH && self.recent.len() >= MIN_SAMPLES {
+            std::mem::swap(&mut self.recent, &mut self.previous);
             self.recent.reset();
-            self.since = now;
+            self.started = now;
         }
-        let micros = u64::try_from(run.as_micros()).unwrap_or(HIGH);
-        self.recent.saturating_record(micros.clamp(LOW, HIGH));
+        let micros = u64::try_from(run.as_micros()).unwrap_or(MAX_RUN_US);
+        self.recent
+            .saturating_record(micros.clamp(MIN_RUN_US, MAX_RUN_US));
     }
 
-    /// The run time that a share `q` of the tasks stays below.
+    /// Returns the quantile `q` of the run times.
     #[must_use]
     pub fn quantile(&self, q: f64) -> Duration {
         match self.learned() {
             Some(histogram) => Duration::from_micros(histogram.value_at_quantile(q)),
-            None if q < 0.5 => self.declared / DECLARED_FLOOR,
+            None if q < 0.5 => self.declared / DECLARED_DIVISOR,
             None => self.declared,
         }
     }
 
-    /// The mean run time.
+    /// Returns the mean run time.
     #[must_use]
     pub fn mean(&self) -> Duration {
         match self.learned() {
@@ -68,7 +71,7 @@
     }
 
     fn learned(&self) -> Option<&Histogram<u32>> {
-        let generations = [&self.before, &self.recent];
-        generations.into_iter().find(|h| h.len() >= ENOUGH)
+        let generations = [&self.previous, &self.recent];
+        generations.into_iter().find(|h| h.len() >= MIN_SAMPLES)
     }
 }
--- a/crates/celerywinch_dispatch/src/health.rs
+++ b/crates/celerywinch_dispatch/src/health.rs
@@ -1,144 +1,144 @@
-//! Which endpoints are set aside because they fail, or used less because they are slow.
+//! Endpoint health: failing endpoints are quarantined, slow ones are used less.
 
 use std::time::Duration;
 
 use celerywinch_types::Time;
 
-/// How long an endpoint is set aside after a failure; each further time doubles it.
+/// How long an endpoint is quarantined after a failure; doubled each further time.
 ///
-/// An endpoint that fails every task at once looks the least loaded and draws all the work, and
-/// every task that it fails costs a whole job, so one failure is enough: what the task itself is to
-/// blame for does not come here, nor does what fails everywhere. One that failed by chance is back
-/// after a moment.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// The longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(30);
-/// Successes after which an endpoint on probation is trusted again.
-const SUCCESSES: u32 = 3;
-/// Weight of a new measurement of slowness.
-const SLOW_WEIGHT: f64 = 0.2;
-/// After this span without a run, an endpoint's slowness is forgotten by half.
-const SLOW_HALF_LIFE: Duration = Duration::from_secs(10);
-/// From this factor over its peers on, an endpoint counts as slow.
-pub(crate) const SLOW: f64 = 2.5;
+/// An endpoint that fails every task at once looks the least loaded and attracts all the work, and each failed task costs
+/// a whole job, so one failure is enough. Failures caused by the task itself, or seen at all endpoints, are not attributed
+/// to the endpoint. An endpoint that failed by chance is back after this short time.
+const MIN_QUARANTINE: Duration = Duration::from_millis(500);
+/// The longest quarantine.
+const MAX_QUARANTINE: Duration = Duration::from_secs(30);
+/// Number of successes after which an endpoint on probation is healthy again.
+const PROBATION_SUCCESSES: u32 = 3;
+/// Weight of a new run in the moving average of the slowness.
+const SLOWNESS_WEIGHT: f64 = 0.2;
+/// Time without a run after which the slowness of an endpoint is halved.
+const SLOWNESS_HALF_LIFE: Duration = Duration::from_secs(10);
+/// Slowness from which on an endpoint counts as slow: its run times over the median of their kinds.
+pub(crate) const SLOW_FACTOR: f64 = 2.5;
 
-/// What happened to an endpoint's standing.
+/// A change of an endpoint's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthChange {
-    /// It gets no work until its pause is over.
+    /// It gets no work until its quarantine is over.
     Quarantined,
-    /// It is trusted again.
+    /// It is healthy again.
     Restored,
 }
 
-/// The life cycle of trust in an endpoint.
+/// The health states of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trust {
-    Good,
+enum State {
+    Healthy,
     Quarantined { until: Time },
     Probation { successes: u32 },
 }
 
-/// The standing of one endpoint.
+/// The health of one endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Health {
-    trust: Trust,
+    state: State,
     failures: u32,
-    pauses: u32,
+    quarantines: u32,
     slowness: f64,
-    measured: Time,
+    updated: Time,
 }
 
 impl Default for Health {
     fn default() -> Self {
         Self {
-            trust: Trust::Good,
+            state: State::Healthy,
             failures: 0,
-            pauses: 0,
+            quarantines: 0,
             slowness: 1.0,
-            measured: Time::default(),
+            updated: Time::default(),
         }
     }
 }
 
 impl Health {
-    /// Takes a success; `ratio` is its run time over the median of its kind.
-    pub fn success(&mut self, now: Time, ratio: f64) -> Option<HealthChange> {
+    /// Records a success; `ratio` is its run time over the median of its kind.
+    pub fn record_success(&mut self, now: Time, ratio: f64) -> Option<HealthChange> {
         self.failures = 0;
-        self.end_pause(now);
-        self.slow(now, ratio);
-        match self.trust {
-            Trust::Probation { successes } if successes + 1 >= SUCCESSES => {
-                self.trust = Trust::Good;
-                self.pauses = 0;
+        self.start_probation(now);
+        self.record_slowness(now, ratio);
+        match self.state {
+            State::Probation { successes } if successes + 1 >= PROBATION_SUCCESSES => {
+                self.state = State::Healthy;
+                self.quarantines = 0;
                 Some(HealthChange::Restored)
             }
-            Trust::Probation { successes } => {
-                self.trust = Trust::Probation {
+            State::Probation { successes } => {
+                self.state = State::Probation {
                     successes: successes + 1,
                 };
                 None
             }
-            Trust::Good | Trust::Quarantined { .. } => None,
+            State::Healthy | State::Quarantined { .. } => None,
         }
     }
 
-    /// Takes a run time over the median of its kind.
-    pub fn slow(&mut self, now: Time, ratio: f64) {
-        self.slowness = self.slowness(now) * (1.0 - SLOW_WEIGHT) + ratio * SLOW_WEIGHT;
-        self.measured = now;
+    /// Records a run time, as its ratio to the median of its kind.
+    pub fn record_slowness(&mut self, now: Time, ratio: f64) {
+        self.slowness = self.slowness(now) * (1.0 - SLOWNESS_WEIGHT) + ratio * SLOWNESS_WEIGHT;
+        self.updated = now;
     }
 
-    /// Takes a failure. `blame` is false where the whole kind or too many endpoints fail: setting
-    /// yet another aside would only drown the rest.
-    pub fn failure(&mut self, now: Time, blame: bool) -> Option<HealthChange> {
+    /// Records a failure. `blame` is false if the whole kind or too many endpoints fail: another quarantine would only
+    /// overload the remaining endpoints.
+    pub fn record_failure(&mut self, now: Time, blame: bool) -> Option<HealthChange> {
         self.failures += 1;
-        self.end_pause(now);
-        if !blame || matches!(self.trust, Trust::Quarantined { .. }) {
+        self.start_probation(now);
+        if !blame || matches!(self.state, State::Quarantined { .. }) {
             return None;
         }
-        let pause = FIRST_PAUSE * 2_u32.saturating_pow(self.pauses.min(8));
-        self.trust = Trust::Quarantined {
-            until: now + pause.min(LONGEST_PAUSE),
+        let quarantine = MIN_QUARANTINE * 2_u32.saturating_pow(self.quarantines.min(8));
+        self.state = State::Quarantined {
+            until: now + quarantine.min(MAX_QUARANTINE),
         };
-        self.pauses += 1;
+        self.quarantines += 1;
         Some(HealthChange::Quarantined)
     }
 
-    /// How many tasks the endpoint may have at once, of `share`.
+    /// Returns how many of `share` slots may be in use at once.
     ///
-    /// After its pause it is probed with one real task at a time.
+    /// After its quarantine an endpoint gets one task at a time until it is healthy again.
     #[must_use]
     pub fn allowance(&self, now: Time, share: u16) -> u16 {
-        match self.trust {
-            Trust::Good => share,
-            Trust::Quarantined { until } if until > now => 0,
-            Trust::Quarantined { .. } | Trust::Probation { .. } => share.min(1),
+        match self.state {
+            State::Healthy => share,
+            State::Quarantined { until } if until > now => 0,
+            State::Quarantined { .. } | State::Probation { .. } => share.min(1),
         }
     }
 
-    fn end_pause(&mut self, now: Time) {
-        if matches!(self.trust, Trust::Quarantined { until } if until <= now) {
-            self.trust = Trust::Probation { successes: 0 };
+    fn start_probation(&mut self, now: Time) {
+        if matches!(self.state, State::Quarantined { until } if until <= now) {
+            self.state = State::Probation { successes: 0 };
         }
     }
 
-    /// Whether it is set aside or on probation.
+    /// Whether it is quarantined or on probation.
     #[must_use]
-    pub fn suspended(&self) -> bool {
-        self.trust != Trust::Good
+    pub fn is_suspended(&self) -> bool {
+        self.state != State::Healthy
     }
 
-    /// The last tasks failed, so others go first.
+    /// Whether its last task failed or it is suspended; other endpoints are preferred to it.
     #[must_use]
-    pub fn doubtful(&self) -> bool {
-        self.failures > 0 || self.suspended()
+    pub fn is_suspect(&self) -> bool {
+        self.failures > 0 || self.is_suspended()
     }
 
-    /// Its run times over its peers', forgotten by half every ten seconds without a run.
+    /// Returns its run times over the median of their kinds, as a moving average; the part above 1 is halved for every
+    /// ten seconds without a run.
     #[must_use]
     pub fn slowness(&self, now: Time) -> f64 {
-        let idle = now.since(self.measured).as_secs_f64() / SLOW_HALF_LIFE.as_secs_f64();
+        let idle = now.since(self.updated).as_secs_f64() / SLOWNESS_HALF_LIFE.as_secs_f64();
         1.0 + (self.slowness - 1.0) * 0.5_f64.powf(idle.floor())
     }
 }
--- a/crates/celerywinch_dispatch/src/lib.rs
+++ b/crates/celerywinch_dispatch/src/lib.rs
@@ -1,18 +1,18 @@
-//! Decisions about work that an entry holds: who may wait, what starts next, and where.
+//! Admission, queueing and routing of the tasks of an entry.
 //!
 //! [`Dispatch`] is a state machine without clock or socket. It owns a share of the slots of every
-//! endpoint of the data centre, so that entries need no message per task to stay within an
-//! endpoint's slots ([`shares`]). Its parts, one file each:
+//! endpoint of the data centre, so that entries stay within an endpoint's slots without a message
+//! per task ([`shares`]). Each of its modules decides one thing:
 //!
-//! | part | decides |
+//! | module | decides |
 //! |---|---|
 //! | `admission` | whether a job can be done in time, or is refused at once |
 //! | `queue` | what starts next: class, then team share, then deadline |
 //! | `routing` | which endpoint a task goes to |
 //! | `shares` | which entry owns a slot |
-//! | `loans` | idle slots lent to an entry that needs them |
-//! | `health` | which endpoints are set aside or used less |
-//! | `estimate` | how long a task of a kind runs |
+//! | `loans` | which idle slots are lent to another entry |
+//! | `health` | which endpoints are quarantined or used less |
+//! | `estimate` | how long a task of a kind is expected to run |
 
 mod admission;
 mod dispatch;
--- a/crates/celerywinch_dispatch/src/loans.rs
+++ b/crates/celerywinch_dispatch/src/loans.rs
@@ -1,4 +1,4 @@
-//! Idle slots lent to an entry that needs them.
+//! Loans of idle slots between entries.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,35 +7,35 @@
 
 use crate::Dispatch;
 
-/// How long a loan lasts unless it is given back earlier.
+/// How long a loan lasts unless it is returned earlier.
 ///
-/// The lender uses a lent slot again when the lease ends, even if the borrower is gone. A borrower
-/// that still has a task there makes the endpoint refuse one task, which is sent elsewhere.
+/// The lender uses a lent slot again when the lease ends, even if the borrower is gone. If the borrower still has a task
+/// there, the endpoint refuses one task, which is then sent elsewhere.
 pub const LEASE: Duration = Duration::from_secs(5);
 
-/// The borrower stops to use a loan this long before it ends.
-const MARGIN: Duration = Duration::from_millis(500);
+/// How long before its end the borrower stops using a loan.
+const LEASE_MARGIN: Duration = Duration::from_millis(500);
 
-/// The borrower gives a loan back when it had no use for it this long.
-const IDLE: Duration = Duration::from_millis(40);
+/// How long a borrower keeps a loan that it does not use.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// One loan, at the lender's or the borrower's side.
+/// One loan, as seen by the lender or the borrower.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Loan {
-    /// Names it at the lender.
+    /// Its number at the lender.
     pub id: u64,
     /// The other side.
     pub peer: InstanceId,
-    /// Endpoint and number of slots.
+    /// The endpoints and the number of slots lent at each.
     pub slots: Vec<(SocketAddr, u16)>,
-    /// When it ends on this side's clock.
+    /// When it ends, by this side's clock.
     pub until: Time,
-    /// When it was last of use, at the borrower.
+    /// When the borrower last used it.
     pub used: Time,
 }
 
 impl Dispatch {
-    /// Lends up to half of the idle slots of a kind's endpoints, if nothing of that kind waits here.
+    /// Lends up to half of the idle slots of a kind's endpoints, if no task of that kind is queued here.
     pub fn lend(
         &mut self,
         now: Time,
@@ -53,12 +53,12 @@
         for id in ids {
             let endpoint = &mut self.endpoints[id];
             let give = endpoint.free(now).min(left);
-            // A borrowed slot is not lent on: its lender would wait for it in vain.
+            // A borrowed slot is not lent on, because its lender would not get it back in time.
             let give = give.min(endpoint.share.saturating_sub(endpoint.lent));
-            if give > 0 && !endpoint.health.doubtful() {
+            if give > 0 && !endpoint.health.is_suspect() {
                 endpoint.lent += give;
                 left -= give;
-                slots.push((endpoint.note.addr, give));
+                slots.push((endpoint.announcement.addr, give));
             }
         }
         if slots.is_empty() {
@@ -77,14 +77,14 @@
         Some((id, slots))
     }
 
-    /// Takes a loan; slots of endpoints that are not known here are of no use and stay unused.
+    /// Adds a borrowed loan. Slots of endpoints that are not known here stay unused.
     pub fn borrow(&mut self, now: Time, loan: Loan) {
         for (addr, count) in &loan.slots {
             if let Some(id) = self.by_addr.get(addr) {
                 self.endpoints[*id].borrowed += count;
             }
         }
-        let until = now + (LEASE - MARGIN);
+        let until = now + (LEASE - LEASE_MARGIN);
         self.borrowed.push(Loan {
             until,
             used: now,
@@ -92,16 +92,16 @@
         });
     }
 
-    /// A loan came back.
+    /// Ends a loan that its borrower has returned.
     pub fn end_loan(&mut self, peer: InstanceId, id: u64) {
         if self.lent.get(&id).is_some_and(|loan| loan.peer == peer)
             && let Some(loan) = self.lent.remove(&id)
         {
-            self.unlend(&loan);
+            self.end_lent(&loan);
         }
     }
 
-    fn unlend(&mut self, loan: &Loan) {
+    fn end_lent(&mut self, loan: &Loan) {
         for (addr, count) in &loan.slots {
             if let Some(id) = self.by_addr.get(addr) {
                 let endpoint = &mut self.endpoints[*id];
@@ -110,30 +110,33 @@
         }
     }
 
-    /// Ends loans that ran out, and gives back those of no use; returns what to give back.
+    /// Ends expired loans, and borrowed ones that are not used. Returns the lender and number of each loan to return.
     pub fn expire_loans(&mut self, now: Time) -> Vec<(InstanceId, u64)> {
-        let over: Vec<_> = self
+        let expired: Vec<_> = self
             .lent
             .values()
             .filter(|l| l.until <= now)
             .cloned()
             .collect();
-        for loan in over {
-            self.unlend(&loan);
+        for loan in expired {
+            self.end_lent(&loan);
             self.lent.remove(&loan.id);
         }
         let loans = std::mem::take(&mut self.borrowed);
-        let (over, kept): (Vec<_>, Vec<_>) = loans.into_iter().partition(|loan| {
-            loan.until <= now || (self.idle(loan) && now.since(loan.used) > IDLE)
+        let (expired, kept): (Vec<_>, Vec<_>) = loans.into_iter().partition(|loan| {
+            loan.until <= now || (self.idle(loan) && now.since(loan.used) > IDLE_TIMEOUT)
         });
         self.borrowed = kept;
-        for loan in &over {
-            self.unborrow(loan);
+        for loan in &expired {
+            self.end_borrowed(loan);
         }
-        over.into_iter().map(|loan| (loan.peer, loan.id)).collect()
+        expired
+            .into_iter()
+            .map(|loan| (loan.peer, loan.id))
+            .collect()
     }
 
-    fn unborrow(&mut self, loan: &Loan) {
+    fn end_borrowed(&mut self, loan: &Loan) {
         for (addr, count) in &loan.slots {
             if let Some(id) = self.by_addr.get(addr) {
                 let endpoint = &mut self.endpoints[*id];
@@ -142,13 +145,13 @@
         }
     }
 
-    /// Whether a loan's slots are idle and would not be needed if they were gone.
+    /// Whether a borrowed loan is not needed: nothing is queued, and the calls in flight fit into the other slots.
     fn idle(&self, loan: &Loan) -> bool {
         self.queue.len() == 0
             && loan.slots.iter().all(|(addr, count)| {
                 self.by_addr.get(addr).is_none_or(|id| {
                     let endpoint = &self.endpoints[*id];
-                    endpoint.in_flight + count <= endpoint.own()
+                    endpoint.in_flight + count <= endpoint.own_slots()
                 })
             })
     }
--- a/crates/celerywinch_dispatch/src/queue.rs
+++ b/crates/celerywinch_dispatch/src/queue.rs
@@ -1,4 +1,4 @@
-//! What waits for a slot, and what goes first.
+//! The queue of tasks that wait for a slot, and their order.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -8,13 +8,13 @@
 
 use crate::{JobId, TaskRef};
 
-/// The work of one team in one class; within it the earliest deadline goes first.
+/// The queued tasks of one team in one class, earliest deadline first.
 type Lane = BTreeMap<(Time, TaskRef), ()>;
 
-/// Whose work it is, in order of class.
+/// Class and team of a lane, ordered by class.
 type LaneKey = (Class, Arc<str>);
 
-/// The tasks of one kind that wait.
+/// The queued tasks of one kind.
 #[derive(Debug, Default)]
 struct KindQueue {
     lanes: BTreeMap<LaneKey, Lane>,
@@ -22,15 +22,15 @@
     len: usize,
 }
 
-/// All tasks that wait.
+/// The queued tasks of all kinds.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     kinds: BTreeMap<KindName, KindQueue>,
-    places: HashMap<JobId, Vec<(KindName, LaneKey, Time, TaskRef)>>,
+    positions: HashMap<JobId, Vec<(KindName, LaneKey, Time, TaskRef)>>,
     len: usize,
 }
 
-/// The task that goes first.
+/// The task that starts next.
 #[derive(Clone, Debug)]
 pub(crate) struct Head {
     pub(crate) lane: LaneKey,
@@ -49,20 +49,20 @@
     ) {
         let lane = (class, team.clone());
         let queue = self.kinds.entry(kind.clone()).or_default();
-        let slot = queue.lanes.entry(lane.clone()).or_default();
-        slot.insert((deadline, task), ());
+        let tasks = queue.lanes.entry(lane.clone()).or_default();
+        tasks.insert((deadline, task), ());
         *queue.by_class.entry(class).or_default() += 1;
         queue.len += 1;
         self.len += 1;
         let place = (kind.clone(), lane, deadline, task);
-        self.places.entry(task.job).or_default().push(place);
+        self.positions.entry(task.job).or_default().push(place);
     }
 
-    /// The head of a kind: class first, then teams within their share, then the deadline.
+    /// Returns the head of a kind: class first, then teams within their share, then the deadline.
     ///
-    /// `over` tells whether a team has used up its share. A team's burst is thus served after all
-    /// work of the same class that is within its share, yet fills whatever nobody else wants.
-    pub(crate) fn head(&self, kind: &str, over: impl Fn(&str) -> bool) -> Option<Head> {
+    /// `over_share` returns whether a team has used up its share. A team's burst is thus served after all tasks of the
+    /// same class that are within the share of their team, but may use all slots that no other team needs.
+    pub(crate) fn head(&self, kind: &str, over_share: impl Fn(&str) -> bool) -> Option<Head> {
         let queue = self.kinds.get(kind)?;
         let heads = queue.lanes.iter().filter_map(|(lane, tasks)| {
             let (deadline, task) = tasks.first_key_value()?.0;
@@ -72,7 +72,7 @@
                 task: *task,
             })
         });
-        heads.min_by_key(|head| (head.lane.0, over(&head.lane.1), head.deadline))
+        heads.min_by_key(|head| (head.lane.0, over_share(&head.lane.1), head.deadline))
     }
 
     pub(crate) fn remove(&mut self, kind: &str, lane: &LaneKey, deadline: Time, task: TaskRef) {
@@ -95,19 +95,18 @@
         self.len -= 1;
     }
 
-    /// Takes all tasks of a job out of the queue, at a cost of its own tasks only: cancellations
-    /// come in waves.
+    /// Removes all tasks of a job. The cost depends only on the number of its own tasks, as cancellations come in bursts.
     pub(crate) fn drop_job(&mut self, job: JobId) {
-        for (kind, lane, deadline, task) in self.places.remove(&job).unwrap_or_default() {
+        for (kind, lane, deadline, task) in self.positions.remove(&job).unwrap_or_default() {
             self.remove(&kind, &lane, deadline, task);
         }
     }
 
-    /// Jobs whose next task can no longer be done: `latest` is the last useful start by kind.
-    pub(crate) fn infeasible_jobs(&self, latest: impl Fn(&str) -> Time) -> Vec<JobId> {
+    /// Returns the jobs with a task whose deadline is before `earliest_end`, the end of the fastest run of its kind.
+    pub(crate) fn infeasible_jobs(&self, earliest_end: impl Fn(&str) -> Time) -> Vec<JobId> {
         let mut jobs = Vec::new();
         for (kind, queue) in &self.kinds {
-            let limit = latest(kind);
+            let limit = earliest_end(kind);
             for lane in queue.lanes.values() {
                 let late = lane.keys().take_while(|(deadline, _)| *deadline < limit);
                 jobs.extend(late.map(|(_, task)| task.job));
@@ -118,8 +117,8 @@
         jobs
     }
 
-    /// Waiting tasks in classes up to `class`.
-    pub(crate) fn ahead(&self, class: Class) -> usize {
+    /// Returns the number of queued tasks in classes up to `class`.
+    pub(crate) fn len_up_to(&self, class: Class) -> usize {
         let kinds = self.kinds.values();
         let waiting = kinds.flat_map(|kind| kind.by_class.range(..=class));
         waiting.map(|(_, count)| count).sum()
--- a/crates/celerywinch_dispatch/src/routing.rs
+++ b/crates/celerywinch_dispatch/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a task goes to.
+//! Choice of the endpoint for a task.
 
 use std::time::Duration;
 
@@ -7,45 +7,45 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::dispatch::{Endpoint, EndpointId};
-use crate::health::SLOW;
+use crate::health::SLOW_FACTOR;
 
-/// Overdue calls of one endpoint that may be chance.
-const TOLERATED: usize = 1;
+/// Number of overdue calls of an endpoint that is not counted against it, as it may be due to chance.
+const TOLERATED_OVERDUE: usize = 1;
 
-/// How endpoints are chosen; all but the first are baselines to measure against.
+/// How endpoints are chosen. All but the first are baselines for benchmarks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// Own slots only, doubtful and slow endpoints last, the least loaded first.
+    /// Own slots only; suspect and slow endpoints last, the least loaded first.
     #[default]
     Shares,
     /// Any endpoint at random.
     Random,
     /// Endpoints in turn.
     RoundRobin,
-    /// The endpoint with the fewest tasks of this entry, without sharing out slots.
+    /// The endpoint with the fewest tasks of this entry in flight, without shares of slots.
     LeastOutstanding,
 }
 
-/// One candidate for a task.
+/// An endpoint that may get a task.
 pub(crate) struct Candidate<'a> {
     pub(crate) id: EndpointId,
     pub(crate) endpoint: &'a Endpoint,
 }
 
-/// What is known of the task that is placed.
+/// The task to be placed, and the run times of its kind.
 pub(crate) struct Placement {
     pub(crate) now: Time,
     pub(crate) remaining: Duration,
     pub(crate) median: Duration,
-    /// A run time that few tasks of the kind exceed.
-    pub(crate) long: Duration,
+    /// Run time after which a call of the kind counts as overdue.
+    pub(crate) overdue_after: Duration,
 }
 
-/// Chooses among the endpoints of a kind; `None` means that the task waits.
+/// Chooses one of the endpoints of a kind; `None` means that the task waits.
 pub(crate) fn choose<'a>(
     policy: Policy,
     place: &Placement,
-    turn: &mut usize,
+    next_index: &mut usize,
     random: &mut ChaCha8Rng,
     candidates: impl Iterator<Item = Candidate<'a>>,
 ) -> Option<EndpointId> {
@@ -57,8 +57,8 @@
         }
         Policy::RoundRobin => {
             let all: Vec<_> = candidates.map(|c| c.id).collect();
-            *turn = turn.wrapping_add(1);
-            (!all.is_empty()).then(|| all[*turn % all.len()])
+            *next_index = next_index.wrapping_add(1);
+            (!all.is_empty()).then(|| all[*next_index % all.len()])
         }
         Policy::LeastOutstanding => candidates
             .min_by_key(|c| (c.endpoint.in_flight, random.random::<u32>()))
@@ -77,19 +77,24 @@
             continue;
         }
         let slowness = endpoint.health.slowness(place.now);
-        // A slow endpoint gets only what it can still finish in time; it would make the slowest
-        // task of a job the rule.
-        if slowness >= SLOW && place.median.mul_f64(slowness) > place.remaining {
+        // A slow endpoint gets only tasks that it can finish in time. Otherwise nearly every job would have a task that
+        // runs as long as its slowest one.
+        if slowness >= SLOW_FACTOR && place.median.mul_f64(slowness) > place.remaining {
             continue;
         }
-        let slow = if slowness >= SLOW { slowness as u32 } else { 0 };
-        let load = u32::from(endpoint.in_flight) * 64 / u32::from(endpoint.note.slots.max(1));
-        // A slow endpoint shows by calls that do not end long before their run times are known.
+        let slow = if slowness >= SLOW_FACTOR {
+            slowness as u32
+        } else {
+            0
+        };
+        let load =
+            u32::from(endpoint.in_flight) * 64 / u32::from(endpoint.announcement.slots.max(1));
+        // A slow endpoint is recognised by its overdue calls long before their run times are known.
         let overdue = endpoint
-            .overdue(place.now, place.long)
-            .saturating_sub(TOLERATED);
+            .overdue(place.now, place.overdue_after)
+            .saturating_sub(TOLERATED_OVERDUE);
         let chance = random.random::<u32>();
-        let rank = (endpoint.health.doubtful(), slow, overdue, load, chance);
+        let rank = (endpoint.health.is_suspect(), slow, overdue, load, chance);
         if best.as_ref().is_none_or(|(least, _)| rank < *least) {
             best = Some((rank, id));
         }
--- a/crates/celerywinch_dispatch/tests/loans.rs
+++ b/crates/celerywinch_dispatch/tests/loans.rs
@@ -1,4 +1,4 @@
-//! Slots that are lent to another entry.
+//! Loans of slots to another entry.
 
 use celerywinch_catalogue::{Catalogue, Class, Document, KindEntry};
 use celerywinch_dispatch::{Dispatch, Policy, Work};
@@ -38,8 +38,8 @@
     }
 }
 
-/// An idle entry refuses its own callers as overloaded: it has lent all its slots, and counts as if
-/// it had one.
+/// Guards against an idle entry that refuses its own callers as overloaded: it has lent all of its slots, and admission
+/// would count it as having a single one.
 #[test]
 fn lender_admits_its_own_work() {
     let mut dispatch = Dispatch::new(InstanceId(1), Policy::Shares, 1);
