--- a/crates/celerywinch_claims/src/claim.rs
+++ b/crates/celerywinch_claims/src/claim.rs
@@ -1,7 +1,7 @@
-//! The proposer's side of a key, as a life cycle: voting, held, settling, deciding.
+//! The proposer's side of the agreement on a key, with the states voting, held, settling and deciding.
 //!
-//! Each state is a type of its own, so that only a [`Claim<Held>`] can be asked to start tasks and
-//! only a state that may decide an outcome can propose one.
+//! Each state is a type of its own, so that tasks can be started only with a [`Claim<Held>`], and an outcome can be
+//! proposed only in a state that may decide it.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 use crate::{Group, Promise};
 
-/// What a reply brought about.
+/// The progress of a phase after a reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress<T> {
     /// More replies are needed.
@@ -29,7 +29,7 @@
     state: S,
 }
 
-/// Waits for a majority of the votes.
+/// State in which the proposer waits for a majority of the votes.
 #[derive(Debug)]
 pub struct Voting {
     holder: Holder,
@@ -37,13 +37,14 @@
     answers: Vec<(InstanceId, Option<Grant>)>,
 }
 
-/// Has a majority of the votes: the one state in which tasks may be started.
+/// State in which the proposer has a majority of the votes. Tasks may be started only in this state.
 #[derive(Debug)]
 pub struct Held {
     holder: Holder,
 }
 
-/// Waits for a majority of promises, to find out or to end what another holder left.
+/// State in which the proposer waits for a majority of promises, to learn the outcome of a key that another holder left
+/// undecided, or to decide one.
 #[derive(Debug)]
 pub struct Settling {
     ballot: Ballot,
@@ -51,7 +52,7 @@
     abstained: Vec<InstanceId>,
 }
 
-/// Waits for a majority to accept the outcome.
+/// State in which the proposer waits for a majority to accept the outcome.
 #[derive(Debug)]
 pub struct Deciding {
     ballot: Ballot,
@@ -59,12 +60,12 @@
     accepted: Vec<InstanceId>,
 }
 
-/// How voting ended.
+/// The result of the vote on a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// This holder has the claim.
     Won,
-    /// Another holder has it or may have it.
+    /// Another holder has the claim or may have it.
     Lost(Holder),
     /// Another instance is settling the key.
     Settling,
@@ -74,26 +75,26 @@
     TooOld,
     /// The key's time lies in the future.
     TooNew,
-    /// The key was used with another body.
+    /// The key was used before with another body.
     Conflict,
     /// Too few replicas can vote on the key.
     NoQuorum,
 }
 
 impl<S> Claim<S> {
-    /// The key.
+    /// Returns the key.
     #[must_use]
     pub fn key(&self) -> &Key {
         &self.key
     }
 
-    /// Hash of the body.
+    /// Returns the hash of the body.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The replicas.
+    /// Returns the replicas of the key.
     #[must_use]
     pub fn group(&self) -> &Arc<Group> {
         &self.group
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Gives up waiting and settles the key with `ballot`.
+    /// Ends the current phase and settles the key with `ballot`.
     #[must_use]
     pub fn settle(self, ballot: Ballot) -> Claim<Settling> {
         self.into(Settling {
@@ -120,11 +121,11 @@
 }
 
 impl Claim<Voting> {
-    /// Starts to ask for votes; `first` is the replica that is asked before all others.
+    /// Starts the vote on a claim; `first` is the replica that is asked before all others.
     ///
-    /// All entries ask the same replica first, so of several that want a key at the same moment
-    /// one gets that vote and the others give way. If each began with its own vote, they could
-    /// split the votes and none would get the claim.
+    /// All entries ask the same replica first, so that of several entries that claim a key at the same time one gets
+    /// this vote and the others lose at once. If each entry asked its own replica first, the votes could be split and
+    /// none would get the claim.
     #[must_use]
     pub fn new(
         key: Key,
@@ -145,13 +146,13 @@
         }
     }
 
-    /// Who asks.
+    /// Returns the holder that asks for the claim.
     #[must_use]
     pub fn holder(&self) -> Holder {
         self.state.holder
     }
 
-    /// The replicas that have not answered, for sending the request again.
+    /// Returns the replicas that have not answered, to which the request is sent again.
     pub fn unanswered(&self) -> impl Iterator<Item = InstanceId> + '_ {
         self.group
             .members()
@@ -160,7 +161,7 @@
             .filter(|member| !self.state.answers.iter().any(|(id, _)| id == member))
     }
 
-    /// Takes a replica's answer; `None` is an abstention.
+    /// Records a replica's answer; `None` is an abstention.
     pub fn answer(&mut self, from: InstanceId, grant: Option<Grant>) -> Progress<Verdict> {
         let known = self.state.answers.iter().any(|(id, _)| *id == from);
         if known || !self.group.contains(from) {
@@ -192,28 +193,28 @@
         if granted >= self.group.majority() {
             return Progress::Done(Verdict::Won);
         }
-        let silent = self.group.members().len() - self.state.answers.len();
-        if granted + silent >= self.group.majority() {
+        let open = self.group.members().len() - self.state.answers.len();
+        if granted + open >= self.group.majority() {
             return Progress::Pending;
         }
-        Progress::Done(self.loss())
+        Progress::Done(self.failed_vote())
     }
 
-    fn loss(&self) -> Verdict {
-        let mut loss = Verdict::NoQuorum;
+    fn failed_vote(&self) -> Verdict {
+        let mut failed_vote = Verdict::NoQuorum;
         for grant in self.state.answers.iter().filter_map(|(_, g)| g.as_ref()) {
             match grant {
                 Grant::Taken(holder) => return Verdict::Lost(*holder),
-                Grant::Settling => loss = Verdict::Settling,
-                Grant::TooOld if loss == Verdict::NoQuorum => loss = Verdict::TooOld,
-                Grant::TooNew if loss == Verdict::NoQuorum => loss = Verdict::TooNew,
+                Grant::Settling => failed_vote = Verdict::Settling,
+                Grant::TooOld if failed_vote == Verdict::NoQuorum => failed_vote = Verdict::TooOld,
+                Grant::TooNew if failed_vote == Verdict::NoQuorum => failed_vote = Verdict::TooNew,
                 _ => {}
             }
         }
-        loss
+        failed_vote
     }
 
-    /// Turns a won vote into the claim; gives the claim back unchanged if there is no majority.
+    /// Returns the held claim if the vote is won, or else the unchanged claim as an error.
     pub fn into_held(self) -> Result<Claim<Held>, Self> {
         if self.verdict() == Progress::Done(Verdict::Won) {
             let holder = self.state.holder;
@@ -224,7 +225,7 @@
 }
 
 impl Claim<Held> {
-    /// Proposes the outcome with the ballot that only the holder of the claim may use.
+    /// Proposes an outcome with ballot 1, which only the holder of the claim may use.
     #[must_use]
     pub fn decide(self, outcome: Outcome) -> Claim<Deciding> {
         let ballot = Ballot {
@@ -240,7 +241,7 @@
 }
 
 impl Claim<Settling> {
-    /// Starts to settle a key that this instance did not claim.
+    /// Starts to settle a key that this instance has not claimed.
     #[must_use]
     pub fn settle_key(key: Key, digest: u64, group: Arc<Group>, ballot: Ballot) -> Self {
         Self {
@@ -255,13 +256,13 @@
         }
     }
 
-    /// The ballot in use.
+    /// Returns the ballot in use.
     #[must_use]
     pub fn ballot(&self) -> Ballot {
         self.state.ballot
     }
 
-    /// Takes a promise; when there is a majority, gives the outcome to propose.
+    /// Records a promise. With a majority, returns the hash of the body and the outcome to propose.
     pub fn promise(
         &mut self,
         from: InstanceId,
@@ -279,7 +280,7 @@
         Progress::Done((digest, self.state.promises.proposal(&self.group)))
     }
 
-    /// Takes an abstention; `Done` when a majority can no longer be had.
+    /// Records an abstention; `Done` if a majority of promises has become impossible.
     pub fn abstain(&mut self, from: InstanceId) -> Progress<()> {
         if !self.state.abstained.contains(&from) {
             self.state.abstained.push(from);
@@ -291,7 +292,7 @@
         Progress::Pending
     }
 
-    /// Proposes what the promises call for.
+    /// Proposes the outcome that the promises require.
     #[must_use]
     pub fn decide(self, digest: u64, outcome: Outcome) -> Claim<Deciding> {
         let ballot = self.state.ballot;
@@ -306,19 +307,19 @@
 }
 
 impl Claim<Deciding> {
-    /// The ballot in use.
+    /// Returns the ballot in use.
     #[must_use]
     pub fn ballot(&self) -> Ballot {
         self.state.ballot
     }
 
-    /// The outcome that is proposed.
+    /// Returns the proposed outcome.
     #[must_use]
     pub fn outcome(&self) -> &Outcome {
         &self.state.outcome
     }
 
-    /// The replicas that have not accepted, for sending the request again.
+    /// Returns the replicas that have not accepted, to which the request is sent again.
     pub fn unanswered(&self) -> impl Iterator<Item = InstanceId> + '_ {
         self.group
             .members()
@@ -327,7 +328,7 @@
             .filter(|member| !self.state.accepted.contains(member))
     }
 
-    /// Takes an acceptance; when there is a majority, the outcome is decided.
+    /// Records an acceptance; with a majority, the outcome is decided.
     pub fn accepted(&mut self, from: InstanceId, ballot: Ballot) -> Progress<Outcome> {
         if ballot != self.state.ballot || !self.group.contains(from) {
             return Progress::Pending;
@@ -342,7 +343,7 @@
     }
 }
 
-/// The promises of a ballot, and what they allow to be said.
+/// The promises for a ballot, which determine the outcome to propose.
 #[derive(Debug, Default)]
 pub struct Promises {
     promises: Vec<(InstanceId, Promise)>,
@@ -356,13 +357,13 @@
         }
     }
 
-    /// How many replicas promised.
+    /// Returns how many replicas have promised.
     #[must_use]
     pub fn len(&self) -> usize {
         self.promises.len()
     }
 
-    /// Whether no replica promised.
+    /// Whether no replica has promised.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.promises.is_empty()
@@ -375,11 +376,11 @@
             .find(|digest| *digest != 0)
     }
 
-    /// The outcome to propose, given promises of a majority.
+    /// Returns the outcome to propose, given promises of a majority.
     ///
-    /// An accepted outcome must be proposed again, for it may be decided already. Without one the
-    /// key is settled as not run, if no holder can have had a majority of the votes, and as may
-    /// have run otherwise.
+    /// The accepted outcome with the highest ballot must be proposed again, since it may be decided already. Without one,
+    /// the key is settled as not run if no holder can have had a majority of the votes, or else as a failure whose tasks
+    /// may have run.
     #[must_use]
     pub fn proposal(&self, group: &Group) -> Outcome {
         let accepted = self
@@ -389,7 +390,7 @@
         if let Some((_, outcome)) = accepted.max_by_key(|(ballot, _)| *ballot) {
             return outcome.clone();
         }
-        match self.possible_winner(group) {
+        match self.possible_holder(group) {
             Some(holder) => Outcome::failure(
                 Ran::Maybe,
                 Step::Claim,
@@ -404,12 +405,12 @@
         }
     }
 
-    /// A holder that may have had a majority: its votes here plus all replicas not heard from.
+    /// Returns a holder that may have had a majority: its votes among the promises plus all replicas without a promise.
     ///
-    /// A vote that its own holder declared void does not count, and neither do the unheard ones
-    /// for it: that holder has never started a task of the key and never will.
-    fn possible_winner(&self, group: &Group) -> Option<Holder> {
-        let unheard = group.members().len() - self.promises.len();
+    /// A holder that declared its own vote void is not one, whatever the other replicas voted: it has never started a
+    /// task of the key and never will.
+    fn possible_holder(&self, group: &Group) -> Option<Holder> {
+        let missing = group.members().len() - self.promises.len();
         let void = |holder: Holder| {
             self.promises
                 .iter()
@@ -421,7 +422,7 @@
         });
         voted
             .filter(|holder| !void(*holder))
-            .find(|holder| self.votes_for(*holder) + unheard >= group.majority())
+            .find(|holder| self.votes_for(*holder) + missing >= group.majority())
     }
 
     fn votes_for(&self, holder: Holder) -> usize {
--- a/crates/celerywinch_claims/src/group.rs
+++ b/crates/celerywinch_claims/src/group.rs
@@ -1,4 +1,4 @@
-//! The replicas of a key and its home data centre.
+//! The home data centre of a key, and its replicas.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 }
 
 impl Group {
-    /// A group of the given replicas.
+    /// Creates a group of the given replicas.
     #[must_use]
     pub fn new(mut members: Vec<InstanceId>) -> Self {
         members.sort_unstable();
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Adds a replica in another data centre, which is asked last.
+    /// Adds a witness, a replica in another data centre that is asked last.
     #[must_use]
     pub fn with_witness(mut self, witness: InstanceId) -> Self {
         self.witness = Some(witness);
@@ -34,19 +34,19 @@
         self
     }
 
-    /// The replicas.
+    /// Returns the replicas.
     #[must_use]
     pub fn members(&self) -> &[InstanceId] {
         &self.members
     }
 
-    /// How many replicas make a majority.
+    /// Returns the number of replicas in a majority.
     #[must_use]
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// The replicas in the order in which they are asked for a key's vote.
+    /// Returns the replicas in the order in which they are asked for their votes on a key.
     #[must_use]
     pub fn order(&self, key: &Key) -> Vec<InstanceId> {
         let hash = key.hash64();
@@ -62,9 +62,9 @@
     }
 }
 
-/// Which data centre is home to a key, and which replicas it has there.
+/// The home data centres of keys, and their groups of replicas.
 ///
-/// The table is the same in every process: it follows from the instances named in the settings.
+/// The table is the same in every process, because it is derived from the instances in the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Homes {
     names: BTreeMap<String, DataCentreId>,
@@ -72,17 +72,17 @@
     unhinted: Vec<DataCentreId>,
 }
 
-/// The most replicas a group has: a third survives the loss of one, more only cost messages.
+/// Largest number of replicas in a group. Three survive the loss of one; more would only cost messages.
 const MAX_REPLICAS: usize = 3;
 
 impl Homes {
-    /// Lays out the groups.
+    /// Assigns entries to the groups of all data centres.
     ///
-    /// A data centre with three or more entries has three replicas, all its own. One with two has
-    /// its two and a third in the next data centre, so that the loss of one instance does not stop
-    /// it, and being cut off does not either; only both together do. One with a single entry has
-    /// that entry alone: replicas elsewhere would stop it when it is cut off, and its loss leaves
-    /// nothing there to serve.
+    /// A data centre with three or more entries has three replicas, all of them local. One with two entries has
+    /// these two and a witness in another data centre, so that it stays available after the loss of one instance,
+    /// and while it is cut off, but not after both. One with a single entry has only that entry as a replica: with
+    /// replicas elsewhere it would be unavailable while it is cut off, and after the loss of the entry there is nothing
+    /// left to serve.
     #[must_use]
     pub fn new(entries: &[(InstanceId, DataCentreId, String)]) -> Self {
         let mut local: BTreeMap<DataCentreId, Vec<InstanceId>> = BTreeMap::new();
@@ -96,7 +96,7 @@
         }
         let groups: BTreeMap<_, _> = local
             .iter()
-            .map(|(dc, members)| (*dc, Arc::new(layout(*dc, members, &local))))
+            .map(|(dc, members)| (*dc, Arc::new(group_of(*dc, members, &local))))
             .collect();
         let unhinted = unhinted_homes(&local);
         Self {
@@ -106,10 +106,9 @@
         }
     }
 
-    /// The home of a key: the data centre it names, or one chosen by its hash.
+    /// Returns the home of a key: the data centre that the key names, or one chosen by its hash.
     ///
-    /// Falls back to the hash for an unknown name, so that a key's home never depends on which
-    /// entry is asked.
+    /// An unknown name falls back to the hash, so that the home of a key does not depend on the entry that is asked.
     #[must_use]
     pub fn home(&self, key: &Key) -> Option<DataCentreId> {
         if let Some(dc) = key.home_hint().and_then(|name| self.names.get(name)) {
@@ -122,13 +121,13 @@
             .max_by_key(|dc| score(hash, u64::from(dc.0)))
     }
 
-    /// The replicas of a data centre's keys.
+    /// Returns the replicas of the keys of a data centre.
     #[must_use]
     pub fn group(&self, dc: DataCentreId) -> Option<&Arc<Group>> {
         self.groups.get(&dc)
     }
 
-    /// The data centres whose groups `instance` is a replica of.
+    /// Returns the data centres in whose groups `instance` is a replica.
     pub fn memberships(&self, instance: InstanceId) -> impl Iterator<Item = DataCentreId> + '_ {
         self.groups
             .iter()
@@ -137,7 +136,7 @@
     }
 }
 
-fn layout(
+fn group_of(
     dc: DataCentreId,
     members: &[InstanceId],
     all: &BTreeMap<DataCentreId, Vec<InstanceId>>,
@@ -149,7 +148,8 @@
     }
 }
 
-/// One entry of the next data centre, by number, that has the most entries.
+/// Returns the witness for a data centre: an entry of the other data centre with the most entries; among several, of the
+/// one with the highest rendezvous score.
 fn witness(dc: DataCentreId, all: &BTreeMap<DataCentreId, Vec<InstanceId>>) -> Option<InstanceId> {
     all.iter()
         .filter(|(other, _)| **other != dc)
@@ -157,15 +157,16 @@
         .map(|(_, members)| members[usize::from(dc.0) % members.len()])
 }
 
-/// Keys without a home go to data centres that survive the loss of one instance, where possible.
+/// Returns the homes of keys that name none: data centres with more than one entry, which survive the loss of one, or all
+/// if there is no such data centre.
 fn unhinted_homes(local: &BTreeMap<DataCentreId, Vec<InstanceId>>) -> Vec<DataCentreId> {
-    let sturdy: Vec<_> = local
+    let redundant: Vec<_> = local
         .iter()
         .filter(|(_, members)| members.len() > 1)
         .map(|(dc, _)| *dc)
         .collect();
-    if sturdy.is_empty() {
+    if redundant.is_empty() {
         return local.keys().copied().collect();
     }
-    sturdy
+    redundant
 }
--- a/crates/celerywinch_claims/src/lib.rs
+++ b/crates/celerywinch_claims/src/lib.rs
@@ -1,23 +1,23 @@
-//! Agreement, per key, on who may start its tasks and on its one outcome.
+//! Agreement, for each key, on which holder may start its tasks and on its single outcome.
 //!
-//! Every key has a home data centre, and the home a small group of replicas, in memory. Two
-//! things are agreed on for a key, each by a majority of the group:
+//! Every key has a home data centre with a small group of in-memory replicas. For each key a majority of the group agrees
+//! on two things:
 //!
 //! 1. **The claim.** A replica votes once for a key, for the first holder that asks, and never
-//!    changes its vote. Two majorities share a replica, so at most one holder ever has one, and
-//!    only that holder starts tasks. One round trip, and no leader whose loss leaves a gap.
+//!    changes its vote. Any two majorities have a replica in common, so at most one holder ever gets a majority, and
+//!    only that holder starts tasks. This takes one round trip, and needs no leader whose loss would interrupt it.
 //! 2. **The outcome.** A single-decree Paxos register. Ballot 1 belongs to the holder of the claim,
-//!    which may skip the prepare phase since nobody else uses that ballot. Anyone may settle a
-//!    key whose holder is gone with a ballot of round 2 or more.
+//!    which may skip the prepare phase since no other proposer uses that ballot. Any instance may settle a
+//!    key whose holder is gone, with a ballot of round 2 or higher.
 //!
-//! Whoever settles a key may say "not run" only if no holder can have had a majority of the votes
-//! ([`Promises::proposal`]); otherwise the outcome is a failure that says the work may have run.
+//! A key may be settled as "not run" only if no holder can have had a majority of the votes
+//! ([`Promises::proposal`]); otherwise the outcome is a failure which says that the tasks may have run.
 //!
-//! A replica keeps nothing on disk. After a restart it abstains on every key that is old enough to
-//! have been voted on in an earlier life ([`Replica`]).
+//! A replica stores nothing on disk. After a restart it abstains on every key that is old enough to
+//! have been voted on by its earlier incarnation ([`Replica`]).
 //!
-//! What the host must guarantee: the wall clock of one instance does not go back, across a restart,
-//! by more than [`Limits::skew`]; replies are attributed to the instance that sent them.
+//! The host guarantees that the wall clock of an instance does not go back across a restart by more than
+//! [`Limits::skew`], and that replies are attributed to the instance that sent them.
 
 mod claim;
 mod group;
--- a/crates/celerywinch_claims/src/replica.rs
+++ b/crates/celerywinch_claims/src/replica.rs
@@ -1,29 +1,29 @@
-//! The replica of a group: votes, promises and accepted outcomes, in memory.
+//! A replica of a group, with its votes, promises and accepted outcomes in memory.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
 use celerywinch_types::{Ballot, Grant, Holder, Key, Outcome, VoteState, WallMs};
 
-/// Bounds on the age of keys, the same in every process.
+/// Limits on the age of keys, the same in every process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// A key older than this is never run.
+    /// Tasks of a key older than this are never started.
     pub window: Duration,
-    /// How far wall clocks may be apart.
+    /// Largest difference between two wall clocks.
     pub skew: Duration,
     /// How long a record is kept after the window, for lookups.
     pub retention: Duration,
 }
 
 impl Limits {
-    /// Whether a key is too old to be run, by the clock of whoever asks.
+    /// Whether a key is too old to be run, by the caller's clock.
     #[must_use]
     pub fn too_old(&self, key: &Key, wall: WallMs) -> bool {
         key.born().0.saturating_add(millis(self.window)) < wall.0
     }
 
-    /// Whether a key's time lies further in the future than clocks may be apart.
+    /// Whether the time of a key is further in the future than the allowed clock skew.
     #[must_use]
     pub fn too_new(&self, key: &Key, wall: WallMs) -> bool {
         key.born().0 > wall.0.saturating_add(millis(self.skew))
@@ -39,18 +39,18 @@
 pub enum Rejection {
     /// It has promised this higher ballot.
     Preempted(Ballot),
-    /// The key may have been voted on in an earlier life of the replica.
+    /// It takes no part in the agreement on this key, see [`Replica::abstains`].
     Abstains,
 }
 
-/// What a replica tells with its promise.
+/// A replica's promise, with its state of the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Promise {
     /// Its vote on the claim.
     pub vote: VoteState,
-    /// Hash of the body, zero if the key is not known.
+    /// Hash of the body, or zero if the key is unknown.
     pub digest: u64,
-    /// The outcome it accepted last.
+    /// The outcome that it accepted last.
     pub accepted: Option<(Ballot, Outcome)>,
 }
 
@@ -68,69 +68,71 @@
 pub struct Replica {
     limits: Limits,
     start: WallMs,
-    /// Keys born up to here may have been voted on in an earlier life.
-    blank_until: WallMs,
+    /// Keys created up to this time may have been voted on by an earlier incarnation.
+    abstain_until: WallMs,
     records: HashMap<Key, Record>,
     expiry: BTreeSet<(WallMs, Key)>,
 }
 
 impl Replica {
-    /// A replica that starts, with an empty memory, at `wall`.
+    /// Creates an empty replica that starts at `wall`.
     ///
-    /// A replica that lost its memory must not vote as if it had seen nothing: a holder could have
-    /// its forgotten vote and another holder a new one, and both would start the tasks. It
-    /// abstains on keys born before its start plus the skew. That suffices, for in its earlier
-    /// life it voted on no key that was born later than its clock plus the skew
-    /// ([`Limits::too_new`]), and older keys outgrow the window while it abstains.
+    /// A restarted replica has lost its votes, and must not vote as if it had given none: one holder could have
+    /// its lost vote and another one a new vote, and both would start the tasks. It therefore abstains on keys created
+    /// before its start plus the skew. This is sufficient, because the earlier incarnation voted on no key that was
+    /// created later than its clock plus the skew ([`Limits::too_new`]), and older keys become too old to run while
+    /// the replica abstains.
     #[must_use]
     pub fn new(limits: Limits, wall: WallMs) -> Self {
         Self {
             limits,
             start: wall,
-            blank_until: WallMs(wall.0.saturating_add(millis(limits.skew))),
+            abstain_until: WallMs(wall.0.saturating_add(millis(limits.skew))),
             records: HashMap::new(),
             expiry: BTreeSet::new(),
         }
     }
 
-    /// A peer's clock is ahead by `ahead`: the own one may have been set back during the restart,
-    /// and forgotten keys would look new. Counts the start as that much later.
+    /// Counts the start as `ahead` later, because the clock of a peer is ahead by that much.
+    ///
+    /// The clock of this process may have been set back during the restart, and keys that the earlier incarnation
+    /// voted on would look new.
     pub fn raise_start(&mut self, ahead: Duration) {
         let until = self.start.0 + millis(ahead) + millis(self.limits.skew);
-        self.blank_until = self.blank_until.max(WallMs(until));
+        self.abstain_until = self.abstain_until.max(WallMs(until));
     }
 
-    /// How many keys are remembered.
+    /// Returns the number of recorded keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no key is recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Whether the replica must not take part in agreement on `key`.
+    /// Whether the replica must not take part in the agreement on `key`.
     ///
-    /// It does not if the key may have been voted on in an earlier life, nor if it is so new that a
-    /// later life could not tell that it took part ([`Replica::new`]), and not if a record of
-    /// the key may have expired: an empty record would let the key be settled as not run.
+    /// It abstains if the key may have been voted on by an earlier incarnation; if the key is so new that a later
+    /// incarnation would not abstain on it ([`Replica::new`]); and if a record of the key may have expired, because
+    /// an empty record would allow the key to be settled as not run.
     #[must_use]
     pub fn abstains(&self, wall: WallMs, key: &Key) -> bool {
         if self.records.contains_key(key) {
             return false;
         }
-        key.born() <= self.blank_until
+        key.born() <= self.abstain_until
             || self.limits.too_old(key, wall)
             || self.limits.too_new(key, wall)
     }
 
-    /// Gives the vote on `key` to the first holder that asks; `None` is an abstention.
+    /// Votes on `key` for the first holder that asks; `None` is an abstention.
     pub fn vote(&mut self, wall: WallMs, key: &Key, digest: u64, holder: Holder) -> Option<Grant> {
         if let Some(record) = self.records.get(key) {
-            return Some(standing_vote(record, digest, holder));
+            return Some(existing_vote(record, digest, holder));
         }
         if self.limits.too_old(key, wall) {
             return Some(Grant::TooOld);
@@ -147,9 +149,9 @@
         Some(Grant::Granted)
     }
 
-    /// Marks the own vote of a holder in this very process as given up before any start.
+    /// Marks this replica's vote for a holder in the same process as void: the holder gave up before any start.
     ///
-    /// Without it a key whose votes were split could only end in "may have run".
+    /// Without this mark, a key whose votes were split could only be settled as "may have run".
     pub fn abandon(&mut self, key: &Key, holder: Holder) {
         if let Some(record) = self.records.get_mut(key)
             && record.vote == VoteState::For(holder)
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Promises to accept nothing below `ballot`, and to vote no more on `key`.
+    /// Promises to accept no outcome with a ballot below `ballot`, and not to vote on `key` any more.
     pub fn prepare(
         &mut self,
         wall: WallMs,
@@ -180,7 +182,7 @@
         })
     }
 
-    /// Accepts an outcome unless a higher ballot was promised.
+    /// Accepts an outcome, unless a higher ballot was promised.
     pub fn accept(
         &mut self,
         wall: WallMs,
@@ -202,10 +204,10 @@
         Ok(())
     }
 
-    /// Notes that the outcome of this ballot is decided.
+    /// Records that the outcome of `ballot` is decided.
     ///
-    /// A replica that accepted an earlier ballot, and missed this one, has another outcome and must
-    /// not take that for the decided one; later ballots can only have the same.
+    /// A replica that missed this ballot and accepted an earlier one may have another outcome, which must not count as
+    /// decided. Later ballots can only have the decided outcome.
     pub fn learn(&mut self, key: &Key, ballot: Ballot) {
         if let Some(record) = self.records.get_mut(key) {
             let accepted = record.accepted.as_ref();
@@ -213,7 +215,7 @@
         }
     }
 
-    /// The decided outcome of a key and the hash of its body, if this replica knows them.
+    /// Returns the hash of the body and the decided outcome of a key, if this replica knows them.
     #[must_use]
     pub fn decided(&self, key: &Key) -> Option<(u64, &Outcome)> {
         let record = self.records.get(key).filter(|r| r.decided)?;
@@ -221,7 +223,7 @@
         Some((record.digest, outcome))
     }
 
-    /// What is known of a key, without changing anything; the last value is the decided outcome.
+    /// Returns the state of a key and its decided outcome, without changing either.
     #[must_use]
     pub fn inspect(&self, key: &Key) -> Option<(Promise, Option<Outcome>)> {
         let record = self.records.get(key)?;
@@ -234,9 +236,9 @@
         Some((promise, decided))
     }
 
-    /// Forgets what nobody can run or ask for any more; at most `most` keys.
-    pub fn expire(&mut self, wall: WallMs, most: usize) {
-        for _ in 0..most {
+    /// Removes keys that can no longer be run or looked up, at most `max_keys` of them.
+    pub fn expire(&mut self, wall: WallMs, max_keys: usize) {
+        for _ in 0..max_keys {
             let Some((at, _)) = self.expiry.first() else {
                 return;
             };
@@ -268,7 +270,7 @@
     }
 }
 
-fn standing_vote(record: &Record, digest: u64, holder: Holder) -> Grant {
+fn existing_vote(record: &Record, digest: u64, holder: Holder) -> Grant {
     if record.digest != 0 && record.digest != digest {
         return Grant::Conflict;
     }
@@ -278,7 +280,7 @@
         return Grant::Decided(outcome.clone());
     }
     match record.vote {
-        // Only a message sent twice by a holder that still waits for the vote.
+        // A repeated request of a holder that still waits for the vote.
         VoteState::For(voted) if voted == holder && record.promised.round < 2 => Grant::Granted,
         VoteState::For(voted) | VoteState::Void(voted) if voted != holder => Grant::Taken(voted),
         VoteState::None | VoteState::For(_) | VoteState::Void(_) => Grant::Settling,
--- a/crates/celerywinch_claims/tests/settling.rs
+++ b/crates/celerywinch_claims/tests/settling.rs
@@ -1,4 +1,4 @@
-//! What may be said of a key whose holder is gone.
+//! The outcome proposed for a key whose holder is gone.
 
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Promises by replica, of a group of three.
+/// The promises of replicas in a group of three.
 struct Case {
     promises: &'static [(u32, Vote)],
     not_run: bool,
@@ -51,16 +51,16 @@
 
 #[rstest]
 #[case::nobody(Case { promises: &[(1, Vote::None), (2, Vote::None)], not_run: true })]
-#[case::one_vote_and_one_unheard(Case {
+#[case::one_vote_and_one_missing(Case {
     promises: &[(1, Vote::For(9)), (2, Vote::None)],
     not_run: false,
 })]
-#[case::one_vote_and_all_heard(Case {
+#[case::one_vote_and_all_promised(Case {
     promises: &[(1, Vote::For(9)), (2, Vote::None), (3, Vote::None)],
     not_run: true,
 })]
 #[case::majority(Case { promises: &[(1, Vote::For(9)), (2, Vote::For(9))], not_run: false })]
-#[case::split_with_one_unheard(Case {
+#[case::split_with_one_missing(Case {
     promises: &[(1, Vote::For(1)), (2, Vote::For(2))],
     not_run: false,
 })]
@@ -72,22 +72,22 @@
     promises: &[(1, Vote::Void(1)), (2, Vote::For(1))],
     not_run: true,
 })]
-fn not_run_is_said_only_where_it_is_certain(#[case] case: Case) {
+fn not_run_is_proposed_only_if_it_is_certain(#[case] case: Case) {
     let group = Group::new((1..=3).map(InstanceId).collect());
     let mut promises = Promises::default();
     for (instance, vote) in case.promises {
         promises.add(InstanceId(*instance), promise(vote.state()));
     }
-    let verdict = promises.proposal(&Arc::new(group));
+    let proposal = promises.proposal(&Arc::new(group));
     let not_run = matches!(
-        &verdict,
+        &proposal,
         Outcome::Refusal(refusal) if refusal.reason == RefusalReason::Unclaimed
     );
-    assert_eq!(not_run, case.not_run, "{verdict:?}");
+    assert_eq!(not_run, case.not_run, "{proposal:?}");
 }
 
-/// Two callers of one key are told different outcomes: the holder's answer was accepted by a
-/// majority, the holder died, and whoever settles the key proposes a failure of its own.
+/// Guards against different outcomes for two callers of one key: a majority accepted the holder's answer, the holder
+/// crashed, and the instance that settles the key proposes a failure of its own.
 #[test]
 fn accepted_outcome_is_proposed_again() {
     let group = Group::new((1..=3).map(InstanceId).collect());
--- a/crates/celerywinch_claims/tests/votes.rs
+++ b/crates/celerywinch_claims/tests/votes.rs
@@ -1,4 +1,4 @@
-//! A replica's votes: given once, never again, and not at all where memory may be lost.
+//! Votes of a replica: given only once, and not at all for keys that an earlier incarnation may have voted on.
 
 use std::time::Duration;
 
@@ -34,22 +34,22 @@
     Outcome::failure(Ran::Maybe, Step::Claim, &"test", "test")
 }
 
-/// What happened to the key before, and what a vote asked for now gets.
+/// The history of a key, and the reply to a request for a vote.
 struct Case {
-    before: fn(&mut Replica, &Key),
+    history: fn(&mut Replica, &Key),
     born: u64,
-    wanted: Option<Grant>,
+    expected: Option<Grant>,
 }
 
-fn nothing(_: &mut Replica, _: &Key) {}
+fn no_history(_: &mut Replica, _: &Key) {}
 
 fn voted_same(replica: &mut Replica, key: &Key) {
     replica.vote(LATER, key, 7, holder(1, 2));
 }
 
-/// The caller's resubmission is run a second time: the process is done with the key, asks for the
-/// votes again before the replicas have learned that the outcome is decided, and gets them, since
-/// they were its own. The attempt in the holder tells the two apart.
+/// Guards against running a caller's resubmission a second time: the process has finished the key, asks for the votes
+/// again before the replicas have learned that the outcome is decided, and gets them, since they were its own. The
+/// attempt number in the holder distinguishes the two requests.
 fn voted_earlier_attempt(replica: &mut Replica, key: &Key) {
     replica.vote(LATER, key, 7, holder(1, 1));
 }
@@ -87,46 +87,49 @@
 }
 
 #[rstest]
-#[case::first(Case { before: nothing, born: 1_009_000, wanted: Some(Grant::Granted) })]
-#[case::same_again(Case { before: voted_same, born: 1_009_000, wanted: Some(Grant::Granted) })]
+#[case::first(Case { history: no_history, born: 1_009_000, expected: Some(Grant::Granted) })]
+#[case::same_again(Case { history: voted_same, born: 1_009_000, expected: Some(Grant::Granted) })]
 #[case::earlier_attempt(Case {
-    before: voted_earlier_attempt,
+    history: voted_earlier_attempt,
     born: 1_009_000,
-    wanted: Some(Grant::Taken(holder(1, 1))),
+    expected: Some(Grant::Taken(holder(1, 1))),
 })]
 #[case::other(Case {
-    before: voted_other,
+    history: voted_other,
     born: 1_009_000,
-    wanted: Some(Grant::Taken(holder(2, 9))),
+    expected: Some(Grant::Taken(holder(2, 9))),
 })]
 #[case::other_body(Case {
-    before: voted_other_body,
+    history: voted_other_body,
     born: 1_009_000,
-    wanted: Some(Grant::Conflict),
+    expected: Some(Grant::Conflict),
 })]
-#[case::promised(Case { before: promised, born: 1_009_000, wanted: Some(Grant::Settling) })]
-#[case::abandoned(Case { before: abandoned, born: 1_009_000, wanted: Some(Grant::Settling) })]
+#[case::promised(Case { history: promised, born: 1_009_000, expected: Some(Grant::Settling) })]
+#[case::abandoned(Case { history: abandoned, born: 1_009_000, expected: Some(Grant::Settling) })]
 #[case::decided(Case {
-    before: decided,
+    history: decided,
     born: 1_009_000,
-    wanted: Some(Grant::Decided(failure())),
+    expected: Some(Grant::Decided(failure())),
 })]
-#[case::born_before_start(Case { before: nothing, born: 999_000, wanted: Some(Grant::TooOld) })]
-#[case::too_new(Case { before: nothing, born: 1_010_251, wanted: Some(Grant::TooNew) })]
+#[case::born_before_start(Case { history: no_history, born: 999_000, expected: Some(Grant::TooOld) })]
+#[case::too_new(Case { history: no_history, born: 1_010_251, expected: Some(Grant::TooNew) })]
 fn vote_is_given_once(#[case] case: Case) {
     let mut replica = Replica::new(LIMITS, START);
     let key = key(case.born);
-    (case.before)(&mut replica, &key);
-    assert_eq!(replica.vote(LATER, &key, 7, holder(1, 2)), case.wanted);
+    (case.history)(&mut replica, &key);
+    assert_eq!(replica.vote(LATER, &key, 7, holder(1, 2)), case.expected);
 }
 
-/// Two entries start the same tasks: a replica votes, restarts without its memory, and votes again
-/// for another holder. It must abstain on every key that it can have voted on before.
+/// Guards against two entries that start the same tasks: a replica votes, restarts without its records, and votes for
+/// another holder. It must abstain on every key that its earlier incarnation can have voted on.
 #[rstest]
 #[case::long_before(994_000, false)]
 #[case::just_before(1_000_250, false)]
 #[case::after(1_000_251, true)]
-fn restarted_replica_abstains_on_keys_of_its_earlier_life(#[case] born: u64, #[case] votes: bool) {
+fn restarted_replica_abstains_on_keys_of_its_earlier_incarnation(
+    #[case] born: u64,
+    #[case] votes: bool,
+) {
     let mut replica = Replica::new(LIMITS, START);
     let wall = WallMs(START.0 + 1_000);
     let vote = replica.vote(wall, &key(born), 7, holder(1, 1));
@@ -139,10 +142,10 @@
     assert_eq!(promise.is_ok(), votes, "{promise:?}");
 }
 
-/// Two entries start the same tasks: a replica's clock is set back while it restarts, so that keys
-/// it voted on in its earlier life look new. A peer's heartbeat tells the right time.
+/// Guards against two entries that start the same tasks: a replica's clock is set back while it restarts, so that keys
+/// that its earlier incarnation voted on look new. The heartbeat of a peer shows the difference of the clocks.
 #[test]
-fn clock_set_back_during_a_restart_is_noticed_by_a_peers_clock() {
+fn clock_set_back_during_a_restart_is_detected_by_a_peers_clock() {
     let set_back = WallMs(START.0 - 60_000);
     let mut replica = Replica::new(LIMITS, set_back);
     replica.raise_start(Duration::from_secs(60));
@@ -164,7 +167,7 @@
     );
 }
 
-/// An entry tells everything as undecided for ever: a peer's clock is a little ahead, each of its
+/// Guards against an entry that reports all keys as undecided for ever: a peer's clock is slightly ahead, each of its
 /// heartbeats moves the time up to which the replica abstains, and no key is ever new enough.
 #[test]
 fn peers_clock_ahead_does_not_keep_a_replica_from_voting() {
@@ -174,15 +177,15 @@
         replica.raise_start(ahead);
         let wall = WallMs(START.0 + millis);
         let vote = replica.vote(wall, &key(wall.0), 7, holder(1, 1));
-        let wanted = (millis > 400).then_some(Grant::Granted);
-        assert_eq!(vote, wanted, "{millis} ms after the start");
+        let expected = (millis > 400).then_some(Grant::Granted);
+        assert_eq!(vote, expected, "{millis} ms after the start");
     }
 }
 
-/// Two callers are told different outcomes: a replica accepts the holder's outcome, misses the one
-/// that others settled with a higher ballot, and then hears that the key is decided.
+/// Guards against different outcomes for two callers: a replica accepts the holder's outcome, misses the one that
+/// others settled with a higher ballot, and then receives the message that the key is decided.
 #[test]
-fn replica_that_missed_the_decided_ballot_does_not_tell_its_own() {
+fn replica_that_missed_the_decided_ballot_does_not_report_its_own_outcome() {
     let mut replica = Replica::new(LIMITS, START);
     let key = key(1_009_000);
     let ballot = |round| Ballot {
@@ -197,8 +200,8 @@
     assert!(replica.decided(&key).is_some());
 }
 
-/// A restarted replica forgets a promise that it can not tell it gave: the key was born further in
-/// the future than its clock allows for, and looks new to its next life.
+/// Guards against a promise that a restart loses unnoticed: the key was created further in the future than the allowed
+/// clock skew, and looks new to the next incarnation of the replica.
 #[test]
 fn key_that_is_too_new_is_not_promised() {
     let mut replica = Replica::new(LIMITS, START);
@@ -210,10 +213,10 @@
     assert!(replica.prepare(LATER, &key(LATER.0 + 250), ballot).is_ok());
 }
 
-/// A caller is told "not run" of a key that ran: all replicas have forgotten it, and one that is
-/// asked for a promise makes an empty record that looks as if nobody ever voted.
+/// Guards against a false "not run" for a key whose tasks ran: its records have expired on all replicas, and a request
+/// for a promise creates an empty record that looks as if no replica had ever voted.
 #[test]
-fn forgotten_key_is_not_promised() {
+fn expired_key_is_not_promised() {
     let mut replica = Replica::new(LIMITS, START);
     let key = key(1_009_000);
     assert_eq!(
