--- a/crates/celerywinch_fleet/src/core/work.rs
+++ b/crates/celerywinch_fleet/src/core/work.rs
@@ -6,7 +6,7 @@
 
 use celerywinch_member::{Input, Output};
 use celerywinch_pool::{Answer, Call};
-use celerywinch_registry::Held;
+use celerywinch_registry::VersionedDocument;
 use celerywinch_types::Time;
 
 use super::{Core, CoreMsg, CoreNote};
@@ -118,7 +118,7 @@
 
     /// Puts a document in force if it is newer than the one that is. Within one life of a process
     /// the version never falls.
-    pub(super) fn put_in_force(&mut self, now: Time, held: Held) {
+    pub(super) fn put_in_force(&mut self, now: Time, held: VersionedDocument) {
         if held.version <= self.spread.version() {
             return;
         }
--- a/crates/celerywinch_fleet/src/spread.rs
+++ b/crates/celerywinch_fleet/src/spread.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use celerywinch_registry::Held;
+use celerywinch_registry::VersionedDocument;
 use celerywinch_types::{DataCentreId, InstanceId, Part, Piece, SpreadMsg, Time, score};
 use serde::Serialize;
 
@@ -49,7 +49,7 @@
     /// A message of another process.
     Message(InstanceId, SpreadMsg),
     /// This document is in force here.
-    Held(Held),
+    Held(VersionedDocument),
     /// The document of this version cannot be read here.
     Unreadable(u64),
     /// Time passed.
@@ -64,7 +64,7 @@
     /// Send heartbeats at once: another version is in force here.
     Tell(Vec<InstanceId>),
     /// A document has come: read it, and put it in force.
-    Whole(Held),
+    Whole(VersionedDocument),
     /// For the logs.
     Note(SpreadNote),
 }
@@ -207,7 +207,7 @@
         }
     }
 
-    fn hold(&mut self, now: Time, held: Held, out: &mut Vec<SpreadOutput>) {
+    fn hold(&mut self, now: Time, held: VersionedDocument, out: &mut Vec<SpreadOutput>) {
         let version = held.version;
         self.copies.add(now, held);
         self.transfers.retain(|t| t.version > version);
--- a/crates/celerywinch_fleet/src/spread/copies.rs
+++ b/crates/celerywinch_fleet/src/spread/copies.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_registry::Held;
+use celerywinch_registry::VersionedDocument;
 use celerywinch_types::{Piece, Time, stable_hash};
 
 use super::transfer::PIECE;
@@ -15,7 +15,7 @@
 
 #[derive(Debug)]
 struct Copy {
-    held: Held,
+    held: VersionedDocument,
     digest: u64,
     /// When it was asked for last, or came.
     asked: Time,
@@ -34,7 +34,7 @@
     }
 
     /// Takes a version, if it is newer.
-    pub(super) fn add(&mut self, now: Time, held: Held) {
+    pub(super) fn add(&mut self, now: Time, held: VersionedDocument) {
         if held.version <= self.version() {
             return;
         }
--- a/crates/celerywinch_fleet/src/spread/transfer.rs
+++ b/crates/celerywinch_fleet/src/spread/transfer.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use celerywinch_registry::Held;
+use celerywinch_registry::VersionedDocument;
 use celerywinch_types::{InstanceId, Piece, SpreadMsg, Time, stable_hash};
 
 use super::SpreadOutput;
@@ -183,8 +183,8 @@
         }
     }
 
-    pub(super) fn into_held(self) -> Held {
-        Held {
+    pub(super) fn into_held(self) -> VersionedDocument {
+        VersionedDocument {
             version: self.version,
             document: self.document,
         }
--- a/crates/celerywinch_fleet/src/store.rs
+++ b/crates/celerywinch_fleet/src/store.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use anyhow::Context;
-use celerywinch_registry::{Figures, Held, Registry, RegistryOutput, Request};
+use celerywinch_registry::{Figures, Registry, RegistryOutput, Request, VersionedDocument};
 use celerywinch_store::{Disk, Input, KeeperId, Output, RaftConfig, Record, load_file};
 use celerywinch_types::{
     Evacuations, FleetMsg, InstanceId, KeepMsg, KeeperState, Time, WorkerNote,
@@ -51,7 +51,7 @@
 pub(crate) enum StoreOut {
     Send(InstanceId, FleetMsg),
     Answer(u64, Option<KeeperState>),
-    Committed(Held),
+    Committed(VersionedDocument),
     EvacuationsChanged(Evacuations),
     Role(Figures),
     /// The workers that were known before a restart.
--- a/crates/celerywinch_fleet/tests/pieces.rs
+++ b/crates/celerywinch_fleet/tests/pieces.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use celerywinch_fleet::{Spread, SpreadInput, SpreadNote, SpreadOutput, Told};
-use celerywinch_registry::Held;
+use celerywinch_registry::VersionedDocument;
 use celerywinch_types::{DataCentreId, InstanceId, Part, Piece, SpreadMsg, Time, stable_hash};
 use rstest::rstest;
 
@@ -14,8 +14,8 @@
 /// Bytes of a piece.
 const PIECE: usize = 16 << 10;
 
-fn held(version: u64, bytes: usize) -> Held {
-    Held {
+fn held(version: u64, bytes: usize) -> VersionedDocument {
+    VersionedDocument {
         version,
         document: (0..bytes).map(|at| (at / 7) as u8).collect(),
     }
--- a/crates/celerywinch_fleet/tests/sources.rs
+++ b/crates/celerywinch_fleet/tests/sources.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use celerywinch_fleet::{Spread, SpreadInput, SpreadOutput, Told};
-use celerywinch_registry::Held;
+use celerywinch_registry::VersionedDocument;
 use celerywinch_types::{DataCentreId, InstanceId, Part, SpreadMsg, Time};
 use rstest::rstest;
 
@@ -42,15 +42,15 @@
 
     fn hold(&mut self, now: Time, version: u64, bytes: usize) {
         let document = vec![version as u8; bytes];
-        let held = SpreadInput::Held(Held { version, document });
+        let held = SpreadInput::Held(VersionedDocument { version, document });
         self.spread.handle(now, held, &mut Vec::new());
         self.told.version = version;
     }
 }
 
 /// 200 KB: 13 pieces.
-fn document(version: u64) -> Held {
-    Held {
+fn document(version: u64) -> VersionedDocument {
+    VersionedDocument {
         version,
         document: vec![version as u8; 200_000],
     }
--- a/crates/celerywinch_fleet/tests/wire/mod.rs
+++ b/crates/celerywinch_fleet/tests/wire/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use celerywinch_fleet::{Spread, SpreadInput, SpreadOutput, Told};
-use celerywinch_registry::Held;
+use celerywinch_registry::VersionedDocument;
 use celerywinch_types::{DataCentreId, InstanceId, Part, SpreadMsg, Time};
 
 /// Processes of the simulated deployment.
@@ -115,9 +115,9 @@
     waited: u64,
 }
 
-fn document(version: u64, bytes: usize) -> Held {
+fn document(version: u64, bytes: usize) -> VersionedDocument {
     let byte = |at: usize| (at as u64 ^ version.wrapping_mul(0x9e37)) as u8;
-    Held {
+    VersionedDocument {
         version,
         document: (0..bytes).map(byte).collect(),
     }
@@ -301,7 +301,7 @@
     }
 
     /// Puts a document in force, as the host does.
-    fn give(&mut self, id: u32, held: Held) {
+    fn give(&mut self, id: u32, held: VersionedDocument) {
         let node = self.nodes.get_mut(&id).expect("a process");
         let version = held.version;
         if version <= node.spread.version() {
--- a/crates/celerywinch_registry/src/lib.rs
+++ b/crates/celerywinch_registry/src/lib.rs
@@ -8,4 +8,4 @@
 
 mod registry;
 
-pub use registry::{Figures, Held, PATIENCE, Registry, RegistryOutput, Request};
+pub use registry::{Figures, PATIENCE, Registry, RegistryOutput, Request, VersionedDocument};
--- a/crates/celerywinch_registry/src/registry.rs
+++ b/crates/celerywinch_registry/src/registry.rs
@@ -15,7 +15,7 @@
 domain! {
     /// What is held: the document with the highest version.
     #[derive(Default)]
-    pub struct Held {
+    pub struct VersionedDocument {
         /// The version; 0 before the first document.
         pub version: u64,
         /// As the operator sent it.
@@ -51,7 +51,7 @@
     /// Pass a request to the instance that leads.
     Forward(InstanceId, Request),
     /// A higher version is held.
-    Committed(Held),
+    Committed(VersionedDocument),
     /// A higher revision of the evacuations is held.
     EvacuationsChanged(Evacuations),
 }
@@ -92,7 +92,7 @@
 pub struct Registry {
     me: KeeperId,
     raft: Raft,
-    held: Held,
+    held: VersionedDocument,
     evacuations: Evacuations,
     /// Requests by the entry that they wait for.
     pending: BTreeMap<u64, Vec<Pending>>,
@@ -130,7 +130,7 @@
 
     /// What is held, as far as this keeper knows; others may hold a higher version.
     #[must_use]
-    pub fn held(&self) -> &Held {
+    pub fn held(&self) -> &VersionedDocument {
         &self.held
     }
 
@@ -324,7 +324,7 @@
     /// effect, and other content under the version held is never obeyed.
     fn hold(&mut self, version: u64, document: Vec<u8>, out: &mut Vec<RegistryOutput>) {
         if version > self.held.version {
-            self.held = Held { version, document };
+            self.held = VersionedDocument { version, document };
             out.push(RegistryOutput::Committed(self.held.clone()));
         }
     }
@@ -405,7 +405,7 @@
 }
 
 /// Decodes a snapshot. Those of releases without evacuations end after the document.
-fn read_state(snapshot: &Snapshot) -> anyhow::Result<(Held, Evacuations)> {
+fn read_state(snapshot: &Snapshot) -> anyhow::Result<(VersionedDocument, Evacuations)> {
     let state = &snapshot.state;
     if state.is_empty() {
         return Ok(Default::default());
--- a/crates/celerywinch_registry/tests/evacuations.rs
+++ b/crates/celerywinch_registry/tests/evacuations.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use bincode::config::standard;
-use celerywinch_registry::Held;
+use celerywinch_registry::VersionedDocument;
 use celerywinch_store::{Entry, Loaded, Payload};
 use celerywinch_types::{DataCentreId, EvacuationOrder, KeeperRequest};
 use rig::Rig;
@@ -94,7 +94,7 @@
     let mut loaded = rig.disk;
     let (index, term) = (loaded.snapshot.index, loaded.snapshot.term);
     assert!(index > 0);
-    let held = Held {
+    let held = VersionedDocument {
         version: 9,
         document: b"a".to_vec(),
     };
