--- a/crates/celerywinch_fleet/src/handle.rs
+++ b/crates/celerywinch_fleet/src/handle.rs
@@ -6,7 +6,7 @@
 
 use arc_swap::ArcSwapOption;
 use celerywinch_origin::{CallerId, NewJob};
-use celerywinch_registry::PATIENCE;
+use celerywinch_registry::REQUEST_TIMEOUT;
 use celerywinch_types::{
     DataCentreId, EvacuationOrder, Incarnation, InstanceId, JobEnd, KeeperRequest, KeeperState,
     QueueBook, WallMs, WorkerNote,
@@ -160,21 +160,21 @@
     /// it; none if it is not known what became of it.
     pub async fn propose(&self, version: u64, document: Vec<u8>) -> Option<u64> {
         let request = KeeperRequest::PutDocument(version, document);
-        let state = tokio::time::timeout(PATIENCE, self.keep(request)).await;
+        let state = tokio::time::timeout(REQUEST_TIMEOUT, self.keep(request)).await;
         Some(state.ok().flatten()?.version)
     }
 
     /// Reads the newest version and document; `None` if the keepers did not confirm them in time.
     pub async fn read(&self) -> Option<KeeperState> {
         let question = self.keep(KeeperRequest::ReadDocument);
-        let state = tokio::time::timeout(PATIENCE, question).await;
+        let state = tokio::time::timeout(REQUEST_TIMEOUT, question).await;
         state.ok().flatten()
     }
 
     /// Starts or ends the evacuation of a data centre; false if the outcome is unknown.
     pub async fn set_evacuated(&self, dc: DataCentreId, evacuated: bool) -> bool {
         let order = self.order_evacuation(dc, evacuated);
-        let done = tokio::time::timeout(PATIENCE, order).await;
+        let done = tokio::time::timeout(REQUEST_TIMEOUT, order).await;
         done.ok().flatten().is_some()
     }
 
--- a/crates/celerywinch_fleet/src/store.rs
+++ b/crates/celerywinch_fleet/src/store.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use anyhow::Context;
-use celerywinch_registry::{Figures, Registry, RegistryOutput, Request, VersionedDocument};
+use celerywinch_registry::{Registry, RegistryOutput, RegistryStatus, Request, VersionedDocument};
 use celerywinch_store::{Disk, Input, KeeperId, Output, RaftConfig, Record, load_file};
 use celerywinch_types::{
     Evacuations, FleetMsg, InstanceId, KeepMsg, KeeperState, Time, WorkerNote,
@@ -53,7 +53,7 @@
     Answer(u64, Option<KeeperState>),
     Committed(VersionedDocument),
     EvacuationsChanged(Evacuations),
-    Role(Figures),
+    Role(RegistryStatus),
     /// The workers that were known before a restart.
     Workers(Vec<WorkerNote>),
 }
@@ -132,8 +132,8 @@
         if registry.evacuations().revision > 0 {
             self.tell(StoreOut::EvacuationsChanged(registry.evacuations().clone()));
         }
-        if registry.held().version > 0 {
-            self.tell(StoreOut::Committed(registry.held().clone()));
+        if registry.document().version > 0 {
+            self.tell(StoreOut::Committed(registry.document().clone()));
         }
         let (writer, written) = Writer::start(disk, &self.folder)?;
         self.open = Some((registry, writer));
@@ -183,7 +183,7 @@
         let now = self.clock.now();
         match msg {
             StoreIn::Log(from, bytes) => self.with(now, |registry, out| {
-                if let Err(error) = registry.unwrap(now, &bytes, out) {
+                if let Err(error) = registry.handle_encoded(now, &bytes, out) {
                     log::warn!("store: Dropped a message of {from}: {error:#}.");
                 }
             }),
@@ -295,11 +295,11 @@
             }
             Output::PersistSnapshot(snapshot) => writer.write(Write::Snapshot(snapshot)),
             Output::Send(to, to_disk, msg) => {
-                let bytes = registry.wrap(to, to_disk, msg)?;
+                let bytes = registry.encode_message(to, to_disk, msg)?;
                 self.tell(StoreOut::Send(to, FleetMsg::Log(bytes)));
             }
             Output::Role(_) => {
-                let figures = registry.figures();
+                let figures = registry.status();
                 self.tell(StoreOut::Role(figures));
             }
             // Dealt with by the registry's state machine.
--- a/crates/celerywinch_registry/src/lib.rs
+++ b/crates/celerywinch_registry/src/lib.rs
@@ -8,4 +8,6 @@
 
 mod registry;
 
-pub use registry::{Figures, PATIENCE, Registry, RegistryOutput, Request, VersionedDocument};
+pub use registry::{
+    REQUEST_TIMEOUT, Registry, RegistryOutput, RegistryStatus, Request, VersionedDocument,
+};
--- a/crates/celerywinch_registry/src/registry.rs
+++ b/crates/celerywinch_registry/src/registry.rs
@@ -56,9 +56,9 @@
     EvacuationsChanged(Evacuations),
 }
 
-/// Figures for operators and logs.
+/// RegistryStatus for operators and logs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Figures {
+pub struct RegistryStatus {
     /// The term.
     pub term: u64,
     /// What this keeper does.
@@ -74,7 +74,7 @@
 }
 
 /// How long a request is waited for: callers of the keepers move on after a second, and try another one.
-pub const PATIENCE: Duration = Duration::from_millis(850);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(850);
 
 /// A request whose entry is not committed yet.
 #[derive(Clone, Copy, Debug)]
@@ -92,7 +92,7 @@
 pub struct Registry {
     me: KeeperId,
     raft: Raft,
-    held: VersionedDocument,
+    document: VersionedDocument,
     evacuations: Evacuations,
     /// Requests by the entry that they wait for.
     pending: BTreeMap<u64, Vec<Pending>>,
@@ -112,13 +112,13 @@
     ///
     /// The snapshot cannot be read.
     pub fn new(config: RaftConfig, now: Time, loaded: Loaded) -> anyhow::Result<Self> {
-        let (held, evacuations) = read_state(&loaded.snapshot)?;
+        let (document, evacuations) = read_state(&loaded.snapshot)?;
         let last = loaded.entries.last();
         let proposed = last.map_or(loaded.snapshot.index, |entry| entry.index);
         Ok(Self {
             me: config.me,
             raft: Raft::new(config, now, loaded.vote, loaded.snapshot, loaded.entries),
-            held,
+            document,
             evacuations,
             pending: BTreeMap::new(),
             reads: BTreeMap::new(),
@@ -130,8 +130,8 @@
 
     /// What is held, as far as this keeper knows; others may hold a higher version.
     #[must_use]
-    pub fn held(&self) -> &VersionedDocument {
-        &self.held
+    pub fn document(&self) -> &VersionedDocument {
+        &self.document
     }
 
     /// The evacuations applied by this keeper; others may hold a higher revision.
@@ -145,17 +145,17 @@
         self.raft.set_contacts(contacts);
     }
 
-    /// Figures for operators and logs.
+    /// RegistryStatus for operators and logs.
     #[must_use]
-    pub fn figures(&self) -> Figures {
+    pub fn status(&self) -> RegistryStatus {
         let group = self.raft.group();
-        Figures {
+        RegistryStatus {
             term: self.raft.term(),
             role: self.raft.role(),
             commit: self.raft.commit(),
             voters: group.voters.len(),
             learners: group.learners.len(),
-            version: self.held.version,
+            version: self.document.version,
         }
     }
 
@@ -187,7 +187,7 @@
             Output::Apply(entry) => self.apply(now, entry, out),
             Output::Restore(snapshot) => self.restore(&snapshot, out),
             Output::Compact(index) => {
-                let state = (&self.held, &self.evacuations);
+                let state = (&self.document, &self.evacuations);
                 let state = bincode::serde::encode_to_vec(state, standard());
                 let state = state.expect("plain data encodes");
                 inputs.push(Input::State { index, state });
@@ -238,7 +238,7 @@
             }
             // Changes nothing. Where it was sent again, as its commit took longer than its caller waits, a commit of its own
             // would take as long.
-            KeeperRequest::PutDocument(version, _) if version <= self.held.version => {
+            KeeperRequest::PutDocument(version, _) if version <= self.document.version => {
                 self.read(now, pending, out);
                 return;
             }
@@ -299,7 +299,7 @@
     /// Its caller sends it again. That order rests on the revision which this one has led to, and needs a commit of its own:
     /// where each takes longer than its caller waits, none would ever be acknowledged. This one is under way by then.
     fn repeat(&mut self, now: Time, order: EvacuationOrder, waiting: &[Pending]) {
-        let late = |pending: &Pending| now.since(pending.asked) >= PATIENCE;
+        let late = |pending: &Pending| now.since(pending.asked) >= REQUEST_TIMEOUT;
         let leads = self.raft.role() == Role::Leader;
         if leads && !waiting.is_empty() && waiting.iter().all(late) {
             let base = self.evacuations.revision;
@@ -309,12 +309,12 @@
 
     fn state(&self, with_document: bool) -> KeeperState {
         let document = if with_document {
-            self.held.document.clone()
+            self.document.document.clone()
         } else {
             Vec::new()
         };
         KeeperState {
-            version: self.held.version,
+            version: self.document.version,
             document,
             evacuations: self.evacuations.clone(),
         }
@@ -323,9 +323,9 @@
     /// Only a higher version replaces what is held, so a change sent again or overtaken has no
     /// effect, and other content under the version held is never obeyed.
     fn hold(&mut self, version: u64, document: Vec<u8>, out: &mut Vec<RegistryOutput>) {
-        if version > self.held.version {
-            self.held = VersionedDocument { version, document };
-            out.push(RegistryOutput::Committed(self.held.clone()));
+        if version > self.document.version {
+            self.document = VersionedDocument { version, document };
+            out.push(RegistryOutput::Committed(self.document.clone()));
         }
     }
 
@@ -358,10 +358,10 @@
                 if changed {
                     out.push(RegistryOutput::EvacuationsChanged(self.evacuations.clone()));
                 }
-                let higher = held.version > self.held.version;
-                self.held = held;
+                let higher = held.version > self.document.version;
+                self.document = held;
                 if higher {
-                    out.push(RegistryOutput::Committed(self.held.clone()));
+                    out.push(RegistryOutput::Committed(self.document.clone()));
                 }
             }
             Err(error) => log::error!("registry: A snapshot was dropped: {error:#}."),
@@ -381,7 +381,12 @@
     /// # Errors
     ///
     /// The message is too large.
-    pub fn wrap(&self, to: InstanceId, disk: Option<u64>, msg: RaftMsg) -> anyhow::Result<Vec<u8>> {
+    pub fn encode_message(
+        &self,
+        to: InstanceId,
+        disk: Option<u64>,
+        msg: RaftMsg,
+    ) -> anyhow::Result<Vec<u8>> {
         let to = disk.map(|disk| KeeperId { instance: to, disk });
         celerywinch_store::encode(self.me, to, msg)
     }
@@ -391,7 +396,7 @@
     /// # Errors
     ///
     /// The bytes are no message.
-    pub fn unwrap(
+    pub fn handle_encoded(
         &mut self,
         now: Time,
         bytes: &[u8],
--- a/crates/celerywinch_registry/tests/rig/mod.rs
+++ b/crates/celerywinch_registry/tests/rig/mod.rs
@@ -51,7 +51,7 @@
             rig.registry.handle(rig.now, Input::Tick, &mut out);
             rig.carry_out(out);
         }
-        assert_eq!(rig.registry.figures().role, Role::Leader);
+        assert_eq!(rig.registry.status().role, Role::Leader);
         rig
     }
 
--- a/crates/celerywinch_registry/tests/slow_disks.rs
+++ b/crates/celerywinch_registry/tests/slow_disks.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use celerywinch_registry::{PATIENCE, Registry, RegistryOutput, Request};
+use celerywinch_registry::{REQUEST_TIMEOUT, Registry, RegistryOutput, Request};
 use celerywinch_store::{Input, KeeperId, Loaded, Output, RaftConfig};
 use celerywinch_types::{
     DataCentreId, EvacuationOrder, InstanceId, KeeperRequest, KeeperState, Time,
@@ -108,7 +108,9 @@
                 registry.handle(now, Input::Tick, &mut out);
                 self.at(now + TICK, keeper, Event::Tick);
             }
-            Event::Log(bytes) => registry.unwrap(now, &bytes, &mut out).expect("a message"),
+            Event::Log(bytes) => registry
+                .handle_encoded(now, &bytes, &mut out)
+                .expect("a message"),
             Event::Written(count) => {
                 registry.handle(now, Input::Written(count), &mut out);
                 self.disks[keeper].under_way = 0;
@@ -124,7 +126,7 @@
                     | Output::PersistSnapshot(_),
                 ) => self.disks[keeper].queued += 1,
                 RegistryOutput::Log(Output::Send(to, disk, msg)) => {
-                    let bytes = self.keepers[keeper].wrap(to, disk, msg);
+                    let bytes = self.keepers[keeper].encode_message(to, disk, msg);
                     let bytes = bytes.expect("a message");
                     self.at(now + WAY, to.0 as usize - 1, Event::Log(bytes));
                 }
@@ -170,7 +172,7 @@
         let start = self.now;
         let mut keeper = 0;
         while self.now.since(start) < most {
-            let until = self.now + PATIENCE;
+            let until = self.now + REQUEST_TIMEOUT;
             if let Some(state) = self.ask(keeper, until, KeeperRequest::ReadEvacuations) {
                 let base = state.evacuations.revision;
                 let order = KeeperRequest::Evacuate(EvacuationOrder {
@@ -226,13 +228,13 @@
         let start = group.now;
         let mut keeper = version as usize % KEEPERS as usize;
         let held = loop {
-            let until = group.now + PATIENCE;
+            let until = group.now + REQUEST_TIMEOUT;
             let put = KeeperRequest::PutDocument(version, vec![7]);
             if let Some(state) = group.ask(keeper, until, put) {
                 break state.version;
             }
             let asked = group.now;
-            let until = asked + PATIENCE;
+            let until = asked + REQUEST_TIMEOUT;
             let read = group.ask(keeper, until, KeeperRequest::ReadDocument);
             assert!(read.is_some(), "no answer to a read");
             let took = group.now.since(asked);
