--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -377,7 +377,9 @@
             Event::Deliver(_, _, from, msg) => self.deliver_now(index, from, msg),
             Event::Answer(_, _, key, answer) => self.input(index, Input::Answered(key, answer)),
             Event::LateAnswer(_, _, took) => self.input(index, Input::AnsweredLate(took)),
-            Event::Refused(_, _, peer) => self.input(index, Input::Refused(instance(peer))),
+            Event::Refused(_, _, peer) => {
+                self.input(index, Input::ConnectionRefused(instance(peer)))
+            }
             Event::Reset(_, _, peer) => self.input(index, Input::LinkReset(instance(peer))),
             _ => {}
         }
@@ -396,7 +398,7 @@
         }
         let from = self.process(from);
         let input = match msg {
-            FleetMsg::Beat(beat) => Input::Beat(from, beat),
+            FleetMsg::Beat(beat) => Input::Heartbeat(from, beat),
             FleetMsg::Work(msg) => Input::Work(from, msg),
             FleetMsg::Workers(notes) => Input::Workers(notes),
             FleetMsg::Learned(learned) => Input::Learned(learned),
@@ -430,7 +432,10 @@
                 Output::Call(call) => self.call(index, call),
                 Output::Send(to, msg) => self.deliver(index, to.0 as usize - 1, msg),
                 Output::Answer(caller, end) => self.answer(caller, end),
-                Output::NewPeer(_) | Output::Heard(_) | Output::Forget(_) | Output::Stage(_) => {}
+                Output::NewPeer(_)
+                | Output::PeerAlive(_)
+                | Output::RemovePeer(_)
+                | Output::Stage(_) => {}
                 Output::Member(note) => self.follow(index, &note, true),
                 Output::Dispatch(note) => {
                     let of_members = matches!(
@@ -548,7 +553,7 @@
             part: Part::Entry,
             dc: DataCentreId(host.dc),
             dcs: (0..self.options.dcs).map(DataCentreId).collect(),
-            shard: self.options.shard,
+            shard_size: self.options.shard,
             pool: PoolConfig {
                 without: self.options.without,
                 ..PoolConfig::default()
@@ -557,7 +562,7 @@
         let wall = WallMs(self.wall(index));
         self.members[index].member = Some(Member::new(config, self.now, wall));
         self.at(self.now + TICK, Event::Tick(index, life));
-        self.input(index, Input::Version(1));
+        self.input(index, Input::ConfigVersion(1));
         let evacuations = self.evacuations_at_start(index);
         self.input(index, Input::Evacuations(evacuations));
         for worker in 0..self.workers.len() {
@@ -584,7 +589,7 @@
         let member = self.members[index].member.as_ref();
         let peer = InstanceId(to as u32 + 1);
         let member = member.expect("a member that is up");
-        member.beat_for(self.now, peer)
+        member.heartbeat_for(self.now, peer)
     }
 
     fn pick_member(&mut self) -> Option<usize> {
@@ -630,7 +635,10 @@
                 && !apart
                 && !self.is_cut(self.members[other].dc, self.members[index].dc)
             {
-                self.input(other, Input::Refused(InstanceId(index as u32 + 1)));
+                self.input(
+                    other,
+                    Input::ConnectionRefused(InstanceId(index as u32 + 1)),
+                );
             }
         }
         if planned {
--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -276,7 +276,7 @@
             part: config.part,
             dc: config.dc,
             dcs: config.dcs.clone(),
-            shard: shard(config.cores, config.link),
+            shard_size: shard(config.cores, config.link),
             pool: PoolConfig {
                 without: config.without,
                 ..PoolConfig::default()
@@ -441,7 +441,7 @@
                     dc: beat.dc,
                     version: beat.version,
                 });
-                self.input(now, Input::Beat(from, beat));
+                self.input(now, Input::Heartbeat(from, beat));
                 self.spread(now, told);
             }
             FleetMsg::Contacts(contacts) => {
--- a/crates/celerywinch_fleet/src/core/keeping.rs
+++ b/crates/celerywinch_fleet/src/core/keeping.rs
@@ -57,7 +57,7 @@
                 }
                 SpreadOutput::Tell(entries) => {
                     for entry in entries {
-                        let beat = self.member.beat_for(now, entry);
+                        let beat = self.member.heartbeat_for(now, entry);
                         self.links.send(entry, FleetMsg::Beat(beat));
                     }
                 }
--- a/crates/celerywinch_fleet/src/core/members.rs
+++ b/crates/celerywinch_fleet/src/core/members.rs
@@ -37,14 +37,14 @@
     pub(super) fn link(&mut self, now: Time, peer: InstanceId, event: LinkEvent) {
         match event {
             LinkEvent::Opened | LinkEvent::Replaced => {
-                let beat = self.member.beat_for(now, peer);
+                let beat = self.member.heartbeat_for(now, peer);
                 self.links.send(peer, FleetMsg::Beat(beat));
                 self.send_contacts(peer);
                 self.send_workers(peer);
                 self.input(now, Input::LinkReset(peer));
             }
             LinkEvent::Refused => {
-                self.input(now, Input::Refused(peer));
+                self.input(now, Input::ConnectionRefused(peer));
                 self.spread(now, SpreadInput::Lost(peer));
             }
             LinkEvent::Lost => {}
@@ -65,7 +65,7 @@
     }
 
     fn send_contacts(&self, to: InstanceId) {
-        if !self.member.tells_contacts(to) {
+        if !self.member.sends_contacts(to) {
             return;
         }
         let peers = self.member.peers().all();
@@ -121,7 +121,7 @@
         let seeds = self.config.seeds.iter().copied();
         let unheard: Vec<_> = seeds.filter(|seed| peers.get(*seed).is_none()).collect();
         for seed in unheard {
-            let beat = self.member.beat_for(now, seed);
+            let beat = self.member.heartbeat_for(now, seed);
             self.links.send(seed, FleetMsg::Beat(beat));
         }
     }
--- a/crates/celerywinch_fleet/src/core/work.rs
+++ b/crates/celerywinch_fleet/src/core/work.rs
@@ -54,8 +54,8 @@
                 }
             }
             Output::NewPeer(peer) => self.new_peer(peer),
-            Output::Heard(peer) => self.send_workers(peer),
-            Output::Forget(peer) => self.forget(peer),
+            Output::PeerAlive(peer) => self.send_workers(peer),
+            Output::RemovePeer(peer) => self.forget(peer),
             Output::Stage(_) => {}
             Output::Member(note) => self.journal.write(now, "member", Kind::Telling, &note),
             Output::Dispatch(note) => {
@@ -130,7 +130,7 @@
                 });
                 self.snapshot.book.store(Some(Arc::new(book)));
                 let version = held.version;
-                self.input(now, Input::Version(version));
+                self.input(now, Input::ConfigVersion(version));
                 self.spread(now, SpreadInput::Held(held));
             }
             Err(error) => {
--- a/crates/celerywinch_member/src/beats.rs
+++ b/crates/celerywinch_member/src/beats.rs
@@ -208,7 +208,7 @@
 
     /// What this process tells another one of itself.
     #[must_use]
-    pub fn beat_for(&self, now: Time, peer: InstanceId) -> Beat {
+    pub fn heartbeat_for(&self, now: Time, peer: InstanceId) -> Beat {
         let view = self.peers.get(peer).filter(|view| view.alive(now));
         let echo = view.filter(|_| self.hands_to(peer)).map(|view| Echo {
             life: view.process.incarnation,
@@ -321,7 +321,7 @@
 
     pub(crate) fn send_beat(&mut self, now: Time, to: InstanceId, out: &mut Vec<Output>) {
         self.promise(now, to);
-        let beat = self.beat_for(now, to);
+        let beat = self.heartbeat_for(now, to);
         out.push(Output::Send(to, FleetMsg::Beat(beat)));
     }
 
@@ -372,7 +372,7 @@
 
     fn send_probe(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         self.peers.probed(now, peer);
-        let mut beat = self.beat_for(now, peer);
+        let mut beat = self.heartbeat_for(now, peer);
         beat.probe = true;
         out.push(Output::Send(peer, FleetMsg::Beat(beat)));
     }
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -51,7 +51,7 @@
     /// All data centres.
     pub dcs: BTreeSet<DataCentreId>,
     /// The most workers that one dispatcher takes.
-    pub shard: usize,
+    pub shard_size: usize,
     /// Limits of the dispatcher.
     pub pool: PoolConfig,
 }
@@ -60,9 +60,9 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A heartbeat.
-    Beat(Process, Beat),
+    Heartbeat(Process, Beat),
     /// A machine says that nobody listens there.
-    Refused(InstanceId),
+    ConnectionRefused(InstanceId),
     /// Messages from or to a process may be lost.
     LinkReset(InstanceId),
     /// Between origins and dispatchers.
@@ -86,7 +86,7 @@
     /// A worker's answer came after its time, as the dispatcher is told.
     AnsweredLate(Duration),
     /// This version of the configuration is in force here.
-    Version(u64),
+    ConfigVersion(u64),
     /// The evacuations that the local keeper holds.
     Evacuations(Evacuations),
     /// A planned stop begins.
@@ -110,9 +110,9 @@
     NewPeer(Process),
     /// A process is heard, for the first time or after a silence: what was told to all that were heard
     /// meanwhile has not reached it.
-    Heard(InstanceId),
+    PeerAlive(InstanceId),
     /// A process was not heard for very long.
-    Forget(InstanceId),
+    RemovePeer(InstanceId),
     /// This process is at another stage.
     Stage(Stage),
     /// For the logs: of the member, the dispatcher, the origin.
@@ -226,7 +226,7 @@
     /// number of processes where all links to a data centre open anew. One that has just started is told by all, or it would
     /// divide the workers among the few that it knows.
     #[must_use]
-    pub fn tells_contacts(&self, peer: InstanceId) -> bool {
+    pub fn sends_contacts(&self, peer: InstanceId) -> bool {
         let was_there = self.peers.get(peer).is_some_and(|view| !view.is_new());
         self.config.part == Part::Keeper || !was_there
     }
@@ -287,8 +287,8 @@
 
     fn take(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Beat(from, beat) => self.beat(now, from, beat, out),
-            Input::Refused(peer) => {
+            Input::Heartbeat(from, beat) => self.beat(now, from, beat, out),
+            Input::ConnectionRefused(peer) => {
                 self.peers.refused(peer);
                 self.compare_alive(now, out);
             }
@@ -314,7 +314,7 @@
             Input::AnsweredLate(took) => {
                 self.pool_input(now, PoolInput::AnsweredLate(took), out);
             }
-            Input::Version(version) => self.version = version,
+            Input::ConfigVersion(version) => self.version = version,
             Input::Evacuations(evacuations) => {
                 let adopted = self.adopt_evacuations(now, &evacuations, out);
                 if adopted && self.config.part == Part::Keeper {
@@ -388,7 +388,7 @@
         self.compare_alive(now, out);
         for peer in self.peers.forget(now) {
             self.lost.remove(&peer);
-            out.push(Output::Forget(peer));
+            out.push(Output::RemovePeer(peer));
         }
         if self.config.part == Part::Entry {
             self.join(now, out);
@@ -528,7 +528,7 @@
         if self.peers.get(peer).is_some_and(|view| !view.is_new()) {
             self.domains.found(now);
         }
-        out.push(Output::Heard(peer));
+        out.push(Output::PeerAlive(peer));
         self.send_beat(now, peer, out);
         // What it handed in while it was taken for lost was not taken.
         if self.lost.remove(&peer) {
@@ -591,7 +591,7 @@
     /// Divides the workers in as many shards as their number wants, or as others have found. The
     /// number only rises, so that all come to the same one.
     fn divide(&mut self, now: Time, changes: &mut Vec<Change>, out: &mut Vec<Output>) {
-        let wanted = shards(self.pool.known_workers(), self.config.shard);
+        let wanted = shards(self.pool.known_workers(), self.config.shard_size);
         let told = self.peers.alive(now).map(|(_, view)| view.beat.shards);
         let told = told.max();
         let shards = told.unwrap_or(1).max(wanted);
--- a/crates/celerywinch_member/tests/arrivals.rs
+++ b/crates/celerywinch_member/tests/arrivals.rs
@@ -21,7 +21,7 @@
         part: Part::Entry,
         dc: DataCentreId(0),
         dcs: [DataCentreId(0)].into(),
-        shard: 80,
+        shard_size: 80,
         pool: PoolConfig::default(),
     };
     Member::new(config, Time(0), WallMs(1))
--- a/crates/celerywinch_member/tests/contacts.rs
+++ b/crates/celerywinch_member/tests/contacts.rs
@@ -40,7 +40,7 @@
         part: case.part,
         dc: DC,
         dcs: BTreeSet::from([DC]),
-        shard: 80,
+        shard_size: 80,
         pool: PoolConfig::default(),
     };
     let mut member = Member::new(config, NOW, WallMs(1_700_000_000_000));
@@ -64,7 +64,7 @@
             instance: PEER,
             incarnation: Incarnation(7),
         };
-        member.handle(NOW, Input::Beat(peer, beat), &mut Vec::new());
+        member.handle(NOW, Input::Heartbeat(peer, beat), &mut Vec::new());
     }
-    assert_eq!(member.tells_contacts(PEER), case.told);
+    assert_eq!(member.sends_contacts(PEER), case.told);
 }
--- a/crates/celerywinch_member/tests/evacuations.rs
+++ b/crates/celerywinch_member/tests/evacuations.rs
@@ -51,7 +51,7 @@
         part,
         dc: DataCentreId(0),
         dcs: [DataCentreId(0), DataCentreId(1)].into(),
-        shard: 48,
+        shard_size: 48,
         pool: PoolConfig::default(),
     };
     Member::new(config, Time(0), WallMs(0))
@@ -84,9 +84,9 @@
     let mut out = Vec::new();
     for (peer, (revision, dcs)) in (2..).zip(case.received) {
         let beat = beat(evacuations(*revision, dcs));
-        member.handle(Time(0), Input::Beat(process(peer), beat), &mut out);
+        member.handle(Time(0), Input::Heartbeat(process(peer), beat), &mut out);
     }
-    let beat = member.beat_for(Time(0), InstanceId(9));
+    let beat = member.heartbeat_for(Time(0), InstanceId(9));
     assert_eq!(beat.evacuations, evacuations(case.known.0, case.known.1));
 }
 
@@ -98,7 +98,7 @@
     let mut out = Vec::new();
     for peer in 2..60 {
         let beat = beat(Evacuations::default());
-        member.handle(Time(0), Input::Beat(process(peer), beat), &mut out);
+        member.handle(Time(0), Input::Heartbeat(process(peer), beat), &mut out);
     }
     let now = Time(0) + Duration::from_millis(10);
     out.clear();
--- a/crates/celerywinch_member/tests/hand_overs.rs
+++ b/crates/celerywinch_member/tests/hand_overs.rs
@@ -50,14 +50,18 @@
         part: Part::Entry,
         dc: HERE,
         dcs: BTreeSet::from([HERE, THERE]),
-        shard: 80,
+        shard_size: 80,
         pool: PoolConfig::default(),
     };
     let mut member = Member::new(config, now, WallMs(1_700_000_000_000));
     let mut out = Vec::new();
-    member.handle(now, Input::Version(1), &mut out);
+    member.handle(now, Input::ConfigVersion(1), &mut out);
     for other in 2..2 + others {
-        member.handle(now, Input::Beat(process(other), beat(now, None)), &mut out);
+        member.handle(
+            now,
+            Input::Heartbeat(process(other), beat(now, None)),
+            &mut out,
+        );
     }
     member.handle(now, Input::Flush, &mut out);
     member
@@ -77,7 +81,7 @@
     for change in 0..changes {
         let shard = u8::try_from(change).expect("a shard");
         let told = beat(later, Some(shard));
-        member.handle(later, Input::Beat(process(2 + change), told), &mut out);
+        member.handle(later, Input::Heartbeat(process(2 + change), told), &mut out);
     }
     assert!(out.is_empty() && member.needs_flush());
     member.handle(later, Input::Flush, &mut out);
--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -62,21 +62,21 @@
         part: Part::Entry,
         dc: DataCentreId(0),
         dcs: BTreeSet::from([DataCentreId(0), FAR]),
-        shard: 80,
+        shard_size: 80,
         pool: PoolConfig::default(),
     };
     let mut now = Time(1_000_000);
     let mut member = Member::new(config, now, WallMs(1_700_000_000_000));
     let notes = (0..workers).map(worker).collect();
-    let mut inputs = vec![Input::Version(1), Input::Workers(notes)];
+    let mut inputs = vec![Input::ConfigVersion(1), Input::Workers(notes)];
     let mut given_up = 0;
     for step in 0..500 {
         now = now + Duration::from_millis(10);
         let cut = step >= heard;
         if !cut {
-            inputs.push(Input::Beat(process(3), beat(1)));
+            inputs.push(Input::Heartbeat(process(3), beat(1)));
         }
-        inputs.push(Input::Beat(process(2), beat(0)));
+        inputs.push(Input::Heartbeat(process(2), beat(0)));
         inputs.push(Input::Tick);
         for input in std::mem::take(&mut inputs) {
             let mut out = Vec::new();
--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -28,7 +28,7 @@
         part,
         dc: DC,
         dcs: BTreeSet::from([DC]),
-        shard: 80,
+        shard_size: 80,
         pool: PoolConfig::default(),
     };
     Member::new(config, now, WallMs(1_700_000_000_000))
@@ -111,18 +111,18 @@
     let mut now = Time(1_000_000);
     let mut member = member(now, Part::Entry);
     let mut out = Vec::new();
-    member.handle(now, Input::Version(1), &mut out);
+    member.handle(now, Input::ConfigVersion(1), &mut out);
     for _ in 0..60 {
         now = now + Duration::from_millis(10);
-        member.handle(now, Input::Beat(process(2, 1), beat(now)), &mut out);
+        member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
         member.handle(now, Input::Tick, &mut out);
     }
     match origin {
         Origin::Alive => {}
-        Origin::Refused => member.handle(now, Input::Refused(InstanceId(2)), &mut out),
+        Origin::Refused => member.handle(now, Input::ConnectionRefused(InstanceId(2)), &mut out),
         Origin::Silent => now = now + Duration::from_millis(400),
         Origin::OtherLife => {
-            member.handle(now, Input::Beat(process(2, 2), beat(now)), &mut out);
+            member.handle(now, Input::Heartbeat(process(2, 2), beat(now)), &mut out);
         }
     }
     let msg = WorkMsg::Submit(order());
@@ -137,11 +137,11 @@
     let mut now = Time(1_000_000);
     let mut member = member(now, Part::Entry);
     let mut out = Vec::new();
-    member.handle(now, Input::Beat(process(2, 1), beat(now)), &mut out);
-    member.handle(now, Input::Refused(InstanceId(2)), &mut out);
+    member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
+    member.handle(now, Input::ConnectionRefused(InstanceId(2)), &mut out);
     out.clear();
     now = now + Duration::from_millis(10);
-    member.handle(now, Input::Beat(process(2, 1), beat(now)), &mut out);
+    member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
     let resync = Output::Send(InstanceId(2), FleetMsg::Work(WorkMsg::Resync(1)));
     assert!(out.contains(&resync), "{out:?}");
 }
@@ -154,7 +154,7 @@
     let mut now = Time(1_000_000);
     let mut member = member(now, Part::Entry);
     let mut out = Vec::new();
-    member.handle(now, Input::Beat(process(2, 1), beat(now)), &mut out);
+    member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
     member.handle(now, Input::Tick, &mut out);
     now = now + Duration::from_millis(360);
     let msg = WorkMsg::Submit(order());
@@ -162,7 +162,7 @@
     assert!(!member.is_busy(), "dropped");
     out.clear();
     now = now + Duration::from_millis(1);
-    member.handle(now, Input::Beat(process(2, 1), beat(now)), &mut out);
+    member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
     let asks =
         |output: &Output| matches!(output, Output::Send(_, FleetMsg::Work(WorkMsg::Resync(_))));
     assert!(out.iter().any(asks), "{out:?}");
@@ -180,10 +180,10 @@
         let now = now + Duration::from_millis(ms);
         let mut out = Vec::new();
         if said {
-            member.handle(now, Input::Beat(process(2, 1), beat(now)), &mut out);
+            member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
         }
         member.handle(now, Input::Tick, &mut out);
-        heard.push(out.contains(&Output::Heard(InstanceId(2))));
+        heard.push(out.contains(&Output::PeerAlive(InstanceId(2))));
     }
     assert_eq!(heard, [true, false, false, true]);
 }
@@ -199,12 +199,12 @@
         version: 7,
         ..beat(now)
     };
-    member.handle(now, Input::Beat(process(2, 1), newer), &mut out);
+    member.handle(now, Input::Heartbeat(process(2, 1), newer), &mut out);
     let older = Beat {
         sent: Time(900_000),
         ..beat(now)
     };
-    member.handle(now, Input::Beat(process(2, 1), older), &mut out);
+    member.handle(now, Input::Heartbeat(process(2, 1), older), &mut out);
     let view = member.peers().get(InstanceId(2));
     assert_eq!(view.map(|view| view.beat.version), Some(7));
 }
@@ -218,9 +218,9 @@
     let now = Time(1_000_000);
     let mut member = member(now, Part::Entry);
     let mut out = Vec::new();
-    member.handle(now, Input::Beat(process(2, 3), beat(now)), &mut out);
+    member.handle(now, Input::Heartbeat(process(2, 3), beat(now)), &mut out);
     let later = now + Duration::from_millis(ms);
-    let echo = member.beat_for(later, InstanceId(2)).echo;
+    let echo = member.heartbeat_for(later, InstanceId(2)).echo;
     let wanted = Echo {
         life: Incarnation(3),
         sent: now,
@@ -276,12 +276,12 @@
         },
     };
     let mut out = Vec::new();
-    member.handle(now, Input::Version(1), &mut out);
+    member.handle(now, Input::ConfigVersion(1), &mut out);
     member.handle(now, Input::Workers(vec![worker]), &mut out);
     for _ in 0..100 {
         now = now + Duration::from_millis(10);
         out.clear();
-        member.handle(now, Input::Beat(process(2, 1), beat(now)), &mut out);
+        member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
         member.handle(now, Input::Tick, &mut out);
         for call in calls(&out) {
             let answer = Input::Answered(call.key, lists(Vec::new()));
--- a/crates/celerywinch_member/tests/probes.rs
+++ b/crates/celerywinch_member/tests/probes.rs
@@ -64,11 +64,11 @@
         part: Part::Entry,
         dc: HERE,
         dcs: BTreeSet::from([HERE, THERE]),
-        shard: 80,
+        shard_size: 80,
         pool: PoolConfig::default(),
     };
     let mut member = Member::new(config, now, WallMs(1_700_000_000_000));
-    member.handle(now, Input::Version(1), &mut Vec::new());
+    member.handle(now, Input::ConfigVersion(1), &mut Vec::new());
     member
 }
 
@@ -136,12 +136,16 @@
             let speaks = now < cut || !case.silent.contains(&place);
             if speaks && now.0.is_multiple_of(100_000) {
                 let beat = beat(now, dispatcher);
-                member.handle(now, Input::Beat(process(dispatcher), beat), &mut out);
+                member.handle(now, Input::Heartbeat(process(dispatcher), beat), &mut out);
             }
         }
         for other in OTHERS.chain(23..=24) {
             if now < cut && now.0.is_multiple_of(500_000) {
-                member.handle(now, Input::Beat(process(other), beat(now, other)), &mut out);
+                member.handle(
+                    now,
+                    Input::Heartbeat(process(other), beat(now, other)),
+                    &mut out,
+                );
             }
         }
         member.handle(now, Input::Tick, &mut out);
@@ -153,7 +157,7 @@
                 asked.insert(to.0);
                 if case.answer {
                     let beat = beat(now, to.0);
-                    member.handle(now, Input::Beat(process(to.0), beat), &mut Vec::new());
+                    member.handle(now, Input::Heartbeat(process(to.0), beat), &mut Vec::new());
                 }
             }
         }
@@ -183,7 +187,7 @@
             every: 500,
             ..beat(now, instance)
         };
-        member.handle(now, Input::Beat(process(instance), rarely), &mut heard);
+        member.handle(now, Input::Heartbeat(process(instance), rarely), &mut heard);
     }
     let mut asked = BTreeSet::new();
     let mut handed = BTreeSet::new();
@@ -209,7 +213,11 @@
         }
         for instance in answer.iter().filter(|instance| asked.contains(*instance)) {
             let beat = beat(now, *instance);
-            member.handle(now, Input::Beat(process(*instance), beat), &mut Vec::new());
+            member.handle(
+                now,
+                Input::Heartbeat(process(*instance), beat),
+                &mut Vec::new(),
+            );
         }
     }
     assert!(
--- a/crates/celerywinch_member/tests/restarts.rs
+++ b/crates/celerywinch_member/tests/restarts.rs
@@ -25,7 +25,7 @@
         part: Part::Entry,
         dc: DC,
         dcs: BTreeSet::from([DC]),
-        shard: 32,
+        shard_size: 32,
         pool: PoolConfig::default(),
     };
     Member::new(config, Time(0), WallMs(1_700_000_000_000))
@@ -61,13 +61,13 @@
 fn heartbeats_of_a_restarted_peer_count(#[case] case: Restart) {
     let mut entry = entry();
     let mut out = Vec::new();
-    let before = Input::Beat(process(2, case.before), beat(5, 90_000_000));
+    let before = Input::Heartbeat(process(2, case.before), beat(5, 90_000_000));
     entry.handle(Time(1_000_000), before, &mut out);
     out.clear();
     let present = process(2, case.after);
     entry.handle(
         Time(2_000_000),
-        Input::Beat(present, beat(6, 40_000)),
+        Input::Heartbeat(present, beat(6, 40_000)),
         &mut out,
     );
     assert!(out.contains(&Output::NewPeer(present)), "{out:#?}");
--- a/crates/celerywinch_member/tests/teach.rs
+++ b/crates/celerywinch_member/tests/teach.rs
@@ -73,12 +73,12 @@
         part: Part::Entry,
         dc: DC,
         dcs: BTreeSet::from([DC]),
-        shard: 80,
+        shard_size: 80,
         pool: PoolConfig::default(),
     };
     let mut now = Time(1_000_000);
     let mut member = Member::new(config, now, WallMs(1_700_000_000_000));
-    member.handle(now, Input::Version(1), &mut Vec::new());
+    member.handle(now, Input::ConfigVersion(1), &mut Vec::new());
     let mut told: BTreeMap<InstanceId, Vec<Time>> = BTreeMap::new();
     let mut most = 0;
     let end = now + Duration::from_secs(8);
@@ -86,7 +86,7 @@
         now = now + Duration::from_millis(case.tick);
         let mut out = Vec::new();
         for other in ME + 1..=ME + case.others {
-            member.handle(now, Input::Beat(process(other), beat(now)), &mut out);
+            member.handle(now, Input::Heartbeat(process(other), beat(now)), &mut out);
         }
         member.handle(now, Input::Tick, &mut out);
         let learned = out.into_iter().filter_map(|output| match output {
