--- a/crates/celerywinch_links/src/incoming.rs
+++ b/crates/celerywinch_links/src/incoming.rs
@@ -12,12 +12,12 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::{
-    Host, INCARNATION_HEADER, INSTANCE_HEADER, LinkConfig, Message, SECRET_HEADER, StreamOrder,
+    Host, INCARNATION_HEADER, INSTANCE_HEADER, LatestStreams, LinkConfig, Message, SECRET_HEADER,
     TICKET_HEADER, Ticket, frame,
 };
 
 /// The latest streams of all instances; links live on one thread.
-type Streams = Rc<RefCell<StreamOrder>>;
+type Streams = Rc<RefCell<LatestStreams>>;
 
 /// A stream and who sends on it.
 #[derive(Clone, Copy, Debug)]
--- a/crates/celerywinch_links/src/lib.rs
+++ b/crates/celerywinch_links/src/lib.rs
@@ -9,8 +9,8 @@
 
 mod frame;
 mod incoming;
-mod order;
 mod outgoing;
+mod streams;
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 
 pub use incoming::listen;
-pub use order::{StreamOrder, Ticket};
+pub use streams::{LatestStreams, Ticket};
 
 /// The header with the shared secret.
 const SECRET_HEADER: &str = "celerywinch-secret";
--- a/crates/celerywinch_links/src/order.rs
+++ b/crates/celerywinch_links/src/streams.rs
@@ -21,12 +21,12 @@
 /// A sender opens one stream after the other, and processes at one address follow each other; so a ticket that
 /// was sent back was issued before its sender, or its successor, asked for the next one.
 #[derive(Debug, Default)]
-pub struct StreamOrder {
+pub struct LatestStreams {
     issued: u64,
     latest: BTreeMap<InstanceId, (Process, Ticket)>,
 }
 
-impl StreamOrder {
+impl LatestStreams {
     /// A ticket for a stream that is asked for.
     pub fn issue(&mut self) -> Ticket {
         self.issued += 1;
--- a/crates/celerywinch_links/tests/order.rs
+++ b/crates/celerywinch_links/tests/streams.rs
@@ -1,6 +1,6 @@
 //! Messages of connections that were given up.
 
-use celerywinch_links::{StreamOrder, Ticket};
+use celerywinch_links::{LatestStreams, Ticket};
 use celerywinch_types::{Incarnation, InstanceId, Process};
 use rstest::rstest;
 
@@ -69,30 +69,30 @@
     dropped: &[(FIRST, 2)],
 })]
 fn only_the_latest_stream_counts(#[case] case: Case) {
-    let mut order = StreamOrder::default();
+    let mut latest = LatestStreams::default();
     for step in case.steps {
         match step {
             Asked => {
-                order.issue();
+                latest.issue();
             }
             Confirmed(from, ticket) => {
-                order.confirm(*from, Ticket(*ticket));
+                latest.confirm(*from, Ticket(*ticket));
             }
         }
     }
     let (process, ticket) = case.latest;
-    assert!(order.is_latest(process, Ticket(ticket)));
-    assert_eq!(order.current(process.instance), Some(process));
+    assert!(latest.is_latest(process, Ticket(ticket)));
+    assert_eq!(latest.current(process.instance), Some(process));
     for (process, ticket) in case.dropped {
-        assert!(!order.is_latest(*process, Ticket(*ticket)));
+        assert!(!latest.is_latest(*process, Ticket(*ticket)));
     }
 }
 
 /// A stream whose confirmation was held up is not told to the host as a new one.
 #[test]
 fn late_confirmation_is_refused() {
-    let mut order = StreamOrder::default();
-    let (first, second) = (order.issue(), order.issue());
-    assert!(order.confirm(SECOND, second));
-    assert!(!order.confirm(FIRST, first));
+    let mut latest = LatestStreams::default();
+    let (first, second) = (latest.issue(), latest.issue());
+    assert!(latest.confirm(SECOND, second));
+    assert!(!latest.confirm(FIRST, first));
 }
