--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -403,7 +403,7 @@
             FleetMsg::Workers(notes) => Input::Workers(notes),
             FleetMsg::Learned(learned) => Input::Learned(learned),
             FleetMsg::Crashes(told) => Input::Crashes(told),
-            FleetMsg::Careful(queues) => Input::Careful(queues),
+            FleetMsg::Careful(queues) => Input::ProbeQueues(queues),
             _ => return,
         };
         self.input(index, input);
--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -455,7 +455,7 @@
             FleetMsg::Work(msg) => self.input(now, Input::Work(from, msg)),
             FleetMsg::Learned(learned) => self.input(now, Input::Learned(learned)),
             FleetMsg::Crashes(told) => self.input(now, Input::Crashes(told)),
-            FleetMsg::Careful(queues) => self.input(now, Input::Careful(queues)),
+            FleetMsg::Careful(queues) => self.input(now, Input::ProbeQueues(queues)),
         }
     }
 
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -74,7 +74,7 @@
     /// Workers that ended under tasks, as another dispatcher knows.
     Crashes(Vec<(TaskId, Crashes)>),
     /// Queues whose steps another dispatcher starts with care.
-    Careful(Vec<String>),
+    ProbeQueues(Vec<String>),
     /// A caller submits a job; it is handed in at the next `Flush` or `Tick`.
     Submit(CallerId, NewJob),
     /// A caller waits no more.
@@ -304,7 +304,7 @@
             Input::Workers(notes) => self.pool_input(now, PoolInput::Workers(notes), out),
             Input::Learned(learned) => self.pool.learn_from(learned),
             Input::Crashes(told) => self.pool_input(now, PoolInput::Crashes(told), out),
-            Input::Careful(queues) => self.pool_input(now, PoolInput::Careful(queues), out),
+            Input::ProbeQueues(queues) => self.pool_input(now, PoolInput::Careful(queues), out),
             Input::Submit(caller, job) => self.arrivals.push((caller, job)),
             Input::CallerGone(caller) => self.caller_gone(now, caller, out),
             Input::Flush => self.flush(now, out),
