--- a/crates/celerywinch_member/src/beats.rs
+++ b/crates/celerywinch_member/src/heartbeats.rs
@@ -50,7 +50,7 @@
 
 /// Whom this process hears often, and who hears it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Close {
+pub(crate) struct FrequentPeers {
     /// Dispatchers that its callers' jobs go to. Only these have grants to start them.
     dispatchers: BTreeSet<InstanceId>,
     /// Those that it would stand in for.
--- a/crates/celerywinch_member/src/lib.rs
+++ b/crates/celerywinch_member/src/lib.rs
@@ -1,15 +1,15 @@
-//! One member of a fleet as a state machine without clock, socket or thread: it hears the others'
-//! heartbeats, decides for which data centres it dispatches, and runs the dispatcher and the origin
-//! of its callers' jobs.
+//! One member of a fleet as a state machine without clock, socket or thread. It tracks which
+//! processes are alive by their heartbeats, decides for which data centres it dispatches, and runs
+//! the dispatcher and the origin of its callers' jobs.
 //!
-//! The host guarantees that time is monotonic and counts suspensions, that `Tick` comes at least
-//! every 40 ms and `Paused` before anything else after a pause, and that each
-//! [`Output::Call`] is answered once.
+//! The host guarantees that time is monotonic and includes suspensions, that [`Input::Tick`] comes
+//! at least every 40 ms, that [`Input::Paused`] comes before any other input after a suspension, and
+//! that each [`Output::Call`] is answered once.
 
-mod beats;
+mod event;
+mod heartbeats;
 mod member;
-mod note;
-mod round;
+mod round_robin;
 
+pub use event::MemberEvent;
 pub use member::{Input, Member, MemberConfig, Output};
-pub use note::MemberNote;
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -11,9 +11,9 @@
     Mechanism, Part, Process, Stage, TaskId, Time, WallMs, WorkMsg, WorkerNote,
 };
 
-use crate::MemberNote;
-use crate::beats::Close;
-use crate::round::Round;
+use crate::MemberEvent;
+use crate::heartbeats::FrequentPeers;
+use crate::round_robin::RoundRobin;
 
 /// An entry is ready this long after its start at the earliest: heartbeats of all that are there
 /// have come by then.
@@ -116,7 +116,7 @@
     /// This process is at another stage.
     Stage(Stage),
     /// For the logs: of the member, the dispatcher, the origin.
-    Member(MemberNote),
+    Member(MemberEvent),
     /// A decision of the dispatcher.
     Dispatch(Note),
     /// A decision of the origin.
@@ -141,10 +141,10 @@
     /// When those that need it often got the last heartbeat.
     pub(crate) beaten: Time,
     /// The round of heartbeats to the others.
-    pub(crate) slow_round: Round,
+    pub(crate) slow_round: RoundRobin,
     /// The round of telling what was learned.
-    pub(crate) teach_round: Round,
-    pub(crate) close: Close,
+    pub(crate) teach_round: RoundRobin,
+    pub(crate) close: FrequentPeers,
     /// Whether others dispatch than the origin was told last.
     pub(crate) stale: bool,
     /// How many workers are known though they are more than the shards can take; since when, and since when just so many.
@@ -197,9 +197,9 @@
             evacuations: Evacuations::default(),
             started: now,
             beaten: Time::default(),
-            slow_round: Round::default(),
-            teach_round: Round::default(),
-            close: Close::default(),
+            slow_round: RoundRobin::default(),
+            teach_round: RoundRobin::default(),
+            close: FrequentPeers::default(),
             stale: true,
             uneven: None,
             circled: Time::default(),
@@ -368,7 +368,7 @@
         self.stage = stage;
         self.domains.set_stage(stage);
         out.push(Output::Stage(stage));
-        out.push(Output::Member(MemberNote::Stage {
+        out.push(Output::Member(MemberEvent::Stage {
             stage,
             version: self.version,
         }));
@@ -484,7 +484,7 @@
             return false;
         }
         self.evacuations = evacuations.clone();
-        out.push(Output::Member(MemberNote::Evacuated {
+        out.push(Output::Member(MemberEvent::Evacuated {
             revision: evacuations.revision,
             dcs: evacuations.dcs.clone(),
         }));
@@ -497,9 +497,9 @@
     }
 
     fn new_life(&mut self, now: Time, from: Process, out: &mut Vec<Output>) {
-        out.push(Output::Member(MemberNote::PeerHeard {
+        out.push(Output::Member(MemberEvent::PeerHeard {
             peer: from.instance,
-            life: from.incarnation,
+            incarnation: from.incarnation,
         }));
         if self.alive.contains(&from.instance) {
             // What the earlier life had is lost, though its silence was too short to notice.
@@ -540,9 +540,9 @@
         self.lost.insert(peer);
         let view = self.peers.get(peer);
         let silent = view.map_or(Duration::ZERO, |view| now.since(view.heard));
-        out.push(Output::Member(MemberNote::PeerLost {
+        out.push(Output::Member(MemberEvent::PeerLost {
             peer,
-            silent: u32::try_from(silent.as_millis()).unwrap_or(u32::MAX),
+            silent_ms: u32::try_from(silent.as_millis()).unwrap_or(u32::MAX),
             refused: view.is_some_and(|view| view.refused),
         }));
         self.pool_input(now, PoolInput::OriginLost(peer), out);
@@ -614,7 +614,7 @@
         self.domains.set_shards(shards, changes);
         self.change_domains(now, std::mem::take(changes), out);
         self.pool.set_shards(shards);
-        out.push(Output::Member(MemberNote::Divided { shards }));
+        out.push(Output::Member(MemberEvent::Divided { shards }));
     }
 
     fn change_domains(&mut self, now: Time, changes: Vec<Change>, out: &mut Vec<Output>) {
--- a/crates/celerywinch_member/src/round.rs
+++ b/crates/celerywinch_member/src/round_robin.rs
@@ -10,12 +10,12 @@
 /// A round over processes, one after the other by their numbers. All at once would hold up what is urgent: the
 /// processor for tens of ms on a small machine, and a narrow link likewise.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Round {
+pub(crate) struct RoundRobin {
     at: Time,
     last: InstanceId,
 }
 
-impl Round {
+impl RoundRobin {
     /// Begins anew: nothing is due for what went before.
     pub(crate) fn restart(&mut self, now: Time) {
         self.at = now;
