--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -11,9 +11,9 @@
     Mechanism, Part, Process, Stage, TaskId, Time, WallMs, WorkMsg, WorkerNote,
 };
 
-use crate::MemberNote;
-use crate::beats::Close;
-use crate::round::Round;
+use crate::MemberEvent;
+use crate::heartbeats::FrequentPeers;
+use crate::round_robin::RoundRobin;
 
 /// An entry is ready this long after its start at the earliest: heartbeats of all that are there
 /// have come by then.
@@ -51,7 +51,7 @@
     /// All data centres.
     pub dcs: BTreeSet<DataCentreId>,
     /// The most workers that one dispatcher takes.
-    pub shard: usize,
+    pub shard_size: usize,
     /// Limits of the dispatcher.
     pub pool: PoolConfig,
 }
@@ -60,9 +60,9 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A heartbeat.
-    Beat(Process, Beat),
+    Heartbeat(Process, Beat),
     /// A machine says that nobody listens there.
-    Refused(InstanceId),
+    ConnectionRefused(InstanceId),
     /// Messages from or to a process may be lost.
     LinkReset(InstanceId),
     /// Between origins and dispatchers.
@@ -74,7 +74,7 @@
     /// Workers that ended under tasks, as another dispatcher knows.
     Crashes(Vec<(TaskId, Crashes)>),
     /// Queues whose steps another dispatcher starts with care.
-    Careful(Vec<String>),
+    ProbeQueues(Vec<String>),
     /// A caller submits a job; it is handed in at the next `Flush` or `Tick`.
     Submit(CallerId, NewJob),
     /// A caller waits no more.
@@ -86,7 +86,7 @@
     /// A worker's answer came after its time, as the dispatcher is told.
     AnsweredLate(Duration),
     /// This version of the configuration is in force here.
-    Version(u64),
+    ConfigVersion(u64),
     /// The evacuations that the local keeper holds.
     Evacuations(Evacuations),
     /// A planned stop begins.
@@ -110,13 +110,13 @@
     NewPeer(Process),
     /// A process is heard, for the first time or after a silence: what was told to all that were heard
     /// meanwhile has not reached it.
-    Heard(InstanceId),
+    PeerAlive(InstanceId),
     /// A process was not heard for very long.
-    Forget(InstanceId),
+    RemovePeer(InstanceId),
     /// This process is at another stage.
     Stage(Stage),
     /// For the logs: of the member, the dispatcher, the origin.
-    Member(MemberNote),
+    Member(MemberEvent),
     /// A decision of the dispatcher.
     Dispatch(Note),
     /// A decision of the origin.
@@ -141,10 +141,10 @@
     /// When those that need it often got the last heartbeat.
     pub(crate) beaten: Time,
     /// The round of heartbeats to the others.
-    pub(crate) slow_round: Round,
+    pub(crate) slow_round: RoundRobin,
     /// The round of telling what was learned.
-    pub(crate) teach_round: Round,
-    pub(crate) close: Close,
+    pub(crate) teach_round: RoundRobin,
+    pub(crate) close: FrequentPeers,
     /// Whether others dispatch than the origin was told last.
     pub(crate) stale: bool,
     /// How many workers are known though they are more than the shards can take; since when, and since when just so many.
@@ -197,9 +197,9 @@
             evacuations: Evacuations::default(),
             started: now,
             beaten: Time::default(),
-            slow_round: Round::default(),
-            teach_round: Round::default(),
-            close: Close::default(),
+            slow_round: RoundRobin::default(),
+            teach_round: RoundRobin::default(),
+            close: FrequentPeers::default(),
             stale: true,
             uneven: None,
             circled: Time::default(),
@@ -226,7 +226,7 @@
     /// number of processes where all links to a data centre open anew. One that has just started is told by all, or it would
     /// divide the workers among the few that it knows.
     #[must_use]
-    pub fn tells_contacts(&self, peer: InstanceId) -> bool {
+    pub fn sends_contacts(&self, peer: InstanceId) -> bool {
         let was_there = self.peers.get(peer).is_some_and(|view| !view.is_new());
         self.config.part == Part::Keeper || !was_there
     }
@@ -287,8 +287,8 @@
 
     fn take(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Beat(from, beat) => self.beat(now, from, beat, out),
-            Input::Refused(peer) => {
+            Input::Heartbeat(from, beat) => self.beat(now, from, beat, out),
+            Input::ConnectionRefused(peer) => {
                 self.peers.refused(peer);
                 self.compare_alive(now, out);
             }
@@ -304,7 +304,7 @@
             Input::Workers(notes) => self.pool_input(now, PoolInput::Workers(notes), out),
             Input::Learned(learned) => self.pool.learn_from(learned),
             Input::Crashes(told) => self.pool_input(now, PoolInput::Crashes(told), out),
-            Input::Careful(queues) => self.pool_input(now, PoolInput::Careful(queues), out),
+            Input::ProbeQueues(queues) => self.pool_input(now, PoolInput::Careful(queues), out),
             Input::Submit(caller, job) => self.arrivals.push((caller, job)),
             Input::CallerGone(caller) => self.caller_gone(now, caller, out),
             Input::Flush => self.flush(now, out),
@@ -314,7 +314,7 @@
             Input::AnsweredLate(took) => {
                 self.pool_input(now, PoolInput::AnsweredLate(took), out);
             }
-            Input::Version(version) => self.version = version,
+            Input::ConfigVersion(version) => self.version = version,
             Input::Evacuations(evacuations) => {
                 let adopted = self.adopt_evacuations(now, &evacuations, out);
                 if adopted && self.config.part == Part::Keeper {
@@ -368,7 +368,7 @@
         self.stage = stage;
         self.domains.set_stage(stage);
         out.push(Output::Stage(stage));
-        out.push(Output::Member(MemberNote::Stage {
+        out.push(Output::Member(MemberEvent::Stage {
             stage,
             version: self.version,
         }));
@@ -388,7 +388,7 @@
         self.compare_alive(now, out);
         for peer in self.peers.forget(now) {
             self.lost.remove(&peer);
-            out.push(Output::Forget(peer));
+            out.push(Output::RemovePeer(peer));
         }
         if self.config.part == Part::Entry {
             self.join(now, out);
@@ -484,7 +484,7 @@
             return false;
         }
         self.evacuations = evacuations.clone();
-        out.push(Output::Member(MemberNote::Evacuated {
+        out.push(Output::Member(MemberEvent::Evacuated {
             revision: evacuations.revision,
             dcs: evacuations.dcs.clone(),
         }));
@@ -497,9 +497,9 @@
     }
 
     fn new_life(&mut self, now: Time, from: Process, out: &mut Vec<Output>) {
-        out.push(Output::Member(MemberNote::PeerHeard {
+        out.push(Output::Member(MemberEvent::PeerHeard {
             peer: from.instance,
-            life: from.incarnation,
+            incarnation: from.incarnation,
         }));
         if self.alive.contains(&from.instance) {
             // What the earlier life had is lost, though its silence was too short to notice.
@@ -528,7 +528,7 @@
         if self.peers.get(peer).is_some_and(|view| !view.is_new()) {
             self.domains.found(now);
         }
-        out.push(Output::Heard(peer));
+        out.push(Output::PeerAlive(peer));
         self.send_beat(now, peer, out);
         // What it handed in while it was taken for lost was not taken.
         if self.lost.remove(&peer) {
@@ -540,9 +540,9 @@
         self.lost.insert(peer);
         let view = self.peers.get(peer);
         let silent = view.map_or(Duration::ZERO, |view| now.since(view.heard));
-        out.push(Output::Member(MemberNote::PeerLost {
+        out.push(Output::Member(MemberEvent::PeerLost {
             peer,
-            silent: u32::try_from(silent.as_millis()).unwrap_or(u32::MAX),
+            silent_ms: u32::try_from(silent.as_millis()).unwrap_or(u32::MAX),
             refused: view.is_some_and(|view| view.refused),
         }));
         self.pool_input(now, PoolInput::OriginLost(peer), out);
@@ -591,7 +591,7 @@
     /// Divides the workers in as many shards as their number wants, or as others have found. The
     /// number only rises, so that all come to the same one.
     fn divide(&mut self, now: Time, changes: &mut Vec<Change>, out: &mut Vec<Output>) {
-        let wanted = shards(self.pool.known_workers(), self.config.shard);
+        let wanted = shards(self.pool.known_workers(), self.config.shard_size);
         let told = self.peers.alive(now).map(|(_, view)| view.beat.shards);
         let told = told.max();
         let shards = told.unwrap_or(1).max(wanted);
@@ -614,7 +614,7 @@
         self.domains.set_shards(shards, changes);
         self.change_domains(now, std::mem::take(changes), out);
         self.pool.set_shards(shards);
-        out.push(Output::Member(MemberNote::Divided { shards }));
+        out.push(Output::Member(MemberEvent::Divided { shards }));
     }
 
     fn change_domains(&mut self, now: Time, changes: Vec<Change>, out: &mut Vec<Output>) {
