--- a/crates/celerywinch_claims/src/replica.rs
+++ b/crates/celerywinch_claims/src/replica.rs
@@ -257,8 +257,8 @@
         let expiry = &mut self.expiry;
         self.records.entry(key.clone()).or_insert_with(|| {
             let keep = millis(limits.window + limits.skew * 2 + limits.retention);
-            let forget_at = WallMs(key.born().max(wall).0.saturating_add(keep));
-            expiry.insert((forget_at, key.clone()));
+            let expires_at = WallMs(key.born().max(wall).0.saturating_add(keep));
+            expiry.insert((expires_at, key.clone()));
             Record {
                 digest: 0,
                 vote: VoteState::None,
--- a/crates/celerywinch_claims/tests/votes.rs
+++ b/crates/celerywinch_claims/tests/votes.rs
@@ -26,8 +26,8 @@
     }
 }
 
-fn key(born: u64) -> Key {
-    Key::parse(&format!("k@{born}")).expect("a well-formed key")
+fn key(created: u64) -> Key {
+    Key::parse(&format!("k@{created}")).expect("a well-formed key")
 }
 
 fn failure() -> Outcome {
@@ -37,7 +37,7 @@
 /// The history of a key, and the reply to a request for a vote.
 struct Case {
     history: fn(&mut Replica, &Key),
-    born: u64,
+    created: u64,
     expected: Option<Grant>,
 }
 
@@ -87,35 +87,35 @@
 }
 
 #[rstest]
-#[case::first(Case { history: no_history, born: 1_009_000, expected: Some(Grant::Granted) })]
-#[case::same_again(Case { history: voted_same, born: 1_009_000, expected: Some(Grant::Granted) })]
+#[case::first(Case { history: no_history, created: 1_009_000, expected: Some(Grant::Granted) })]
+#[case::same_again(Case { history: voted_same, created: 1_009_000, expected: Some(Grant::Granted) })]
 #[case::earlier_attempt(Case {
     history: voted_earlier_attempt,
-    born: 1_009_000,
+    created: 1_009_000,
     expected: Some(Grant::Taken(holder(1, 1))),
 })]
 #[case::other(Case {
     history: voted_other,
-    born: 1_009_000,
+    created: 1_009_000,
     expected: Some(Grant::Taken(holder(2, 9))),
 })]
 #[case::other_body(Case {
     history: voted_other_body,
-    born: 1_009_000,
+    created: 1_009_000,
     expected: Some(Grant::Conflict),
 })]
-#[case::promised(Case { history: promised, born: 1_009_000, expected: Some(Grant::Settling) })]
-#[case::abandoned(Case { history: abandoned, born: 1_009_000, expected: Some(Grant::Settling) })]
+#[case::promised(Case { history: promised, created: 1_009_000, expected: Some(Grant::Settling) })]
+#[case::abandoned(Case { history: abandoned, created: 1_009_000, expected: Some(Grant::Settling) })]
 #[case::decided(Case {
     history: decided,
-    born: 1_009_000,
+    created: 1_009_000,
     expected: Some(Grant::Decided(failure())),
 })]
-#[case::born_before_start(Case { history: no_history, born: 999_000, expected: Some(Grant::TooOld) })]
-#[case::too_new(Case { history: no_history, born: 1_010_251, expected: Some(Grant::TooNew) })]
+#[case::created_before_start(Case { history: no_history, created: 999_000, expected: Some(Grant::TooOld) })]
+#[case::too_new(Case { history: no_history, created: 1_010_251, expected: Some(Grant::TooNew) })]
 fn vote_is_given_once(#[case] case: Case) {
     let mut replica = Replica::new(LIMITS, START);
-    let key = key(case.born);
+    let key = key(case.created);
     (case.history)(&mut replica, &key);
     assert_eq!(replica.vote(LATER, &key, 7, holder(1, 2)), case.expected);
 }
@@ -127,18 +127,18 @@
 #[case::just_before(1_000_250, false)]
 #[case::after(1_000_251, true)]
 fn restarted_replica_abstains_on_keys_of_its_earlier_incarnation(
-    #[case] born: u64,
+    #[case] created: u64,
     #[case] votes: bool,
 ) {
     let mut replica = Replica::new(LIMITS, START);
     let wall = WallMs(START.0 + 1_000);
-    let vote = replica.vote(wall, &key(born), 7, holder(1, 1));
+    let vote = replica.vote(wall, &key(created), 7, holder(1, 1));
     assert_eq!(vote == Some(Grant::Granted), votes, "{vote:?}");
     let ballot = Ballot {
         round: 2,
         proposer: holder(3, 1).process,
     };
-    let promise = replica.prepare(wall, &key(born), ballot);
+    let promise = replica.prepare(wall, &key(created), ballot);
     assert_eq!(promise.is_ok(), votes, "{promise:?}");
 }
 
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -148,10 +148,10 @@
     /// Whether a dispatcher is known, or was within the time that a handoff takes.
     #[must_use]
     pub fn has_dispatcher(&self, now: Time) -> bool {
-        let alone = self
+        let unserved = self
             .unserved_since
             .map_or(Duration::ZERO, |since| now.since(since));
-        alone < HANDOFF_TIMEOUT
+        unserved < HANDOFF_TIMEOUT
     }
 
     /// Handles an input and appends the actions for the host to `out`.
@@ -443,6 +443,7 @@
         remaining
     }
 
+    /// Submits the tasks of a step; returns true if some of them could not be submitted.
     fn submit_step(&mut self, now: Time, id: JobId, step: u16, out: &mut Vec<Output>) -> bool {
         let mut remaining = false;
         self.release_ended(now, id, step, out);
@@ -476,14 +477,14 @@
             return remaining;
         }
         let count = u32::try_from(pending).unwrap_or(u32::MAX);
-        let wanted = Request {
+        let request = Request {
             dc: self.dc,
             job: id,
             priority: job.queue.priority,
             tasks: count,
             full: &job.full,
         };
-        match choose(&self.holders, &wanted) {
+        match choose(&self.holders, &request) {
             Some(choice) => {
                 self.send_tasks(
                     now,
