--- a/crates/celerywinch/src/commands/soak.rs
+++ b/crates/celerywinch/src/commands/soak.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_bench::members;
 
-use celerywinch_types::{JobId, Without};
+use celerywinch_types::{DisabledMechanisms, JobId};
 
 use super::{Command, number, parse};
 use crate::ExitStatus;
@@ -209,7 +209,7 @@
     evacuated: bool,
     resets: bool,
     many: bool,
-    without: Without,
+    without: DisabledMechanisms,
 }
 
 /// The brief's kinds of jobs. Where messages are late or lost for seconds their callers wait longer, or none
--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -7,8 +7,8 @@
 use celerywinch_pool::{Answer, CLOCK_ERROR, CallKey, Note, PoolConfig};
 use celerywinch_standin::{LeasedWorker, Ran};
 use celerywinch_types::{
-    Beat, DataCentreId, FleetMsg, Incarnation, InstanceId, JobId, Part, Process, Room, TaskId,
-    Time, TimerQueue, WallMs, Without, WorkerNote, score,
+    Beat, DataCentreId, DisabledMechanisms, FleetMsg, Incarnation, InstanceId, JobId, Part,
+    Process, Room, TaskId, Time, TimerQueue, WallMs, WorkerNote, score,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -63,7 +63,7 @@
     /// The most workers that one dispatcher takes.
     pub shard: usize,
     /// Mechanisms of dispatching that are left out.
-    pub without: Without,
+    pub without: DisabledMechanisms,
     /// Bytes a second that the link of a member carries each way; none for no bound.
     pub link: Option<u64>,
     /// How long there is load, in ms.
--- a/crates/celerywinch_bench/tests/members.rs
+++ b/crates/celerywinch_bench/tests/members.rs
@@ -4,7 +4,7 @@
     BRIEF_CPU, FaultPlan, LoadPlan, Lull, MembersOptions, MembersReport, Violation, brief_classes,
     run,
 };
-use celerywinch_types::Without;
+use celerywinch_types::DisabledMechanisms;
 use rstest::rstest;
 
 fn options(seed: u64, length: u64) -> MembersOptions {
@@ -14,7 +14,7 @@
         entries: 7,
         workers: 48,
         shard: 80,
-        without: Without::default(),
+        without: DisabledMechanisms::default(),
         link: None,
         length,
         load: LoadPlan {
--- a/crates/celerywinch_bench/tests/members_control.rs
+++ b/crates/celerywinch_bench/tests/members_control.rs
@@ -1,7 +1,7 @@
 //! What members tell each other that is not callers' work, by their number, in simulated time.
 
 use celerywinch_bench::members::{LoadPlan, MembersOptions, brief_classes, run};
-use celerywinch_types::Without;
+use celerywinch_types::DisabledMechanisms;
 use rstest::rstest;
 
 /// How long there is load, in ms; the members are ready 1.5 s after their start.
@@ -15,7 +15,7 @@
         entries,
         workers: entries * 7,
         shard: 38,
-        without: Without::default(),
+        without: DisabledMechanisms::default(),
         link: None,
         length: LENGTH,
         load: LoadPlan {
--- a/crates/celerywinch_bench/tests/members_divided.rs
+++ b/crates/celerywinch_bench/tests/members_divided.rs
@@ -3,7 +3,7 @@
 use celerywinch_bench::members::{
     ClassFigures, ClassPlan, FaultPlan, LoadPlan, MembersOptions, Violation, brief_classes, run,
 };
-use celerywinch_types::Without;
+use celerywinch_types::DisabledMechanisms;
 use rstest::rstest;
 
 /// The brief's catalogue service after it has grown: 350 workers, seven times as many as today, and 28
@@ -20,7 +20,7 @@
         entries: 28,
         workers: 350,
         shard: 32,
-        without: Without::default(),
+        without: DisabledMechanisms::default(),
         link: None,
         length,
         load: LoadPlan {
--- a/crates/celerywinch_bench/tests/members_links.rs
+++ b/crates/celerywinch_bench/tests/members_links.rs
@@ -3,7 +3,7 @@
 use celerywinch_bench::members::{
     ClassPlan, LoadPlan, MembersOptions, MembersReport, Violation, brief_classes, run,
 };
-use celerywinch_types::{Mechanism, Without};
+use celerywinch_types::{DisabledMechanisms, Mechanism};
 use rstest::rstest;
 
 /// Bytes a second of a megabit.
@@ -22,7 +22,7 @@
         entries: 17,
         workers: 120,
         shard,
-        without: Without::default(),
+        without: DisabledMechanisms::default(),
         link: Some(mbits * MBIT),
         length: 14_000,
         load: LoadPlan {
@@ -65,7 +65,7 @@
 #[test]
 fn fixed_times_for_answers_feed_the_overload() {
     let mut options = options(1, 2, 38);
-    options.without = Without::default().and(Mechanism::Patience);
+    options.without = DisabledMechanisms::default().and(Mechanism::Patience);
     let served = served(&run(options));
     assert!(served < 800, "{served} of 1000 are served");
 }
--- a/crates/celerywinch_bench/tests/members_lives.rs
+++ b/crates/celerywinch_bench/tests/members_lives.rs
@@ -3,7 +3,7 @@
 use celerywinch_bench::members::{
     BRIEF_CPU, FaultPlan, LoadPlan, MembersOptions, MembersReport, Violation, brief_classes, run,
 };
-use celerywinch_types::Without;
+use celerywinch_types::DisabledMechanisms;
 use rstest::rstest;
 
 /// What callers wait where messages are held up, in ms.
@@ -20,7 +20,7 @@
         entries: 7,
         workers: 48,
         shard,
-        without: Without::default(),
+        without: DisabledMechanisms::default(),
         link: None,
         length: 15_000,
         load: LoadPlan {
--- a/crates/celerywinch_bench/tests/members_unanswered.rs
+++ b/crates/celerywinch_bench/tests/members_unanswered.rs
@@ -3,7 +3,7 @@
 use celerywinch_bench::members::{
     BRIEF_CPU, LoadPlan, MembersOptions, Unanswered, Violation, brief_classes, run,
 };
-use celerywinch_types::Without;
+use celerywinch_types::DisabledMechanisms;
 use rstest::rstest;
 
 /// The usual load of the brief's catalogue service; for 4.6 s of 12 one call in eighteen gets no answer, as
@@ -15,7 +15,7 @@
         entries: 7,
         workers: 48,
         shard: 80,
-        without: Without::default(),
+        without: DisabledMechanisms::default(),
         link: None,
         length: 12_000,
         load: LoadPlan {
--- a/crates/celerywinch_fleet/src/config.rs
+++ b/crates/celerywinch_fleet/src/config.rs
@@ -7,7 +7,7 @@
 use std::pin::Pin;
 
 use celerywinch_pool::{Answer, Call};
-use celerywinch_types::{DataCentreId, InstanceId, Part, QueueBook, Without};
+use celerywinch_types::{DataCentreId, DisabledMechanisms, InstanceId, Part, QueueBook};
 
 /// The checked settings of a process.
 #[derive(Clone, Debug)]
@@ -37,7 +37,7 @@
     /// Ms by which the time of day is off; other than 0 only in tests.
     pub clock_offset: i64,
     /// Mechanisms of dispatching that are left out.
-    pub without: Without,
+    pub without: DisabledMechanisms,
 }
 
 /// What the host does for the process.
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use celerywinch_types::{
-    DataCentreId, Domain, Doubt, Holding, InstanceId, JobEnd, JobId, JobPlan, Mechanism, Queue,
-    RunNumber, Session, TaskEnd, TaskNews, Time, Without, WorkMsg, domain, identifier,
+    DataCentreId, DisabledMechanisms, Domain, Doubt, Holding, InstanceId, JobEnd, JobId, JobPlan,
+    Mechanism, Queue, RunNumber, Session, TaskEnd, TaskNews, Time, WorkMsg, domain, identifier,
 };
 
 use crate::choice::{Choice, Wanted, choose};
@@ -81,7 +81,7 @@
 #[derive(Debug)]
 pub struct Origin {
     dc: DataCentreId,
-    without: Without,
+    without: DisabledMechanisms,
     pub(crate) holders: Vec<Holder>,
     misses_holder: bool,
     /// The domains that a process was last known to dispatch for.
@@ -102,7 +102,7 @@
 impl Origin {
     /// No jobs yet.
     #[must_use]
-    pub fn new(dc: DataCentreId, without: Without) -> Self {
+    pub fn new(dc: DataCentreId, without: DisabledMechanisms) -> Self {
         Self {
             dc,
             without,
--- a/crates/celerywinch_origin/tests/hand_in.rs
+++ b/crates/celerywinch_origin/tests/hand_in.rs
@@ -4,8 +4,8 @@
 
 use celerywinch_origin::{CallerId, Holder, Input, NewJob, Origin, Output};
 use celerywinch_types::{
-    DataCentreId, Domain, Doubt, InstanceId, JobEnd, JobId, JobPlan, Load, Queue, Room, RunNumber,
-    StepOrder, StepPlan, TaskEnd, TaskId, TaskNews, Time, Without, WorkMsg,
+    DataCentreId, DisabledMechanisms, Domain, Doubt, InstanceId, JobEnd, JobId, JobPlan, Load,
+    Queue, Room, RunNumber, StepOrder, StepPlan, TaskEnd, TaskId, TaskNews, Time, WorkMsg,
 };
 use rstest::rstest;
 
@@ -71,7 +71,7 @@
     /// With a job of so many tasks, and dispatchers that have this much room each.
     fn new(tasks: u16, rooms: &[u32]) -> Self {
         let mut rig = Self {
-            origin: Origin::new(DC, Without::default()),
+            origin: Origin::new(DC, DisabledMechanisms::default()),
             now: Time(1_000_000),
             sent: Vec::new(),
             dropped: Vec::new(),
--- a/crates/celerywinch_pool/src/config.rs
+++ b/crates/celerywinch_pool/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_types::{DataCentreId, Without};
+use celerywinch_types::{DataCentreId, DisabledMechanisms};
 
 /// How slow a worker's steady clock may be; by the users' page.
 pub const CLOCK_ERROR: f64 = 0.02;
@@ -62,7 +62,7 @@
     /// The dispatcher's data centre, whose workers it prefers.
     pub dc: Option<DataCentreId>,
     /// Mechanisms that are left out.
-    pub without: Without,
+    pub without: DisabledMechanisms,
 }
 
 impl Default for PoolConfig {
@@ -84,7 +84,7 @@
             forget: Duration::from_secs(20),
             stop: Duration::from_millis(50),
             dc: None,
-            without: Without::default(),
+            without: DisabledMechanisms::default(),
         }
     }
 }
--- a/crates/celerywinch_pool/src/queue.rs
+++ b/crates/celerywinch_pool/src/queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use celerywinch_types::{Mechanism, Time, Without};
+use celerywinch_types::{DisabledMechanisms, Mechanism, Time};
 
 use crate::job::{Batch, BatchKey};
 
@@ -16,7 +16,7 @@
 
 impl Rank {
     /// By priority, then by the end of the objective: those that would lose most by waiting.
-    pub(crate) fn new(key: BatchKey, batch: &Batch, without: Without) -> Self {
+    pub(crate) fn new(key: BatchKey, batch: &Batch, without: DisabledMechanisms) -> Self {
         let priority = if without.lacks(Mechanism::Priority) {
             0
         } else {
--- a/crates/celerywinch_pool/tests/locality.rs
+++ b/crates/celerywinch_pool/tests/locality.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_pool::{Input, PoolConfig};
 use celerywinch_types::{
-    DataCentreId, Domain, Doubt, Fence, JobId, Mechanism, Room, Without, WorkerNote,
+    DataCentreId, DisabledMechanisms, Domain, Doubt, Fence, JobId, Mechanism, Room, WorkerNote,
 };
 use rig::{DC, ROOM, Rig, is_look, is_start, lists, note, step};
 use rstest::rstest;
@@ -13,7 +13,7 @@
 
 /// A dispatcher of some of the workers: one in its own data centre with room for two tasks, and two elsewhere that a task nearly
 /// fills.
-fn rig(shards: u8, without: Without) -> Rig {
+fn rig(shards: u8, without: DisabledMechanisms) -> Rig {
     let mut rig = Rig::empty(PoolConfig {
         dc: Some(DC),
         without,
@@ -46,7 +46,7 @@
 
 struct Case {
     shards: u8,
-    without: Without,
+    without: DisabledMechanisms,
     jobs: u64,
     /// How many are started in the dispatcher's own data centre.
     near: usize,
@@ -55,10 +55,10 @@
 /// Guards against jobs that are lost in part with each data centre that is cut off: tasks went wherever they left the least room,
 /// so most jobs of eight tasks had one in each.
 #[rstest]
-#[case::stay(Case { shards: 2, without: Without::default(), jobs: 2, near: 2 })]
-#[case::the_rest_goes_elsewhere(Case { shards: 2, without: Without::default(), jobs: 4, near: 2 })]
-#[case::one_dispatcher_for_all(Case { shards: 1, without: Without::default(), jobs: 2, near: 0 })]
-#[case::left_out(Case { shards: 2, without: Without::default().and(Mechanism::Locality), jobs: 2, near: 0 })]
+#[case::stay(Case { shards: 2, without: DisabledMechanisms::default(), jobs: 2, near: 2 })]
+#[case::the_rest_goes_elsewhere(Case { shards: 2, without: DisabledMechanisms::default(), jobs: 4, near: 2 })]
+#[case::one_dispatcher_for_all(Case { shards: 1, without: DisabledMechanisms::default(), jobs: 2, near: 0 })]
+#[case::left_out(Case { shards: 2, without: DisabledMechanisms::default().and(Mechanism::Locality), jobs: 2, near: 0 })]
 fn tasks_stay_in_the_data_centre_of_their_dispatcher(#[case] case: Case) {
     let mut rig = rig(case.shards, case.without);
     for job in 0..case.jobs {
--- a/crates/celerywinch_types/src/lib.rs
+++ b/crates/celerywinch_types/src/lib.rs
@@ -30,7 +30,7 @@
 pub use id::{DataCentreId, Holder, Incarnation, InstanceId, Process};
 pub use job::{Submission, TaskBody};
 pub use key::{Key, KeyError, MAX_KEY_BYTES};
-pub use mechanism::{Mechanism, UnknownMechanism, Without};
+pub use mechanism::{DisabledMechanisms, Mechanism, UnknownMechanism};
 pub use message::{
     Ballot, ClaimMsg, ClaimReply, Grant, Heartbeat, MemberMsg, PeerMsg, RelayMsg, Renewal, SlotMsg,
     VoteState,
--- a/crates/celerywinch_types/src/mechanism.rs
+++ b/crates/celerywinch_types/src/mechanism.rs
@@ -71,10 +71,10 @@
 domain! {
     /// Mechanisms that are left out; none by default.
     #[derive(Copy, Default)]
-    pub struct Without(u32);
+    pub struct DisabledMechanisms(u32);
 }
 
-impl Without {
+impl DisabledMechanisms {
     /// Leaves one more out.
     #[must_use]
     pub fn and(self, mechanism: Mechanism) -> Self {
@@ -97,7 +97,7 @@
     Mechanism::ALL.map(|(_, name)| name).join(" ")
 }
 
-impl FromStr for Without {
+impl FromStr for DisabledMechanisms {
     type Err = UnknownMechanism;
 
     /// Reads names that are separated by commas; an empty text leaves nothing out.
