--- a/crates/celerywinch_bench/src/members/lives.rs
+++ b/crates/celerywinch_bench/src/members/lives.rs
@@ -4,7 +4,9 @@
 
 use celerywinch_pool::{Call, Order};
 use celerywinch_standin::LeasedWorker;
-use celerywinch_types::{FleetMsg, Incarnation, Room, Said, TaskId, Time, WorkerNote, WorkerStage};
+use celerywinch_types::{
+    AnnouncementVersion, FleetMsg, Incarnation, Room, TaskId, Time, WorkerNote, WorkerStage,
+};
 use rand::Rng;
 
 use super::history::Violation;
@@ -70,7 +72,7 @@
             room: host.worker.room,
             labels: Vec::new(),
             stage: host.word.stage,
-            said: Said {
+            said: AnnouncementVersion {
                 incarnation: life.unwrap_or(Incarnation(host.lives.into())),
                 sequence: host.word.sequence,
             },
--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -16,8 +16,8 @@
 use celerywinch_origin::{CallerId, NewJob};
 use celerywinch_pool::{Answer, CallKey, PoolConfig};
 use celerywinch_types::{
-    EvacuationOrder, Evacuations, FleetMsg, Incarnation, InstanceId, JobEnd, KeeperRequest,
-    KeeperState, Part, Process, Said, Time, WorkerNote, WorkerStage,
+    AnnouncementVersion, EvacuationOrder, Evacuations, FleetMsg, Incarnation, InstanceId, JobEnd,
+    KeeperRequest, KeeperState, Part, Process, Time, WorkerNote, WorkerStage,
 };
 use crossbeam_channel::Sender;
 use serde::Serialize;
@@ -110,14 +110,14 @@
     },
     Announced {
         worker: String,
-        said: Said,
+        said: AnnouncementVersion,
         stage: WorkerStage,
         known: usize,
     },
     /// An announcement that changes nothing here, as the worker has said something later.
     NotTaken {
         worker: String,
-        said: Said,
+        said: AnnouncementVersion,
         stage: WorkerStage,
         heard: Heard,
     },
--- a/crates/celerywinch_fleet/src/roster.rs
+++ b/crates/celerywinch_fleet/src/roster.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use celerywinch_types::{Incarnation, Said, Time, WorkerNote, WorkerStage};
+use celerywinch_types::{AnnouncementVersion, Incarnation, Time, WorkerNote, WorkerStage};
 use serde::Serialize;
 
 /// A worker that did not announce itself for this long is forgotten by its keeper. Dispatchers find
@@ -31,10 +31,10 @@
     /// Nothing but that the worker is there.
     Nothing,
     /// It is not taken, as this later one is known.
-    Late(Said),
+    Late(AnnouncementVersion),
     /// The same of a life that counts as an earlier one. The others hear of it all the same: if the worker's clock was set
     /// back between two starts it is the later one, which only the worker itself can show.
-    OtherLife(Said),
+    OtherLife(AnnouncementVersion),
     /// It is not taken, as this life has left.
     Left,
 }
@@ -143,7 +143,7 @@
 
 /// Whether something changed but the count of announcements.
 fn differs(a: &WorkerNote, b: &WorkerNote) -> bool {
-    let said = Said {
+    let said = AnnouncementVersion {
         sequence: a.said.sequence,
         ..b.said
     };
--- a/crates/celerywinch_fleet/tests/roster.rs
+++ b/crates/celerywinch_fleet/tests/roster.rs
@@ -3,11 +3,13 @@
 use std::time::Duration;
 
 use celerywinch_fleet::{Heard, Roster};
-use celerywinch_types::{DataCentreId, Incarnation, Room, Said, Time, WorkerNote, WorkerStage};
+use celerywinch_types::{
+    AnnouncementVersion, DataCentreId, Incarnation, Room, Time, WorkerNote, WorkerStage,
+};
 use rstest::rstest;
 
-fn said(incarnation: u64, sequence: u64) -> Said {
-    Said {
+fn said(incarnation: u64, sequence: u64) -> AnnouncementVersion {
+    AnnouncementVersion {
         incarnation: Incarnation(incarnation),
         sequence,
     }
--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -6,8 +6,8 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::{Answer, Note, PoolConfig};
 use celerywinch_types::{
-    Beat, DataCentreId, Evacuations, Fence, Incarnation, InstanceId, Part, Process, Room, Said,
-    Stage, Time, WallMs, WorkerClock, WorkerNote, WorkerStage,
+    AnnouncementVersion, Beat, DataCentreId, Evacuations, Fence, Incarnation, InstanceId, Part,
+    Process, Room, Stage, Time, WallMs, WorkerClock, WorkerNote, WorkerStage,
 };
 
 const FAR: DataCentreId = DataCentreId(1);
@@ -46,7 +46,7 @@
         room: Room::default(),
         labels: Vec::new(),
         stage: WorkerStage::Ready,
-        said: Said {
+        said: AnnouncementVersion {
             incarnation: Incarnation(1),
             sequence: 1,
         },
--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -6,9 +6,9 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::{Answer, Call, EndedRow, How, Order, PoolConfig};
 use celerywinch_types::{
-    Beat, Crashes, DataCentreId, Doubt, Echo, Evacuations, Fence, FleetMsg, Incarnation,
-    InstanceId, JobId, Part, Process, Room, RunNumber, Said, Session, Stage, StepOrder, TaskOrder,
-    Time, WallMs, WorkMsg, WorkerClock, WorkerNote, WorkerStage,
+    AnnouncementVersion, Beat, Crashes, DataCentreId, Doubt, Echo, Evacuations, Fence, FleetMsg,
+    Incarnation, InstanceId, JobId, Part, Process, Room, RunNumber, Session, Stage, StepOrder,
+    TaskOrder, Time, WallMs, WorkMsg, WorkerClock, WorkerNote, WorkerStage,
 };
 use rstest::rstest;
 
@@ -270,7 +270,7 @@
         room,
         labels: Vec::new(),
         stage: WorkerStage::Ready,
-        said: Said {
+        said: AnnouncementVersion {
             incarnation: Incarnation(1),
             sequence: 1,
         },
--- a/crates/celerywinch_pool/src/lives.rs
+++ b/crates/celerywinch_pool/src/lives.rs
@@ -5,7 +5,9 @@
 
 use std::collections::BTreeMap;
 
-use celerywinch_types::{Incarnation, MOST_LIVES, Said, Time, WorkerNote, WorkerStage};
+use celerywinch_types::{
+    AnnouncementVersion, Incarnation, MOST_LIVES, Time, WorkerNote, WorkerStage,
+};
 
 use crate::call::RunningRow;
 use crate::leases::Loss;
@@ -107,7 +109,7 @@
         let worker = &self.workers[key];
         let note = worker.others.of(life).unwrap_or_else(|| WorkerNote {
             stage: WorkerStage::Ready,
-            said: Said {
+            said: AnnouncementVersion {
                 incarnation: life,
                 sequence: 0,
             },
--- a/crates/celerywinch_pool/tests/capacity.rs
+++ b/crates/celerywinch_pool/tests/capacity.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use celerywinch_pool::{Answer, How, Input};
-use celerywinch_types::{Doubt, JobId, Room, Said, WorkerNote};
+use celerywinch_types::{AnnouncementVersion, Doubt, JobId, Room, WorkerNote};
 use rig::{DOMAIN, Rig, clock, ended, is_look, is_start, is_stop, lists, note, row, step};
 use rstest::rstest;
 
@@ -25,7 +25,7 @@
 
 fn says(rig: &mut Rig, number: u64, room: Room) {
     let first = note("w1", 1);
-    let said = Said {
+    let said = AnnouncementVersion {
         sequence: first.said.sequence + number,
         ..first.said
     };
--- a/crates/celerywinch_pool/tests/crashes.rs
+++ b/crates/celerywinch_pool/tests/crashes.rs
@@ -6,8 +6,8 @@
 
 use celerywinch_pool::{Answer, Input};
 use celerywinch_types::{
-    Crashes, Doubt, Incarnation, JobId, Said, StepOrder, TaskEnd, TaskOrder, WorkMsg, WorkerNote,
-    WorkerStage,
+    AnnouncementVersion, Crashes, Doubt, Incarnation, JobId, StepOrder, TaskEnd, TaskOrder,
+    WorkMsg, WorkerNote, WorkerStage,
 };
 use rig::{ORIGIN, Rig, clock, is_look, is_start, lists, lists_of, note, row, step, task};
 use rstest::rstest;
@@ -46,7 +46,7 @@
 fn life(worker: &str, life: u64, stage: WorkerStage) -> WorkerNote {
     let port = worker[1..].parse().expect("a worker's number");
     WorkerNote {
-        said: Said {
+        said: AnnouncementVersion {
             incarnation: Incarnation(life),
             // The notice that a life leaves is its last word.
             sequence: if stage == WorkerStage::Ready { 2 } else { 3 },
--- a/crates/celerywinch_pool/tests/lives.rs
+++ b/crates/celerywinch_pool/tests/lives.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_pool::{Answer, EndedRow, How, Input, Reject, RunningRow};
 use celerywinch_types::{
-    Doubt, Incarnation, JobId, Said, TaskEnd, TaskId, WorkerNote, WorkerStage,
+    AnnouncementVersion, Doubt, Incarnation, JobId, TaskEnd, TaskId, WorkerNote, WorkerStage,
 };
 use rig::{
     LATER_FENCE, Rig, clock, ended, is_look, is_start, lists, lists_of, note, row, step, task,
@@ -16,7 +16,7 @@
 /// The second life of the worker that the rig has.
 fn second_life() -> WorkerNote {
     WorkerNote {
-        said: Said {
+        said: AnnouncementVersion {
             incarnation: Incarnation(2),
             sequence: 1,
         },
@@ -91,7 +91,7 @@
 
 fn said(incarnation: u64, sequence: u64, stage: WorkerStage) -> WorkerNote {
     WorkerNote {
-        said: Said {
+        said: AnnouncementVersion {
             incarnation: Incarnation(incarnation),
             sequence,
         },
--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -8,9 +8,9 @@
     Answer, Call, EndedRow, Grant, How, Input, Order, Output, Pool, PoolConfig, RunningRow,
 };
 use celerywinch_types::{
-    Crashes, DataCentreId, Domain, Doubt, Fence, Incarnation, InstanceId, JobId, Room, RunNumber,
-    Said, Session, StepOrder, TaskEnd, TaskId, TaskOrder, Time, WorkMsg, WorkerClock, WorkerNote,
-    WorkerStage,
+    AnnouncementVersion, Crashes, DataCentreId, Domain, Doubt, Fence, Incarnation, InstanceId,
+    JobId, Room, RunNumber, Session, StepOrder, TaskEnd, TaskId, TaskOrder, Time, WorkMsg,
+    WorkerClock, WorkerNote, WorkerStage,
 };
 
 pub(crate) const DC: DataCentreId = DataCentreId(0);
@@ -43,7 +43,7 @@
         room: ROOM,
         labels: Vec::new(),
         stage: WorkerStage::Ready,
-        said: Said {
+        said: AnnouncementVersion {
             incarnation: Incarnation(1),
             sequence: 1,
         },
--- a/crates/celerywinch_types/src/lib.rs
+++ b/crates/celerywinch_types/src/lib.rs
@@ -41,6 +41,6 @@
 pub use time::{Time, WallMs};
 pub use timers::{TimerId, TimerQueue};
 pub use work::{
-    Fence, JobEnd, JobId, JobPlan, MOST_LIVES, Room, RunNumber, Said, StepPlan, TaskId,
-    WorkerClock, WorkerNote, WorkerStage,
+    AnnouncementVersion, Fence, JobEnd, JobId, JobPlan, MOST_LIVES, Room, RunNumber, StepPlan,
+    TaskId, WorkerClock, WorkerNote, WorkerStage,
 };
--- a/crates/celerywinch_types/src/work.rs
+++ b/crates/celerywinch_types/src/work.rs
@@ -94,7 +94,7 @@
     /// Orders the announcements of a worker. Numbers of one life say nothing of those of another: a worker that starts
     /// again counts from the beginning, so the life comes first.
     #[derive(Copy, Default, PartialOrd, Ord)]
-    pub struct Said {
+    pub struct AnnouncementVersion {
         /// The life that speaks: ms since 1970 at its start, by the worker's clock; 0 where it does not say.
         pub incarnation: crate::Incarnation,
         /// Rises with each announcement of a life.
@@ -118,7 +118,7 @@
         /// Whether it takes work.
         pub stage: WorkerStage,
         /// Which of its announcements this is.
-        pub said: Said,
+        pub said: AnnouncementVersion,
     }
 }
 
