--- a/crates/celerywinch_bench/src/members/lives.rs
+++ b/crates/celerywinch_bench/src/members/lives.rs
@@ -5,7 +5,7 @@
 use celerywinch_pool::{Call, Order};
 use celerywinch_standin::LeasedWorker;
 use celerywinch_types::{
-    AnnouncementVersion, FleetMsg, Incarnation, Room, TaskId, Time, WorkerNote, WorkerStage,
+    AnnouncementVersion, FleetMsg, Incarnation, Room, TaskId, Time, WorkerAnnouncement, WorkerStage,
 };
 use rand::Rng;
 
@@ -61,10 +61,10 @@
     }
 
     /// What a worker says of itself.
-    pub(crate) fn note(&self, index: usize) -> WorkerNote {
+    pub(crate) fn note(&self, index: usize) -> WorkerAnnouncement {
         let host = &self.workers[index];
         let life = host.worker.incarnation;
-        WorkerNote {
+        WorkerAnnouncement {
             id: host.worker.id.clone(),
             service: "catalogue".to_owned(),
             addr: ([127, 0, 0, 1], 1 + index as u16).into(),
@@ -84,7 +84,7 @@
         self.tell_all(&self.note(index));
     }
 
-    pub(crate) fn tell_all(&mut self, note: &WorkerNote) {
+    pub(crate) fn tell_all(&mut self, note: &WorkerAnnouncement) {
         for member in 0..self.members.len() {
             if self.members[member].is_up() {
                 let msg = FleetMsg::Workers(vec![note.clone()]);
--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -8,7 +8,7 @@
 use celerywinch_standin::{LeasedWorker, Ran};
 use celerywinch_types::{
     Beat, DataCentreId, DisabledMechanisms, FleetMsg, Incarnation, InstanceId, JobId, Part,
-    Process, Room, TaskId, Time, TimerQueue, WallMs, WorkerNote, score,
+    Process, Room, TaskId, Time, TimerQueue, WallMs, WorkerAnnouncement, score,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -114,7 +114,7 @@
     WorkerBack(usize),
     WorkerLeaves(usize, u32),
     Grow(usize, u32),
-    Stale(WorkerNote),
+    Stale(WorkerAnnouncement),
     EndedBy(usize, u32, TaskId),
     Heal(usize),
     AnnounceAll,
--- a/crates/celerywinch_bench/src/slopes/control.rs
+++ b/crates/celerywinch_bench/src/slopes/control.rs
@@ -10,8 +10,8 @@
 use celerywinch_catalogue::{Catalogue, Document, TeamEntry};
 use celerywinch_entry::{ConfigBuilder, Entry, Event, Input, Output};
 use celerywinch_types::{
-    DataCentreId, EndpointNote, EndpointState, Incarnation, InstanceId, PeerMsg, Process, Time,
-    WallMs,
+    DataCentreId, EndpointAnnouncement, EndpointState, Incarnation, InstanceId, PeerMsg, Process,
+    Time, WallMs,
 };
 
 use super::Row;
@@ -305,9 +305,9 @@
     }
 }
 
-fn note(endpoint: usize, dc: usize, sequence: u64) -> EndpointNote {
+fn note(endpoint: usize, dc: usize, sequence: u64) -> EndpointAnnouncement {
     let port = u16::try_from(10_000 + endpoint).unwrap_or(u16::MAX);
-    EndpointNote {
+    EndpointAnnouncement {
         addr: SocketAddr::from(([127, 0, 0, 1], port)),
         incarnation: 1_700_000_000_000,
         sequence,
--- a/crates/celerywinch_bench/src/slopes/memory.rs
+++ b/crates/celerywinch_bench/src/slopes/memory.rs
@@ -6,8 +6,8 @@
 use celerywinch_catalogue::Catalogue;
 use celerywinch_entry::{CallEnd, ConfigBuilder, Entry, Input, Output, WaiterId};
 use celerywinch_types::{
-    DataCentreId, EndpointNote, EndpointState, Incarnation, InstanceId, Key, Process, Submission,
-    TaskBody, Time, WallMs,
+    DataCentreId, EndpointAnnouncement, EndpointState, Incarnation, InstanceId, Key, Process,
+    Submission, TaskBody, Time, WallMs,
 };
 
 use super::Row;
@@ -45,7 +45,7 @@
     let catalogue = Catalogue::check(1, document).map_err(|p| anyhow::anyhow!("{p:?}"))?;
     let mut out = Vec::new();
     entry.handle(Time(1), Input::Catalogue(Arc::new(catalogue)), &mut out);
-    let note = EndpointNote {
+    let note = EndpointAnnouncement {
         addr: ([127, 0, 0, 1], 9).into(),
         incarnation: 1,
         sequence: 1,
--- a/crates/celerywinch_bench/src/soak/endpoints.rs
+++ b/crates/celerywinch_bench/src/soak/endpoints.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_entry::CallEnd;
-use celerywinch_types::{DataCentreId, EndpointNote, EndpointState, Key, TaskBody};
+use celerywinch_types::{DataCentreId, EndpointAnnouncement, EndpointState, Key, TaskBody};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
@@ -50,9 +50,9 @@
         self.addr
     }
 
-    pub(crate) fn announce(&mut self, kind: &str) -> EndpointNote {
+    pub(crate) fn announce(&mut self, kind: &str) -> EndpointAnnouncement {
         self.sequence += 1;
-        EndpointNote {
+        EndpointAnnouncement {
             addr: self.addr,
             incarnation: 1,
             sequence: self.sequence,
--- a/crates/celerywinch_dispatch/src/dispatch.rs
+++ b/crates/celerywinch_dispatch/src/dispatch.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use celerywinch_catalogue::{Catalogue, Class, Kind};
-use celerywinch_types::{EndpointNote, EndpointState, InstanceId, KindName, Refusal, Time};
+use celerywinch_types::{EndpointAnnouncement, EndpointState, InstanceId, KindName, Refusal, Time};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use slotmap::{SlotMap, new_key_type};
@@ -83,7 +83,7 @@
 
 #[derive(Debug)]
 pub(crate) struct Endpoint {
-    pub(crate) note: EndpointNote,
+    pub(crate) note: EndpointAnnouncement,
     pub(crate) share: u16,
     pub(crate) lent: u16,
     pub(crate) borrowed: u16,
@@ -223,7 +223,7 @@
 
     /// Takes over an announcement. A new life of an address starts with a clean record, and its
     /// earlier life's calls no longer count.
-    pub fn update(&mut self, note: &EndpointNote) {
+    pub fn update(&mut self, note: &EndpointAnnouncement) {
         if let Some(id) = self.by_addr.get(&note.addr).copied() {
             let endpoint = &mut self.endpoints[id];
             if endpoint.note.incarnation == note.incarnation {
@@ -517,7 +517,7 @@
 
     /// The announcement behind an endpoint, while it has calls or a lease.
     #[must_use]
-    pub fn note(&self, id: EndpointId) -> Option<&EndpointNote> {
+    pub fn note(&self, id: EndpointId) -> Option<&EndpointAnnouncement> {
         self.endpoints.get(id).map(|endpoint| &endpoint.note)
     }
 }
--- a/crates/celerywinch_dispatch/tests/loans.rs
+++ b/crates/celerywinch_dispatch/tests/loans.rs
@@ -2,7 +2,7 @@
 
 use celerywinch_catalogue::{Catalogue, Class, Document, KindEntry};
 use celerywinch_dispatch::{Dispatch, Policy, Work};
-use celerywinch_types::{DataCentreId, EndpointNote, EndpointState, InstanceId, Time};
+use celerywinch_types::{DataCentreId, EndpointAnnouncement, EndpointState, InstanceId, Time};
 use std::time::Duration;
 
 const NOW: Time = Time(10_000_000);
@@ -23,8 +23,8 @@
     Catalogue::check(1, document).expect("a good catalogue")
 }
 
-fn note() -> EndpointNote {
-    EndpointNote {
+fn note() -> EndpointAnnouncement {
+    EndpointAnnouncement {
         addr: ([127, 0, 0, 1], 80).into(),
         incarnation: 1,
         sequence: 1,
--- a/crates/celerywinch_entry/src/io.rs
+++ b/crates/celerywinch_entry/src/io.rs
@@ -7,8 +7,8 @@
 use celerywinch_catalogue::Catalogue;
 use celerywinch_dispatch::EndpointId;
 use celerywinch_types::{
-    EndpointNote, InstanceId, Key, KindName, Outcome, PeerMsg, Process, Submission, TaskBody,
-    domain,
+    EndpointAnnouncement, InstanceId, Key, KindName, Outcome, PeerMsg, Process, Submission,
+    TaskBody, domain,
 };
 
 use crate::Event;
@@ -35,7 +35,7 @@
     /// Nothing listens at an instance's address: its process is gone.
     PeerGone(InstanceId),
     /// An endpoint announced itself here.
-    Announce(EndpointNote),
+    Announce(EndpointAnnouncement),
     /// A call ended.
     CallEnded(CallId, CallEnd),
     /// A catalogue that was in force before, from the own disk, or one given at the start.
--- a/crates/celerywinch_entry/src/members.rs
+++ b/crates/celerywinch_entry/src/members.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_members::{Change, PeerChange, RENEWAL, Source};
 use celerywinch_types::{
-    EndpointNote, Heartbeat, InstanceId, MemberMsg, PeerMsg, Process, Renewal, Time, WallMs,
+    EndpointAnnouncement, Heartbeat, InstanceId, MemberMsg, PeerMsg, Process, Renewal, Time, WallMs,
 };
 
 use crate::{Entry, Event, Output};
@@ -155,7 +155,12 @@
 
     /// An endpoint announced itself here: other entries of the data centre get to know at once
     /// what is new, and renewals with the next batch.
-    pub(crate) fn announce(&mut self, now: Time, note: EndpointNote, out: &mut Vec<Output>) {
+    pub(crate) fn announce(
+        &mut self,
+        now: Time,
+        note: EndpointAnnouncement,
+        out: &mut Vec<Output>,
+    ) {
         let addr = note.addr;
         let mut changes = Vec::new();
         let news = self
@@ -178,7 +183,7 @@
         self.peers.local().map(|(id, _)| id).collect()
     }
 
-    fn notes_heard(&mut self, now: Time, notes: Vec<EndpointNote>, out: &mut Vec<Output>) {
+    fn notes_heard(&mut self, now: Time, notes: Vec<EndpointAnnouncement>, out: &mut Vec<Output>) {
         let mut changes = Vec::new();
         for note in notes.into_iter().filter(|note| note.dc == self.config.dc) {
             self.endpoints
--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -17,7 +17,7 @@
 use celerywinch_pool::{Answer, CallKey, PoolConfig};
 use celerywinch_types::{
     AnnouncementVersion, EvacuationOrder, Evacuations, FleetMsg, Incarnation, InstanceId, JobEnd,
-    KeeperRequest, KeeperState, Part, Process, Time, WorkerNote, WorkerStage,
+    KeeperRequest, KeeperState, Part, Process, Time, WorkerAnnouncement, WorkerStage,
 };
 use crossbeam_channel::Sender;
 use serde::Serialize;
@@ -69,7 +69,7 @@
     CallerGone(CallerId),
     Answered(CallKey, Answer),
     AnsweredLate(Duration),
-    Announce(WorkerNote, oneshot::Sender<bool>),
+    Announce(WorkerAnnouncement, oneshot::Sender<bool>),
     Leave(String, Option<Incarnation>, oneshot::Sender<bool>),
     Keep(KeeperRequest, oneshot::Sender<Option<KeeperState>>),
     Store(StoreOut),
@@ -171,7 +171,7 @@
     spread: Spread,
     roster: Roster,
     /// Workers that the entries have to hear of with the next tick.
-    untold: Vec<WorkerNote>,
+    untold: Vec<WorkerAnnouncement>,
     store: Option<Sender<StoreIn>>,
     keeping: HashMap<u64, (RequestKind, oneshot::Sender<Option<KeeperState>>)>,
     next_keep: u64,
--- a/crates/celerywinch_fleet/src/handle.rs
+++ b/crates/celerywinch_fleet/src/handle.rs
@@ -9,7 +9,7 @@
 use celerywinch_registry::PATIENCE;
 use celerywinch_types::{
     DataCentreId, EvacuationOrder, Incarnation, InstanceId, JobEnd, KeeperRequest, KeeperState,
-    QueueBook, WallMs, WorkerNote,
+    QueueBook, WallMs, WorkerAnnouncement,
 };
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
@@ -143,7 +143,7 @@
     }
 
     /// A worker announces itself; true once the dispatchers hear of it.
-    pub async fn announce(&self, note: WorkerNote) -> bool {
+    pub async fn announce(&self, note: WorkerAnnouncement) -> bool {
         self.ask(|answer| CoreMsg::Announce(note, answer))
             .await
             .unwrap_or(false)
--- a/crates/celerywinch_fleet/src/roster.rs
+++ b/crates/celerywinch_fleet/src/roster.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use celerywinch_types::{AnnouncementVersion, Incarnation, Time, WorkerNote, WorkerStage};
+use celerywinch_types::{AnnouncementVersion, Incarnation, Time, WorkerAnnouncement, WorkerStage};
 use serde::Serialize;
 
 /// A worker that did not announce itself for this long is forgotten by its keeper. Dispatchers find
@@ -18,7 +18,7 @@
 /// A worker and when it was heard last.
 #[derive(Clone, Debug)]
 struct Known {
-    note: WorkerNote,
+    note: WorkerAnnouncement,
     heard: Time,
 }
 
@@ -50,7 +50,7 @@
 
 impl Roster {
     /// Takes an announcement.
-    pub fn heard(&mut self, now: Time, note: WorkerNote) -> Heard {
+    pub fn heard(&mut self, now: Time, note: WorkerAnnouncement) -> Heard {
         let Some(known) = self.workers.get_mut(&note.id) else {
             let name = note.id.clone();
             self.workers.insert(name, Known { note, heard: now });
@@ -77,7 +77,12 @@
 
     /// A worker has left; `life` is none where it does not say which of its lives did. None if a later one is known: the word was
     /// held up, and a worker that serves would get no work for as long as that is remembered.
-    pub fn left(&mut self, now: Time, id: &str, life: Option<Incarnation>) -> Option<WorkerNote> {
+    pub fn left(
+        &mut self,
+        now: Time,
+        id: &str,
+        life: Option<Incarnation>,
+    ) -> Option<WorkerAnnouncement> {
         let known = self.workers.get_mut(id)?;
         let said = &mut known.note.said;
         if life.is_some_and(|life| life < said.incarnation) {
@@ -110,20 +115,20 @@
 
     /// All that are known, also those that have left lately.
     #[must_use]
-    pub fn all(&self) -> Vec<WorkerNote> {
+    pub fn all(&self) -> Vec<WorkerAnnouncement> {
         let workers = self.workers.values();
         workers.map(|known| known.note.clone()).collect()
     }
 
     /// Those that serve, if that has changed since the last time and `SAVE` is over: each list costs
     /// the disk two syncs.
-    pub fn to_save(&mut self, now: Time) -> Option<Vec<WorkerNote>> {
+    pub fn to_save(&mut self, now: Time) -> Option<Vec<WorkerAnnouncement>> {
         if !self.changed || now.since(self.saved) < SAVE {
             return None;
         }
         self.changed = false;
         self.saved = now;
-        let ready = |note: &WorkerNote| note.stage == WorkerStage::Ready;
+        let ready = |note: &WorkerAnnouncement| note.stage == WorkerStage::Ready;
         let notes = self.all().into_iter().filter(ready);
         Some(notes.collect())
     }
@@ -142,10 +147,10 @@
 }
 
 /// Whether something changed but the count of announcements.
-fn differs(a: &WorkerNote, b: &WorkerNote) -> bool {
+fn differs(a: &WorkerAnnouncement, b: &WorkerAnnouncement) -> bool {
     let said = AnnouncementVersion {
         sequence: a.said.sequence,
         ..b.said
     };
-    *a != WorkerNote { said, ..b.clone() }
+    *a != WorkerAnnouncement { said, ..b.clone() }
 }
--- a/crates/celerywinch_fleet/src/store.rs
+++ b/crates/celerywinch_fleet/src/store.rs
@@ -11,7 +11,7 @@
 use celerywinch_registry::{Figures, Held, Registry, RegistryOutput, Request};
 use celerywinch_store::{Disk, Input, KeeperId, Output, RaftConfig, Record, load_file};
 use celerywinch_types::{
-    Evacuations, FleetMsg, InstanceId, KeepMsg, KeeperState, Time, WorkerNote,
+    Evacuations, FleetMsg, InstanceId, KeepMsg, KeeperState, Time, WorkerAnnouncement,
 };
 use crossbeam_channel::{Receiver, Sender, never, select, unbounded};
 use tokio::sync::mpsc::UnboundedSender;
@@ -43,7 +43,7 @@
     Request(Request),
     Contacts(Vec<InstanceId>),
     /// The workers that are known, to be there again after a restart.
-    Workers(Vec<WorkerNote>),
+    Workers(Vec<WorkerAnnouncement>),
 }
 
 /// What the thread tells the core.
@@ -55,7 +55,7 @@
     EvacuationsChanged(Evacuations),
     Role(Figures),
     /// The workers that were known before a restart.
-    Workers(Vec<WorkerNote>),
+    Workers(Vec<WorkerAnnouncement>),
 }
 
 struct Store {
--- a/crates/celerywinch_fleet/src/store/writer.rs
+++ b/crates/celerywinch_fleet/src/store/writer.rs
@@ -5,7 +5,7 @@
 
 use anyhow::Context;
 use celerywinch_store::{Disk, DiskError, Record, Snapshot, save_file};
-use celerywinch_types::WorkerNote;
+use celerywinch_types::WorkerAnnouncement;
 use crossbeam_channel::{Receiver, Sender, unbounded};
 
 /// The file with the workers within the data folder.
@@ -23,7 +23,7 @@
     Records(Vec<Record>),
     Snapshot(Snapshot),
     /// No write of the log; waits until there is none.
-    Workers(Vec<WorkerNote>),
+    Workers(Vec<WorkerAnnouncement>),
 }
 
 /// The thread and its queue. It ends when this is dropped.
@@ -79,7 +79,7 @@
     folder: PathBuf,
     report: Sender<Written>,
     /// Workers that are not saved yet.
-    workers: Option<Vec<WorkerNote>>,
+    workers: Option<Vec<WorkerAnnouncement>>,
 }
 
 impl Work {
@@ -130,7 +130,7 @@
     }
 
     /// Nothing rests on the file: without it workers are known when they announce themselves.
-    fn save_workers(&self, workers: &[WorkerNote]) {
+    fn save_workers(&self, workers: &[WorkerAnnouncement]) {
         if let Err(error) = save_file(&self.folder, WORKERS, &workers) {
             log::warn!("store: The workers cannot be written: {error:#}.");
         }
--- a/crates/celerywinch_fleet/tests/roster.rs
+++ b/crates/celerywinch_fleet/tests/roster.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_fleet::{Heard, Roster};
 use celerywinch_types::{
-    AnnouncementVersion, DataCentreId, Incarnation, Room, Time, WorkerNote, WorkerStage,
+    AnnouncementVersion, DataCentreId, Incarnation, Room, Time, WorkerAnnouncement, WorkerStage,
 };
 use rstest::rstest;
 
@@ -15,8 +15,8 @@
     }
 }
 
-fn note(id: &str, stage: WorkerStage, sequence: u64) -> WorkerNote {
-    WorkerNote {
+fn note(id: &str, stage: WorkerStage, sequence: u64) -> WorkerAnnouncement {
+    WorkerAnnouncement {
         id: id.to_owned(),
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], 1).into(),
@@ -28,7 +28,7 @@
     }
 }
 
-fn names(notes: Option<Vec<WorkerNote>>) -> Option<Vec<String>> {
+fn names(notes: Option<Vec<WorkerAnnouncement>>) -> Option<Vec<String>> {
     let mut names: Vec<_> = notes?.into_iter().map(|note| note.id).collect();
     names.sort();
     Some(names)
@@ -79,7 +79,7 @@
     let mut roster = Roster::default();
     roster.heard(now, note("a", WorkerStage::Ready, 1));
     roster.heard(now, note("a", WorkerStage::Ready, 20));
-    let leaves = WorkerNote {
+    let leaves = WorkerAnnouncement {
         said: said(2, 3),
         ..note("a", WorkerStage::Draining, 3)
     };
@@ -95,7 +95,7 @@
     let mut roster = Roster::default();
     roster.heard(now, note("a", WorkerStage::Ready, 7));
     roster.left(now, "a", None);
-    let again = WorkerNote {
+    let again = WorkerAnnouncement {
         said: said(2, 1),
         ..note("a", WorkerStage::Ready, 1)
     };
@@ -112,7 +112,7 @@
 fn leave_counts_for_its_own_life(#[case] life: Option<u64>, #[case] stage: WorkerStage) {
     let now = Time(10_000_000);
     let mut roster = Roster::default();
-    let second = WorkerNote {
+    let second = WorkerAnnouncement {
         said: said(2, 1),
         ..note("a", WorkerStage::Ready, 1)
     };
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -8,7 +8,7 @@
 use celerywinch_pool::{Answer, Call, CallKey, Grant, Input as PoolInput, Note, Pool, PoolConfig};
 use celerywinch_types::{
     Beat, Crashes, DataCentreId, Evacuations, FleetMsg, Holding, InstanceId, JobEnd, Learned,
-    Mechanism, Part, Process, Stage, TaskId, Time, WallMs, WorkMsg, WorkerNote,
+    Mechanism, Part, Process, Stage, TaskId, Time, WallMs, WorkMsg, WorkerAnnouncement,
 };
 
 use crate::MemberNote;
@@ -68,7 +68,7 @@
     /// Between origins and dispatchers.
     Work(Process, WorkMsg),
     /// What workers said of themselves.
-    Workers(Vec<WorkerNote>),
+    Workers(Vec<WorkerAnnouncement>),
     /// What another dispatcher has learned.
     Learned(Learned),
     /// Workers that ended under tasks, as another dispatcher knows.
--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -7,7 +7,7 @@
 use celerywinch_pool::{Answer, Note, PoolConfig};
 use celerywinch_types::{
     AnnouncementVersion, Beat, DataCentreId, Evacuations, Fence, Incarnation, InstanceId, Part,
-    Process, Room, Stage, Time, WallMs, WorkerClock, WorkerNote, WorkerStage,
+    Process, Room, Stage, Time, WallMs, WorkerAnnouncement, WorkerClock, WorkerStage,
 };
 
 const FAR: DataCentreId = DataCentreId(1);
@@ -37,8 +37,8 @@
     }
 }
 
-fn worker(index: u16) -> WorkerNote {
-    WorkerNote {
+fn worker(index: u16) -> WorkerAnnouncement {
+    WorkerAnnouncement {
         id: format!("w{index}"),
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], index).into(),
--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -8,7 +8,7 @@
 use celerywinch_types::{
     AnnouncementVersion, Beat, Crashes, DataCentreId, Doubt, Echo, Evacuations, Fence, FleetMsg,
     Incarnation, InstanceId, JobId, Part, Process, Room, RunNumber, Session, Stage, StepOrder,
-    TaskOrder, Time, WallMs, WorkMsg, WorkerClock, WorkerNote, WorkerStage,
+    TaskOrder, Time, WallMs, WorkMsg, WorkerAnnouncement, WorkerClock, WorkerStage,
 };
 use rstest::rstest;
 
@@ -262,7 +262,7 @@
         cpu,
         ..Room::default()
     };
-    let worker = WorkerNote {
+    let worker = WorkerAnnouncement {
         id: "w1".to_owned(),
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], 1).into(),
--- a/crates/celerywinch_members/src/endpoints.rs
+++ b/crates/celerywinch_members/src/endpoints.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use celerywinch_types::{EndpointNote, EndpointState, Renewal, Time};
+use celerywinch_types::{EndpointAnnouncement, EndpointState, Renewal, Time};
 
 /// How long an announcement holds.
 pub const LEASE: Duration = Duration::from_secs(5);
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub struct Known {
     /// Its latest announcement.
-    pub note: EndpointNote,
+    pub note: EndpointAnnouncement,
     /// When that was made, on our clock.
     pub announced: Time,
     /// Whether its lease has run out.
@@ -72,7 +72,7 @@
     pub fn announce(
         &mut self,
         now: Time,
-        note: EndpointNote,
+        note: EndpointAnnouncement,
         source: Source,
         changes: &mut Vec<Change>,
     ) -> bool {
@@ -154,18 +154,18 @@
 
     /// Everything known, for an entry that asks.
     #[must_use]
-    pub fn notes(&self, now: Time) -> Vec<EndpointNote> {
+    pub fn notes(&self, now: Time) -> Vec<EndpointAnnouncement> {
         self.iter().map(|known| aged(known, now)).collect()
     }
 
     /// One announcement with its present age, to be passed on.
     #[must_use]
-    pub fn note(&self, now: Time, addr: SocketAddr) -> Option<EndpointNote> {
+    pub fn note(&self, now: Time, addr: SocketAddr) -> Option<EndpointAnnouncement> {
         self.known.get(&addr).map(|known| aged(known, now))
     }
 }
 
-fn differs(old: &EndpointNote, new: &EndpointNote) -> bool {
+fn differs(old: &EndpointAnnouncement, new: &EndpointAnnouncement) -> bool {
     old.incarnation != new.incarnation
         || old.state != new.state
         || old.kinds != new.kinds
@@ -174,7 +174,7 @@
         || old.rack != new.rack
 }
 
-fn aged(known: &Known, now: Time) -> EndpointNote {
+fn aged(known: &Known, now: Time) -> EndpointAnnouncement {
     let mut note = known.note.clone();
     note.age_ms = age(now, known.announced);
     note
--- a/crates/celerywinch_members/tests/endpoints.rs
+++ b/crates/celerywinch_members/tests/endpoints.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use celerywinch_members::{Change, Endpoints, LEASE, Source};
-use celerywinch_types::{DataCentreId, EndpointNote, EndpointState, Renewal, Time};
+use celerywinch_types::{DataCentreId, EndpointAnnouncement, EndpointState, Renewal, Time};
 use rstest::rstest;
 
 const START: Time = Time(100_000_000);
 
-fn note(incarnation: u64, sequence: u64, state: EndpointState) -> EndpointNote {
-    EndpointNote {
+fn note(incarnation: u64, sequence: u64, state: EndpointState) -> EndpointAnnouncement {
+    EndpointAnnouncement {
         addr: ([127, 0, 0, 1], 80).into(),
         incarnation,
         sequence,
--- a/crates/celerywinch_node/src/http/endpoints.rs
+++ b/crates/celerywinch_node/src/http/endpoints.rs
@@ -5,7 +5,7 @@
 
 use celerywinch_entry::Input;
 use celerywinch_members::{LEASE, RENEWAL};
-use celerywinch_types::{EndpointNote, EndpointState};
+use celerywinch_types::{EndpointAnnouncement, EndpointState};
 use ntex::web::types::{Payload, State};
 use ntex::web::{self, HttpResponse, ServiceConfig};
 use serde::Deserialize;
@@ -58,7 +58,7 @@
     }))
 }
 
-fn check(body: &[u8], shared: &Shared) -> Result<EndpointNote, Problem> {
+fn check(body: &[u8], shared: &Shared) -> Result<EndpointAnnouncement, Problem> {
     let problem = |field: &str, detail: &str| {
         let problem = Problem::new(400, "announcement", "bad announcement");
         problem.field(field).detail(detail)
@@ -80,7 +80,7 @@
     if form.kinds.is_empty() {
         return Err(problem("kinds", "wanted at least one kind"));
     }
-    Ok(EndpointNote {
+    Ok(EndpointAnnouncement {
         addr: form.addr,
         incarnation: form.incarnation,
         sequence: form.sequence,
--- a/crates/celerywinch_pool/src/lives.rs
+++ b/crates/celerywinch_pool/src/lives.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use celerywinch_types::{
-    AnnouncementVersion, Incarnation, MOST_LIVES, Time, WorkerNote, WorkerStage,
+    AnnouncementVersion, Incarnation, MOST_LIVES, Time, WorkerAnnouncement, WorkerStage,
 };
 
 use crate::call::RunningRow;
@@ -21,10 +21,10 @@
 
 /// The last words of lives of a worker, other than the one that is known.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct OtherLives(BTreeMap<Incarnation, WorkerNote>);
+pub(crate) struct OtherLives(BTreeMap<Incarnation, WorkerAnnouncement>);
 
 impl OtherLives {
-    fn keep(&mut self, note: WorkerNote) {
+    fn keep(&mut self, note: WorkerAnnouncement) {
         let life = note.said.incarnation;
         let known = self.0.get(&life);
         if known.is_none_or(|known| known.said < note.said) {
@@ -35,7 +35,7 @@
         }
     }
 
-    fn of(&self, life: Incarnation) -> Option<WorkerNote> {
+    fn of(&self, life: Incarnation) -> Option<WorkerAnnouncement> {
         self.0.get(&life).cloned()
     }
 }
@@ -50,7 +50,7 @@
         &mut self,
         now: Time,
         key: WorkerKey,
-        note: WorkerNote,
+        note: WorkerAnnouncement,
         out: &mut Vec<Output>,
     ) {
         let Some(mut earlier) = self.workers.remove(key) else {
@@ -89,7 +89,12 @@
 
     /// A worker is heard of that is not known. If it was forgotten lately, as it had left or was silent, an order to that life may
     /// still be on its way, and would be obeyed under the same token.
-    pub(crate) fn add_unknown(&mut self, now: Time, note: WorkerNote, out: &mut Vec<Output>) {
+    pub(crate) fn add_unknown(
+        &mut self,
+        now: Time,
+        note: WorkerAnnouncement,
+        out: &mut Vec<Output>,
+    ) {
         let forgotten = self.forgotten.remove(&note.id);
         let lives = forgotten.map_or(0, |(lives, _)| lives + 1);
         let key = self.add_worker(now, note, lives, out);
@@ -107,14 +112,17 @@
         out: &mut Vec<Output>,
     ) {
         let worker = &self.workers[key];
-        let note = worker.others.of(life).unwrap_or_else(|| WorkerNote {
-            stage: WorkerStage::Ready,
-            said: AnnouncementVersion {
-                incarnation: life,
-                sequence: 0,
-            },
-            ..worker.note.clone()
-        });
+        let note = worker
+            .others
+            .of(life)
+            .unwrap_or_else(|| WorkerAnnouncement {
+                stage: WorkerStage::Ready,
+                said: AnnouncementVersion {
+                    incarnation: life,
+                    sequence: 0,
+                },
+                ..worker.note.clone()
+            });
         self.replace_worker(now, key, note, out);
     }
 
@@ -124,7 +132,7 @@
     pub(crate) fn other_life_speaks(
         &mut self,
         key: WorkerKey,
-        note: WorkerNote,
+        note: WorkerAnnouncement,
         out: &mut Vec<Output>,
     ) {
         self.workers[key].others.keep(note);
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -7,7 +7,7 @@
 
 use celerywinch_types::{
     Crashes, DataCentreId, Domain, Fence, Incarnation, InstanceId, JobId, Learned, Mechanism,
-    RunNumber, TaskEnd, TaskId, TaskNews, Time, WorkMsg, WorkerNote, WorkerStage,
+    RunNumber, TaskEnd, TaskId, TaskNews, Time, WorkMsg, WorkerAnnouncement, WorkerStage,
 };
 use slotmap::SlotMap;
 
@@ -45,7 +45,7 @@
     /// Do so no more; what is open is given back to its origins.
     Resign(Domain),
     /// What workers said of themselves.
-    Workers(Vec<WorkerNote>),
+    Workers(Vec<WorkerAnnouncement>),
     /// Replaces the set of evacuated data centres: their workers get no new tasks, and running tasks
     /// continue.
     EvacuatedDataCentres(BTreeSet<DataCentreId>),
@@ -329,7 +329,7 @@
         }
     }
 
-    fn worker(&mut self, now: Time, note: WorkerNote, out: &mut Vec<Output>) {
+    fn worker(&mut self, now: Time, note: WorkerAnnouncement, out: &mut Vec<Output>) {
         let gone = note.stage == WorkerStage::Gone;
         if gone {
             self.remember_left(now, &note);
@@ -368,7 +368,7 @@
             && !self.evacuated.contains(&worker.note.dc)
     }
 
-    fn remember_left(&mut self, now: Time, note: &WorkerNote) {
+    fn remember_left(&mut self, now: Time, note: &WorkerAnnouncement) {
         let life = note.said.incarnation;
         let left = Left { life, heard: now };
         let known = self.left.entry(note.id.clone()).or_insert(left);
@@ -377,7 +377,7 @@
     }
 
     /// A worker has said something new of the life that is known.
-    fn update_worker(&mut self, key: WorkerKey, note: WorkerNote) {
+    fn update_worker(&mut self, key: WorkerKey, note: WorkerAnnouncement) {
         let worker = &mut self.workers[key];
         let addr = std::mem::replace(&mut worker.note, note).addr;
         let new = worker.note.addr;
@@ -423,7 +423,7 @@
     pub(crate) fn add_worker(
         &mut self,
         now: Time,
-        note: WorkerNote,
+        note: WorkerAnnouncement,
         lives: u64,
         out: &mut Vec<Output>,
     ) -> WorkerKey {
--- a/crates/celerywinch_pool/src/worker.rs
+++ b/crates/celerywinch_pool/src/worker.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use celerywinch_types::{
-    Domain, Incarnation, Room, Time, WorkerClock, WorkerNote, WorkerStage, stable_hash,
+    Domain, Incarnation, Room, Time, WorkerAnnouncement, WorkerClock, WorkerStage, stable_hash,
 };
 use slotmap::new_key_type;
 
@@ -40,7 +40,7 @@
 /// A worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
-    pub(crate) note: WorkerNote,
+    pub(crate) note: WorkerAnnouncement,
     /// The last words of other lives. One of them may be the life that is there.
     pub(crate) others: OtherLives,
     /// How the life before this one ended, if there was one here.
@@ -88,7 +88,7 @@
 }
 
 impl Worker {
-    pub(crate) fn new(now: Time, note: WorkerNote, shards: u8) -> Self {
+    pub(crate) fn new(now: Time, note: WorkerAnnouncement, shards: u8) -> Self {
         Self {
             domain: domain_of(&note, shards),
             used: Room::default(),
@@ -256,7 +256,7 @@
 }
 
 /// By the address, which a worker keeps over its lives.
-pub(crate) fn domain_of(note: &WorkerNote, shards: u8) -> Domain {
+pub(crate) fn domain_of(note: &WorkerAnnouncement, shards: u8) -> Domain {
     let hash = stable_hash(note.addr.to_string().as_bytes());
     Domain {
         dc: note.dc,
--- a/crates/celerywinch_pool/tests/capacity.rs
+++ b/crates/celerywinch_pool/tests/capacity.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use celerywinch_pool::{Answer, How, Input};
-use celerywinch_types::{AnnouncementVersion, Doubt, JobId, Room, WorkerNote};
+use celerywinch_types::{AnnouncementVersion, Doubt, JobId, Room, WorkerAnnouncement};
 use rig::{DOMAIN, Rig, clock, ended, is_look, is_start, is_stop, lists, note, row, step};
 use rstest::rstest;
 
@@ -29,7 +29,7 @@
         sequence: first.said.sequence + number,
         ..first.said
     };
-    rig.take(Input::Workers(vec![WorkerNote {
+    rig.take(Input::Workers(vec![WorkerAnnouncement {
         said,
         room,
         ..first
--- a/crates/celerywinch_pool/tests/crashes.rs
+++ b/crates/celerywinch_pool/tests/crashes.rs
@@ -7,7 +7,7 @@
 use celerywinch_pool::{Answer, Input};
 use celerywinch_types::{
     AnnouncementVersion, Crashes, Doubt, Incarnation, JobId, StepOrder, TaskEnd, TaskOrder,
-    WorkMsg, WorkerNote, WorkerStage,
+    WorkMsg, WorkerAnnouncement, WorkerStage,
 };
 use rig::{ORIGIN, Rig, clock, is_look, is_start, lists, lists_of, note, row, step, task};
 use rstest::rstest;
@@ -43,9 +43,9 @@
     rig
 }
 
-fn life(worker: &str, life: u64, stage: WorkerStage) -> WorkerNote {
+fn life(worker: &str, life: u64, stage: WorkerStage) -> WorkerAnnouncement {
     let port = worker[1..].parse().expect("a worker's number");
-    WorkerNote {
+    WorkerAnnouncement {
         said: AnnouncementVersion {
             incarnation: Incarnation(life),
             // The notice that a life leaves is its last word.
--- a/crates/celerywinch_pool/tests/evacuated.rs
+++ b/crates/celerywinch_pool/tests/evacuated.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use celerywinch_pool::{Answer, How, Input};
-use celerywinch_types::{DataCentreId, Domain, Doubt, Fence, JobId, TaskEnd, WorkerNote};
+use celerywinch_types::{DataCentreId, Domain, Doubt, Fence, JobId, TaskEnd, WorkerAnnouncement};
 use rig::{DC, Rig, clock, ended, is_look, is_start, is_stop, lists, note, row, step};
 use rstest::rstest;
 
@@ -14,7 +14,7 @@
 /// A dispatcher with one worker in each of two data centres.
 fn two_dcs() -> Rig {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    let far = WorkerNote {
+    let far = WorkerAnnouncement {
         dc: OTHER,
         ..note("w2", 2)
     };
--- a/crates/celerywinch_pool/tests/leaving.rs
+++ b/crates/celerywinch_pool/tests/leaving.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use celerywinch_pool::{Answer, How, Input};
-use celerywinch_types::{Doubt, WorkerNote, WorkerStage};
+use celerywinch_types::{Doubt, WorkerAnnouncement, WorkerStage};
 use rig::{Rig, clock, ended, is_look, is_start, lists, note, row, step};
 use rstest::rstest;
 
@@ -34,8 +34,8 @@
     starts: [usize; 2],
 }
 
-fn gone(id: &str, port: u16) -> WorkerNote {
-    WorkerNote {
+fn gone(id: &str, port: u16) -> WorkerAnnouncement {
+    WorkerAnnouncement {
         stage: WorkerStage::Gone,
         ..note(id, port)
     }
--- a/crates/celerywinch_pool/tests/lives.rs
+++ b/crates/celerywinch_pool/tests/lives.rs
@@ -4,7 +4,8 @@
 
 use celerywinch_pool::{Answer, EndedRow, How, Input, Reject, RunningRow};
 use celerywinch_types::{
-    AnnouncementVersion, Doubt, Incarnation, JobId, TaskEnd, TaskId, WorkerNote, WorkerStage,
+    AnnouncementVersion, Doubt, Incarnation, JobId, TaskEnd, TaskId, WorkerAnnouncement,
+    WorkerStage,
 };
 use rig::{
     LATER_FENCE, Rig, clock, ended, is_look, is_start, lists, lists_of, note, row, step, task,
@@ -14,8 +15,8 @@
 const LATER_JOB: JobId = JobId(78);
 
 /// The second life of the worker that the rig has.
-fn second_life() -> WorkerNote {
-    WorkerNote {
+fn second_life() -> WorkerAnnouncement {
+    WorkerAnnouncement {
         said: AnnouncementVersion {
             incarnation: Incarnation(2),
             sequence: 1,
@@ -89,8 +90,8 @@
     works: bool,
 }
 
-fn said(incarnation: u64, sequence: u64, stage: WorkerStage) -> WorkerNote {
-    WorkerNote {
+fn said(incarnation: u64, sequence: u64, stage: WorkerStage) -> WorkerAnnouncement {
+    WorkerAnnouncement {
         said: AnnouncementVersion {
             incarnation: Incarnation(incarnation),
             sequence,
--- a/crates/celerywinch_pool/tests/locality.rs
+++ b/crates/celerywinch_pool/tests/locality.rs
@@ -4,7 +4,8 @@
 
 use celerywinch_pool::{Input, PoolConfig};
 use celerywinch_types::{
-    DataCentreId, DisabledMechanisms, Domain, Doubt, Fence, JobId, Mechanism, Room, WorkerNote,
+    DataCentreId, DisabledMechanisms, Domain, Doubt, Fence, JobId, Mechanism, Room,
+    WorkerAnnouncement,
 };
 use rig::{DC, ROOM, Rig, is_look, is_start, lists, note, step};
 use rstest::rstest;
@@ -20,7 +21,7 @@
         ..PoolConfig::default()
     });
     rig.pool.set_shards(shards);
-    let far = |id: &str, port: u16| WorkerNote {
+    let far = |id: &str, port: u16| WorkerAnnouncement {
         dc: OTHER,
         room: Room {
             cpu: 16_000,
--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -10,7 +10,7 @@
 use celerywinch_types::{
     AnnouncementVersion, Crashes, DataCentreId, Domain, Doubt, Fence, Incarnation, InstanceId,
     JobId, Room, RunNumber, Session, StepOrder, TaskEnd, TaskId, TaskOrder, Time, WorkMsg,
-    WorkerClock, WorkerNote, WorkerStage,
+    WorkerAnnouncement, WorkerClock, WorkerStage,
 };
 
 pub(crate) const DC: DataCentreId = DataCentreId(0);
@@ -34,8 +34,8 @@
     }
 }
 
-pub(crate) fn note(id: &str, port: u16) -> WorkerNote {
-    WorkerNote {
+pub(crate) fn note(id: &str, port: u16) -> WorkerAnnouncement {
+    WorkerAnnouncement {
         id: id.to_owned(),
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], port).into(),
--- a/crates/celerywinch_types/src/endpoint.rs
+++ b/crates/celerywinch_types/src/endpoint.rs
@@ -20,7 +20,7 @@
     }
 
     /// One announcement of an endpoint, as it spreads between the entries of a data centre.
-    pub struct EndpointNote {
+    pub struct EndpointAnnouncement {
         /// Where it serves HTTP.
         pub addr: SocketAddr,
         /// Which life of the process behind the address; a later life is greater.
--- a/crates/celerywinch_types/src/fleet.rs
+++ b/crates/celerywinch_types/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     Crashes, DataCentreId, Fence, Incarnation, InstanceId, JobId, Room, RunNumber, TaskId, Time,
-    WorkerNote, domain, identifier,
+    WorkerAnnouncement, domain, identifier,
 };
 
 identifier! {
@@ -418,7 +418,7 @@
     /// A request to the keepers.
     Keep(KeepMsg),
     /// What workers said of themselves.
-    Workers(Vec<WorkerNote>),
+    Workers(Vec<WorkerAnnouncement>),
     /// How the configuration spreads.
     Spread(SpreadMsg),
     /// Work.
--- a/crates/celerywinch_types/src/lib.rs
+++ b/crates/celerywinch_types/src/lib.rs
@@ -20,7 +20,7 @@
 mod work;
 
 pub use crashes::Crashes;
-pub use endpoint::{EndpointNote, EndpointState, KindName};
+pub use endpoint::{EndpointAnnouncement, EndpointState, KindName};
 pub use fleet::{
     Beat, Contact, Domain, Doubt, Echo, EvacuationOrder, Evacuations, FleetMsg, Holding, KeepMsg,
     KeeperRequest, KeeperState, Learned, LearnedQueue, Load, Part, Piece, Session, SpreadMsg,
@@ -42,5 +42,5 @@
 pub use timers::{TimerId, TimerQueue};
 pub use work::{
     AnnouncementVersion, Fence, JobEnd, JobId, JobPlan, MOST_LIVES, Room, RunNumber, StepPlan,
-    TaskId, WorkerClock, WorkerNote, WorkerStage,
+    TaskId, WorkerAnnouncement, WorkerClock, WorkerStage,
 };
--- a/crates/celerywinch_types/src/message.rs
+++ b/crates/celerywinch_types/src/message.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use crate::{
-    EndpointNote, Holder, Incarnation, Key, Outcome, Process, Submission, Time, WallMs, domain,
+    EndpointAnnouncement, Holder, Incarnation, Key, Outcome, Process, Submission, Time, WallMs,
+    domain,
 };
 
 domain! {
@@ -193,7 +194,7 @@
         /// Liveness.
         Heartbeat(Heartbeat),
         /// New or changed announcements of endpoints.
-        Endpoints(Vec<EndpointNote>),
+        Endpoints(Vec<EndpointAnnouncement>),
         /// Renewals of endpoints that the receiver should know.
         Renewals(Vec<Renewal>),
         /// Asks for all endpoints the receiver knows.
--- a/crates/celerywinch_types/src/work.rs
+++ b/crates/celerywinch_types/src/work.rs
@@ -102,7 +102,7 @@
     }
 
     /// What a worker says of itself.
-    pub struct WorkerNote {
+    pub struct WorkerAnnouncement {
         /// Its name, which it keeps when it starts again.
         pub id: String,
         /// The service whose tasks it runs.
