--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -6,7 +6,7 @@
 
 use celerywinch_types::{
     DataCentreId, DisabledMechanisms, Domain, Doubt, Holding, InstanceId, JobEnd, JobId, JobPlan,
-    Mechanism, Queue, RunNumber, Session, TaskEnd, TaskNews, Time, WorkMsg, domain, identifier,
+    Mechanism, Queue, RunNumber, Session, TaskEnd, TaskReport, Time, WorkMsg, domain, identifier,
 };
 
 use crate::choice::{Choice, Wanted, choose};
@@ -297,8 +297,8 @@
         }
     }
 
-    fn ended(&mut self, now: Time, from: InstanceId, news: TaskNews, out: &mut Vec<Output>) {
-        let TaskNews {
+    fn ended(&mut self, now: Time, from: InstanceId, news: TaskReport, out: &mut Vec<Output>) {
+        let TaskReport {
             task: id,
             hand,
             end,
--- a/crates/celerywinch_origin/tests/hand_in.rs
+++ b/crates/celerywinch_origin/tests/hand_in.rs
@@ -5,7 +5,7 @@
 use celerywinch_origin::{CallerId, Holder, Input, NewJob, Origin, Output};
 use celerywinch_types::{
     DataCentreId, DisabledMechanisms, Domain, Doubt, InstanceId, JobEnd, JobId, JobPlan, Load,
-    Queue, Room, RunNumber, StepOrder, StepPlan, TaskEnd, TaskId, TaskNews, Time, WorkMsg,
+    Queue, Room, RunNumber, StepOrder, StepPlan, TaskEnd, TaskId, TaskReport, Time, WorkMsg,
 };
 use rstest::rstest;
 
@@ -108,7 +108,7 @@
     fn tell(&mut self, from: InstanceId, order: &StepOrder, indices: &[u16], end: TaskEnd) {
         let tasks = order.tasks.iter();
         let tasks = tasks.filter(|task| indices.contains(&task.index));
-        let news = tasks.map(|task| TaskNews {
+        let news = tasks.map(|task| TaskReport {
             task: TaskId {
                 job: JOB,
                 step: 0,
--- a/crates/celerywinch_pool/src/admission.rs
+++ b/crates/celerywinch_pool/src/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_types::{Domain, Load, Mechanism, TaskEnd, TaskNews, Time};
+use celerywinch_types::{Domain, Load, Mechanism, TaskEnd, TaskReport, Time};
 
 use crate::Note;
 use crate::job::{Batch, BatchKey, TaskState};
@@ -123,7 +123,7 @@
             expected: batch.expected.as_millis() as u32,
             left: batch.due.since(now).as_millis() as u32,
         }));
-        let news = TaskNews {
+        let news = TaskReport {
             task: batch.id(0),
             hand: 0,
             end: TaskEnd::Refused(later),
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -7,7 +7,7 @@
 
 use celerywinch_types::{
     Crashes, DataCentreId, Domain, Fence, Incarnation, InstanceId, JobId, Learned, Mechanism,
-    RunNumber, TaskEnd, TaskId, TaskNews, Time, WorkMsg, WorkerAnnouncement, WorkerStage,
+    RunNumber, TaskEnd, TaskId, TaskReport, Time, WorkMsg, WorkerAnnouncement, WorkerStage,
 };
 use slotmap::SlotMap;
 
@@ -121,7 +121,7 @@
     pub(crate) grants: Grants,
     /// What origins were told of tasks that are here no more.
     pub(crate) told: BTreeMap<TaskId, Told>,
-    pub(crate) news: BTreeMap<InstanceId, Vec<TaskNews>>,
+    pub(crate) news: BTreeMap<InstanceId, Vec<TaskReport>>,
     /// Batches that lost a task during the current input; the empty ones are dropped after it.
     pub(crate) touched: Vec<BatchKey>,
     /// The last question to each origin, and how many there were.
@@ -479,7 +479,7 @@
         };
         let id = batch.id(index);
         let task = batch.tasks.remove(&index);
-        let news = TaskNews {
+        let news = TaskReport {
             task: id,
             hand: task.map_or(0, |task| task.hand),
             end,
@@ -494,7 +494,7 @@
         self.touched.push(key);
     }
 
-    pub(crate) fn report(&mut self, key: BatchKey, news: TaskNews) {
+    pub(crate) fn report(&mut self, key: BatchKey, news: TaskReport) {
         if let Some(batch) = self.batches.get(key) {
             self.news.entry(batch.origin).or_default().push(news);
         }
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_types::{
-    Doubt, InstanceId, Session, StepOrder, TaskEnd, TaskId, TaskNews, TaskOrder, Time,
+    Doubt, InstanceId, Session, StepOrder, TaskEnd, TaskId, TaskOrder, TaskReport, Time,
 };
 
 use crate::Note;
@@ -105,7 +105,7 @@
     /// Another origin has got the job of this batch.
     fn supersede(&mut self, origin: InstanceId, key: BatchKey) {
         let batch = &self.batches[key];
-        let news = batch.tasks.keys().map(|index| TaskNews {
+        let news = batch.tasks.keys().map(|index| TaskReport {
             task: batch.id(*index),
             hand: 0,
             end: TaskEnd::Superseded,
@@ -161,7 +161,7 @@
                 },
                 Doubt::Last | Doubt::Open => TaskEnd::Doubtful,
             };
-            let news = TaskNews {
+            let news = TaskReport {
                 task: id,
                 hand: task.hand,
                 end,
@@ -208,7 +208,7 @@
         if let Some(told) = self.told.get(&id)
             && told.settles(batch.origin, &order)
         {
-            let news = TaskNews {
+            let news = TaskReport {
                 hand: order.hand,
                 ..told.news
             };
--- a/crates/celerywinch_pool/src/told.rs
+++ b/crates/celerywinch_pool/src/told.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_types::{Doubt, InstanceId, TaskEnd, TaskNews, TaskOrder, Time};
+use celerywinch_types::{Doubt, InstanceId, TaskEnd, TaskOrder, TaskReport, Time};
 
 /// Ends are kept for this long, for origins that did not hear of them.
 const REMEMBER: Duration = Duration::from_secs(3);
@@ -12,7 +12,7 @@
 pub(crate) struct Told {
     pub(crate) at: Time,
     pub(crate) origin: InstanceId,
-    pub(crate) news: TaskNews,
+    pub(crate) news: TaskReport,
 }
 
 impl Told {
--- a/crates/celerywinch_types/src/fleet.rs
+++ b/crates/celerywinch_types/src/fleet.rs
@@ -163,7 +163,7 @@
 
     /// What became of a task that was handed to a dispatcher.
     #[derive(Copy)]
-    pub struct TaskNews {
+    pub struct TaskReport {
         /// The task.
         pub task: TaskId,
         /// Which of the times that it was handed in.
@@ -281,7 +281,7 @@
             last: u32,
         },
         /// Ends of tasks.
-        Ended(Vec<TaskNews>),
+        Ended(Vec<TaskReport>),
         /// A worker has ended under a task: what is known by now. Its origin keeps it, as the dispatcher may be lost.
         Crashed(TaskId, Crashes),
         /// What was sent before may be lost: hand in again what is open here. The number is
@@ -366,7 +366,7 @@
     }
 }
 
-impl TaskNews {
+impl TaskReport {
     /// Whether it tells that the task goes back to its origin. Such news of an earlier time that it
     /// was handed in must not count: the dispatcher may have it again.
     #[must_use]
--- a/crates/celerywinch_types/src/lib.rs
+++ b/crates/celerywinch_types/src/lib.rs
@@ -24,7 +24,7 @@
 pub use fleet::{
     Beat, Contact, Domain, Doubt, Echo, EvacuationOrder, Evacuations, FleetMsg, Holding, KeepMsg,
     KeeperRequest, KeeperState, Learned, LearnedQueue, Load, Part, Piece, Session, SpreadMsg,
-    Stage, StepOrder, TaskEnd, TaskNews, TaskOrder, WorkMsg,
+    Stage, StepOrder, TaskEnd, TaskOrder, TaskReport, WorkMsg,
 };
 pub use hash::{score, stable_hash};
 pub use id::{DataCentreId, Holder, Incarnation, InstanceId, Process};
