--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -6,9 +6,9 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::{Answer, Call, EndedRow, How, Order, PoolConfig};
 use celerywinch_types::{
-    AnnouncementVersion, Beat, Crashes, DataCentreId, Doubt, Echo, Evacuations, Fence, FleetMsg,
-    Incarnation, InstanceId, JobId, Part, Process, Room, RunNumber, Session, Stage, StepOrder,
-    TaskOrder, Time, WallMs, WorkMsg, WorkerAnnouncement, WorkerClock, WorkerStage,
+    AnnouncementVersion, Beat, Crashes, DataCentreId, Echo, Evacuations, Fence, FleetMsg,
+    Incarnation, InstanceId, JobId, Part, PriorRuns, Process, Room, RunNumber, Session, Stage,
+    StepOrder, TaskOrder, Time, WallMs, WorkMsg, WorkerAnnouncement, WorkerClock, WorkerStage,
 };
 use rstest::rstest;
 
@@ -84,7 +84,7 @@
             failures: 0,
             crashes: Crashes::default(),
             run: RunNumber(1),
-            doubt: Doubt::None,
+            doubt: PriorRuns::None,
             hand: 1,
             first: 1,
         }],
--- a/crates/celerywinch_origin/src/job.rs
+++ b/crates/celerywinch_origin/src/job.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use celerywinch_types::{
-    Crashes, Domain, Doubt, InstanceId, JobId, JobPlan, Queue, RunNumber, Session, StepOrder,
+    Crashes, Domain, InstanceId, JobId, JobPlan, PriorRuns, Queue, RunNumber, Session, StepOrder,
     TaskOrder, Time,
 };
 
@@ -16,7 +16,7 @@
     /// The domains where it may be.
     pub(crate) domains: Arc<BTreeSet<Domain>>,
     /// Whether later runs may have been started.
-    pub(crate) doubt: Doubt,
+    pub(crate) doubt: PriorRuns,
     /// Since when nobody extends its lease, as far as is known.
     pub(crate) since: Time,
     /// The dispatcher that had it and was thought to be lost; it may have it still.
@@ -52,7 +52,7 @@
 
 impl Task {
     /// What a dispatcher is told of it.
-    pub(crate) fn order(&self, index: u16, doubt: Doubt) -> TaskOrder {
+    pub(crate) fn order(&self, index: u16, doubt: PriorRuns) -> TaskOrder {
         TaskOrder {
             index,
             failures: self.failures,
--- a/crates/celerywinch_origin/src/lost.rs
+++ b/crates/celerywinch_origin/src/lost.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use celerywinch_types::{Doubt, InstanceId, JobEnd, JobId, TaskId, Time, WorkMsg};
+use celerywinch_types::{InstanceId, JobEnd, JobId, PriorRuns, TaskId, Time, WorkMsg};
 
 use crate::JobNote;
 use crate::job::{Place, Trace};
@@ -59,7 +59,7 @@
                 let hand = self.hands;
                 let orders = here.map(|((_, index), task)| {
                     task.hand = hand;
-                    task.order(*index, Doubt::Open)
+                    task.order(*index, PriorRuns::Open)
                 });
                 let orders = orders.collect();
                 let mut order = job.order(now, step, orders);
@@ -91,7 +91,7 @@
         self.sessions.entry(peer).or_default().0 += 1;
         let trace = Trace {
             domains: self.held.get(&peer).cloned().unwrap_or_default(),
-            doubt: Doubt::Open,
+            doubt: PriorRuns::Open,
             since: now,
             at: Some(peer),
         };
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -5,8 +5,9 @@
 use std::time::Duration;
 
 use celerywinch_types::{
-    DataCentreId, DisabledMechanisms, Domain, Doubt, Holding, InstanceId, JobEnd, JobId, JobPlan,
-    Mechanism, Queue, RunNumber, Session, TaskEnd, TaskReport, Time, WorkMsg, domain, identifier,
+    DataCentreId, DisabledMechanisms, Domain, Holding, InstanceId, JobEnd, JobId, JobPlan,
+    Mechanism, PriorRuns, Queue, RunNumber, Session, TaskEnd, TaskReport, Time, WorkMsg, domain,
+    identifier,
 };
 
 use crate::choice::{Choice, Wanted, choose};
@@ -512,7 +513,7 @@
                 };
                 task.hand = self.hands;
                 task.first = self.hands;
-                let doubt = trace.as_ref().map_or(Doubt::None, |trace| trace.doubt);
+                let doubt = trace.as_ref().map_or(PriorRuns::None, |trace| trace.doubt);
                 orders.push(task.order(*index, doubt));
                 task.place = Place::Out(holder.instance, trace);
             }
@@ -529,7 +530,7 @@
             tasks: count,
             unsure: orders
                 .iter()
-                .filter(|order| order.doubt != Doubt::None)
+                .filter(|order| order.doubt != PriorRuns::None)
                 .count(),
             free: holder.load.free,
         }));
@@ -554,7 +555,7 @@
 fn last_run(now: Time, domain: Domain) -> Trace {
     Trace {
         domains: Arc::new(BTreeSet::from([domain])),
-        doubt: Doubt::Last,
+        doubt: PriorRuns::Last,
         since: now,
         at: None,
     }
@@ -567,7 +568,7 @@
     let before = came.iter().flat_map(|trace| trace.domains.iter());
     Trace {
         domains: Arc::new(before.chain(reach).copied().collect()),
-        doubt: Doubt::Open,
+        doubt: PriorRuns::Open,
         since: now,
         at: None,
     }
--- a/crates/celerywinch_origin/tests/hand_in.rs
+++ b/crates/celerywinch_origin/tests/hand_in.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_origin::{CallerId, Holder, Input, NewJob, Origin, Output};
 use celerywinch_types::{
-    DataCentreId, DisabledMechanisms, Domain, Doubt, InstanceId, JobEnd, JobId, JobPlan, Load,
+    DataCentreId, DisabledMechanisms, Domain, InstanceId, JobEnd, JobId, JobPlan, Load, PriorRuns,
     Queue, Room, RunNumber, StepOrder, StepPlan, TaskEnd, TaskId, TaskReport, Time, WorkMsg,
 };
 use rstest::rstest;
@@ -134,7 +134,7 @@
     let (first, order) = rig.last();
     rig.take(Input::LinkReset(first));
     let (again, named) = rig.last();
-    assert_eq!((again, named.tasks[0].doubt), (first, Doubt::Open));
+    assert_eq!((again, named.tasks[0].doubt), (first, PriorRuns::Open));
     let sent = rig.sent.len();
     rig.tell(first, &order, &[0], end);
     assert_eq!(rig.sent.len(), sent, "{:?}", rig.last());
@@ -142,7 +142,7 @@
     rig.tell(first, &named, &[0], TaskEnd::Full);
     let (other, order) = rig.last();
     assert_ne!(other, first);
-    assert_eq!(order.tasks[0].doubt, Doubt::None);
+    assert_eq!(order.tasks[0].doubt, PriorRuns::None);
 }
 
 /// A caller is refused though there is room: the dispatcher that its job went to had some when it
@@ -350,13 +350,13 @@
     };
     rig.take(Input::Holders(vec![successor]));
     let (to, order) = rig.last();
-    assert_eq!((to, order.tasks[0].doubt), (InstanceId(7), Doubt::Last));
+    assert_eq!((to, order.tasks[0].doubt), (InstanceId(7), PriorRuns::Last));
     rig.take(Input::LinkReset(to));
     let (_, named) = rig.last();
     rig.tell(to, &named, &[0], TaskEnd::Doubtful);
     rig.take(Input::Holders(vec![holder(first.0, 5)]));
     let (_, order) = rig.last();
-    assert_eq!(order.tasks[0].doubt, Doubt::Open);
+    assert_eq!(order.tasks[0].doubt, PriorRuns::Open);
     assert!(order.tasks[0].run > RunNumber(1_002));
 }
 
--- a/crates/celerywinch_pool/src/job.rs
+++ b/crates/celerywinch_pool/src/job.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use celerywinch_types::{Crashes, Doubt, InstanceId, RunNumber, Session, StepOrder, TaskId, Time};
+use celerywinch_types::{
+    Crashes, InstanceId, PriorRuns, RunNumber, Session, StepOrder, TaskId, Time,
+};
 use slotmap::new_key_type;
 
 use crate::run::RunKey;
@@ -35,7 +37,7 @@
     /// The highest run number that was used for it.
     pub(crate) run: RunNumber,
     /// Whether it may be running under an earlier dispatcher.
-    pub(crate) doubt: Doubt,
+    pub(crate) doubt: PriorRuns,
     /// The last time that it was handed in.
     pub(crate) hand: u32,
     /// The session in which its origin handed it in; none since another origin has the job.
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_types::{
-    Doubt, InstanceId, Session, StepOrder, TaskEnd, TaskId, TaskOrder, TaskReport, Time,
+    InstanceId, PriorRuns, Session, StepOrder, TaskEnd, TaskId, TaskOrder, TaskReport, Time,
 };
 
 use crate::Note;
@@ -154,12 +154,12 @@
                 index: task.index,
             };
             let end = match task.doubt {
-                Doubt::None => TaskEnd::Returned {
+                PriorRuns::None => TaskEnd::Returned {
                     at: None,
                     failures: task.failures,
                     run: task.run,
                 },
-                Doubt::Last | Doubt::Open => TaskEnd::Doubtful,
+                PriorRuns::Last | PriorRuns::Open => TaskEnd::Doubtful,
             };
             let news = TaskReport {
                 task: id,
@@ -228,7 +228,7 @@
         };
         self.batches[key].tasks.insert(order.index, task);
         // What may run elsewhere waits for the end of the longest lease, and so for that of any run here.
-        if order.doubt != Doubt::None {
+        if order.doubt != PriorRuns::None {
             self.settle(now, key, order.index);
         } else if self.may_be_elsewhere(now, key, id) {
             let until = now + self.config.limbo;
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use celerywinch_types::{Domain, Doubt, Fence, Mechanism, RunNumber, TaskEnd, TaskId, Time};
+use celerywinch_types::{Domain, Fence, Mechanism, PriorRuns, RunNumber, TaskEnd, TaskId, Time};
 
 use crate::Note;
 use crate::call::{EndedRow, How, Order, Pending, RunningRow};
@@ -134,7 +134,7 @@
             self.takeover.ends.remove(&id);
             return;
         }
-        let open = task.doubt == Doubt::Open;
+        let open = task.doubt == PriorRuns::Open;
         match self.takeover.aliens.get(&id).copied() {
             Some(alien)
                 if !alien.stopped
@@ -162,7 +162,7 @@
         let Some(task) = self.batches[key].tasks.get_mut(&index) else {
             return false;
         };
-        let last = task.doubt == Doubt::Last && run == task.run && !long_way;
+        let last = task.doubt == PriorRuns::Last && run == task.run && !long_way;
         match how {
             How::Done => self.finish(now, key, index, TaskEnd::Done),
             How::Failed | How::Cut if last => {
--- a/crates/celerywinch_pool/src/told.rs
+++ b/crates/celerywinch_pool/src/told.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_types::{Doubt, InstanceId, TaskEnd, TaskOrder, TaskReport, Time};
+use celerywinch_types::{InstanceId, PriorRuns, TaskEnd, TaskOrder, TaskReport, Time};
 
 /// Ends are kept for this long, for origins that did not hear of them.
 const REMEMBER: Duration = Duration::from_secs(3);
@@ -27,7 +27,7 @@
     /// the while: it has not been started since. If another had it meanwhile, it may run there.
     pub(crate) fn settles(&self, origin: InstanceId, order: &TaskOrder) -> bool {
         match self.news.end {
-            TaskEnd::Done | TaskEnd::Failed | TaskEnd::GivenUp => order.doubt != Doubt::None,
+            TaskEnd::Done | TaskEnd::Failed | TaskEnd::GivenUp => order.doubt != PriorRuns::None,
             TaskEnd::Full => self.origin == origin && self.news.hand >= order.first,
             TaskEnd::Returned { .. }
             | TaskEnd::Doubtful
--- a/crates/celerywinch_pool/tests/capacity.rs
+++ b/crates/celerywinch_pool/tests/capacity.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use celerywinch_pool::{Answer, How, Input};
-use celerywinch_types::{AnnouncementVersion, Doubt, JobId, Room, WorkerAnnouncement};
+use celerywinch_types::{AnnouncementVersion, JobId, PriorRuns, Room, WorkerAnnouncement};
 use rig::{DOMAIN, Rig, clock, ended, is_look, is_start, is_stop, lists, note, row, step};
 use rstest::rstest;
 
@@ -38,7 +38,7 @@
 
 fn submit(rig: &mut Rig, jobs: std::ops::Range<u64>) {
     for job in jobs {
-        let mut order = step(Doubt::None, 0);
+        let mut order = step(PriorRuns::None, 0);
         order.job = JobId(job);
         // Something of it has run, so it waits where it finds no room.
         order.fresh = false;
@@ -88,7 +88,7 @@
 #[test]
 fn what_is_being_stopped_counts() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     says(&mut rig, 1, ONE);
--- a/crates/celerywinch_pool/tests/crashes.rs
+++ b/crates/celerywinch_pool/tests/crashes.rs
@@ -6,7 +6,7 @@
 
 use celerywinch_pool::{Answer, Input};
 use celerywinch_types::{
-    AnnouncementVersion, Crashes, Doubt, Incarnation, JobId, StepOrder, TaskEnd, TaskOrder,
+    AnnouncementVersion, Crashes, Incarnation, JobId, PriorRuns, StepOrder, TaskEnd, TaskOrder,
     WorkMsg, WorkerAnnouncement, WorkerStage,
 };
 use rig::{ORIGIN, Rig, clock, is_look, is_start, lists, lists_of, note, row, step, task};
@@ -103,7 +103,7 @@
 fn task_that_ends_its_workers_is_given_up(#[case] case: Case) {
     let mut rig = rig(6);
     let mut lives = Lives::new();
-    let mut order = step(Doubt::None, 0);
+    let mut order = step(PriorRuns::None, 0);
     order.fresh = false;
     rig.submit(order);
     for ends in case.ends {
@@ -120,7 +120,7 @@
 fn worker_that_is_back_counts_once() {
     let mut rig = rig(2);
     let mut lives = Lives::new();
-    let mut order = step(Doubt::None, 0);
+    let mut order = step(PriorRuns::None, 0);
     order.fresh = false;
     rig.submit(order);
     let first = rig.last(is_start).worker;
@@ -144,7 +144,7 @@
     let mut rig = rig(4);
     let mut lives = Lives::new();
     if here {
-        rig.submit(step(Doubt::None, 0));
+        rig.submit(step(PriorRuns::None, 0));
         end(&mut rig, &mut lives, Ends::Returns);
         let cancel = WorkMsg::Cancel {
             job: rig::JOB,
@@ -156,7 +156,7 @@
         end(&mut rig, &mut lives, Ends::Returns);
     }
     let starts = rig.count(is_start);
-    let mut order = step(Doubt::None, 9_000);
+    let mut order = step(PriorRuns::None, 9_000);
     order.tasks[0].crashes = told;
     rig.submit(order);
     assert_eq!(rig.count(is_start), starts, "not started again");
@@ -165,7 +165,7 @@
 
 /// Steps of eight tasks, each of which ends its worker, take eight workers at a time.
 fn wide(job: u64) -> StepOrder {
-    let mut order = step(Doubt::None, 0);
+    let mut order = step(PriorRuns::None, 0);
     order.job = JobId(job);
     order.fresh = false;
     let first = order.tasks[0];
@@ -181,7 +181,7 @@
 fn steps_of_a_queue_that_ends_workers_begin_with_one_task() {
     let mut rig = rig(12);
     let mut lives = Lives::new();
-    let mut order = step(Doubt::None, 0);
+    let mut order = step(PriorRuns::None, 0);
     order.fresh = false;
     rig.submit(order);
     end(&mut rig, &mut lives, Ends::Returns);
@@ -258,7 +258,7 @@
     let proven = Crashes { seen: 1, proven: 1 };
     rig.take(Input::Crashes(vec![(task(0), seen)]));
     rig.take(Input::Crashes(vec![(task(0), proven)]));
-    let mut order = step(Doubt::None, 0);
+    let mut order = step(PriorRuns::None, 0);
     order.fresh = false;
     rig.submit(order);
     assert_eq!(rig.count(is_start), 1, "one worker has ended, told twice");
--- a/crates/celerywinch_pool/tests/evacuated.rs
+++ b/crates/celerywinch_pool/tests/evacuated.rs
@@ -5,7 +5,9 @@
 use std::collections::BTreeSet;
 
 use celerywinch_pool::{Answer, How, Input};
-use celerywinch_types::{DataCentreId, Domain, Doubt, Fence, JobId, TaskEnd, WorkerAnnouncement};
+use celerywinch_types::{
+    DataCentreId, Domain, Fence, JobId, PriorRuns, TaskEnd, WorkerAnnouncement,
+};
 use rig::{DC, Rig, clock, ended, is_look, is_start, is_stop, lists, note, row, step};
 use rstest::rstest;
 
@@ -38,7 +40,7 @@
 /// Submits jobs of one task each that are queued if there is no room.
 fn submit(rig: &mut Rig, jobs: std::ops::Range<u64>) {
     for job in jobs {
-        let mut order = step(Doubt::None, 0);
+        let mut order = step(PriorRuns::None, 0);
         order.job = JobId(job);
         order.fresh = false;
         rig.submit(order);
@@ -81,7 +83,7 @@
 #[rstest]
 fn evacuation_leaves_running_tasks_alone() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     evacuate(&mut rig, &[DC]);
@@ -107,7 +109,7 @@
 #[case::placeable(false)]
 fn waiting_jobs_that_may_have_run_are_given_up(#[case] evacuated: bool) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    let mut full = step(Doubt::None, 0);
+    let mut full = step(PriorRuns::None, 0);
     full.need = rig::ROOM;
     full.job = JobId(1);
     rig.submit(full);
@@ -135,14 +137,14 @@
 #[case::queued_job(false)]
 fn jobs_are_refused_while_all_data_centres_are_evacuated(#[case] new: bool) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    let mut full = step(Doubt::None, 0);
+    let mut full = step(PriorRuns::None, 0);
     full.need = rig::ROOM;
     full.job = JobId(1);
     rig.submit(full);
     if new {
         evacuate(&mut rig, &[DC]);
     }
-    let mut waiting = step(Doubt::None, 0);
+    let mut waiting = step(PriorRuns::None, 0);
     waiting.target = 5_000;
     rig.submit(waiting);
     if !new {
--- a/crates/celerywinch_pool/tests/grants.rs
+++ b/crates/celerywinch_pool/tests/grants.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use celerywinch_pool::{Answer, Grant, How, Input, Order, Reject};
-use celerywinch_types::{Doubt, Incarnation, InstanceId, JobId, Session, TaskEnd, WorkMsg};
+use celerywinch_types::{Incarnation, InstanceId, JobId, PriorRuns, Session, TaskEnd, WorkMsg};
 use rig::{ORIGIN, Rig, clock, ended, is_look, is_start, is_stop, lists, row, step};
 use rstest::rstest;
 
@@ -36,7 +36,7 @@
         self.rig.take(Input::Granted(REMOTE, grant));
     }
 
-    fn hand_in(&mut self, session: u32, doubt: Doubt) {
+    fn hand_in(&mut self, session: u32, doubt: PriorRuns) {
         let mut order = step(doubt, 0);
         order.session = Session(session);
         // Else it would be refused while it waits.
@@ -83,7 +83,7 @@
         rig: Rig::new(Vec::new(), Vec::new()),
     };
     remote.grant(case.session, case.granted);
-    remote.hand_in(case.of, Doubt::None);
+    remote.hand_in(case.of, PriorRuns::None);
     assert_eq!(remote.starts(), case.starts);
 }
 
@@ -98,11 +98,11 @@
     let mut remote = Remote::new();
     // Two fill the worker.
     for job in 0..2 {
-        let mut order = step(Doubt::None, 0);
+        let mut order = step(PriorRuns::None, 0);
         order.job = JobId(job);
         remote.rig.submit(order);
     }
-    remote.hand_in(0, Doubt::None);
+    remote.hand_in(0, PriorRuns::None);
     assert_eq!(remote.starts(), 2);
     remote.rig.wait(400);
     if let Some(session) = renewed {
@@ -121,7 +121,7 @@
 #[test]
 fn lease_is_not_extended_beside_a_task_without_a_grant() {
     let mut remote = Remote::new();
-    remote.hand_in(0, Doubt::None);
+    remote.hand_in(0, PriorRuns::None);
     let start = remote.rig.last(is_start);
     remote.rig.answer(&start, Answer::Taken(clock()));
     let look = remote.rig.last(is_look);
@@ -155,7 +155,7 @@
 #[case::without_a_grant(TakenBack::WithoutGrant)]
 fn lease_is_not_extended_beside_a_run_that_is_not_stopped_yet(#[case] how: TakenBack) {
     let mut remote = Remote::new();
-    remote.hand_in(0, Doubt::None);
+    remote.hand_in(0, PriorRuns::None);
     let start = remote.rig.last(is_start);
     remote.rig.answer(&start, Answer::Taken(clock()));
     let look = remote.rig.last(is_look);
@@ -211,7 +211,7 @@
 #[case::taken(Some(Answer::Taken(clock())), 1)]
 fn worker_is_used_again_once_a_stop_is_taken(#[case] stop: Option<Answer>, #[case] more: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let cancel = WorkMsg::Cancel {
@@ -223,7 +223,7 @@
         let call = rig.last(is_stop);
         rig.answer(&call, answer);
     }
-    let mut other = step(Doubt::None, 0);
+    let mut other = step(PriorRuns::None, 0);
     other.job = JobId(78);
     rig.submit(other);
     assert_eq!(rig.count(is_start), 1 + more);
@@ -243,7 +243,7 @@
 ) {
     let mut remote = Remote::new();
     for (from, age) in [(ORIGIN, first_age), (REMOTE, second_age)] {
-        let mut order = step(Doubt::None, 0);
+        let mut order = step(PriorRuns::None, 0);
         order.age = age;
         remote.rig.take(Input::Work(from, WorkMsg::Submit(order)));
     }
@@ -271,7 +271,7 @@
 #[case::dropped_in_time(WorkMsg::Drop { tasks: vec![rig::task(0)], last: 1 }, 1)]
 fn message_that_was_held_up_takes_nothing_back(#[case] msg: WorkMsg, #[case] stops: usize) {
     let mut remote = Remote::new();
-    remote.hand_in(0, Doubt::None);
+    remote.hand_in(0, PriorRuns::None);
     remote.rig.take(Input::Work(REMOTE, msg));
     remote.rig.take(Input::Tick);
     assert_eq!((remote.starts(), remote.rig.count(is_stop)), (1, stops));
@@ -284,7 +284,7 @@
 #[case::done(How::Done)]
 fn task_waits_for_the_end_of_a_run_that_is_being_stopped(#[case] how: How) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let cancel = WorkMsg::Cancel {
@@ -293,7 +293,7 @@
     };
     rig.take(Input::Work(ORIGIN, cancel));
     let stop = rig.last(is_stop);
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     assert_eq!(rig.count(is_start), 1, "the first run is there yet");
     rig.answer(&stop, Answer::Taken(clock()));
     let look = rig.last(is_look);
@@ -327,13 +327,13 @@
 #[case::same_origin(SentAgain { after: 20, other: false, starts: 2 })]
 fn task_that_went_elsewhere_a_moment_ago_is_not_started(#[case] case: SentAgain) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    let mut full = step(Doubt::None, 0);
+    let mut full = step(PriorRuns::None, 0);
     full.need = rig::ROOM;
     full.job = JobId(1);
     rig.submit(full);
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Taken(clock()));
-    let mut passed = step(Doubt::None, 0);
+    let mut passed = step(PriorRuns::None, 0);
     passed.pass = true;
     rig.submit(passed);
     assert_eq!(rig.told.last().map(|(_, end)| *end), Some(TaskEnd::Full));
@@ -351,7 +351,7 @@
     rig.wait(case.after);
     let mut remote = Remote { rig };
     remote.grant(0, 500);
-    let mut again = step(Doubt::None, 0);
+    let mut again = step(PriorRuns::None, 0);
     again.tasks[0].hand = 2;
     again.tasks[0].first = 2;
     let origin = if case.other { REMOTE } else { ORIGIN };
@@ -364,7 +364,7 @@
 #[test]
 fn task_in_doubt_waits_beyond_the_end_of_a_run_that_is_being_stopped() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let cancel = WorkMsg::Cancel {
@@ -373,7 +373,7 @@
     };
     rig.take(Input::Work(ORIGIN, cancel));
     let stop = rig.last(is_stop);
-    rig.submit(step(Doubt::Open, 0));
+    rig.submit(step(PriorRuns::Open, 0));
     rig.answer(&stop, Answer::Taken(clock()));
     let look = rig.last(is_look);
     rig.answer(&look, lists(Vec::new(), vec![ended(1, How::Cut)]));
--- a/crates/celerywinch_pool/tests/leaving.rs
+++ b/crates/celerywinch_pool/tests/leaving.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use celerywinch_pool::{Answer, How, Input};
-use celerywinch_types::{Doubt, WorkerAnnouncement, WorkerStage};
+use celerywinch_types::{PriorRuns, WorkerAnnouncement, WorkerStage};
 use rig::{Rig, clock, ended, is_look, is_start, lists, note, row, step};
 use rstest::rstest;
 
@@ -67,7 +67,7 @@
 #[case::ended_before(Case { then: Then::Ends, starts: [2, 2] })]
 fn task_of_a_worker_that_leaves_waits_for_its_end(#[case] case: Case) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     rig.take(Input::Workers(vec![note("w2", 2)]));
@@ -87,7 +87,7 @@
 fn worker_that_has_left_is_forgotten(#[case] busy: bool) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     if busy {
-        rig.submit(step(Doubt::None, 0));
+        rig.submit(step(PriorRuns::None, 0));
         let start = rig.last(is_start);
         rig.answer(&start, Answer::Taken(clock()));
     }
--- a/crates/celerywinch_pool/tests/limbo.rs
+++ b/crates/celerywinch_pool/tests/limbo.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use celerywinch_pool::{Grant, Input, Order};
-use celerywinch_types::{Doubt, Incarnation, InstanceId, Session, WorkMsg};
+use celerywinch_types::{Incarnation, InstanceId, PriorRuns, Session, WorkMsg};
 use rig::{Rig, clock, is_start, step};
 use rstest::rstest;
 
@@ -41,7 +41,7 @@
     rig.take(Input::Granted(REMOTE, grant));
     let late = GRANT - 10;
     rig.wait(late);
-    let mut order = step(Doubt::None, 0);
+    let mut order = step(PriorRuns::None, 0);
     order.fresh = false;
     rig.take(Input::Work(REMOTE, WorkMsg::Submit(order)));
     let Order::Start { deadline, .. } = rig.last(is_start).order else {
@@ -56,7 +56,7 @@
 /// Ms after it was handed in at which a successor starts a task of which it finds nothing.
 fn first_start() -> u64 {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::Open, 7));
+    rig.submit(step(PriorRuns::Open, 7));
     let mut ms = 0;
     while rig.count(is_start) == 0 {
         rig.wait(10);
--- a/crates/celerywinch_pool/tests/lives.rs
+++ b/crates/celerywinch_pool/tests/lives.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_pool::{Answer, EndedRow, How, Input, Reject, RunningRow};
 use celerywinch_types::{
-    AnnouncementVersion, Doubt, Incarnation, JobId, TaskEnd, TaskId, WorkerAnnouncement,
+    AnnouncementVersion, Incarnation, JobId, PriorRuns, TaskEnd, TaskId, WorkerAnnouncement,
     WorkerStage,
 };
 use rig::{
@@ -31,7 +31,7 @@
 #[test]
 fn ends_of_a_later_life_are_counted_anew() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let look = rig.last(is_look);
@@ -40,7 +40,7 @@
     rig.take(Input::Workers(vec![second_life()]));
     let look = rig.last(is_look);
     rig.answer(&look, lists(Vec::new(), Vec::new()));
-    let mut order = step(Doubt::None, 0);
+    let mut order = step(PriorRuns::None, 0);
     order.job = LATER_JOB;
     rig.submit(order);
     let start = rig.last(is_start);
@@ -68,7 +68,7 @@
 #[test]
 fn runs_of_an_earlier_life_are_over_with_it() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let look = rig.last(is_look);
@@ -121,7 +121,7 @@
     rig.take(Input::Workers(vec![said(incarnation, sequence, stage)]));
     let look = rig.last(is_look);
     rig.answer(&look, lists(Vec::new(), Vec::new()));
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     assert_eq!(rig.count(is_start) == 1, case.works);
 }
 
@@ -148,7 +148,7 @@
 #[case::order_reached_the_later_life(vec![row(1)], 1)]
 fn answer_tells_of_a_later_life(#[case] running: Vec<RunningRow>, #[case] starts: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let looks = rig.count(is_look);
@@ -182,7 +182,7 @@
         let look = rig.last(is_look);
         rig.answer(&look, lists_of(answers, Vec::new(), Vec::new()));
     }
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     assert_eq!(rig.count(is_start), starts);
 }
 
@@ -190,7 +190,7 @@
 #[test]
 fn answers_of_an_earlier_life_count_for_nothing() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     rig.take(Input::Workers(vec![second_life()]));
     rig.answer(&start, Answer::Rejected(Reject::Fence, None));
@@ -212,7 +212,7 @@
 #[test]
 fn orders_of_an_earlier_life_are_fenced_off() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let mut highest = rig.last(is_start).fence;
     for life in 2..8 {
         rig.take(Input::Workers(vec![said(life, 1, WorkerStage::Ready)]));
@@ -241,7 +241,7 @@
         let look = rig.last(is_look);
         rig.answer(&look, lists_of(life, Vec::new(), Vec::new()));
     }
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     assert_eq!(rig.count(is_start), 0);
 }
 
@@ -251,7 +251,7 @@
 #[test]
 fn orders_of_a_life_that_has_left_are_fenced_off() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let look = rig.last(is_look);
--- a/crates/celerywinch_pool/tests/locality.rs
+++ b/crates/celerywinch_pool/tests/locality.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_pool::{Input, PoolConfig};
 use celerywinch_types::{
-    DataCentreId, DisabledMechanisms, Domain, Doubt, Fence, JobId, Mechanism, Room,
+    DataCentreId, DisabledMechanisms, Domain, Fence, JobId, Mechanism, PriorRuns, Room,
     WorkerAnnouncement,
 };
 use rig::{DC, ROOM, Rig, is_look, is_start, lists, note, step};
@@ -63,7 +63,7 @@
 fn tasks_stay_in_the_data_centre_of_their_dispatcher(#[case] case: Case) {
     let mut rig = rig(case.shards, case.without);
     for job in 0..case.jobs {
-        let mut order = step(Doubt::None, 0);
+        let mut order = step(PriorRuns::None, 0);
         order.job = JobId(job);
         rig.submit(order);
     }
--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -8,8 +8,8 @@
     Answer, Call, EndedRow, Grant, How, Input, Order, Output, Pool, PoolConfig, RunningRow,
 };
 use celerywinch_types::{
-    AnnouncementVersion, Crashes, DataCentreId, Domain, Doubt, Fence, Incarnation, InstanceId,
-    JobId, Room, RunNumber, Session, StepOrder, TaskEnd, TaskId, TaskOrder, Time, WorkMsg,
+    AnnouncementVersion, Crashes, DataCentreId, Domain, Fence, Incarnation, InstanceId, JobId,
+    PriorRuns, Room, RunNumber, Session, StepOrder, TaskEnd, TaskId, TaskOrder, Time, WorkMsg,
     WorkerAnnouncement, WorkerClock, WorkerStage,
 };
 
@@ -50,7 +50,7 @@
     }
 }
 
-pub(crate) fn step(doubt: Doubt, run: u64) -> StepOrder {
+pub(crate) fn step(doubt: PriorRuns, run: u64) -> StepOrder {
     StepOrder {
         session: Session(0),
         job: JOB,
@@ -72,7 +72,7 @@
         slack: 1_600,
         target: 60,
         chain: 200,
-        fresh: doubt == Doubt::None,
+        fresh: doubt == PriorRuns::None,
         pass: false,
         tasks: vec![TaskOrder {
             index: 0,
--- a/crates/celerywinch_pool/tests/runs.rs
+++ b/crates/celerywinch_pool/tests/runs.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use celerywinch_pool::{Answer, EndedRow, How, Input, Order, Reject, RunningRow};
-use celerywinch_types::{Doubt, JobId, RunNumber, TaskEnd, WorkMsg};
+use celerywinch_types::{JobId, PriorRuns, RunNumber, TaskEnd, WorkMsg};
 use rig::{
     JOB, ORIGIN, Rig, clock, ended, is_look, is_start, is_stop, lists, note, row, step, task,
 };
@@ -46,7 +46,7 @@
 })]
 fn answer_to_a_start(#[case] case: Case) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     let before = rig.count(is_check);
     rig.answer(&start, case.answer);
@@ -70,7 +70,7 @@
     #[case] stops: usize,
 ) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Silent);
     let check = rig.last(is_check);
@@ -84,7 +84,7 @@
 #[test]
 fn stop_that_was_taken_settles_a_start_without_an_answer() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     rig.take(Input::Work(ORIGIN, WorkMsg::Cancel { job: JOB, last: 1 }));
     let stop = rig.last(is_stop);
@@ -100,7 +100,7 @@
 
 /// What a successor finds of a task that its origin handed in with doubt.
 struct Found {
-    doubt: Doubt,
+    doubt: PriorRuns,
     running: Option<u64>,
     ended: Option<(u64, How)>,
     /// Whether it is started anew at once.
@@ -114,23 +114,23 @@
 /// worker that it has not reached.
 #[rstest]
 #[case::at_work(Found {
-    doubt: Doubt::Open, running: Some(7), ended: None, starts: false, told: None,
+    doubt: PriorRuns::Open, running: Some(7), ended: None, starts: false, told: None,
 })]
 #[case::done(Found {
-    doubt: Doubt::Open, running: None, ended: Some((7, How::Done)), starts: false,
+    doubt: PriorRuns::Open, running: None, ended: Some((7, How::Done)), starts: false,
     told: Some(TaskEnd::Done),
 })]
 #[case::cut_and_no_later_run(Found {
-    doubt: Doubt::Last, running: None, ended: Some((7, How::Cut)), starts: true, told: None,
+    doubt: PriorRuns::Last, running: None, ended: Some((7, How::Cut)), starts: true, told: None,
 })]
 #[case::cut_and_a_later_run(Found {
-    doubt: Doubt::Last, running: None, ended: Some((6, How::Cut)), starts: false, told: None,
+    doubt: PriorRuns::Last, running: None, ended: Some((6, How::Cut)), starts: false, told: None,
 })]
 #[case::cut_and_perhaps_a_later_run(Found {
-    doubt: Doubt::Open, running: None, ended: Some((7, How::Cut)), starts: false, told: None,
+    doubt: PriorRuns::Open, running: None, ended: Some((7, How::Cut)), starts: false, told: None,
 })]
 #[case::nothing(Found {
-    doubt: Doubt::Open, running: None, ended: None, starts: false, told: None,
+    doubt: PriorRuns::Open, running: None, ended: None, starts: false, told: None,
 })]
 fn successor_settles_a_task_in_doubt(#[case] case: Found) {
     let running = case.running.map(|run| RunningRow {
@@ -165,7 +165,7 @@
 #[test]
 fn task_of_a_silent_worker_waits_for_the_end_of_its_lease() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     rig.take(Input::Workers(vec![note("w2", 2)]));
@@ -196,7 +196,7 @@
 fn job_that_cannot_end_in_time_is_refused_at_once() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     for job in 0..40 {
-        let mut order = step(Doubt::None, 0);
+        let mut order = step(PriorRuns::None, 0);
         order.job = JobId(job);
         rig.submit(order);
     }
@@ -220,7 +220,7 @@
 #[test]
 fn run_after_limbo_has_a_number_of_its_own() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::Open, 7));
+    rig.submit(step(PriorRuns::Open, 7));
     rig.wait(1_600);
     let start = rig.last(is_start);
     let Order::Start { run, .. } = start.order else {
@@ -240,7 +240,7 @@
         percent: 20,
     };
     let mut rig = Rig::new(vec![row(0), row(1)], Vec::new());
-    rig.submit(step(Doubt::Open, 7));
+    rig.submit(step(PriorRuns::Open, 7));
     for _ in 0..10 {
         rig.wait(20);
         let look = rig.last(is_look);
@@ -275,7 +275,7 @@
     rig.take(Input::Workers(vec![note("w2", 2)]));
     let other = rig.last(is_look);
     rig.answer(&other, lists(Vec::new(), Vec::new()));
-    rig.submit(step(Doubt::Open, 7));
+    rig.submit(step(PriorRuns::Open, 7));
     let mut looks = rig
         .calls
         .iter()
@@ -306,16 +306,16 @@
 fn task_without_room_is_named_again(#[case] case: NamedAgain) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     for job in 1..=2 {
-        let mut order = step(Doubt::None, 10);
+        let mut order = step(PriorRuns::None, 10);
         order.job = JobId(job);
         rig.submit(order);
     }
-    let mut order = step(Doubt::None, 10);
+    let mut order = step(PriorRuns::None, 10);
     order.pass = true;
     rig.submit(order);
     assert_eq!(rig.told, [(task(0), TaskEnd::Full)]);
     rig.told.clear();
-    let mut again = step(Doubt::Open, 10);
+    let mut again = step(PriorRuns::Open, 10);
     again.tasks[0].first = case.first;
     again.tasks[0].hand = 4;
     rig.submit(again);
@@ -347,13 +347,13 @@
 #[case::earlier_answer(Named { again: false, unsure: false, last: false, stopped: false })]
 fn what_its_origin_does_not_name_is_stopped(#[case] case: Named) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 10));
+    rig.submit(step(PriorRuns::None, 10));
     rig.take(Input::AskOrigin(ORIGIN));
     if !case.last {
         rig.take(Input::AskOrigin(ORIGIN));
     }
     if case.again {
-        rig.submit(step(Doubt::Open, 10));
+        rig.submit(step(PriorRuns::Open, 10));
     }
     let unsure = case.unsure.then_some(task(0)).into_iter().collect();
     let named = WorkMsg::Named { ask: 1, unsure };
@@ -377,7 +377,7 @@
         ..ended(run, How::Cut)
     };
     rig.answer(&look, lists(Vec::new(), vec![end]));
-    rig.submit(step(Doubt::Open, 7));
+    rig.submit(step(PriorRuns::Open, 7));
     rig.wait(1_700);
     assert_eq!(rig.count(is_start), 0, "it is at work on w1");
 }
@@ -405,7 +405,7 @@
 #[test]
 fn answer_of_a_worker_that_was_given_up_is_not_taken() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let late = rig.last(is_look);
@@ -415,7 +415,7 @@
     assert_ne!(look.key, late.key);
     rig.answer(&late, lists(Vec::new(), vec![ended(1, How::Done)]));
     rig.answer(&look, lists(Vec::new(), vec![ended(1, How::Done)]));
-    rig.submit(step(Doubt::Last, 1));
+    rig.submit(step(PriorRuns::Last, 1));
     let last = rig.told.last().map(|(_, end)| *end);
     assert_eq!(last, Some(TaskEnd::Done));
 }
--- a/crates/celerywinch_pool/tests/silence.rs
+++ b/crates/celerywinch_pool/tests/silence.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use celerywinch_pool::{Answer, Input};
-use celerywinch_types::{Doubt, Fence};
+use celerywinch_types::{Fence, PriorRuns};
 use rig::{DOMAIN, Rig, is_look, is_start, lists, note, step};
 use rstest::rstest;
 
@@ -47,7 +47,7 @@
 /// A task is started after so long, and its worker gives no answer until so long after that.
 fn start_and_miss(rig: &mut Rig, idle_ms: u64, missed_ms: u64) {
     pass(rig, idle_ms, NOBODY);
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let worker = rig.last(is_start).worker;
     rig.wait(60);
     pass(rig, missed_ms - 60, &worker);
@@ -95,7 +95,7 @@
     rig.take(Input::Acquire(DOMAIN, Fence(7 << 5)));
     pass(&mut rig, 100, "w1");
     pass(&mut rig, 400, NOBODY);
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     assert_eq!(rig.count(is_start), 1);
 }
 
@@ -125,7 +125,7 @@
 #[test]
 fn worker_that_stays_silent_is_forgotten() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     for (ms, known) in [(15_000, 1), (10_000, 0)] {
         pass(&mut rig, ms, "w1");
         assert_eq!(rig.pool.known_workers(), known);
@@ -141,7 +141,7 @@
 fn no_lease_is_counted_from_an_old_reading(#[case] age_ms: u64, #[case] starts: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.now = rig.now + Duration::from_millis(age_ms);
-    let mut order = step(Doubt::None, 0);
+    let mut order = step(PriorRuns::None, 0);
     // Else it would be refused for want of workers.
     order.fresh = false;
     rig.submit(order);
--- a/crates/celerywinch_pool/tests/takeover.rs
+++ b/crates/celerywinch_pool/tests/takeover.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use celerywinch_pool::{Answer, Input};
-use celerywinch_types::{Doubt, Fence};
+use celerywinch_types::{Fence, PriorRuns};
 use rig::{DOMAIN, Rig, is_look, is_start, lists, note, step};
 use rstest::rstest;
 
@@ -17,7 +17,7 @@
     rig.take(Input::Resign(DOMAIN));
     rig.take(Input::Workers(vec![note("w1", 1)]));
     rig.take(Input::Acquire(DOMAIN, Fence(7 << 5)));
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     assert_eq!(rig.told, [], "job ended before the worker answered");
     let look = rig.last(is_look);
     rig.answer(&look, answer);
--- a/crates/celerywinch_types/src/fleet.rs
+++ b/crates/celerywinch_types/src/fleet.rs
@@ -154,7 +154,7 @@
         /// Workers that have ended under it.
         pub crashes: Crashes,
         /// Whether it may be running.
-        pub doubt: Doubt,
+        pub doubt: PriorRuns,
         /// Names this time that the task was handed in; rises over all that its origin hands in.
         pub hand: u32,
         /// The first of those at this dispatcher, since when it should have the task.
@@ -174,7 +174,7 @@
 
     /// Whether a task that is handed in may be running under an earlier dispatcher.
     #[derive(Copy)]
-    pub enum Doubt {
+    pub enum PriorRuns {
         /// It is not.
         None,
         /// Its last run may be; there is no later one, so what is found of that run settles it.
