--- a/crates/celerywinch_fleet/src/metrics.rs
+++ b/crates/celerywinch_fleet/src/metrics.rs
@@ -6,7 +6,7 @@
 use celerywinch_metrics::Meter;
 use celerywinch_origin::JobNote;
 use celerywinch_pool::{Note, Order};
-use celerywinch_types::{FleetMsg, JobEnd, SpreadMsg};
+use celerywinch_types::{ConfigMsg, FleetMsg, JobEnd};
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
 use crate::roster::Heard;
@@ -226,8 +226,8 @@
     }
 
     /// A message of the configuration is sent.
-    pub(crate) fn spreads(&self, msg: &SpreadMsg) {
-        if let SpreadMsg::Piece(piece) = msg {
+    pub(crate) fn spreads(&self, msg: &ConfigMsg) {
+        if let ConfigMsg::Chunk(piece) = msg {
             self.document_bytes.inc_by(piece.bytes.len() as u64);
             if piece.offset == 0 {
                 self.documents.inc();
--- a/crates/celerywinch_fleet/src/spread.rs
+++ b/crates/celerywinch_fleet/src/spread.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use celerywinch_registry::Held;
-use celerywinch_types::{DataCentreId, InstanceId, Part, Piece, SpreadMsg, Time, score};
+use celerywinch_types::{Chunk, ConfigMsg, DataCentreId, InstanceId, Part, Time, score};
 use serde::Serialize;
 
 use copies::Copies;
@@ -47,7 +47,7 @@
     /// No process listens there.
     Lost(InstanceId),
     /// A message of another process.
-    Message(InstanceId, SpreadMsg),
+    Message(InstanceId, ConfigMsg),
     /// This document is in force here.
     Held(Held),
     /// The document of this version cannot be read here.
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum SpreadOutput {
     /// Send a message.
-    Send(InstanceId, SpreadMsg),
+    Send(InstanceId, ConfigMsg),
     /// Send heartbeats at once: another version is in force here.
     Tell(Vec<InstanceId>),
     /// A document has come: read it, and put it in force.
@@ -185,10 +185,10 @@
             SpreadInput::Lost(peer) => {
                 self.heard.remove(&peer);
             }
-            SpreadInput::Message(from, SpreadMsg::Want { version, offset }) => {
+            SpreadInput::Message(from, ConfigMsg::Want { version, offset }) => {
                 self.wanted(now, from, version, offset, out);
             }
-            SpreadInput::Message(from, SpreadMsg::Piece(piece)) => {
+            SpreadInput::Message(from, ConfigMsg::Chunk(piece)) => {
                 self.piece(now, from, piece, out);
             }
             SpreadInput::Held(held) => self.hold(now, held, out),
@@ -243,7 +243,7 @@
         out: &mut Vec<SpreadOutput>,
     ) {
         out.push(match self.copies.piece(now, version, offset) {
-            Some(piece) => SpreadOutput::Send(from, SpreadMsg::Piece(piece)),
+            Some(piece) => SpreadOutput::Send(from, ConfigMsg::Chunk(piece)),
             None => SpreadOutput::Note(SpreadNote::DocumentUnknown {
                 from,
                 version,
@@ -282,7 +282,7 @@
     }
 
     /// A piece that was not waited for any more counts too, whoever sent it.
-    fn piece(&mut self, now: Time, from: InstanceId, piece: Piece, out: &mut Vec<SpreadOutput>) {
+    fn piece(&mut self, now: Time, from: InstanceId, piece: Chunk, out: &mut Vec<SpreadOutput>) {
         let Some(at) = self.transfers.iter().position(|t| t.lacks(&piece)) else {
             return;
         };
--- a/crates/celerywinch_fleet/src/spread/copies.rs
+++ b/crates/celerywinch_fleet/src/spread/copies.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use celerywinch_registry::Held;
-use celerywinch_types::{Piece, Time, stable_hash};
+use celerywinch_types::{Chunk, Time, stable_hash};
 
 use super::transfer::PIECE;
 
@@ -60,7 +60,7 @@
     }
 
     /// A piece of a version; none if that, or a piece of it, is not here.
-    pub(super) fn piece(&mut self, now: Time, version: u64, offset: u64) -> Option<Piece> {
+    pub(super) fn piece(&mut self, now: Time, version: u64, offset: u64) -> Option<Chunk> {
         let mut copies = self.copies.iter_mut();
         let copy = copies.find(|copy| copy.held.version == version)?;
         let document = &copy.held.document;
@@ -69,7 +69,7 @@
             return None;
         }
         copy.asked = now;
-        Some(Piece {
+        Some(Chunk {
             version,
             total: document.len() as u64,
             digest: copy.digest,
--- a/crates/celerywinch_fleet/src/spread/transfer.rs
+++ b/crates/celerywinch_fleet/src/spread/transfer.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_registry::Held;
-use celerywinch_types::{InstanceId, Piece, SpreadMsg, Time, stable_hash};
+use celerywinch_types::{Chunk, ConfigMsg, InstanceId, Time, stable_hash};
 
 use super::SpreadOutput;
 
@@ -120,7 +120,7 @@
             self.open.insert(offset, now);
             self.asked.insert(self.source);
             let version = self.version;
-            let msg = SpreadMsg::Want { version, offset };
+            let msg = ConfigMsg::Want { version, offset };
             out.push(SpreadOutput::Send(self.source, msg));
         }
     }
@@ -148,13 +148,13 @@
     }
 
     /// Whether a piece is one that was asked for and is not here.
-    pub(super) fn lacks(&self, piece: &Piece) -> bool {
+    pub(super) fn lacks(&self, piece: &Chunk) -> bool {
         let next = piece.offset == self.offset();
         piece.version == self.version && (next || self.open.contains_key(&piece.offset))
     }
 
     /// Takes a piece that was asked for.
-    pub(super) fn take(&mut self, now: Time, piece: Piece) -> Taken {
+    pub(super) fn take(&mut self, now: Time, piece: Chunk) -> Taken {
         let shape = (piece.total, piece.digest);
         if *self.shape.get_or_insert(shape) != shape {
             return Taken::Bad("pieces of two documents");
--- a/crates/celerywinch_fleet/tests/pieces.rs
+++ b/crates/celerywinch_fleet/tests/pieces.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_fleet::{Spread, SpreadInput, SpreadNote, SpreadOutput, Told};
 use celerywinch_registry::Held;
-use celerywinch_types::{DataCentreId, InstanceId, Part, Piece, SpreadMsg, Time, stable_hash};
+use celerywinch_types::{Chunk, ConfigMsg, DataCentreId, InstanceId, Part, Time, stable_hash};
 use rstest::rstest;
 
 const DC: DataCentreId = DataCentreId(0);
@@ -36,7 +36,7 @@
 }
 
 fn want(version: u64, offset: u64) -> SpreadInput {
-    SpreadInput::Message(ENTRY, SpreadMsg::Want { version, offset })
+    SpreadInput::Message(ENTRY, ConfigMsg::Want { version, offset })
 }
 
 /// A request of an entry, and what comes of it: a piece from this byte to that one, or nothing.
@@ -60,7 +60,7 @@
     let mut spread = keeper(1..=9, 40_000);
     let out = handle(&mut spread, NOW, want(case.version, case.offset));
     match (&out[..], case.piece) {
-        ([SpreadOutput::Send(ENTRY, SpreadMsg::Piece(piece))], Some((start, end))) => {
+        ([SpreadOutput::Send(ENTRY, ConfigMsg::Chunk(piece))], Some((start, end))) => {
             assert_eq!(
                 (piece.offset, piece.offset + piece.bytes.len() as u64),
                 (start, end)
@@ -137,8 +137,8 @@
     spread
 }
 
-fn piece(version: u64, offset: usize, bytes: usize, of: &[u8]) -> Piece {
-    Piece {
+fn piece(version: u64, offset: usize, bytes: usize, of: &[u8]) -> Chunk {
+    Chunk {
         version,
         total: of.len() as u64,
         digest: stable_hash(of),
@@ -149,7 +149,7 @@
 
 /// Pieces that come in this order, and how many bytes of the document are here then; all of them where it is whole.
 struct Pieces {
-    pieces: Vec<Piece>,
+    pieces: Vec<Chunk>,
     here: u64,
 }
 
@@ -164,17 +164,17 @@
 #[case::empty(|of: &[u8]| Pieces { here: 0, pieces: vec![piece(4, 0, 0, of)] })]
 #[case::too_long(|of: &[u8]| Pieces { here: 0, pieces: vec![piece(4, 0, PIECE + 1, of)] })]
 #[case::beyond_the_end(|of: &[u8]| Pieces {
-    here: 0, pieces: vec![Piece { total: 100, ..piece(4, 0, PIECE, of) }],
+    here: 0, pieces: vec![Chunk { total: 100, ..piece(4, 0, PIECE, of) }],
 })]
 #[case::a_huge_length(|of: &[u8]| Pieces {
-    here: 0, pieces: vec![Piece { total: u64::MAX, ..piece(4, 0, PIECE, of) }],
+    here: 0, pieces: vec![Chunk { total: u64::MAX, ..piece(4, 0, PIECE, of) }],
 })]
 #[case::of_two_documents(|of: &[u8]| Pieces {
-    here: 0, pieces: vec![piece(4, 0, PIECE, of), Piece { digest: 1, ..piece(4, PIECE, 3_616, of) }],
+    here: 0, pieces: vec![piece(4, 0, PIECE, of), Chunk { digest: 1, ..piece(4, PIECE, 3_616, of) }],
 })]
 #[case::another_hash(|of: &[u8]| Pieces {
     here: 0,
-    pieces: [piece(4, 0, PIECE, of), piece(4, PIECE, 3_616, of)].map(|p| Piece { digest: 1, ..p }).into(),
+    pieces: [piece(4, 0, PIECE, of), piece(4, PIECE, 3_616, of)].map(|p| Chunk { digest: 1, ..p }).into(),
 })]
 fn pieces_are_taken(#[case] pieces: fn(&[u8]) -> Pieces) {
     let whole = held(4, 20_000);
@@ -182,7 +182,7 @@
     let mut spread = asking(4);
     let mut came = Vec::new();
     for piece in pieces {
-        let input = SpreadInput::Message(KEEPER, SpreadMsg::Piece(piece));
+        let input = SpreadInput::Message(KEEPER, ConfigMsg::Chunk(piece));
         for output in handle(&mut spread, NOW, input) {
             if let SpreadOutput::Whole(held) = output {
                 came.push(held);
@@ -202,7 +202,7 @@
         SpreadInput::Tick,
     ));
     let asked = out.iter().find_map(|output| match output {
-        SpreadOutput::Send(KEEPER, SpreadMsg::Want { version: 4, offset }) => Some(*offset),
+        SpreadOutput::Send(KEEPER, ConfigMsg::Want { version: 4, offset }) => Some(*offset),
         _ => None,
     });
     assert_eq!(asked, Some(here), "{out:?}");
@@ -259,10 +259,10 @@
         };
         let mut out = handle(&mut spread, NOW, SpreadInput::Heard(told));
         let piece = piece(4, n * PIECE, PIECE, &whole.document);
-        let input = SpreadInput::Message(instance, SpreadMsg::Piece(piece));
+        let input = SpreadInput::Message(instance, ConfigMsg::Chunk(piece));
         out.extend(handle(&mut spread, NOW, input));
         let last = out.iter().rev().find_map(|output| match output {
-            SpreadOutput::Send(to, SpreadMsg::Want { .. }) => Some(*to),
+            SpreadOutput::Send(to, ConfigMsg::Want { .. }) => Some(*to),
             _ => None,
         });
         asked.push(last.expect("a request"));
--- a/crates/celerywinch_fleet/tests/sources.rs
+++ b/crates/celerywinch_fleet/tests/sources.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_fleet::{Spread, SpreadInput, SpreadOutput, Told};
 use celerywinch_registry::Held;
-use celerywinch_types::{DataCentreId, InstanceId, Part, SpreadMsg, Time};
+use celerywinch_types::{ConfigMsg, DataCentreId, InstanceId, Part, Time};
 use rstest::rstest;
 
 const DC: DataCentreId = DataCentreId(0);
@@ -61,7 +61,7 @@
     spread: Spread,
     now: Time,
     sources: Vec<Source>,
-    coming: Vec<(Time, InstanceId, SpreadMsg)>,
+    coming: Vec<(Time, InstanceId, ConfigMsg)>,
     whole: Vec<u64>,
 }
 
@@ -93,7 +93,7 @@
         }
     }
 
-    fn ask(&mut self, to: InstanceId, msg: SpreadMsg) {
+    fn ask(&mut self, to: InstanceId, msg: ConfigMsg) {
         let now = self.now;
         let mut sources = self.sources.iter_mut();
         let source = sources.find(|source| source.told.instance == to);
--- a/crates/celerywinch_fleet/tests/wire/mod.rs
+++ b/crates/celerywinch_fleet/tests/wire/mod.rs
@@ -5,7 +5,7 @@
 
 use celerywinch_fleet::{Spread, SpreadInput, SpreadOutput, Told};
 use celerywinch_registry::Held;
-use celerywinch_types::{DataCentreId, InstanceId, Part, SpreadMsg, Time};
+use celerywinch_types::{ConfigMsg, DataCentreId, InstanceId, Part, Time};
 
 /// Processes of the simulated deployment.
 const KEEPERS: u32 = 6;
@@ -58,14 +58,14 @@
 #[derive(Clone, Debug)]
 enum Packet {
     Beat(u64),
-    Spread(SpreadMsg),
+    Spread(ConfigMsg),
 }
 
 impl Packet {
     fn bytes(&self) -> u64 {
         let body = match self {
-            Self::Beat(_) | Self::Spread(SpreadMsg::Want { .. }) => 0,
-            Self::Spread(SpreadMsg::Piece(piece)) => piece.bytes.len(),
+            Self::Beat(_) | Self::Spread(ConfigMsg::Want { .. }) => 0,
+            Self::Spread(ConfigMsg::Chunk(piece)) => piece.bytes.len(),
         };
         SMALL + body as u64
     }
--- a/crates/celerywinch_types/src/fleet.rs
+++ b/crates/celerywinch_types/src/fleet.rs
@@ -298,7 +298,7 @@
     }
 
     /// How the configuration spreads from the keepers to the entries.
-    pub enum SpreadMsg {
+    pub enum ConfigMsg {
         /// Asks for a piece of the configuration.
         Want {
             /// The version.
@@ -307,11 +307,11 @@
             offset: u64,
         },
         /// Answers `Want`.
-        Piece(Piece),
+        Chunk(Chunk),
     }
 
     /// A piece of the configuration.
-    pub struct Piece {
+    pub struct Chunk {
         /// The version.
         pub version: u64,
         /// Bytes of the whole document.
@@ -420,7 +420,7 @@
     /// What workers said of themselves.
     Workers(Vec<WorkerAnnouncement>),
     /// How the configuration spreads.
-    Spread(SpreadMsg),
+    Spread(ConfigMsg),
     /// Work.
     Work(WorkMsg),
     /// What a dispatcher has learned.
--- a/crates/celerywinch_types/src/lib.rs
+++ b/crates/celerywinch_types/src/lib.rs
@@ -22,9 +22,9 @@
 pub use crashes::Crashes;
 pub use endpoint::{EndpointAnnouncement, EndpointState, KindName};
 pub use fleet::{
-    Beat, Contact, Domain, Echo, EvacuationOrder, Evacuations, FleetMsg, Holding, KeepMsg,
-    KeeperRequest, KeeperState, Learned, LearnedQueue, Load, Part, Piece, PriorRuns, Session,
-    SpreadMsg, Stage, StepOrder, TaskEnd, TaskOrder, TaskReport, WorkMsg,
+    Beat, Chunk, ConfigMsg, Contact, Domain, Echo, EvacuationOrder, Evacuations, FleetMsg, Holding,
+    KeepMsg, KeeperRequest, KeeperState, Learned, LearnedQueue, Load, Part, PriorRuns, Session,
+    Stage, StepOrder, TaskEnd, TaskOrder, TaskReport, WorkMsg,
 };
 pub use hash::{score, stable_hash};
 pub use id::{DataCentreId, Holder, Incarnation, InstanceId, Process};
