--- a/crates/celerywinch_fleet/src/core/keeping.rs
+++ b/crates/celerywinch_fleet/src/core/keeping.rs
@@ -3,7 +3,7 @@
 use celerywinch_member::Input;
 use celerywinch_registry::Request;
 use celerywinch_types::{
-    FleetMsg, Incarnation, InstanceId, KeepMsg, KeeperRequest, KeeperState, Time,
+    FleetMsg, Incarnation, InstanceId, KeeperMsg, KeeperRequest, KeeperState, Time,
     WorkerAnnouncement, WorkerStage,
 };
 use tokio::sync::oneshot;
@@ -92,12 +92,12 @@
         self.to_store(StoreIn::Request(Request { from, id, request }));
     }
 
-    pub(super) fn keep_msg(&mut self, from: InstanceId, msg: KeepMsg) {
+    pub(super) fn keep_msg(&mut self, from: InstanceId, msg: KeeperMsg) {
         match msg {
-            KeepMsg::Propose { id, request } => {
+            KeeperMsg::Propose { id, request } => {
                 self.to_store(StoreIn::Request(Request { from, id, request }));
             }
-            KeepMsg::Answer { id, state } => self.answer_keep(id, state),
+            KeeperMsg::Answer { id, state } => self.answer_keep(id, state),
         }
     }
 
--- a/crates/celerywinch_fleet/src/store.rs
+++ b/crates/celerywinch_fleet/src/store.rs
@@ -11,7 +11,7 @@
 use celerywinch_registry::{Figures, Held, Registry, RegistryOutput, Request};
 use celerywinch_store::{Disk, Input, KeeperId, Output, RaftConfig, Record, load_file};
 use celerywinch_types::{
-    Evacuations, FleetMsg, InstanceId, KeepMsg, KeeperState, Time, WorkerAnnouncement,
+    Evacuations, FleetMsg, InstanceId, KeeperMsg, KeeperState, Time, WorkerAnnouncement,
 };
 use crossbeam_channel::{Receiver, Sender, never, select, unbounded};
 use tokio::sync::mpsc::UnboundedSender;
@@ -259,7 +259,7 @@
             RegistryOutput::Log(output) => self.log_output(output)?,
             RegistryOutput::Answer(to, id, state) => self.answer(to, id, state),
             RegistryOutput::Forward(to, request) => {
-                let msg = KeepMsg::Propose {
+                let msg = KeeperMsg::Propose {
                     id: request.id,
                     request: request.request,
                 };
@@ -278,7 +278,7 @@
             self.tell(StoreOut::Answer(id, state));
             return;
         }
-        let msg = FleetMsg::Keep(KeepMsg::Answer { id, state });
+        let msg = FleetMsg::Keep(KeeperMsg::Answer { id, state });
         self.tell(StoreOut::Send(to, msg));
     }
 
--- a/crates/celerywinch_types/src/fleet.rs
+++ b/crates/celerywinch_types/src/fleet.rs
@@ -348,7 +348,7 @@
     }
 
     /// Messages between keepers: operators' requests forwarded to the leader, and their answers.
-    pub enum KeepMsg {
+    pub enum KeeperMsg {
         /// Forwards a request to the leader.
         Propose {
             /// Names the request at its sender.
@@ -416,7 +416,7 @@
     /// A message of the keepers' log.
     Log(Vec<u8>),
     /// A request to the keepers.
-    Keep(KeepMsg),
+    Keep(KeeperMsg),
     /// What workers said of themselves.
     Workers(Vec<WorkerAnnouncement>),
     /// How the configuration spreads.
--- a/crates/celerywinch_types/src/lib.rs
+++ b/crates/celerywinch_types/src/lib.rs
@@ -23,7 +23,7 @@
 pub use endpoint::{EndpointAnnouncement, EndpointState, KindName};
 pub use fleet::{
     Beat, Chunk, ConfigMsg, Contact, Domain, Echo, EvacuationOrder, Evacuations, FleetMsg, Holding,
-    KeepMsg, KeeperRequest, KeeperState, Learned, LearnedQueue, Load, Part, PriorRuns, Session,
+    KeeperMsg, KeeperRequest, KeeperState, Learned, LearnedQueue, Load, Part, PriorRuns, Session,
     Stage, StepOrder, TaskEnd, TaskOrder, TaskReport, WorkMsg,
 };
 pub use hash::{score, stable_hash};
