--- a/crates/celerywinch_fleet/src/config.rs
+++ b/crates/celerywinch_fleet/src/config.rs
@@ -7,7 +7,7 @@
 use std::pin::Pin;
 
 use celerywinch_pool::{Answer, Call};
-use celerywinch_types::{DataCentreId, DisabledMechanisms, InstanceId, Part, QueueBook};
+use celerywinch_types::{DataCentreId, DisabledMechanisms, InstanceId, Part, QueueConfig};
 
 /// The checked settings of a process.
 #[derive(Clone, Debug)]
@@ -51,5 +51,5 @@
     /// # Errors
     ///
     /// The document is invalid; none that was accepted is.
-    fn read_book(&self, document: &[u8]) -> anyhow::Result<QueueBook>;
+    fn read_book(&self, document: &[u8]) -> anyhow::Result<QueueConfig>;
 }
--- a/crates/celerywinch_fleet/src/handle.rs
+++ b/crates/celerywinch_fleet/src/handle.rs
@@ -9,7 +9,7 @@
 use celerywinch_registry::PATIENCE;
 use celerywinch_types::{
     DataCentreId, EvacuationOrder, Incarnation, InstanceId, JobEnd, KeeperRequest, KeeperState,
-    QueueBook, WallMs, WorkerAnnouncement,
+    QueueConfig, WallMs, WorkerAnnouncement,
 };
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
@@ -21,7 +21,7 @@
 /// What requests read without asking the core.
 #[derive(Debug, Default)]
 pub(crate) struct Snapshot {
-    pub(crate) book: ArcSwapOption<QueueBook>,
+    pub(crate) book: ArcSwapOption<QueueConfig>,
     pub(crate) ready: AtomicBool,
     pub(crate) leaving: OnceLock<Leaving>,
     pub(crate) open_jobs: AtomicU64,
@@ -76,7 +76,7 @@
 impl Fleet {
     /// The configuration in force; none before the first one is known.
     #[must_use]
-    pub fn book(&self) -> Option<Arc<QueueBook>> {
+    pub fn book(&self) -> Option<Arc<QueueConfig>> {
         self.snapshot.book.load_full()
     }
 
--- a/crates/celerywinch_types/src/lib.rs
+++ b/crates/celerywinch_types/src/lib.rs
@@ -36,7 +36,7 @@
     VoteState,
 };
 pub use outcome::{Failure, Outcome, Ran, Refusal, RefusalReason, Step};
-pub use queue::{Bounds, Queue, QueueBook, Service};
+pub use queue::{Bounds, Queue, QueueConfig, Service};
 pub use status::ExitStatus;
 pub use time::{Time, WallMs};
 pub use timers::{TimerId, TimerQueue};
--- a/crates/celerywinch_types/src/queue.rs
+++ b/crates/celerywinch_types/src/queue.rs
@@ -52,7 +52,7 @@
 
     /// One version of the operators' configuration.
     #[derive(Default)]
-    pub struct QueueBook {
+    pub struct QueueConfig {
         /// The version; the highest is in force.
         pub version: u64,
         /// The queues.
@@ -64,7 +64,7 @@
     }
 }
 
-impl QueueBook {
+impl QueueConfig {
     /// The queue of a request: of those of its host, the one with the longest matching prefix.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Queue> {
