--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -7,8 +7,8 @@
 use celerywinch_pool::{Answer, CLOCK_ERROR, CallKey, Note, PoolConfig};
 use celerywinch_standin::{LeasedWorker, Ran};
 use celerywinch_types::{
-    Beat, DataCentreId, DisabledMechanisms, FleetMsg, Incarnation, InstanceId, JobId, Part,
-    Process, Room, TaskId, Time, TimerQueue, WallMs, WorkerAnnouncement, score,
+    Beat, DataCentreId, DisabledMechanisms, FleetMsg, Incarnation, InstanceId, JobId, Process,
+    ProcessKind, Room, TaskId, Time, TimerQueue, WallMs, WorkerAnnouncement, score,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -545,7 +545,7 @@
         let host = &self.members[index];
         let config = MemberConfig {
             me,
-            part: Part::Entry,
+            part: ProcessKind::Entry,
             dc: DataCentreId(host.dc),
             dcs: (0..self.options.dcs).map(DataCentreId).collect(),
             shard: self.options.shard,
--- a/crates/celerywinch_domains/src/peers.rs
+++ b/crates/celerywinch_domains/src/peers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use celerywinch_types::{Beat, InstanceId, Part, Process, Stage, Time};
+use celerywinch_types::{Beat, InstanceId, Process, ProcessKind, Stage, Time};
 
 /// One that was not heard for this long is forgotten, and for as long as two of its windows: among 1,000 processes most
 /// hear each other once in 50 s. Long enough for a cut to heal.
@@ -144,7 +144,9 @@
     #[must_use]
     pub fn all_entries_ready(&self, now: Time) -> bool {
         let alive = self.alive(now).map(|(_, view)| &view.beat);
-        let mut entries = alive.filter(|beat| beat.part == Part::Entry).peekable();
+        let mut entries = alive
+            .filter(|beat| beat.part == ProcessKind::Entry)
+            .peekable();
         entries.peek().is_some() && entries.all(|beat| beat.stage == Stage::Ready)
     }
 
@@ -152,7 +154,7 @@
     pub fn keepers(&self) -> impl Iterator<Item = InstanceId> + '_ {
         let keepers = self.all();
         keepers
-            .filter(|(_, view)| view.beat.part == Part::Keeper)
+            .filter(|(_, view)| view.beat.part == ProcessKind::Keeper)
             .map(|(id, _)| id)
     }
 }
--- a/crates/celerywinch_domains/src/survey.rs
+++ b/crates/celerywinch_domains/src/survey.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-use celerywinch_types::{Domain, Fence, InstanceId, Part, Stage, Time, score};
+use celerywinch_types::{Domain, Fence, InstanceId, ProcessKind, Stage, Time, score};
 
 use crate::{PeerView, Peers};
 
@@ -146,7 +146,7 @@
 }
 
 fn serves(view: &PeerView) -> bool {
-    view.beat.part == Part::Entry && view.beat.stage == Stage::Ready
+    view.beat.part == ProcessKind::Entry && view.beat.stage == Stage::Ready
 }
 
 fn rank(shard: u8, instance: InstanceId) -> u64 {
--- a/crates/celerywinch_domains/tests/holders.rs
+++ b/crates/celerywinch_domains/tests/holders.rs
@@ -5,8 +5,8 @@
 
 use celerywinch_domains::{Change, Domains, Me, Peers};
 use celerywinch_types::{
-    Beat, DataCentreId, Domain, Evacuations, Fence, Holding, Incarnation, InstanceId, Load, Part,
-    Process, Stage, Time, WallMs,
+    Beat, DataCentreId, Domain, Evacuations, Fence, Holding, Incarnation, InstanceId, Load,
+    Process, ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
 
@@ -19,7 +19,7 @@
     }
 }
 
-fn beat(dc: u8, part: Part, holdings: &[(u8, u64)]) -> Beat {
+fn beat(dc: u8, part: ProcessKind, holdings: &[(u8, u64)]) -> Beat {
     let holding = |(dc, fence): &(u8, u64)| Holding {
         domain: domain(*dc),
         fence: Fence(*fence),
@@ -102,7 +102,7 @@
     let mut rig = Rig::new();
     for _ in 0..20 {
         for dc in heard {
-            rig.hear(100 + u32::from(*dc), beat(*dc, Part::Keeper, &[]));
+            rig.hear(100 + u32::from(*dc), beat(*dc, ProcessKind::Keeper, &[]));
         }
         rig.tick();
     }
@@ -120,15 +120,15 @@
         rig.tick();
     }
     assert_eq!(rig.held(), [0]);
-    rig.hear(101, beat(1, Part::Keeper, &[]));
+    rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
     for _ in 0..8 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
         assert_eq!(rig.tick(), []);
     }
-    rig.hear(2, beat(1, Part::Entry, &[(1, 1 << 60)]));
+    rig.hear(2, beat(1, ProcessKind::Entry, &[(1, 1 << 60)]));
     for _ in 0..20 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
-        rig.hear(2, beat(1, Part::Entry, &[(1, 1 << 60)]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
+        rig.hear(2, beat(1, ProcessKind::Entry, &[(1, 1 << 60)]));
         rig.tick();
         assert!(!rig.held().contains(&1), "entry 2 dispatches there");
     }
@@ -154,7 +154,7 @@
     }
     let start = rig.now;
     loop {
-        rig.hear(2, beat(1, Part::Entry, &[(1, 5), (2, 6)]));
+        rig.hear(2, beat(1, ProcessKind::Entry, &[(1, 5), (2, 6)]));
         if rig.now.since(start) <= Duration::from_millis(heal.found) {
             rig.domains.found(rig.now);
         }
@@ -177,12 +177,12 @@
     }
     assert_eq!(rig.held(), [0]);
     for _ in 0..40 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
         rig.domains.found(rig.now);
         assert_eq!(rig.tick(), []);
     }
     for _ in 0..20 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
         rig.tick();
     }
     assert!(rig.held().contains(&1), "nobody else dispatches there");
@@ -195,13 +195,13 @@
     let mut rig = Rig::new();
     let mut changes = Vec::new();
     for _ in 0..20 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
-        rig.hear(102, beat(2, Part::Keeper, &[]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
+        rig.hear(102, beat(2, ProcessKind::Keeper, &[]));
         rig.tick();
     }
     assert_eq!(rig.held(), [0, 1, 2]);
     for _ in 0..60 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
         changes.extend(rig.tick());
     }
     assert_eq!(changes, [Change::Resign(domain(2))]);
@@ -213,13 +213,13 @@
 fn goes_on_with_a_token_above_all_that_workers_may_have_seen() {
     let mut rig = Rig::new();
     for _ in 0..20 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
-        rig.hear(102, beat(2, Part::Keeper, &[]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
+        rig.hear(102, beat(2, ProcessKind::Keeper, &[]));
         rig.tick();
     }
     assert_eq!(rig.held(), [0, 1, 2]);
     let seen = Fence(1 << 60);
-    rig.hear(2, beat(1, Part::Entry, &[(1, seen.0)]));
+    rig.hear(2, beat(1, ProcessKind::Entry, &[(1, seen.0)]));
     let changes = rig.tick();
     let dc = domain(1);
     let [Change::Resign(a), Change::Acquire(b, fence)] = changes[..] else {
@@ -248,7 +248,7 @@
 fn entry_that_hears_nobody_takes_nothing() {
     let mut rig = Rig::new();
     for _ in 0..20 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
         rig.tick();
     }
     let mine = rig.domains.held().clone();
@@ -263,9 +263,9 @@
         rig.tick();
         assert_eq!(rig.held(), [], "nobody is heard");
     }
-    rig.hear(101, beat(1, Part::Keeper, &[]));
+    rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
     for _ in 0..15 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
         rig.tick();
     }
     assert!(rig.held().contains(&0), "heard again");
@@ -290,7 +290,7 @@
         for (instance, dc, age) in [(101, 1, 20), (102, 2, age)] {
             let beat = Beat {
                 sent: Time(age * 1_000),
-                ..beat(dc, Part::Keeper, &[])
+                ..beat(dc, ProcessKind::Keeper, &[])
             };
             rig.hear(instance, beat);
         }
@@ -314,10 +314,10 @@
     let mut rig = Rig::new();
     rig.domains.set_shards(8, &mut Vec::new());
     for _ in 0..8 {
-        let keeper = beat(1, Part::Keeper, &[]);
+        let keeper = beat(1, ProcessKind::Keeper, &[]);
         let entries = stages.iter().map(|stage| Beat {
             stage: *stage,
-            ..beat(2, Part::Entry, &[])
+            ..beat(2, ProcessKind::Entry, &[])
         });
         for (instance, beat) in (101..).zip(std::iter::once(keeper).chain(entries)) {
             let sent = Time(age * 1_000);
@@ -344,7 +344,7 @@
     let seen = Fence::new(behind.epoch, 0);
     for round in 0.. {
         for _ in 0..20 {
-            rig.hear(101, beat(1, Part::Keeper, &[]));
+            rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
             rig.tick();
         }
         let fence = rig.domains.held()[&domain(0)];
--- a/crates/celerywinch_fleet/src/config.rs
+++ b/crates/celerywinch_fleet/src/config.rs
@@ -7,7 +7,7 @@
 use std::pin::Pin;
 
 use celerywinch_pool::{Answer, Call};
-use celerywinch_types::{DataCentreId, DisabledMechanisms, InstanceId, Part, QueueConfig};
+use celerywinch_types::{DataCentreId, DisabledMechanisms, InstanceId, ProcessKind, QueueConfig};
 
 /// The checked settings of a process.
 #[derive(Clone, Debug)]
@@ -15,7 +15,7 @@
     /// This instance; its number is its IPv4 address, by which the others reach it.
     pub instance: InstanceId,
     /// What it does.
-    pub part: Part,
+    pub part: ProcessKind,
     /// Its data centre.
     pub dc: DataCentreId,
     /// Cores that the process may use, or the fraction of one.
--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -17,7 +17,7 @@
 use celerywinch_pool::{Answer, CallKey, PoolConfig};
 use celerywinch_types::{
     AnnouncementVersion, EvacuationOrder, Evacuations, FleetMsg, Incarnation, InstanceId, JobEnd,
-    KeeperRequest, KeeperState, Part, Process, Time, WorkerAnnouncement, WorkerStage,
+    KeeperRequest, KeeperState, Process, ProcessKind, Time, WorkerAnnouncement, WorkerStage,
 };
 use crossbeam_channel::Sender;
 use serde::Serialize;
@@ -217,8 +217,8 @@
         links::config(me),
     ));
     let store = match config.part {
-        Part::Keeper => Some(store::start(&config, clock, sender.clone())?),
-        Part::Entry => None,
+        ProcessKind::Keeper => Some(store::start(&config, clock, sender.clone())?),
+        ProcessKind::Entry => None,
     };
     let snapshot = Arc::new(Snapshot::default());
     let core = Core::new(Parts {
--- a/crates/celerywinch_fleet/src/core/members.rs
+++ b/crates/celerywinch_fleet/src/core/members.rs
@@ -6,7 +6,7 @@
 
 use celerywinch_links::LinkEvent;
 use celerywinch_member::Input;
-use celerywinch_types::{Contact, FleetMsg, InstanceId, Part, Process, Time};
+use celerywinch_types::{Contact, FleetMsg, InstanceId, Process, ProcessKind, Time};
 
 use super::Core;
 use crate::spread::SpreadInput;
@@ -89,7 +89,7 @@
         let Some(view) = peers.get(instance) else {
             return;
         };
-        if self.config.part != Part::Keeper {
+        if self.config.part != ProcessKind::Keeper {
             return;
         }
         let contact = Contact {
@@ -135,7 +135,7 @@
     /// Entries that are heard.
     pub(super) fn entries(&self, now: Time) -> Vec<InstanceId> {
         let alive = self.member.peers().alive(now);
-        let entries = alive.filter(|(_, view)| view.beat.part == Part::Entry);
+        let entries = alive.filter(|(_, view)| view.beat.part == ProcessKind::Entry);
         entries.map(|(id, _)| id).collect()
     }
 }
--- a/crates/celerywinch_fleet/src/spread.rs
+++ b/crates/celerywinch_fleet/src/spread.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use celerywinch_registry::Held;
-use celerywinch_types::{Chunk, ConfigMsg, DataCentreId, InstanceId, Part, Time, score};
+use celerywinch_types::{Chunk, ConfigMsg, DataCentreId, InstanceId, ProcessKind, Time, score};
 use serde::Serialize;
 
 use copies::Copies;
@@ -32,7 +32,7 @@
     /// The sender.
     pub instance: InstanceId,
     /// What it does.
-    pub part: Part,
+    pub part: ProcessKind,
     /// Its data centre.
     pub dc: DataCentreId,
     /// The version that it has in force.
@@ -130,7 +130,7 @@
 #[derive(Debug)]
 pub struct Spread {
     me: InstanceId,
-    part: Part,
+    part: ProcessKind,
     dc: DataCentreId,
     copies: Copies,
     heard: BTreeMap<InstanceId, (Told, Time)>,
@@ -149,7 +149,7 @@
 impl Spread {
     /// Nothing is known yet.
     #[must_use]
-    pub fn new(me: InstanceId, part: Part, dc: DataCentreId) -> Self {
+    pub fn new(me: InstanceId, part: ProcessKind, dc: DataCentreId) -> Self {
         Self {
             me,
             part,
@@ -211,9 +211,9 @@
         let version = held.version;
         self.copies.add(now, held);
         self.transfers.retain(|t| t.version > version);
-        if self.part == Part::Keeper {
+        if self.part == ProcessKind::Keeper {
             let heard = self.alive(now);
-            let entries = heard.filter(|told| told.part == Part::Entry);
+            let entries = heard.filter(|told| told.part == ProcessKind::Entry);
             let entries = entries.map(|told| told.instance).collect();
             out.push(SpreadOutput::Tell(entries));
         }
@@ -255,7 +255,7 @@
     /// Begins to fetch the newest version, if there is a newer one than the one here. The transfer under way goes on, and only
     /// gives way to one that has less left: with changes in quick succession none would end else.
     fn begin(&mut self, now: Time, out: &mut Vec<SpreadOutput>) {
-        if self.part == Part::Keeper {
+        if self.part == ProcessKind::Keeper {
             return;
         }
         let version = self.newest(now);
@@ -414,7 +414,7 @@
         let sources = self.alive(now).filter(|told| told.version >= version);
         let rank = |told: &&Told| {
             let silent = self.silent.get(&told.instance).copied();
-            let other = (told.part != Part::Keeper, told.dc != self.dc);
+            let other = (told.part != ProcessKind::Keeper, told.dc != self.dc);
             let score = score(self.me.0.into(), told.instance.0.into());
             (silent, other, Reverse(score))
         };
--- a/crates/celerywinch_fleet/tests/pieces.rs
+++ b/crates/celerywinch_fleet/tests/pieces.rs
@@ -4,7 +4,9 @@
 
 use celerywinch_fleet::{Spread, SpreadInput, SpreadNote, SpreadOutput, Told};
 use celerywinch_registry::Held;
-use celerywinch_types::{Chunk, ConfigMsg, DataCentreId, InstanceId, Part, Time, stable_hash};
+use celerywinch_types::{
+    Chunk, ConfigMsg, DataCentreId, InstanceId, ProcessKind, Time, stable_hash,
+};
 use rstest::rstest;
 
 const DC: DataCentreId = DataCentreId(0);
@@ -28,7 +30,7 @@
 }
 
 fn keeper(versions: std::ops::RangeInclusive<u64>, bytes: usize) -> Spread {
-    let mut spread = Spread::new(KEEPER, Part::Keeper, DC);
+    let mut spread = Spread::new(KEEPER, ProcessKind::Keeper, DC);
     for version in versions {
         handle(&mut spread, NOW, SpreadInput::Held(held(version, bytes)));
     }
@@ -107,14 +109,14 @@
     let mut spread = keeper(1..=1, 100);
     let told = Told {
         instance: ENTRY,
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: DC,
         version: 1,
     };
     handle(&mut spread, NOW, SpreadInput::Heard(told));
     let other = Told {
         instance: InstanceId(3),
-        part: Part::Keeper,
+        part: ProcessKind::Keeper,
         dc: DC,
         version: 1,
     };
@@ -125,11 +127,11 @@
 
 /// An entry that has heard of a version.
 fn asking(version: u64) -> Spread {
-    let mut spread = Spread::new(ENTRY, Part::Entry, DC);
+    let mut spread = Spread::new(ENTRY, ProcessKind::Entry, DC);
     handle(&mut spread, NOW, SpreadInput::Held(held(3, 10)));
     let told = Told {
         instance: KEEPER,
-        part: Part::Keeper,
+        part: ProcessKind::Keeper,
         dc: DC,
         version,
     };
@@ -221,14 +223,14 @@
     #[case] unreadable: Option<u64>,
     #[case] fetched: bool,
 ) {
-    let mut spread = Spread::new(ENTRY, Part::Entry, DC);
+    let mut spread = Spread::new(ENTRY, ProcessKind::Entry, DC);
     handle(&mut spread, NOW, SpreadInput::Held(held(3, 10)));
     if let Some(version) = unreadable {
         handle(&mut spread, NOW, SpreadInput::Unreadable(version));
     }
     let told = Told {
         instance: KEEPER,
-        part: Part::Keeper,
+        part: ProcessKind::Keeper,
         dc: DC,
         version,
     };
@@ -241,13 +243,13 @@
 #[test]
 fn the_best_source_is_asked() {
     let far = DataCentreId(1);
-    let mut spread = Spread::new(ENTRY, Part::Entry, DC);
+    let mut spread = Spread::new(ENTRY, ProcessKind::Entry, DC);
     let whole = held(4, 200_000);
     let sources = [
-        (InstanceId(11), Part::Entry, far),
-        (InstanceId(12), Part::Entry, DC),
-        (InstanceId(13), Part::Keeper, far),
-        (InstanceId(14), Part::Keeper, DC),
+        (InstanceId(11), ProcessKind::Entry, far),
+        (InstanceId(12), ProcessKind::Entry, DC),
+        (InstanceId(13), ProcessKind::Keeper, far),
+        (InstanceId(14), ProcessKind::Keeper, DC),
     ];
     let mut asked = Vec::new();
     for (n, (instance, part, dc)) in sources.into_iter().enumerate() {
--- a/crates/celerywinch_fleet/tests/sources.rs
+++ b/crates/celerywinch_fleet/tests/sources.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_fleet::{Spread, SpreadInput, SpreadOutput, Told};
 use celerywinch_registry::Held;
-use celerywinch_types::{ConfigMsg, DataCentreId, InstanceId, Part, Time};
+use celerywinch_types::{ConfigMsg, DataCentreId, InstanceId, ProcessKind, Time};
 use rstest::rstest;
 
 const DC: DataCentreId = DataCentreId(0);
@@ -22,7 +22,7 @@
 }
 
 impl Source {
-    fn new(instance: u32, part: Part, version: u64, takes: Option<u64>) -> Self {
+    fn new(instance: u32, part: ProcessKind, version: u64, takes: Option<u64>) -> Self {
         let instance = InstanceId(instance);
         let mut spread = Spread::new(instance, part, DC);
         let held = SpreadInput::Held(document(version));
@@ -68,7 +68,7 @@
 impl Entry {
     fn new(version: u64, sources: Vec<Source>) -> Self {
         let mut entry = Self {
-            spread: Spread::new(ME, Part::Entry, DC),
+            spread: Spread::new(ME, ProcessKind::Entry, DC),
             now: Time(10_000_000),
             sources,
             coming: Vec::new(),
@@ -142,9 +142,9 @@
 #[case::three(3)]
 #[case::six(6)]
 fn source_that_sends_is_asked_beside_mute_ones(#[case] mute: u32) {
-    let keepers = (0..mute).map(|n| Source::new(10 + n, Part::Keeper, 8, None));
+    let keepers = (0..mute).map(|n| Source::new(10 + n, ProcessKind::Keeper, 8, None));
     let mut sources: Vec<_> = keepers.collect();
-    sources.push(Source::new(30, Part::Entry, 8, Some(300)));
+    sources.push(Source::new(30, ProcessKind::Entry, 8, Some(300)));
     let mut entry = Entry::new(7, sources);
     entry.pass(60_000);
     assert_eq!(entry.whole, [8]);
@@ -157,17 +157,17 @@
 #[case::lost(None)]
 #[case::back_with_an_older_version(Some(8))]
 fn version_below_one_that_is_lost_is_fetched(#[case] back: Option<u64>) {
-    let keepers = |version| Source::new(10, Part::Keeper, version, Some(20));
+    let keepers = |version| Source::new(10, ProcessKind::Keeper, version, Some(20));
     let mut entry = Entry::new(7, vec![keepers(9)]);
     entry.pass(100);
     entry.sources.clear();
     entry.sources.extend(back.map(keepers));
     entry
         .sources
-        .push(Source::new(11, Part::Keeper, 8, Some(20)));
+        .push(Source::new(11, ProcessKind::Keeper, 8, Some(20)));
     entry
         .sources
-        .push(Source::new(30, Part::Entry, 8, Some(20)));
+        .push(Source::new(30, ProcessKind::Entry, 8, Some(20)));
     entry.pass(10_000);
     assert_eq!(entry.whole, [8]);
 }
@@ -191,9 +191,9 @@
 #[case::smaller(Overtaken { link: Some(3e6), newer: 60_000, within: 900 })]
 #[case::as_large(Overtaken { link: None, newer: 200_000, within: 1_500 })]
 fn newer_version_is_in_force_in_time(#[case] case: Overtaken) {
-    let keeper = Source::new(10, Part::Keeper, 8, Some(BUSY_MS));
+    let keeper = Source::new(10, ProcessKind::Keeper, 8, Some(BUSY_MS));
     let mut entry = Entry::new(7, vec![keeper]);
-    entry.spread = Spread::new(ME, Part::Entry, DC).with_link(case.link);
+    entry.spread = Spread::new(ME, ProcessKind::Entry, DC).with_link(case.link);
     entry.take(SpreadInput::Held(document(7)));
     entry.pass(BUSY_MS * 2);
     entry.sources[0].hold(entry.now, 9, case.newer);
@@ -207,7 +207,7 @@
 #[case::smaller_and_smaller(|n| 200_000 - n as usize * 4_000)]
 #[case::large_and_small(|n| if n % 2 == 0 { 200_000 } else { 40_000 })]
 fn versions_in_quick_succession_come_into_force(#[case] bytes: fn(u64) -> usize) {
-    let keeper = Source::new(10, Part::Keeper, 8, Some(BUSY_MS));
+    let keeper = Source::new(10, ProcessKind::Keeper, 8, Some(BUSY_MS));
     let mut entry = Entry::new(7, vec![keeper]);
     for n in 0..40 {
         entry.sources[0].hold(entry.now, 9 + n, bytes(n));
--- a/crates/celerywinch_fleet/tests/wire/mod.rs
+++ b/crates/celerywinch_fleet/tests/wire/mod.rs
@@ -5,7 +5,7 @@
 
 use celerywinch_fleet::{Spread, SpreadInput, SpreadOutput, Told};
 use celerywinch_registry::Held;
-use celerywinch_types::{ConfigMsg, DataCentreId, InstanceId, Part, Time};
+use celerywinch_types::{ConfigMsg, DataCentreId, InstanceId, ProcessKind, Time};
 
 /// Processes of the simulated deployment.
 const KEEPERS: u32 = 6;
@@ -92,7 +92,7 @@
 
 struct Node {
     spread: Spread,
-    part: Part,
+    part: ProcessKind,
     dc: u32,
     /// When its link is free again, towards the others and from them.
     up: u64,
@@ -137,9 +137,9 @@
         };
         for id in 1..=KEEPERS + ENTRIES {
             let part = if id <= KEEPERS {
-                Part::Keeper
+                ProcessKind::Keeper
             } else {
-                Part::Entry
+                ProcessKind::Entry
             };
             net.add(id, part);
             net.give(id, document(1, 1_000));
@@ -147,10 +147,10 @@
         net
     }
 
-    fn add(&mut self, id: u32, part: Part) {
+    fn add(&mut self, id: u32, part: ProcessKind) {
         let dc = match part {
-            Part::Keeper => (id - 1) / 2,
-            Part::Entry => id % DCS,
+            ProcessKind::Keeper => (id - 1) / 2,
+            ProcessKind::Entry => id % DCS,
         };
         let spread = Spread::new(InstanceId(id), part, DataCentreId(dc as u8));
         let spread = spread.with_link(Some(ENTRY_RATE as f64 * 1e3));
@@ -200,7 +200,7 @@
     /// Starts one more entry and plays so many ms; ms from its first heartbeat to the configuration in force.
     pub(crate) fn join(&mut self, ms: u64) -> u64 {
         let id = KEEPERS + ENTRIES + 1;
-        self.add(id, Part::Entry);
+        self.add(id, ProcessKind::Entry);
         self.run(self.now + ms * 1_000);
         let node = &self.nodes[&id];
         let in_force = node.in_force.first().expect("in force");
@@ -355,14 +355,15 @@
     }
 
     fn is_cut(&self, a: u32, b: u32) -> bool {
-        let inside = |id: u32| self.nodes[&id].part == Part::Entry && self.nodes[&id].dc == 0;
+        let inside =
+            |id: u32| self.nodes[&id].part == ProcessKind::Entry && self.nodes[&id].dc == 0;
         self.fault == Fault::CutOff && self.now >= START && inside(a) != inside(b)
     }
 
     fn entries(&self) -> impl Iterator<Item = (u32, &Node)> {
         let entries = self.nodes.iter();
         entries
-            .filter(|(_, node)| node.part == Part::Entry)
+            .filter(|(_, node)| node.part == ProcessKind::Entry)
             .map(|(id, node)| (*id, node))
     }
 
@@ -408,9 +409,9 @@
     }
 }
 
-fn rate(part: Part) -> u64 {
+fn rate(part: ProcessKind) -> u64 {
     match part {
-        Part::Keeper => KEEPER_RATE,
-        Part::Entry => ENTRY_RATE,
+        ProcessKind::Keeper => KEEPER_RATE,
+        ProcessKind::Entry => ENTRY_RATE,
     }
 }
--- a/crates/celerywinch_member/src/beats.rs
+++ b/crates/celerywinch_member/src/beats.rs
@@ -7,8 +7,8 @@
 use celerywinch_origin::{Holder, Input as OriginInput};
 use celerywinch_pool::{Grant, Input as PoolInput};
 use celerywinch_types::{
-    Beat, DataCentreId, Domain, Echo, Fence, FleetMsg, Holding, InstanceId, Mechanism, Part,
-    Process, Time, score,
+    Beat, DataCentreId, Domain, Echo, Fence, FleetMsg, Holding, InstanceId, Mechanism, Process,
+    ProcessKind, Time, score,
 };
 
 use crate::member::{Member, Output};
@@ -66,7 +66,7 @@
 impl Member {
     /// Who dispatches for what, by the highest fencing token that is heard.
     pub(crate) fn update_holders(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.config.part != Part::Entry {
+        if self.config.part != ProcessKind::Entry {
             return;
         }
         self.stale = false;
@@ -200,7 +200,7 @@
         holdings: Vec<Holding>,
         out: &mut Vec<Output>,
     ) {
-        if self.config.part == Part::Entry && !holdings.is_empty() {
+        if self.config.part == ProcessKind::Entry && !holdings.is_empty() {
             let input = OriginInput::Loads(dispatcher, holdings);
             self.origin_input(now, input, out);
         }
@@ -386,7 +386,8 @@
         }
         let alive = self.peers.alive(now);
         let next = |peer: InstanceId| self.few() || self.close.successors.contains(&peer);
-        let entries = alive.filter(|(peer, view)| view.beat.part == Part::Entry && next(*peer));
+        let entries =
+            alive.filter(|(peer, view)| view.beat.part == ProcessKind::Entry && next(*peer));
         let entries = entries.map(|(entry, _)| entry).collect();
         let due = self.teach_round.due(now, TEACH, entries);
         if due.is_empty() {
@@ -402,7 +403,7 @@
     fn spread_crashes_to(&self, peer: InstanceId, view: &PeerView) -> bool {
         let dispatches = !view.beat.holdings.is_empty();
         let next = self.few() || self.close.successors.contains(&peer);
-        view.beat.part == Part::Entry && (dispatches || next)
+        view.beat.part == ProcessKind::Entry && (dispatches || next)
     }
 
     pub(crate) fn spread_crashes(&mut self, now: Time, out: &mut Vec<Output>) {
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -8,7 +8,7 @@
 use celerywinch_pool::{Answer, Call, CallKey, Grant, Input as PoolInput, Note, Pool, PoolConfig};
 use celerywinch_types::{
     Beat, Crashes, DataCentreId, Evacuations, FleetMsg, Holding, InstanceId, JobEnd, Learned,
-    Mechanism, Part, Process, Stage, TaskId, Time, WallMs, WorkMsg, WorkerAnnouncement,
+    Mechanism, Process, ProcessKind, Stage, TaskId, Time, WallMs, WorkMsg, WorkerAnnouncement,
 };
 
 use crate::MemberNote;
@@ -45,7 +45,7 @@
     /// This process.
     pub me: Process,
     /// What it does.
-    pub part: Part,
+    pub part: ProcessKind,
     /// Its data centre.
     pub dc: DataCentreId,
     /// All data centres.
@@ -172,8 +172,8 @@
     #[must_use]
     pub fn new(config: MemberConfig, now: Time, wall: WallMs) -> Self {
         let stage = match config.part {
-            Part::Entry => Stage::Joining,
-            Part::Keeper => Stage::Ready,
+            ProcessKind::Entry => Stage::Joining,
+            ProcessKind::Keeper => Stage::Ready,
         };
         let me = Me {
             instance: config.me.instance,
@@ -228,7 +228,7 @@
     #[must_use]
     pub fn tells_contacts(&self, peer: InstanceId) -> bool {
         let was_there = self.peers.get(peer).is_some_and(|view| !view.is_new());
-        self.config.part == Part::Keeper || !was_there
+        self.config.part == ProcessKind::Keeper || !was_there
     }
 
     /// How many jobs of callers are open.
@@ -317,7 +317,7 @@
             Input::Version(version) => self.version = version,
             Input::Evacuations(evacuations) => {
                 let adopted = self.adopt_evacuations(now, &evacuations, out);
-                if adopted && self.config.part == Part::Keeper {
+                if adopted && self.config.part == ProcessKind::Keeper {
                     self.send_beats(now, out);
                 }
             }
@@ -390,7 +390,7 @@
             self.lost.remove(&peer);
             out.push(Output::Forget(peer));
         }
-        if self.config.part == Part::Entry {
+        if self.config.part == ProcessKind::Entry {
             self.join(now, out);
             if now.since(self.compared) >= COMPARE {
                 self.compare_domains(now, out);
@@ -550,7 +550,7 @@
     }
 
     fn compare_domains(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.config.part != Part::Entry {
+        if self.config.part != ProcessKind::Entry {
             return;
         }
         self.compared = now;
--- a/crates/celerywinch_member/tests/arrivals.rs
+++ b/crates/celerywinch_member/tests/arrivals.rs
@@ -4,8 +4,8 @@
 use celerywinch_origin::{CallerId, JobNote, NewJob};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    DataCentreId, Incarnation, InstanceId, JobId, JobPlan, Part, Process, Queue, Room, RunNumber,
-    StepPlan, Time, WallMs,
+    DataCentreId, Incarnation, InstanceId, JobId, JobPlan, Process, ProcessKind, Queue, Room,
+    RunNumber, StepPlan, Time, WallMs,
 };
 use rstest::rstest;
 
@@ -18,7 +18,7 @@
             instance: InstanceId(1),
             incarnation: Incarnation(1),
         },
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: DataCentreId(0),
         dcs: [DataCentreId(0)].into(),
         shard: 80,
--- a/crates/celerywinch_member/tests/contacts.rs
+++ b/crates/celerywinch_member/tests/contacts.rs
@@ -6,8 +6,8 @@
 use celerywinch_member::{Input, Member, MemberConfig};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Evacuations, Fence, Incarnation, InstanceId, Part, Process, Stage, Time,
-    WallMs,
+    Beat, DataCentreId, Evacuations, Fence, Incarnation, InstanceId, Process, ProcessKind, Stage,
+    Time, WallMs,
 };
 use rstest::rstest;
 
@@ -17,7 +17,7 @@
 
 struct Case {
     /// What the process under test is.
-    part: Part,
+    part: ProcessKind,
     /// How long the other had run when it was heard, in ms; none if it was not.
     ran: Option<u64>,
     told: bool,
@@ -26,10 +26,10 @@
 /// Guards against workers that are divided among a few after a restart of all, as entries know few others then; and against lists
 /// that fill the links of a data centre as it is heard again.
 #[rstest]
-#[case::unknown(Case { part: Part::Entry, ran: None, told: true })]
-#[case::just_started(Case { part: Part::Entry, ran: Some(200), told: true })]
-#[case::there_before(Case { part: Part::Entry, ran: Some(30_000), told: false })]
-#[case::by_a_keeper(Case { part: Part::Keeper, ran: Some(30_000), told: true })]
+#[case::unknown(Case { part: ProcessKind::Entry, ran: None, told: true })]
+#[case::just_started(Case { part: ProcessKind::Entry, ran: Some(200), told: true })]
+#[case::there_before(Case { part: ProcessKind::Entry, ran: Some(30_000), told: false })]
+#[case::by_a_keeper(Case { part: ProcessKind::Keeper, ran: Some(30_000), told: true })]
 fn who_is_told_of_all_others(#[case] case: Case) {
     let me = Process {
         instance: InstanceId(1),
@@ -46,7 +46,7 @@
     let mut member = Member::new(config, NOW, WallMs(1_700_000_000_000));
     if let Some(ran) = case.ran {
         let beat = Beat {
-            part: Part::Entry,
+            part: ProcessKind::Entry,
             dc: DC,
             stage: Stage::Ready,
             holdings: Vec::new(),
--- a/crates/celerywinch_member/tests/evacuations.rs
+++ b/crates/celerywinch_member/tests/evacuations.rs
@@ -6,8 +6,8 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Evacuations, Fence, FleetMsg, Incarnation, InstanceId, Part, Process,
-    Stage, Time, WallMs,
+    Beat, DataCentreId, Evacuations, Fence, FleetMsg, Incarnation, InstanceId, Process,
+    ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
 
@@ -29,7 +29,7 @@
 
 fn beat(evacuations: Evacuations) -> Beat {
     Beat {
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: DataCentreId(0),
         stage: Stage::Ready,
         holdings: Vec::new(),
@@ -45,7 +45,7 @@
     }
 }
 
-fn member(part: Part) -> Member {
+fn member(part: ProcessKind) -> Member {
     let config = MemberConfig {
         me: process(ME.0),
         part,
@@ -80,7 +80,7 @@
 #[case::ended(Case { received: &[(1, &[1]), (2, &[])], known: (2, &[]) })]
 #[case::older_revision(Case { received: &[(3, &[1]), (2, &[]), (0, &[])], known: (3, &[1]) })]
 fn highest_revision_is_kept(#[case] case: Case) {
-    let mut member = member(Part::Entry);
+    let mut member = member(ProcessKind::Entry);
     let mut out = Vec::new();
     for (peer, (revision, dcs)) in (2..).zip(case.received) {
         let beat = beat(evacuations(*revision, dcs));
@@ -94,7 +94,7 @@
 /// large deployment.
 #[test]
 fn keeper_sends_evacuations_to_all_at_once() {
-    let mut member = member(Part::Keeper);
+    let mut member = member(ProcessKind::Keeper);
     let mut out = Vec::new();
     for peer in 2..60 {
         let beat = beat(Evacuations::default());
--- a/crates/celerywinch_member/tests/hand_overs.rs
+++ b/crates/celerywinch_member/tests/hand_overs.rs
@@ -6,7 +6,7 @@
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
     Beat, DataCentreId, Domain, Evacuations, Fence, FleetMsg, Holding, Incarnation, InstanceId,
-    Load, Part, Process, Stage, Time, WallMs,
+    Load, Process, ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
 
@@ -27,7 +27,7 @@
         load: Load::default(),
     };
     Beat {
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: THERE,
         stage: Stage::Ready,
         holdings: shard.map(holding).into_iter().collect(),
@@ -47,7 +47,7 @@
 fn member(now: Time, others: u32) -> Member {
     let config = MemberConfig {
         me: process(1),
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: HERE,
         dcs: BTreeSet::from([HERE, THERE]),
         shard: 80,
--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -6,8 +6,8 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::{Answer, Note, PoolConfig};
 use celerywinch_types::{
-    AnnouncementVersion, Beat, DataCentreId, Evacuations, Fence, Incarnation, InstanceId, Part,
-    Process, Room, Stage, Time, WallMs, WorkerAnnouncement, WorkerClock, WorkerStage,
+    AnnouncementVersion, Beat, DataCentreId, Evacuations, Fence, Incarnation, InstanceId, Process,
+    ProcessKind, Room, Stage, Time, WallMs, WorkerAnnouncement, WorkerClock, WorkerStage,
 };
 
 const FAR: DataCentreId = DataCentreId(1);
@@ -21,7 +21,7 @@
 
 fn beat(dc: u8) -> Beat {
     Beat {
-        part: Part::Keeper,
+        part: ProcessKind::Keeper,
         dc: DataCentreId(dc),
         stage: Stage::Ready,
         holdings: Vec::new(),
@@ -59,7 +59,7 @@
 fn times_given_up(heard: u64, dead: u16, workers: u16) -> usize {
     let config = MemberConfig {
         me: process(1),
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: DataCentreId(0),
         dcs: BTreeSet::from([DataCentreId(0), FAR]),
         shard: 80,
--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -7,8 +7,9 @@
 use celerywinch_pool::{Answer, Call, EndedRow, How, Order, PoolConfig};
 use celerywinch_types::{
     AnnouncementVersion, Beat, Crashes, DataCentreId, Echo, Evacuations, Fence, FleetMsg,
-    Incarnation, InstanceId, JobId, Part, PriorRuns, Process, Room, RunNumber, Session, Stage,
-    StepOrder, TaskOrder, Time, WallMs, WorkMsg, WorkerAnnouncement, WorkerClock, WorkerStage,
+    Incarnation, InstanceId, JobId, PriorRuns, Process, ProcessKind, Room, RunNumber, Session,
+    Stage, StepOrder, TaskOrder, Time, WallMs, WorkMsg, WorkerAnnouncement, WorkerClock,
+    WorkerStage,
 };
 use rstest::rstest;
 
@@ -22,7 +23,7 @@
 }
 
 /// The process under test, in the one data centre.
-fn member(now: Time, part: Part) -> Member {
+fn member(now: Time, part: ProcessKind) -> Member {
     let config = MemberConfig {
         me: process(1, 1),
         part,
@@ -37,7 +38,7 @@
 /// Of a process that has heard the member under test just now.
 fn beat(now: Time) -> Beat {
     Beat {
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: DC,
         // It does not dispatch itself, whatever its rank.
         stage: Stage::Joining,
@@ -109,7 +110,7 @@
 #[case::other_life(Origin::OtherLife, false)]
 fn work_of_an_origin_that_is_gone_is_dropped(#[case] origin: Origin, #[case] taken: bool) {
     let mut now = Time(1_000_000);
-    let mut member = member(now, Part::Entry);
+    let mut member = member(now, ProcessKind::Entry);
     let mut out = Vec::new();
     member.handle(now, Input::Version(1), &mut out);
     for _ in 0..60 {
@@ -135,7 +136,7 @@
 #[test]
 fn origin_that_is_heard_again_is_asked_for_its_work() {
     let mut now = Time(1_000_000);
-    let mut member = member(now, Part::Entry);
+    let mut member = member(now, ProcessKind::Entry);
     let mut out = Vec::new();
     member.handle(now, Input::Beat(process(2, 1), beat(now)), &mut out);
     member.handle(now, Input::Refused(InstanceId(2)), &mut out);
@@ -152,7 +153,7 @@
 #[test]
 fn silence_that_ends_between_two_ticks_is_noticed() {
     let mut now = Time(1_000_000);
-    let mut member = member(now, Part::Entry);
+    let mut member = member(now, ProcessKind::Entry);
     let mut out = Vec::new();
     member.handle(now, Input::Beat(process(2, 1), beat(now)), &mut out);
     member.handle(now, Input::Tick, &mut out);
@@ -174,7 +175,7 @@
 #[test]
 fn host_hears_of_each_process_that_is_heard() {
     let now = Time(1_000_000);
-    let mut member = member(now, Part::Keeper);
+    let mut member = member(now, ProcessKind::Keeper);
     let mut heard = Vec::new();
     for (ms, said) in [(0, true), (100, true), (460, false), (500, true)] {
         let now = now + Duration::from_millis(ms);
@@ -193,7 +194,7 @@
 #[test]
 fn heartbeat_that_was_held_up_is_not_heard() {
     let now = Time(1_000_000);
-    let mut member = member(now, Part::Entry);
+    let mut member = member(now, ProcessKind::Entry);
     let mut out = Vec::new();
     let newer = Beat {
         version: 7,
@@ -216,7 +217,7 @@
 #[case::lost(400, false)]
 fn heartbeat_echoes_the_last_one(#[case] ms: u64, #[case] echoed: bool) {
     let now = Time(1_000_000);
-    let mut member = member(now, Part::Entry);
+    let mut member = member(now, ProcessKind::Entry);
     let mut out = Vec::new();
     member.handle(now, Input::Beat(process(2, 3), beat(now)), &mut out);
     let later = now + Duration::from_millis(ms);
@@ -256,7 +257,7 @@
 #[case::not_heard_for_as_long_as_the_living_are(360, false)]
 fn nothing_is_started_for_an_origin_that_is_not_heard(#[case] silent: u64, #[case] starts: bool) {
     let mut now = Time(1_000_000);
-    let mut member = member(now, Part::Entry);
+    let mut member = member(now, ProcessKind::Entry);
     let cpu = 16_000;
     let room = Room {
         cpu,
--- a/crates/celerywinch_member/tests/probes.rs
+++ b/crates/celerywinch_member/tests/probes.rs
@@ -8,8 +8,8 @@
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
     Beat, DataCentreId, Domain, Evacuations, Fence, FleetMsg, Holding, Incarnation, InstanceId,
-    JobId, JobPlan, Load, Part, Process, Queue, Room, RunNumber, Stage, StepPlan, Time, WallMs,
-    WorkMsg,
+    JobId, JobPlan, Load, Process, ProcessKind, Queue, Room, RunNumber, Stage, StepPlan, Time,
+    WallMs, WorkMsg,
 };
 use rstest::rstest;
 
@@ -41,7 +41,7 @@
         load: Load::default(),
     };
     Beat {
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc,
         stage: Stage::Ready,
         holdings: dispatches.then_some(holding).into_iter().collect(),
@@ -61,7 +61,7 @@
 fn member(now: Time) -> Member {
     let config = MemberConfig {
         me: process(1),
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: HERE,
         dcs: BTreeSet::from([HERE, THERE]),
         shard: 80,
--- a/crates/celerywinch_member/tests/restarts.rs
+++ b/crates/celerywinch_member/tests/restarts.rs
@@ -5,8 +5,8 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Evacuations, Fence, Incarnation, InstanceId, Part, Process, Stage, Time,
-    WallMs,
+    Beat, DataCentreId, Evacuations, Fence, Incarnation, InstanceId, Process, ProcessKind, Stage,
+    Time, WallMs,
 };
 use rstest::rstest;
 
@@ -22,7 +22,7 @@
 fn entry() -> Member {
     let config = MemberConfig {
         me: process(1, 1),
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: DC,
         dcs: BTreeSet::from([DC]),
         shard: 32,
@@ -33,7 +33,7 @@
 
 fn beat(version: u64, sent: u64) -> Beat {
     Beat {
-        part: Part::Keeper,
+        part: ProcessKind::Keeper,
         dc: DC,
         stage: Stage::Ready,
         holdings: Vec::new(),
--- a/crates/celerywinch_member/tests/teach.rs
+++ b/crates/celerywinch_member/tests/teach.rs
@@ -6,8 +6,8 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Evacuations, Fence, FleetMsg, Incarnation, InstanceId, Part, Process,
-    Stage, Time, WallMs,
+    Beat, DataCentreId, Evacuations, Fence, FleetMsg, Incarnation, InstanceId, Process,
+    ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
 
@@ -27,7 +27,7 @@
 
 fn beat(now: Time) -> Beat {
     Beat {
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: DC,
         stage: if now < READY {
             Stage::Joining
@@ -70,7 +70,7 @@
 fn learned_is_told_one_after_the_other(#[case] case: Case) {
     let config = MemberConfig {
         me: process(ME),
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: DC,
         dcs: BTreeSet::from([DC]),
         shard: 80,
--- a/crates/celerywinch_types/src/fleet.rs
+++ b/crates/celerywinch_types/src/fleet.rs
@@ -19,7 +19,7 @@
 domain! {
     /// What a process does.
     #[derive(Copy)]
-    pub enum Part {
+    pub enum ProcessKind {
         /// Serves callers, and may dispatch.
         Entry,
         /// Keeps the configuration, and hears the workers' announcements.
@@ -103,7 +103,7 @@
     /// A heartbeat.
     pub struct Beat {
         /// What the sender does.
-        pub part: Part,
+        pub part: ProcessKind,
         /// Its data centre.
         pub dc: DataCentreId,
         /// How far it is in its life.
@@ -139,7 +139,7 @@
         /// Where it runs.
         pub instance: InstanceId,
         /// What it does.
-        pub part: Part,
+        pub part: ProcessKind,
     }
 
     /// A task that is handed to a dispatcher.
--- a/crates/celerywinch_types/src/lib.rs
+++ b/crates/celerywinch_types/src/lib.rs
@@ -23,8 +23,8 @@
 pub use endpoint::{EndpointAnnouncement, EndpointState, KindName};
 pub use fleet::{
     Beat, Chunk, ConfigMsg, Contact, Domain, Echo, EvacuationOrder, Evacuations, FleetMsg, Holding,
-    KeeperMsg, KeeperRequest, KeeperState, Learned, LearnedQueue, Load, Part, PriorRuns, Session,
-    Stage, StepOrder, TaskEnd, TaskOrder, TaskReport, WorkMsg,
+    KeeperMsg, KeeperRequest, KeeperState, Learned, LearnedQueue, Load, PriorRuns, ProcessKind,
+    Session, Stage, StepOrder, TaskEnd, TaskOrder, TaskReport, WorkMsg,
 };
 pub use hash::{score, stable_hash};
 pub use id::{DataCentreId, Holder, Incarnation, InstanceId, Process};
