--- a/crates/celerywinch_pool/src/lives.rs
+++ b/crates/celerywinch_pool/src/lives.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use celerywinch_types::{
-    AnnouncementVersion, Incarnation, MOST_LIVES, Time, WorkerAnnouncement, WorkerStage,
+    AnnouncementVersion, Incarnation, MAX_INCARNATIONS, Time, WorkerAnnouncement, WorkerStage,
 };
 
 use crate::call::RunningRow;
@@ -82,7 +82,7 @@
             self.inherit(now, later, run, moved, out);
         }
         self.life_ended(now, &earlier, out);
-        if lives > MOST_LIVES {
+        if lives > MAX_INCARNATIONS {
             out.push(Output::UsedUp(self.workers[later].domain));
         }
     }
@@ -98,7 +98,7 @@
         let forgotten = self.forgotten.remove(&note.id);
         let lives = forgotten.map_or(0, |(lives, _)| lives + 1);
         let key = self.add_worker(now, note, lives, out);
-        if lives > MOST_LIVES {
+        if lives > MAX_INCARNATIONS {
             out.push(Output::UsedUp(self.workers[key].domain));
         }
     }
--- a/crates/celerywinch_types/src/work.rs
+++ b/crates/celerywinch_types/src/work.rs
@@ -153,7 +153,7 @@
 /// Low bits of a fencing token that are left for the lives of a worker.
 const LIFE_BITS: u32 = 5;
 /// So many later lives of a worker can be told apart under one token of its domain.
-pub const MOST_LIVES: u64 = (1 << LIFE_BITS) - 1;
+pub const MAX_INCARNATIONS: u64 = (1 << LIFE_BITS) - 1;
 
 impl Fence {
     /// The token of a change of hands: a later epoch is higher; `holder` keeps apart those who take the same one.
@@ -175,7 +175,7 @@
     /// way, while the task runs elsewhere. Once it has seen this one it refuses that order.
     #[must_use]
     pub fn of_life(self, lives: u64) -> Self {
-        Self(self.0 + lives.min(MOST_LIVES))
+        Self(self.0 + lives.min(MAX_INCARNATIONS))
     }
 }
 
