--- a/crates/celerywinch_domains/tests/holders.rs
+++ b/crates/celerywinch_domains/tests/holders.rs
@@ -5,7 +5,7 @@
 
 use celerywinch_domains::{Change, Domains, Me, Peers};
 use celerywinch_types::{
-    Beat, DataCentreId, Domain, Evacuations, Fence, Holding, Incarnation, InstanceId, Load,
+    Beat, DataCentreId, Domain, Evacuations, Fence, Incarnation, InstanceId, Load, OwnedDomain,
     Process, ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
@@ -20,7 +20,7 @@
 }
 
 fn beat(dc: u8, part: ProcessKind, holdings: &[(u8, u64)]) -> Beat {
-    let holding = |(dc, fence): &(u8, u64)| Holding {
+    let holding = |(dc, fence): &(u8, u64)| OwnedDomain {
         domain: domain(*dc),
         fence: Fence(*fence),
         load: Load::default(),
--- a/crates/celerywinch_member/src/beats.rs
+++ b/crates/celerywinch_member/src/beats.rs
@@ -7,7 +7,7 @@
 use celerywinch_origin::{Holder, Input as OriginInput};
 use celerywinch_pool::{Grant, Input as PoolInput};
 use celerywinch_types::{
-    Beat, DataCentreId, Domain, Echo, Fence, FleetMsg, Holding, InstanceId, Mechanism, Process,
+    Beat, DataCentreId, Domain, Echo, Fence, FleetMsg, InstanceId, Mechanism, OwnedDomain, Process,
     ProcessKind, Time, score,
 };
 
@@ -70,8 +70,8 @@
             return;
         }
         self.stale = false;
-        let mut best: BTreeMap<Domain, (InstanceId, Holding)> = BTreeMap::new();
-        let mut add = |instance: InstanceId, holding: Holding| {
+        let mut best: BTreeMap<Domain, (InstanceId, OwnedDomain)> = BTreeMap::new();
+        let mut add = |instance: InstanceId, holding: OwnedDomain| {
             let known = best.get(&holding.domain);
             if known.is_none_or(|(_, other)| other.fence < holding.fence) {
                 best.insert(holding.domain, (instance, holding));
@@ -184,7 +184,7 @@
     /// Measures the room of what it dispatches for; once a tick, for it takes a look at each worker.
     pub(crate) fn measure(&mut self, now: Time) {
         let held = self.domains.held().iter();
-        let holding = |(domain, fence): (&Domain, &Fence)| Holding {
+        let holding = |(domain, fence): (&Domain, &Fence)| OwnedDomain {
             domain: *domain,
             fence: *fence,
             load: self.pool.load(now, *domain),
@@ -197,7 +197,7 @@
         &mut self,
         now: Time,
         dispatcher: InstanceId,
-        holdings: Vec<Holding>,
+        holdings: Vec<OwnedDomain>,
         out: &mut Vec<Output>,
     ) {
         if self.config.part == ProcessKind::Entry && !holdings.is_empty() {
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -7,8 +7,8 @@
 use celerywinch_origin::{CallerId, Input as OriginInput, JobNote, NewJob, Origin};
 use celerywinch_pool::{Answer, Call, CallKey, Grant, Input as PoolInput, Note, Pool, PoolConfig};
 use celerywinch_types::{
-    Beat, Crashes, DataCentreId, Evacuations, FleetMsg, Holding, InstanceId, JobEnd, Learned,
-    Mechanism, Process, ProcessKind, Stage, TaskId, Time, WallMs, WorkMsg, WorkerAnnouncement,
+    Beat, Crashes, DataCentreId, Evacuations, FleetMsg, InstanceId, JobEnd, Learned, Mechanism,
+    OwnedDomain, Process, ProcessKind, Stage, TaskId, Time, WallMs, WorkMsg, WorkerAnnouncement,
 };
 
 use crate::MemberNote;
@@ -154,7 +154,7 @@
     /// When it was last compared who dispatches.
     compared: Time,
     /// What it dispatches for, with the room at the last tick.
-    pub(crate) holdings: Vec<Holding>,
+    pub(crate) holdings: Vec<OwnedDomain>,
     /// Workers that ended under tasks, which other dispatchers have to know.
     pub(crate) crashes: BTreeMap<TaskId, Crashes>,
     /// Queues that are started with care, which other dispatchers have to know.
--- a/crates/celerywinch_member/tests/hand_overs.rs
+++ b/crates/celerywinch_member/tests/hand_overs.rs
@@ -5,8 +5,8 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Domain, Evacuations, Fence, FleetMsg, Holding, Incarnation, InstanceId,
-    Load, Process, ProcessKind, Stage, Time, WallMs,
+    Beat, DataCentreId, Domain, Evacuations, Fence, FleetMsg, Incarnation, InstanceId, Load,
+    OwnedDomain, Process, ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
 
@@ -21,7 +21,7 @@
 }
 
 fn beat(now: Time, shard: Option<u8>) -> Beat {
-    let holding = |shard| Holding {
+    let holding = |shard| OwnedDomain {
         domain: Domain { dc: THERE, shard },
         fence: Fence(5),
         load: Load::default(),
--- a/crates/celerywinch_member/tests/probes.rs
+++ b/crates/celerywinch_member/tests/probes.rs
@@ -7,9 +7,9 @@
 use celerywinch_origin::{CallerId, NewJob};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Domain, Evacuations, Fence, FleetMsg, Holding, Incarnation, InstanceId,
-    JobId, JobPlan, Load, Process, ProcessKind, Queue, Room, RunNumber, Stage, StepPlan, Time,
-    WallMs, WorkMsg,
+    Beat, DataCentreId, Domain, Evacuations, Fence, FleetMsg, Incarnation, InstanceId, JobId,
+    JobPlan, Load, OwnedDomain, Process, ProcessKind, Queue, Room, RunNumber, Stage, StepPlan,
+    Time, WallMs, WorkMsg,
 };
 use rstest::rstest;
 
@@ -35,7 +35,7 @@
     } else {
         HERE
     };
-    let holding = Holding {
+    let holding = OwnedDomain {
         domain: Domain { dc, shard: 0 },
         fence: Fence(5),
         load: Load::default(),
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use celerywinch_types::{
-    DataCentreId, DisabledMechanisms, Domain, Holding, InstanceId, JobEnd, JobId, JobPlan,
-    Mechanism, PriorRuns, Queue, RunNumber, Session, TaskEnd, TaskReport, Time, WorkMsg, domain,
+    DataCentreId, DisabledMechanisms, Domain, InstanceId, JobEnd, JobId, JobPlan, Mechanism,
+    OwnedDomain, PriorRuns, Queue, RunNumber, Session, TaskEnd, TaskReport, Time, WorkMsg, domain,
     identifier,
 };
 
@@ -56,7 +56,7 @@
     /// Who dispatches, and how much room there is.
     Holders(Vec<Holder>),
     /// The room of a dispatcher, where it dispatches for the same domains as before.
-    Loads(InstanceId, Vec<Holding>),
+    Loads(InstanceId, Vec<OwnedDomain>),
     /// Messages to this dispatcher may be lost.
     LinkReset(InstanceId),
     /// A process is not heard any more.
@@ -184,7 +184,7 @@
         self.misses_holder = false;
     }
 
-    fn set_loads(&mut self, dispatcher: InstanceId, holdings: &[Holding]) {
+    fn set_loads(&mut self, dispatcher: InstanceId, holdings: &[OwnedDomain]) {
         let holders = self.holders.iter_mut();
         for holder in holders.filter(|holder| holder.instance == dispatcher) {
             let told = holdings.iter().find(|h| h.domain == holder.domain);
--- a/crates/celerywinch_types/src/fleet.rs
+++ b/crates/celerywinch_types/src/fleet.rs
@@ -57,7 +57,7 @@
 
     /// A domain that a process dispatches for.
     #[derive(Copy)]
-    pub struct Holding {
+    pub struct OwnedDomain {
         /// The domain.
         pub domain: Domain,
         /// The fencing token it dispatches under.
@@ -109,7 +109,7 @@
         /// How far it is in its life.
         pub stage: Stage,
         /// What it dispatches for.
-        pub holdings: Vec<Holding>,
+        pub holdings: Vec<OwnedDomain>,
         /// The highest fencing token it knows of.
         pub fence: Fence,
         /// The version of the configuration it has in force.
