--- a/crates/celerywinch_domains/src/domains.rs
+++ b/crates/celerywinch_domains/src/domains.rs
@@ -5,7 +5,7 @@
 
 use celerywinch_types::{DataCentreId, Domain, Fence, InstanceId, Stage, Time, WallMs};
 
-use crate::survey::{Circle, Standing, Survey};
+use crate::survey::{Standing, Succession, Survey};
 use crate::{PeerView, Peers};
 
 /// An entry listens this long after its start, and after a pause of its process, before it takes a
@@ -39,7 +39,7 @@
 
 /// This entry.
 #[derive(Clone, Copy, Debug)]
-pub struct Me {
+pub struct LocalEntry {
     /// Its number.
     pub instance: InstanceId,
     /// Its data centre.
@@ -60,7 +60,7 @@
 /// The state machine.
 #[derive(Debug)]
 pub struct Domains {
-    me: Me,
+    me: LocalEntry,
     /// All data centres.
     dcs: BTreeSet<DataCentreId>,
     /// In how many shards the workers are divided.
@@ -86,7 +86,7 @@
 impl Domains {
     /// Starts; the wall clock makes tokens rise over restarts of all entries.
     #[must_use]
-    pub fn new(now: Time, wall: WallMs, me: Me, dcs: BTreeSet<DataCentreId>) -> Self {
+    pub fn new(now: Time, wall: WallMs, me: LocalEntry, dcs: BTreeSet<DataCentreId>) -> Self {
         let epoch = wall.0 / 1000;
         Self {
             me,
@@ -228,9 +228,9 @@
     /// Whom this entry has to hear often, to notice at once when it has to dispatch in their place, and who
     /// would do so in its place; nobody before it serves.
     #[must_use]
-    pub fn circle(&self, now: Time, peers: &Peers) -> Circle {
+    pub fn circle(&self, now: Time, peers: &Peers) -> Succession {
         if self.me.stage != Stage::Ready {
-            return Circle::default();
+            return Succession::default();
         }
         Survey::new(now, peers).circle(self.shards, &self.standing())
     }
--- a/crates/celerywinch_domains/src/lib.rs
+++ b/crates/celerywinch_domains/src/lib.rs
@@ -12,6 +12,6 @@
 mod peers;
 mod survey;
 
-pub use domains::{Change, Domains, Me};
+pub use domains::{Change, Domains, LocalEntry};
 pub use peers::{PeerView, Peers};
-pub use survey::Circle;
+pub use survey::Succession;
--- a/crates/celerywinch_domains/src/survey.rs
+++ b/crates/celerywinch_domains/src/survey.rs
@@ -56,7 +56,7 @@
 
 /// Whom an entry has to do with beside its callers' work.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Circle {
+pub struct Succession {
     /// The dispatchers that it may have to stand in for, and the entries that would do so before it: it has to
     /// notice at once when they are lost.
     pub ahead: BTreeSet<InstanceId>,
@@ -109,8 +109,8 @@
     }
 
     /// Whom this entry has to do with for all shards.
-    pub(crate) fn circle(&self, shards: u8, me: &Standing) -> Circle {
-        let mut circle = Circle::default();
+    pub(crate) fn circle(&self, shards: u8, me: &Standing) -> Succession {
+        let mut circle = Succession::default();
         for shard in 0..shards {
             if me.of_shard(shard) > 0 {
                 circle.successors.extend(self.successors(shard));
--- a/crates/celerywinch_domains/tests/holders.rs
+++ b/crates/celerywinch_domains/tests/holders.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use celerywinch_domains::{Change, Domains, Me, Peers};
+use celerywinch_domains::{Change, Domains, LocalEntry, Peers};
 use celerywinch_types::{
     Beat, DataCentreId, Domain, Evacuations, Fence, Incarnation, InstanceId, Load, OwnedDomain,
     Process, ProcessKind, Stage, Time, WallMs,
@@ -53,7 +53,7 @@
 impl Rig {
     /// Entry 1 in data centre 0 of three.
     fn new() -> Self {
-        let me = Me {
+        let me = LocalEntry {
             instance: InstanceId(1),
             dc: DataCentreId(0),
             stage: Stage::Ready,
--- a/crates/celerywinch_member/src/beats.rs
+++ b/crates/celerywinch_member/src/beats.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use celerywinch_domains::{Circle, PeerView};
+use celerywinch_domains::{PeerView, Succession};
 use celerywinch_origin::{Holder, Input as OriginInput};
 use celerywinch_pool::{Grant, Input as PoolInput};
 use celerywinch_types::{
@@ -157,7 +157,7 @@
     }
 
     /// Takes over whom this entry has to hear, and who has to hear it.
-    pub(crate) fn set_circle(&mut self, now: Time, circle: Circle, out: &mut Vec<Output>) {
+    pub(crate) fn set_circle(&mut self, now: Time, circle: Succession, out: &mut Vec<Output>) {
         let new: Vec<_> = circle
             .ahead
             .difference(&self.close.ahead)
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use celerywinch_domains::{Change, Domains, Me, PeerView, Peers};
+use celerywinch_domains::{Change, Domains, LocalEntry, PeerView, Peers};
 use celerywinch_origin::{CallerId, Input as OriginInput, JobNote, NewJob, Origin};
 use celerywinch_pool::{Answer, Call, CallKey, Grant, Input as PoolInput, Note, Pool, PoolConfig};
 use celerywinch_types::{
@@ -175,7 +175,7 @@
             ProcessKind::Entry => Stage::Joining,
             ProcessKind::Keeper => Stage::Ready,
         };
-        let me = Me {
+        let me = LocalEntry {
             instance: config.me.instance,
             dc: config.dc,
             stage,
