--- a/crates/celerywinch_entry/src/config.rs
+++ b/crates/celerywinch_entry/src/config.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_claims::{Homes, Limits};
 use celerywinch_dispatch::Policy;
-use celerywinch_members::Timing;
+use celerywinch_members::DetectorConfig;
 use celerywinch_types::{DataCentreId, InstanceId, Process, WallMs};
 
 /// Everything an entry is told at its start; made by [`ConfigBuilder`].
@@ -16,7 +16,7 @@
     pub(crate) seed: u64,
     pub(crate) instances: Vec<(InstanceId, DataCentreId, String)>,
     pub(crate) limits: Limits,
-    pub(crate) timing: Timing,
+    pub(crate) timing: DetectorConfig,
     pub(crate) policy: Policy,
     pub(crate) margin: Duration,
     pub(crate) keepers: Vec<InstanceId>,
@@ -49,7 +49,7 @@
                 skew: Duration::from_millis(250),
                 retention: Duration::from_secs(60),
             },
-            timing: Timing::default(),
+            timing: DetectorConfig::default(),
             policy: Policy::default(),
             margin: Duration::from_millis(3),
             keepers: Vec::new(),
@@ -73,7 +73,7 @@
 
     /// Spans of the failure detector.
     #[must_use]
-    pub fn timing(mut self, timing: Timing) -> Self {
+    pub fn timing(mut self, timing: DetectorConfig) -> Self {
         self.0.timing = timing;
         self
     }
--- a/crates/celerywinch_members/src/endpoints.rs
+++ b/crates/celerywinch_members/src/endpoints.rs
@@ -27,7 +27,7 @@
 
 /// One endpoint.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct EndpointRecord {
     /// Its latest announcement.
     pub note: EndpointAnnouncement,
     /// When that was made, on our clock.
@@ -49,18 +49,18 @@
 /// The endpoints of a data centre.
 #[derive(Debug, Default)]
 pub struct Endpoints {
-    known: BTreeMap<SocketAddr, Known>,
+    known: BTreeMap<SocketAddr, EndpointRecord>,
 }
 
 impl Endpoints {
     /// One endpoint.
     #[must_use]
-    pub fn get(&self, addr: SocketAddr) -> Option<&Known> {
+    pub fn get(&self, addr: SocketAddr) -> Option<&EndpointRecord> {
         self.known.get(&addr)
     }
 
     /// All endpoints whose lease holds.
-    pub fn iter(&self) -> impl Iterator<Item = &Known> {
+    pub fn iter(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.known.values().filter(|known| !known.lapsed)
     }
 
@@ -81,7 +81,7 @@
         let addr = note.addr;
         let Some(known) = self.known.get_mut(&addr) else {
             changes.push(Change::Updated(addr));
-            let known = Known {
+            let known = EndpointRecord {
                 note,
                 announced,
                 lapsed: false,
@@ -174,7 +174,7 @@
         || old.rack != new.rack
 }
 
-fn aged(known: &Known, now: Time) -> EndpointAnnouncement {
+fn aged(known: &EndpointRecord, now: Time) -> EndpointAnnouncement {
     let mut note = known.note.clone();
     note.age_ms = age(now, known.announced);
     note
@@ -184,7 +184,7 @@
     u32::try_from(now.since(announced).as_millis()).unwrap_or(u32::MAX)
 }
 
-impl Known {
+impl EndpointRecord {
     /// Whether the endpoint takes new work.
     #[must_use]
     pub fn serves(&self) -> bool {
--- a/crates/celerywinch_members/src/lib.rs
+++ b/crates/celerywinch_members/src/lib.rs
@@ -7,5 +7,5 @@
 mod endpoints;
 mod peers;
 
-pub use endpoints::{Change, Endpoints, Known, LEASE, RENEWAL, Source};
-pub use peers::{Peer, PeerChange, PeerState, Peers, Timing};
+pub use endpoints::{Change, EndpointRecord, Endpoints, LEASE, RENEWAL, Source};
+pub use peers::{DetectorConfig, Peer, PeerChange, PeerState, Peers};
--- a/crates/celerywinch_members/src/peers.rs
+++ b/crates/celerywinch_members/src/peers.rs
@@ -7,7 +7,7 @@
 
 /// Spans of the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Timing {
+pub struct DetectorConfig {
     /// Between heartbeats to an instance of the same data centre.
     pub near: Duration,
     /// Between heartbeats to an instance of another data centre.
@@ -18,7 +18,7 @@
     pub probe: Duration,
 }
 
-impl Default for Timing {
+impl Default for DetectorConfig {
     fn default() -> Self {
         Self {
             near: Duration::from_millis(200),
@@ -101,7 +101,7 @@
 #[derive(Debug)]
 pub struct Peers {
     dc: DataCentreId,
-    timing: Timing,
+    timing: DetectorConfig,
     peers: BTreeMap<InstanceId, Peer>,
 }
 
@@ -110,7 +110,7 @@
     #[must_use]
     pub fn new(
         dc: DataCentreId,
-        timing: Timing,
+        timing: DetectorConfig,
         others: impl IntoIterator<Item = (InstanceId, DataCentreId)>,
     ) -> Self {
         let peers = others.into_iter().map(|(id, dc)| (id, Peer::new(dc)));
@@ -303,7 +303,7 @@
     }
 }
 
-fn interval(timing: Timing, own: DataCentreId, other: DataCentreId) -> Duration {
+fn interval(timing: DetectorConfig, own: DataCentreId, other: DataCentreId) -> Duration {
     if own == other {
         timing.near
     } else {
--- a/crates/celerywinch_members/tests/peers.rs
+++ b/crates/celerywinch_members/tests/peers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_members::{PeerChange, PeerState, Peers, Timing};
+use celerywinch_members::{DetectorConfig, PeerChange, PeerState, Peers};
 use celerywinch_types::{DataCentreId, Incarnation, InstanceId, Time};
 use rstest::rstest;
 
@@ -12,7 +12,7 @@
 fn peers() -> Peers {
     Peers::new(
         DataCentreId(1),
-        Timing::default(),
+        DetectorConfig::default(),
         [(PEER, DataCentreId(1))],
     )
 }
