--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -7,8 +7,8 @@
 use celerywinch_pool::{Answer, CLOCK_ERROR, CallKey, Note, PoolConfig};
 use celerywinch_standin::{LeasedWorker, Ran};
 use celerywinch_types::{
-    Beat, DataCentreId, DisabledMechanisms, FleetMsg, Incarnation, InstanceId, JobId, Process,
-    ProcessKind, Room, TaskId, Time, TimerQueue, WallMs, WorkerAnnouncement, score,
+    DataCentreId, DisabledMechanisms, FleetHeartbeat, FleetMsg, Incarnation, InstanceId, JobId,
+    Process, ProcessKind, Room, TaskId, Time, TimerQueue, WallMs, WorkerAnnouncement, score,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -580,7 +580,7 @@
         }
     }
 
-    pub(crate) fn beat_of(&self, index: usize, to: usize) -> Beat {
+    pub(crate) fn beat_of(&self, index: usize, to: usize) -> FleetHeartbeat {
         let member = self.members[index].member.as_ref();
         let peer = InstanceId(to as u32 + 1);
         let member = member.expect("a member that is up");
--- a/crates/celerywinch_domains/src/peers.rs
+++ b/crates/celerywinch_domains/src/peers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use celerywinch_types::{Beat, InstanceId, Process, ProcessKind, Stage, Time};
+use celerywinch_types::{FleetHeartbeat, InstanceId, Process, ProcessKind, Stage, Time};
 
 /// One that was not heard for this long is forgotten, and for as long as two of its windows: among 1,000 processes most
 /// hear each other once in 50 s. Long enough for a cut to heal.
@@ -26,7 +26,7 @@
     /// Which life of it.
     pub process: Process,
     /// Its last heartbeat.
-    pub beat: Beat,
+    pub beat: FleetHeartbeat,
     /// When that arrived.
     pub heard: Time,
     /// It counts as lost when it was not heard for this long.
@@ -69,7 +69,13 @@
     /// its sender, as it would bring back what that held then.
     ///
     /// Another incarnation than before has replaced that one: links drop what comes on an earlier stream.
-    pub fn heard(&mut self, now: Time, from: Process, beat: Beat, window: Duration) -> bool {
+    pub fn heard(
+        &mut self,
+        now: Time,
+        from: Process,
+        beat: FleetHeartbeat,
+        window: Duration,
+    ) -> bool {
         let known = self.views.get(&from.instance);
         if known.is_some_and(|view| view.process == from && view.beat.sent > beat.sent) {
             return false;
@@ -145,7 +151,7 @@
     pub fn all_entries_ready(&self, now: Time) -> bool {
         let alive = self.alive(now).map(|(_, view)| &view.beat);
         let mut entries = alive
-            .filter(|beat| beat.part == ProcessKind::Entry)
+            .filter(|beat| beat.kind == ProcessKind::Entry)
             .peekable();
         entries.peek().is_some() && entries.all(|beat| beat.stage == Stage::Ready)
     }
@@ -154,7 +160,7 @@
     pub fn keepers(&self) -> impl Iterator<Item = InstanceId> + '_ {
         let keepers = self.all();
         keepers
-            .filter(|(_, view)| view.beat.part == ProcessKind::Keeper)
+            .filter(|(_, view)| view.beat.kind == ProcessKind::Keeper)
             .map(|(id, _)| id)
     }
 }
--- a/crates/celerywinch_domains/tests/holders.rs
+++ b/crates/celerywinch_domains/tests/holders.rs
@@ -5,8 +5,8 @@
 
 use celerywinch_domains::{Change, Domains, LocalEntry, Peers};
 use celerywinch_types::{
-    Beat, DataCentreId, Domain, Evacuations, Fence, Incarnation, InstanceId, Load, OwnedDomain,
-    Process, ProcessKind, Stage, Time, WallMs,
+    DataCentreId, Domain, Evacuations, Fence, FleetHeartbeat, Incarnation, InstanceId, Load,
+    OwnedDomain, Process, ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
 
@@ -19,17 +19,17 @@
     }
 }
 
-fn beat(dc: u8, part: ProcessKind, holdings: &[(u8, u64)]) -> Beat {
+fn beat(dc: u8, part: ProcessKind, holdings: &[(u8, u64)]) -> FleetHeartbeat {
     let holding = |(dc, fence): &(u8, u64)| OwnedDomain {
         domain: domain(*dc),
         fence: Fence(*fence),
         load: Load::default(),
     };
-    Beat {
-        part,
+    FleetHeartbeat {
+        kind: part,
         dc: DataCentreId(dc),
         stage: Stage::Ready,
-        holdings: holdings.iter().map(holding).collect(),
+        owned_domains: holdings.iter().map(holding).collect(),
         fence: Fence(0),
         version: 1,
         evacuations: Evacuations::default(),
@@ -37,8 +37,8 @@
         // Of a process that has run for some time.
         sent: Time(5_000_000),
         echo: None,
-        every: 100,
-        wants: true,
+        interval_ms: 100,
+        wants_frequent: true,
         probe: false,
     }
 }
@@ -67,7 +67,7 @@
         }
     }
 
-    fn hear(&mut self, instance: u32, beat: Beat) {
+    fn hear(&mut self, instance: u32, beat: FleetHeartbeat) {
         let process = Process {
             instance: InstanceId(instance),
             incarnation: Incarnation(1),
@@ -288,7 +288,7 @@
     rig.domains.set_undivided(undivided);
     for _ in 0..8 {
         for (instance, dc, age) in [(101, 1, 20), (102, 2, age)] {
-            let beat = Beat {
+            let beat = FleetHeartbeat {
                 sent: Time(age * 1_000),
                 ..beat(dc, ProcessKind::Keeper, &[])
             };
@@ -315,13 +315,13 @@
     rig.domains.set_shards(8, &mut Vec::new());
     for _ in 0..8 {
         let keeper = beat(1, ProcessKind::Keeper, &[]);
-        let entries = stages.iter().map(|stage| Beat {
+        let entries = stages.iter().map(|stage| FleetHeartbeat {
             stage: *stage,
             ..beat(2, ProcessKind::Entry, &[])
         });
         for (instance, beat) in (101..).zip(std::iter::once(keeper).chain(entries)) {
             let sent = Time(age * 1_000);
-            rig.hear(instance, Beat { sent, ..beat });
+            rig.hear(instance, FleetHeartbeat { sent, ..beat });
         }
         rig.tick();
     }
--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -437,7 +437,7 @@
             FleetMsg::Beat(beat) => {
                 let told = SpreadInput::Heard(Told {
                     instance: from.instance,
-                    part: beat.part,
+                    part: beat.kind,
                     dc: beat.dc,
                     version: beat.version,
                 });
--- a/crates/celerywinch_member/src/beats.rs
+++ b/crates/celerywinch_member/src/beats.rs
@@ -7,8 +7,8 @@
 use celerywinch_origin::{Holder, Input as OriginInput};
 use celerywinch_pool::{Grant, Input as PoolInput};
 use celerywinch_types::{
-    Beat, DataCentreId, Domain, Echo, Fence, FleetMsg, InstanceId, Mechanism, OwnedDomain, Process,
-    ProcessKind, Time, score,
+    DataCentreId, Domain, Echo, Fence, FleetHeartbeat, FleetMsg, InstanceId, Mechanism,
+    OwnedDomain, Process, ProcessKind, Time, score,
 };
 
 use crate::member::{Member, Output};
@@ -81,7 +81,7 @@
             add(self.config.me.instance, *holding);
         }
         for (instance, view) in self.peers.alive(now) {
-            for holding in &view.beat.holdings {
+            for holding in &view.beat.owned_domains {
                 add(instance, *holding);
             }
         }
@@ -208,10 +208,10 @@
 
     /// What this process tells another one of itself.
     #[must_use]
-    pub fn beat_for(&self, now: Time, peer: InstanceId) -> Beat {
+    pub fn beat_for(&self, now: Time, peer: InstanceId) -> FleetHeartbeat {
         let view = self.peers.get(peer).filter(|view| view.alive(now));
         let echo = view.filter(|_| self.hands_to(peer)).map(|view| Echo {
-            life: view.process.incarnation,
+            incarnation: view.process.incarnation,
             sent: view.beat.sent,
             session: self.origin.session(peer),
         });
@@ -220,19 +220,19 @@
         } else {
             self.slow_beat()
         };
-        Beat {
-            part: self.config.part,
+        FleetHeartbeat {
+            kind: self.config.part,
             dc: self.config.dc,
             stage: self.stage,
-            holdings: self.holdings.clone(),
+            owned_domains: self.holdings.clone(),
             fence: self.domains.top(),
             version: self.version,
             evacuations: self.evacuations.clone(),
             shards: self.domains.shards(),
             sent: now,
             echo,
-            every: every.as_millis() as u32,
-            wants: self.wants(peer),
+            interval_ms: every.as_millis() as u32,
+            wants_frequent: self.wants(peer),
             probe: false,
         }
     }
@@ -246,7 +246,7 @@
         echo: Option<Echo>,
         out: &mut Vec<Output>,
     ) {
-        let own = |echo: &Echo| echo.life == self.config.me.incarnation;
+        let own = |echo: &Echo| echo.incarnation == self.config.me.incarnation;
         if let Some(echo) = echo.filter(own) {
             let grant = Grant {
                 life: from.incarnation,
@@ -258,8 +258,8 @@
     }
 
     /// How long the next heartbeat of a process is waited for.
-    pub(crate) fn window(beat: &Beat) -> Duration {
-        let every = Duration::from_millis(beat.every.into());
+    pub(crate) fn window(beat: &FleetHeartbeat) -> Duration {
+        let every = Duration::from_millis(beat.interval_ms.into());
         ALIVE.max(every.mul_f64(ALIVE.div_duration_f64(BEAT)))
     }
 
@@ -275,7 +275,7 @@
 
     /// Whether a process gets frequent heartbeats: for the grants of what is handed to it, or since it asks.
     fn is_close(&self, now: Time, peer: InstanceId, view: &PeerView) -> bool {
-        self.hands_to(peer) || (view.beat.wants && view.alive(now))
+        self.hands_to(peer) || (view.beat.wants_frequent && view.alive(now))
     }
 
     /// Between two heartbeats to a process that is not close.
@@ -387,7 +387,7 @@
         let alive = self.peers.alive(now);
         let next = |peer: InstanceId| self.few() || self.close.successors.contains(&peer);
         let entries =
-            alive.filter(|(peer, view)| view.beat.part == ProcessKind::Entry && next(*peer));
+            alive.filter(|(peer, view)| view.beat.kind == ProcessKind::Entry && next(*peer));
         let entries = entries.map(|(entry, _)| entry).collect();
         let due = self.teach_round.due(now, TEACH, entries);
         if due.is_empty() {
@@ -401,9 +401,9 @@
 
     /// Tells all that dispatch, and those that would next, of workers that ended under tasks since the last tick.
     fn spread_crashes_to(&self, peer: InstanceId, view: &PeerView) -> bool {
-        let dispatches = !view.beat.holdings.is_empty();
+        let dispatches = !view.beat.owned_domains.is_empty();
         let next = self.few() || self.close.successors.contains(&peer);
-        view.beat.part == ProcessKind::Entry && (dispatches || next)
+        view.beat.kind == ProcessKind::Entry && (dispatches || next)
     }
 
     pub(crate) fn spread_crashes(&mut self, now: Time, out: &mut Vec<Output>) {
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -7,8 +7,9 @@
 use celerywinch_origin::{CallerId, Input as OriginInput, JobNote, NewJob, Origin};
 use celerywinch_pool::{Answer, Call, CallKey, Grant, Input as PoolInput, Note, Pool, PoolConfig};
 use celerywinch_types::{
-    Beat, Crashes, DataCentreId, Evacuations, FleetMsg, InstanceId, JobEnd, Learned, Mechanism,
-    OwnedDomain, Process, ProcessKind, Stage, TaskId, Time, WallMs, WorkMsg, WorkerAnnouncement,
+    Crashes, DataCentreId, Evacuations, FleetHeartbeat, FleetMsg, InstanceId, JobEnd, Learned,
+    Mechanism, OwnedDomain, Process, ProcessKind, Stage, TaskId, Time, WallMs, WorkMsg,
+    WorkerAnnouncement,
 };
 
 use crate::MemberNote;
@@ -60,7 +61,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A heartbeat.
-    Beat(Process, Beat),
+    Beat(Process, FleetHeartbeat),
     /// A machine says that nobody listens there.
     Refused(InstanceId),
     /// Messages from or to a process may be lost.
@@ -426,7 +427,7 @@
         }
     }
 
-    fn beat(&mut self, now: Time, from: Process, beat: Beat, out: &mut Vec<Output>) {
+    fn beat(&mut self, now: Time, from: Process, beat: FleetHeartbeat, out: &mut Vec<Output>) {
         // Work of a process that is silent is dropped. Where it is heard again before the next tick its silence has to be noticed
         // first, or neither side would ask for what was dropped, and a caller wait for it in vain.
         let known = self.peers.get(from.instance);
@@ -435,8 +436,8 @@
         }
         let before = self.peers.get(from.instance);
         let life = before.map(|view| view.process.incarnation);
-        let held = |beat: &Beat| -> Vec<_> {
-            let holdings = beat.holdings.iter();
+        let held = |beat: &FleetHeartbeat| -> Vec<_> {
+            let holdings = beat.owned_domains.iter();
             holdings.map(|h| (h.domain, h.fence)).collect()
         };
         let held_before = before.map(|view| held(&view.beat));
@@ -445,7 +446,7 @@
         let holdings = held(&beat);
         self.domains.observe(beat.fence);
         let window = Self::window(&beat);
-        let (echo, loads) = (beat.echo, beat.holdings.clone());
+        let (echo, loads) = (beat.echo, beat.owned_domains.clone());
         let answer = beat.probe;
         if !self.peers.heard(now, from, beat, window) {
             return;
--- a/crates/celerywinch_member/tests/contacts.rs
+++ b/crates/celerywinch_member/tests/contacts.rs
@@ -6,8 +6,8 @@
 use celerywinch_member::{Input, Member, MemberConfig};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Evacuations, Fence, Incarnation, InstanceId, Process, ProcessKind, Stage,
-    Time, WallMs,
+    DataCentreId, Evacuations, Fence, FleetHeartbeat, Incarnation, InstanceId, Process,
+    ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
 
@@ -45,19 +45,19 @@
     };
     let mut member = Member::new(config, NOW, WallMs(1_700_000_000_000));
     if let Some(ran) = case.ran {
-        let beat = Beat {
-            part: ProcessKind::Entry,
+        let beat = FleetHeartbeat {
+            kind: ProcessKind::Entry,
             dc: DC,
             stage: Stage::Ready,
-            holdings: Vec::new(),
+            owned_domains: Vec::new(),
             fence: Fence(0),
             version: 1,
             evacuations: Evacuations::default(),
             shards: 1,
             sent: Time(0) + Duration::from_millis(ran),
             echo: None,
-            every: 100,
-            wants: false,
+            interval_ms: 100,
+            wants_frequent: false,
             probe: false,
         };
         let peer = Process {
--- a/crates/celerywinch_member/tests/evacuations.rs
+++ b/crates/celerywinch_member/tests/evacuations.rs
@@ -6,7 +6,7 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Evacuations, Fence, FleetMsg, Incarnation, InstanceId, Process,
+    DataCentreId, Evacuations, Fence, FleetHeartbeat, FleetMsg, Incarnation, InstanceId, Process,
     ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
@@ -27,20 +27,20 @@
     }
 }
 
-fn beat(evacuations: Evacuations) -> Beat {
-    Beat {
-        part: ProcessKind::Entry,
+fn beat(evacuations: Evacuations) -> FleetHeartbeat {
+    FleetHeartbeat {
+        kind: ProcessKind::Entry,
         dc: DataCentreId(0),
         stage: Stage::Ready,
-        holdings: Vec::new(),
+        owned_domains: Vec::new(),
         fence: Fence(0),
         version: 1,
         evacuations,
         shards: 1,
         sent: Time(0),
         echo: None,
-        every: 100,
-        wants: true,
+        interval_ms: 100,
+        wants_frequent: true,
         probe: false,
     }
 }
--- a/crates/celerywinch_member/tests/hand_overs.rs
+++ b/crates/celerywinch_member/tests/hand_overs.rs
@@ -5,8 +5,8 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Domain, Evacuations, Fence, FleetMsg, Incarnation, InstanceId, Load,
-    OwnedDomain, Process, ProcessKind, Stage, Time, WallMs,
+    DataCentreId, Domain, Evacuations, Fence, FleetHeartbeat, FleetMsg, Incarnation, InstanceId,
+    Load, OwnedDomain, Process, ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
 
@@ -20,25 +20,25 @@
     }
 }
 
-fn beat(now: Time, shard: Option<u8>) -> Beat {
+fn beat(now: Time, shard: Option<u8>) -> FleetHeartbeat {
     let holding = |shard| OwnedDomain {
         domain: Domain { dc: THERE, shard },
         fence: Fence(5),
         load: Load::default(),
     };
-    Beat {
-        part: ProcessKind::Entry,
+    FleetHeartbeat {
+        kind: ProcessKind::Entry,
         dc: THERE,
         stage: Stage::Ready,
-        holdings: shard.map(holding).into_iter().collect(),
+        owned_domains: shard.map(holding).into_iter().collect(),
         fence: Fence(5),
         version: 1,
         evacuations: Evacuations::default(),
         shards: 64,
         sent: now,
         echo: None,
-        every: 5_000,
-        wants: false,
+        interval_ms: 5_000,
+        wants_frequent: false,
         probe: false,
     }
 }
--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -6,8 +6,8 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::{Answer, Note, PoolConfig};
 use celerywinch_types::{
-    AnnouncementVersion, Beat, DataCentreId, Evacuations, Fence, Incarnation, InstanceId, Process,
-    ProcessKind, Room, Stage, Time, WallMs, WorkerAnnouncement, WorkerClock, WorkerStage,
+    AnnouncementVersion, DataCentreId, Evacuations, Fence, FleetHeartbeat, Incarnation, InstanceId,
+    Process, ProcessKind, Room, Stage, Time, WallMs, WorkerAnnouncement, WorkerClock, WorkerStage,
 };
 
 const FAR: DataCentreId = DataCentreId(1);
@@ -19,20 +19,20 @@
     }
 }
 
-fn beat(dc: u8) -> Beat {
-    Beat {
-        part: ProcessKind::Keeper,
+fn beat(dc: u8) -> FleetHeartbeat {
+    FleetHeartbeat {
+        kind: ProcessKind::Keeper,
         dc: DataCentreId(dc),
         stage: Stage::Ready,
-        holdings: Vec::new(),
+        owned_domains: Vec::new(),
         fence: Fence(0),
         evacuations: Evacuations::default(),
         version: 1,
         shards: 1,
         sent: Time(0),
         echo: None,
-        every: 100,
-        wants: true,
+        interval_ms: 100,
+        wants_frequent: true,
         probe: false,
     }
 }
--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -6,7 +6,7 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::{Answer, Call, EndedRow, How, Order, PoolConfig};
 use celerywinch_types::{
-    AnnouncementVersion, Beat, Crashes, DataCentreId, Echo, Evacuations, Fence, FleetMsg,
+    AnnouncementVersion, Crashes, DataCentreId, Echo, Evacuations, Fence, FleetHeartbeat, FleetMsg,
     Incarnation, InstanceId, JobId, PriorRuns, Process, ProcessKind, Room, RunNumber, Session,
     Stage, StepOrder, TaskOrder, Time, WallMs, WorkMsg, WorkerAnnouncement, WorkerClock,
     WorkerStage,
@@ -36,25 +36,25 @@
 }
 
 /// Of a process that has heard the member under test just now.
-fn beat(now: Time) -> Beat {
-    Beat {
-        part: ProcessKind::Entry,
+fn beat(now: Time) -> FleetHeartbeat {
+    FleetHeartbeat {
+        kind: ProcessKind::Entry,
         dc: DC,
         // It does not dispatch itself, whatever its rank.
         stage: Stage::Joining,
-        holdings: Vec::new(),
+        owned_domains: Vec::new(),
         fence: Fence(0),
         version: 1,
         evacuations: Evacuations::default(),
         shards: 1,
         sent: now,
         echo: Some(Echo {
-            life: Incarnation(1),
+            incarnation: Incarnation(1),
             sent: now,
             session: Session(0),
         }),
-        every: 100,
-        wants: true,
+        interval_ms: 100,
+        wants_frequent: true,
         probe: false,
     }
 }
@@ -196,12 +196,12 @@
     let now = Time(1_000_000);
     let mut member = member(now, ProcessKind::Entry);
     let mut out = Vec::new();
-    let newer = Beat {
+    let newer = FleetHeartbeat {
         version: 7,
         ..beat(now)
     };
     member.handle(now, Input::Beat(process(2, 1), newer), &mut out);
-    let older = Beat {
+    let older = FleetHeartbeat {
         sent: Time(900_000),
         ..beat(now)
     };
@@ -223,7 +223,7 @@
     let later = now + Duration::from_millis(ms);
     let echo = member.beat_for(later, InstanceId(2)).echo;
     let wanted = Echo {
-        life: Incarnation(3),
+        incarnation: Incarnation(3),
         sent: now,
         session: Session(0),
     };
--- a/crates/celerywinch_member/tests/probes.rs
+++ b/crates/celerywinch_member/tests/probes.rs
@@ -7,9 +7,9 @@
 use celerywinch_origin::{CallerId, NewJob};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Domain, Evacuations, Fence, FleetMsg, Incarnation, InstanceId, JobId,
-    JobPlan, Load, OwnedDomain, Process, ProcessKind, Queue, Room, RunNumber, Stage, StepPlan,
-    Time, WallMs, WorkMsg,
+    DataCentreId, Domain, Evacuations, Fence, FleetHeartbeat, FleetMsg, Incarnation, InstanceId,
+    JobId, JobPlan, Load, OwnedDomain, Process, ProcessKind, Queue, Room, RunNumber, Stage,
+    StepPlan, Time, WallMs, WorkMsg,
 };
 use rstest::rstest;
 
@@ -28,7 +28,7 @@
     }
 }
 
-fn beat(now: Time, instance: u32) -> Beat {
+fn beat(now: Time, instance: u32) -> FleetHeartbeat {
     let dispatches = DISPATCHERS.contains(&instance);
     let dc = if instance <= *OTHERS.end() {
         THERE
@@ -40,19 +40,19 @@
         fence: Fence(5),
         load: Load::default(),
     };
-    Beat {
-        part: ProcessKind::Entry,
+    FleetHeartbeat {
+        kind: ProcessKind::Entry,
         dc,
         stage: Stage::Ready,
-        holdings: dispatches.then_some(holding).into_iter().collect(),
+        owned_domains: dispatches.then_some(holding).into_iter().collect(),
         fence: Fence(5),
         version: 1,
         evacuations: Evacuations::default(),
         shards: 1,
         sent: now,
         echo: None,
-        every: if dispatches { 100 } else { 500 },
-        wants: false,
+        interval_ms: if dispatches { 100 } else { 500 },
+        wants_frequent: false,
         probe: false,
     }
 }
@@ -179,8 +179,8 @@
     let mut member = member(now);
     let mut heard = Vec::new();
     for instance in OTHERS.chain(DISPATCHERS) {
-        let rarely = Beat {
-            every: 500,
+        let rarely = FleetHeartbeat {
+            interval_ms: 500,
             ..beat(now, instance)
         };
         member.handle(now, Input::Beat(process(instance), rarely), &mut heard);
--- a/crates/celerywinch_member/tests/restarts.rs
+++ b/crates/celerywinch_member/tests/restarts.rs
@@ -5,8 +5,8 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Evacuations, Fence, Incarnation, InstanceId, Process, ProcessKind, Stage,
-    Time, WallMs,
+    DataCentreId, Evacuations, Fence, FleetHeartbeat, Incarnation, InstanceId, Process,
+    ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
 
@@ -31,20 +31,20 @@
     Member::new(config, Time(0), WallMs(1_700_000_000_000))
 }
 
-fn beat(version: u64, sent: u64) -> Beat {
-    Beat {
-        part: ProcessKind::Keeper,
+fn beat(version: u64, sent: u64) -> FleetHeartbeat {
+    FleetHeartbeat {
+        kind: ProcessKind::Keeper,
         dc: DC,
         stage: Stage::Ready,
-        holdings: Vec::new(),
+        owned_domains: Vec::new(),
         fence: Fence::default(),
         version,
         evacuations: Evacuations::default(),
         shards: 1,
         sent: Time(sent),
         echo: None,
-        every: 100,
-        wants: false,
+        interval_ms: 100,
+        wants_frequent: false,
         probe: false,
     }
 }
--- a/crates/celerywinch_member/tests/teach.rs
+++ b/crates/celerywinch_member/tests/teach.rs
@@ -6,7 +6,7 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Evacuations, Fence, FleetMsg, Incarnation, InstanceId, Process,
+    DataCentreId, Evacuations, Fence, FleetHeartbeat, FleetMsg, Incarnation, InstanceId, Process,
     ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
@@ -25,24 +25,24 @@
 /// When the others are ready: until then none of them dispatches in its place.
 const READY: Time = Time(2_500_000);
 
-fn beat(now: Time) -> Beat {
-    Beat {
-        part: ProcessKind::Entry,
+fn beat(now: Time) -> FleetHeartbeat {
+    FleetHeartbeat {
+        kind: ProcessKind::Entry,
         dc: DC,
         stage: if now < READY {
             Stage::Joining
         } else {
             Stage::Ready
         },
-        holdings: Vec::new(),
+        owned_domains: Vec::new(),
         fence: Fence(0),
         version: 1,
         evacuations: Evacuations::default(),
         shards: 1,
         sent: now,
         echo: None,
-        every: 100,
-        wants: true,
+        interval_ms: 100,
+        wants_frequent: true,
         probe: false,
     }
 }
--- a/crates/celerywinch_types/src/fleet.rs
+++ b/crates/celerywinch_types/src/fleet.rs
@@ -93,7 +93,7 @@
     #[derive(Copy)]
     pub struct Echo {
         /// The life of the receiver that was heard.
-        pub life: Incarnation,
+        pub incarnation: Incarnation,
         /// When that life sent what was heard, by its own clock.
         pub sent: Time,
         /// The session of the receiver as dispatcher of the sender's jobs.
@@ -101,15 +101,15 @@
     }
 
     /// A heartbeat.
-    pub struct Beat {
+    pub struct FleetHeartbeat {
         /// What the sender does.
-        pub part: ProcessKind,
+        pub kind: ProcessKind,
         /// Its data centre.
         pub dc: DataCentreId,
         /// How far it is in its life.
         pub stage: Stage,
         /// What it dispatches for.
-        pub holdings: Vec<OwnedDomain>,
+        pub owned_domains: Vec<OwnedDomain>,
         /// The highest fencing token it knows of.
         pub fence: Fence,
         /// The version of the configuration it has in force.
@@ -124,10 +124,10 @@
         /// count it as alive.
         pub echo: Option<Echo>,
         /// Ms until the next heartbeat to this receiver, at most.
-        pub every: u32,
+        pub interval_ms: u32,
         /// Whether the sender needs the receiver's heartbeats often: it hands work to it, or would dispatch in
         /// its place.
-        pub wants: bool,
+        pub wants_frequent: bool,
         /// Whether the receiver is to answer at once: all that the sender hears often in the receiver's data
         /// centre have fallen silent.
         pub probe: bool,
@@ -139,7 +139,7 @@
         /// Where it runs.
         pub instance: InstanceId,
         /// What it does.
-        pub part: ProcessKind,
+        pub kind: ProcessKind,
     }
 
     /// A task that is handed to a dispatcher.
@@ -410,7 +410,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FleetMsg {
     /// A heartbeat.
-    Beat(Beat),
+    Beat(FleetHeartbeat),
     /// Processes that the sender has heard of.
     Contacts(Vec<Contact>),
     /// A message of the keepers' log.
--- a/crates/celerywinch_types/src/lib.rs
+++ b/crates/celerywinch_types/src/lib.rs
@@ -22,9 +22,9 @@
 pub use crashes::Crashes;
 pub use endpoint::{EndpointAnnouncement, EndpointState, KindName};
 pub use fleet::{
-    Beat, Chunk, ConfigMsg, Contact, Domain, Echo, EvacuationOrder, Evacuations, FleetMsg,
-    KeeperMsg, KeeperRequest, KeeperState, Learned, LearnedQueue, Load, OwnedDomain, PriorRuns,
-    ProcessKind, Session, Stage, StepOrder, TaskEnd, TaskOrder, TaskReport, WorkMsg,
+    Chunk, ConfigMsg, Contact, Domain, Echo, EvacuationOrder, Evacuations, FleetHeartbeat,
+    FleetMsg, KeeperMsg, KeeperRequest, KeeperState, Learned, LearnedQueue, Load, OwnedDomain,
+    PriorRuns, ProcessKind, Session, Stage, StepOrder, TaskEnd, TaskOrder, TaskReport, WorkMsg,
 };
 pub use hash::{score, stable_hash};
 pub use id::{DataCentreId, Holder, Incarnation, InstanceId, Process};
