--- a/crates/celerywinch_bench/src/members/callers.rs
+++ b/crates/celerywinch_bench/src/members/callers.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_member::Input;
 use celerywinch_origin::{CallerId, NewJob};
-use celerywinch_types::{JobEnd, JobId, JobPlan, Queue, Room, RunNumber, StepPlan, Time};
+use celerywinch_types::{JobEnd, JobId, JobPlan, Queue, Resources, RunNumber, StepPlan, Time};
 use rand::Rng;
 
 use super::load::ClassPlan;
@@ -73,7 +73,7 @@
         let chain = takes.iter().max().copied().unwrap_or_default();
         let step = StepPlan {
             count: width,
-            need: Room {
+            need: Resources {
                 cpu: (f64::from(self.options.load.cpu) * self.around(0.2)) as u32,
                 memory: 64,
                 accelerators: 0,
--- a/crates/celerywinch_bench/src/members/lives.rs
+++ b/crates/celerywinch_bench/src/members/lives.rs
@@ -5,7 +5,8 @@
 use celerywinch_pool::{Call, Order};
 use celerywinch_standin::LeasedWorker;
 use celerywinch_types::{
-    AnnouncementVersion, FleetMsg, Incarnation, Room, TaskId, Time, WorkerAnnouncement, WorkerStage,
+    AnnouncementVersion, FleetMsg, Incarnation, Resources, TaskId, Time, WorkerAnnouncement,
+    WorkerStage,
 };
 use rand::Rng;
 
@@ -40,11 +41,11 @@
     /// Since when it has the room that it has.
     pub(crate) room_since: Time,
     /// What it has where nothing is taken from it.
-    pub(crate) whole: Room,
+    pub(crate) whole: Resources,
 }
 
 impl Word {
-    pub(crate) fn new(whole: Room) -> Self {
+    pub(crate) fn new(whole: Resources) -> Self {
         Self {
             stage: WorkerStage::Ready,
             sequence: 1,
--- a/crates/celerywinch_bench/src/members/workers.rs
+++ b/crates/celerywinch_bench/src/members/workers.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_pool::{Answer, Call, Order};
 use celerywinch_standin::{Health, LeasedWorker, Ran};
-use celerywinch_types::{Room, TaskId, Time};
+use celerywinch_types::{Resources, TaskId, Time};
 use rand::Rng;
 
 use super::lives::Word;
@@ -175,7 +175,7 @@
     pub(crate) fn carry_out(&mut self, index: usize, call: &Call) -> Answer {
         let (need, takes) = match &call.order {
             Order::Start { task, .. } => self.work_of(*task),
-            Order::Stop { .. } | Order::Look { .. } => (Room::default(), Duration::ZERO),
+            Order::Stop { .. } | Order::Look { .. } => (Resources::default(), Duration::ZERO),
         };
         let now = self.workers[index].local(self.now);
         let worker = &mut self.workers[index].worker;
@@ -199,7 +199,7 @@
         self.carry_out(index, &way.call)
     }
 
-    fn work_of(&self, task: TaskId) -> (Room, Duration) {
+    fn work_of(&self, task: TaskId) -> (Resources, Duration) {
         let job = self.jobs.iter().rev().find(|job| job.id == task.job);
         let job = job.expect("a task of a job");
         let takes = job.takes[usize::from(task.index)];
--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -8,7 +8,7 @@
 use celerywinch_standin::{LeasedWorker, Ran};
 use celerywinch_types::{
     DataCentreId, DisabledMechanisms, FleetHeartbeat, FleetMsg, Incarnation, InstanceId, JobId,
-    Process, ProcessKind, Room, TaskId, Time, TimerQueue, WallMs, WorkerAnnouncement, score,
+    Process, ProcessKind, Resources, TaskId, Time, TimerQueue, WallMs, WorkerAnnouncement, score,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -254,7 +254,7 @@
             } else {
                 WORKER_CPU
             };
-            let room = Room {
+            let room = Resources {
                 cpu,
                 memory: 65_536,
                 accelerators: 0,
--- a/crates/celerywinch_fleet/tests/roster.rs
+++ b/crates/celerywinch_fleet/tests/roster.rs
@@ -4,7 +4,8 @@
 
 use celerywinch_fleet::{Heard, Roster};
 use celerywinch_types::{
-    AnnouncementVersion, DataCentreId, Incarnation, Room, Time, WorkerAnnouncement, WorkerStage,
+    AnnouncementVersion, DataCentreId, Incarnation, Resources, Time, WorkerAnnouncement,
+    WorkerStage,
 };
 use rstest::rstest;
 
@@ -21,7 +22,7 @@
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], 1).into(),
         dc: DataCentreId(0),
-        room: Room::default(),
+        room: Resources::default(),
         labels: Vec::new(),
         stage,
         said: said(1, sequence),
--- a/crates/celerywinch_member/tests/arrivals.rs
+++ b/crates/celerywinch_member/tests/arrivals.rs
@@ -4,7 +4,7 @@
 use celerywinch_origin::{CallerId, JobNote, NewJob};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    DataCentreId, Incarnation, InstanceId, JobId, JobPlan, Process, ProcessKind, Queue, Room,
+    DataCentreId, Incarnation, InstanceId, JobId, JobPlan, Process, ProcessKind, Queue, Resources,
     RunNumber, StepPlan, Time, WallMs,
 };
 use rstest::rstest;
@@ -46,7 +46,7 @@
             spec: String::new(),
             steps: vec![StepPlan {
                 count: 1,
-                need: Room::default(),
+                need: Resources::default(),
                 estimate: 200,
                 after: Vec::new(),
                 label: None,
--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -7,7 +7,8 @@
 use celerywinch_pool::{Answer, Note, PoolConfig};
 use celerywinch_types::{
     AnnouncementVersion, DataCentreId, Evacuations, Fence, FleetHeartbeat, Incarnation, InstanceId,
-    Process, ProcessKind, Room, Stage, Time, WallMs, WorkerAnnouncement, WorkerClock, WorkerStage,
+    Process, ProcessKind, Resources, Stage, Time, WallMs, WorkerAnnouncement, WorkerClock,
+    WorkerStage,
 };
 
 const FAR: DataCentreId = DataCentreId(1);
@@ -43,7 +44,7 @@
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], index).into(),
         dc: FAR,
-        room: Room::default(),
+        room: Resources::default(),
         labels: Vec::new(),
         stage: WorkerStage::Ready,
         said: AnnouncementVersion {
--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -7,7 +7,7 @@
 use celerywinch_pool::{Answer, Call, EndedRow, How, Order, PoolConfig};
 use celerywinch_types::{
     AnnouncementVersion, Crashes, DataCentreId, Echo, Evacuations, Fence, FleetHeartbeat, FleetMsg,
-    Incarnation, InstanceId, JobId, PriorRuns, Process, ProcessKind, Room, RunNumber, Session,
+    Incarnation, InstanceId, JobId, PriorRuns, Process, ProcessKind, Resources, RunNumber, Session,
     Stage, StepOrder, TaskOrder, Time, WallMs, WorkMsg, WorkerAnnouncement, WorkerClock,
     WorkerStage,
 };
@@ -69,7 +69,7 @@
         service: "s".to_owned(),
         priority: 0,
         attempts: 3,
-        need: Room::default(),
+        need: Resources::default(),
         estimate: 200,
         label: None,
         rack: None,
@@ -259,9 +259,9 @@
     let mut now = Time(1_000_000);
     let mut member = member(now, ProcessKind::Entry);
     let cpu = 16_000;
-    let room = Room {
+    let room = Resources {
         cpu,
-        ..Room::default()
+        ..Resources::default()
     };
     let worker = WorkerAnnouncement {
         id: "w1".to_owned(),
--- a/crates/celerywinch_member/tests/probes.rs
+++ b/crates/celerywinch_member/tests/probes.rs
@@ -8,7 +8,7 @@
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
     DataCentreId, Domain, Evacuations, Fence, FleetHeartbeat, FleetMsg, Incarnation, InstanceId,
-    JobId, JobPlan, Load, OwnedDomain, Process, ProcessKind, Queue, Room, RunNumber, Stage,
+    JobId, JobPlan, Load, OwnedDomain, Process, ProcessKind, Queue, Resources, RunNumber, Stage,
     StepPlan, Time, WallMs, WorkMsg,
 };
 use rstest::rstest;
@@ -92,7 +92,7 @@
             spec: String::new(),
             steps: vec![StepPlan {
                 count: 2,
-                need: Room::default(),
+                need: Resources::default(),
                 estimate: 200,
                 after: Vec::new(),
                 label: None,
--- a/crates/celerywinch_origin/tests/hand_in.rs
+++ b/crates/celerywinch_origin/tests/hand_in.rs
@@ -5,7 +5,7 @@
 use celerywinch_origin::{CallerId, Holder, Input, NewJob, Origin, Output};
 use celerywinch_types::{
     DataCentreId, DisabledMechanisms, Domain, InstanceId, JobEnd, JobId, JobPlan, Load, PriorRuns,
-    Queue, Room, RunNumber, StepOrder, StepPlan, TaskEnd, TaskId, TaskReport, Time, WorkMsg,
+    Queue, Resources, RunNumber, StepOrder, StepPlan, TaskEnd, TaskId, TaskReport, Time, WorkMsg,
 };
 use rstest::rstest;
 
@@ -45,7 +45,7 @@
             spec: String::new(),
             steps: vec![StepPlan {
                 count: tasks,
-                need: Room::default(),
+                need: Resources::default(),
                 estimate: 200,
                 after: Vec::new(),
                 label: None,
--- a/crates/celerywinch_pool/src/lives.rs
+++ b/crates/celerywinch_pool/src/lives.rs
@@ -159,7 +159,7 @@
         let need = run.need;
         let worker = &mut self.workers[later];
         worker.runs.push(key);
-        worker.used = worker.used.plus(need);
+        worker.used = worker.used.saturating_add(need);
         worker.lease = worker.lease.max(longest);
         if moved {
             self.lose_inherited(now, key, out);
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -209,7 +209,7 @@
 
 /// Less is better: what is left empty on the worker, and how long the task would take there.
 fn cost(batch: &Batch, task: &Task, key: WorkerKey, worker: &Worker, packs: bool) -> f64 {
-    let left = worker.free().less(batch.order.need).cpu;
+    let left = worker.free().saturating_sub(batch.order.need).cpu;
     let empty = if packs {
         f64::from(left) / f64::from(worker.note.room.cpu.max(1))
     } else {
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -564,7 +564,7 @@
         let run = self.runs.remove(key)?;
         if let Some(worker) = self.workers.get_mut(run.worker) {
             worker.runs.retain(|other| *other != key);
-            worker.used = worker.used.less(run.need);
+            worker.used = worker.used.saturating_sub(run.need);
         }
         Some(run)
     }
@@ -576,7 +576,7 @@
         let key = self.runs.insert(run);
         let worker = &mut self.workers[worker];
         worker.runs.push(key);
-        worker.used = worker.used.plus(need);
+        worker.used = worker.used.saturating_add(need);
         key
     }
 
--- a/crates/celerywinch_pool/src/run.rs
+++ b/crates/celerywinch_pool/src/run.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_types::{Room, RunNumber, TaskId, Time};
+use celerywinch_types::{Resources, RunNumber, TaskId, Time};
 use slotmap::new_key_type;
 
 use crate::job::BatchKey;
@@ -33,7 +33,7 @@
     pub(crate) batch: Option<BatchKey>,
     pub(crate) worker: WorkerKey,
     pub(crate) number: RunNumber,
-    pub(crate) need: Room,
+    pub(crate) need: Resources,
     pub(crate) started: Time,
     /// How long it should take on this worker.
     pub(crate) expected: Duration,
--- a/crates/celerywinch_pool/src/worker.rs
+++ b/crates/celerywinch_pool/src/worker.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use celerywinch_types::{
-    Domain, Incarnation, Room, Time, WorkerAnnouncement, WorkerClock, WorkerStage, stable_hash,
+    Domain, Incarnation, Resources, Time, WorkerAnnouncement, WorkerClock, WorkerStage, stable_hash,
 };
 use slotmap::new_key_type;
 
@@ -52,7 +52,7 @@
     pub(crate) lives: u64,
     pub(crate) runs: Vec<RunKey>,
     /// What its runs need, those too whose end is not listed yet.
-    pub(crate) used: Room,
+    pub(crate) used: Resources,
     /// Runs of another dispatcher that were neither adopted nor seen to end.
     pub(crate) aliens: usize,
     /// The last end that was taken note of, and the last that the worker was told of.
@@ -91,7 +91,7 @@
     pub(crate) fn new(now: Time, note: WorkerAnnouncement, shards: u8) -> Self {
         Self {
             domain: domain_of(&note, shards),
-            used: Room::default(),
+            used: Resources::default(),
             note,
             others: OtherLives::default(),
             before: None,
@@ -123,7 +123,7 @@
         self.grip = Grip::None;
         self.lives = 0;
         self.runs.clear();
-        self.used = Room::default();
+        self.used = Resources::default();
         self.aliens = 0;
         self.cursor = 0;
         self.acknowledged = 0;
@@ -215,8 +215,8 @@
 
     /// What is free. Nothing where its room has shrunk below what is at work there: that ends as it would, and what
     /// comes next waits.
-    pub(crate) fn free(&self) -> Room {
-        self.note.room.less(self.used)
+    pub(crate) fn free(&self) -> Resources {
+        self.note.room.saturating_sub(self.used)
     }
 
     /// Whether a new task may be sent there.
--- a/crates/celerywinch_pool/tests/capacity.rs
+++ b/crates/celerywinch_pool/tests/capacity.rs
@@ -3,27 +3,27 @@
 mod rig;
 
 use celerywinch_pool::{Answer, How, Input};
-use celerywinch_types::{AnnouncementVersion, JobId, PriorRuns, Room, WorkerAnnouncement};
+use celerywinch_types::{AnnouncementVersion, JobId, PriorRuns, Resources, WorkerAnnouncement};
 use rig::{DOMAIN, Rig, clock, ended, is_look, is_start, is_stop, lists, note, row, step};
 use rstest::rstest;
 
 /// Room for one of the rig's tasks, and for two.
-const ONE: Room = Room {
+const ONE: Resources = Resources {
     cpu: 16_000,
     memory: 65_536,
     accelerators: 0,
 };
-const TWO: Room = Room { cpu: 32_000, ..ONE };
-const NONE: Room = Room { cpu: 4_000, ..ONE };
+const TWO: Resources = Resources { cpu: 32_000, ..ONE };
+const NONE: Resources = Resources { cpu: 4_000, ..ONE };
 
 struct Case {
     /// What the worker says that it has, one after the other; two tasks fit at first.
-    rooms: &'static [Room],
+    rooms: &'static [Resources],
     /// How many of three tasks are started then, with none at work before, and with one.
     starts: [usize; 2],
 }
 
-fn says(rig: &mut Rig, number: u64, room: Room) {
+fn says(rig: &mut Rig, number: u64, room: Resources) {
     let first = note("w1", 1);
     let said = AnnouncementVersion {
         sequence: first.said.sequence + number,
--- a/crates/celerywinch_pool/tests/locality.rs
+++ b/crates/celerywinch_pool/tests/locality.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_pool::{Input, PoolConfig};
 use celerywinch_types::{
-    DataCentreId, DisabledMechanisms, Domain, Fence, JobId, Mechanism, PriorRuns, Room,
+    DataCentreId, DisabledMechanisms, Domain, Fence, JobId, Mechanism, PriorRuns, Resources,
     WorkerAnnouncement,
 };
 use rig::{DC, ROOM, Rig, is_look, is_start, lists, note, step};
@@ -23,7 +23,7 @@
     rig.pool.set_shards(shards);
     let far = |id: &str, port: u16| WorkerAnnouncement {
         dc: OTHER,
-        room: Room {
+        room: Resources {
             cpu: 16_000,
             ..ROOM
         },
--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -9,7 +9,7 @@
 };
 use celerywinch_types::{
     AnnouncementVersion, Crashes, DataCentreId, Domain, Fence, Incarnation, InstanceId, JobId,
-    PriorRuns, Room, RunNumber, Session, StepOrder, TaskEnd, TaskId, TaskOrder, Time, WorkMsg,
+    PriorRuns, Resources, RunNumber, Session, StepOrder, TaskEnd, TaskId, TaskOrder, Time, WorkMsg,
     WorkerAnnouncement, WorkerClock, WorkerStage,
 };
 
@@ -20,7 +20,7 @@
 /// A fencing token above the one that the dispatcher begins with.
 pub(crate) const LATER_FENCE: Fence = Fence(9 << 5);
 pub(crate) const JOB: JobId = JobId(77);
-pub(crate) const ROOM: Room = Room {
+pub(crate) const ROOM: Resources = Resources {
     cpu: 32_000,
     memory: 65_536,
     accelerators: 0,
@@ -60,9 +60,9 @@
         service: "s".to_owned(),
         priority: 0,
         attempts: 3,
-        need: Room {
+        need: Resources {
             cpu: 14_000,
-            ..Room::default()
+            ..Resources::default()
         },
         estimate: 200,
         label: None,
--- a/crates/celerywinch_standin/src/leased.rs
+++ b/crates/celerywinch_standin/src/leased.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use celerywinch_pool::{Answer, EndedRow, How, Order, Reject, RunningRow};
-use celerywinch_types::{Fence, Incarnation, Room, RunNumber, TaskId, Time, WorkerClock};
+use celerywinch_types::{Fence, Incarnation, Resources, RunNumber, TaskId, Time, WorkerClock};
 
 /// How long a stop takes.
 const STOP: Duration = Duration::from_millis(50);
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 struct Work {
     run: RunNumber,
-    need: Room,
+    need: Resources,
     started: Time,
     /// What is left, of sound work.
     left: Duration,
@@ -56,7 +56,7 @@
     /// Which of its lives this is; none where it does not say.
     pub incarnation: Option<Incarnation>,
     /// What it has.
-    pub room: Room,
+    pub room: Resources,
     /// Whether it refuses what it has no room for.
     pub guards: bool,
     /// How its work goes.
@@ -79,7 +79,7 @@
 impl LeasedWorker {
     /// A worker that starts now.
     #[must_use]
-    pub fn new(now: Time, id: &str, room: Room) -> Self {
+    pub fn new(now: Time, id: &str, room: Resources) -> Self {
         Self {
             id: id.to_owned(),
             incarnation: None,
@@ -109,16 +109,18 @@
 
     /// What is free.
     #[must_use]
-    pub fn free(&self) -> Room {
+    pub fn free(&self) -> Resources {
         let taken = self.work.values();
-        taken.fold(self.room, |free, work| free.less(work.need))
+        taken.fold(self.room, |free, work| free.saturating_sub(work.need))
     }
 
     /// What all that is there needs, also what is being stopped.
     #[must_use]
-    pub fn taken(&self) -> Room {
+    pub fn taken(&self) -> Resources {
         let work = self.work.values();
-        work.fold(Room::default(), |sum, work| sum.plus(work.need))
+        work.fold(Resources::default(), |sum, work| {
+            sum.saturating_add(work.need)
+        })
     }
 
     /// Whether a task is there.
@@ -213,7 +215,7 @@
         now: Time,
         fence: Fence,
         order: &Order,
-        need: Room,
+        need: Resources,
         takes: Duration,
     ) -> Answer {
         self.advance(now);
@@ -273,7 +275,7 @@
         now: Time,
         run: (TaskId, RunNumber),
         deadline: WorkerClock,
-        need: Room,
+        need: Resources,
         takes: Duration,
     ) -> Answer {
         let (task, run) = run;
--- a/crates/celerywinch_types/src/fleet.rs
+++ b/crates/celerywinch_types/src/fleet.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    Crashes, DataCentreId, Fence, Incarnation, InstanceId, JobId, Room, RunNumber, TaskId, Time,
-    WorkerAnnouncement, domain, identifier,
+    Crashes, DataCentreId, Fence, Incarnation, InstanceId, JobId, Resources, RunNumber, TaskId,
+    Time, WorkerAnnouncement, domain, identifier,
 };
 
 identifier! {
@@ -204,7 +204,7 @@
         /// A task that failed so often fails its job.
         pub attempts: u32,
         /// What each task needs.
-        pub need: Room,
+        pub need: Resources,
         /// The caller's guess of a task's run time, in ms.
         pub estimate: u32,
         /// The label that a worker must have.
--- a/crates/celerywinch_types/src/lib.rs
+++ b/crates/celerywinch_types/src/lib.rs
@@ -41,6 +41,6 @@
 pub use time::{Time, WallMs};
 pub use timers::{TimerId, TimerQueue};
 pub use work::{
-    AnnouncementVersion, Fence, JobEnd, JobId, JobPlan, MAX_INCARNATIONS, Room, RunNumber,
+    AnnouncementVersion, Fence, JobEnd, JobId, JobPlan, MAX_INCARNATIONS, Resources, RunNumber,
     StepPlan, TaskId, WorkerAnnouncement, WorkerClock, WorkerStage,
 };
--- a/crates/celerywinch_types/src/work.rs
+++ b/crates/celerywinch_types/src/work.rs
@@ -32,7 +32,7 @@
 
     /// What a task needs of a worker, or what a worker has.
     #[derive(Copy, Default)]
-    pub struct Room {
+    pub struct Resources {
         /// Thousandths of a core.
         pub cpu: u32,
         /// MiB.
@@ -46,7 +46,7 @@
         /// How many tasks.
         pub count: u16,
         /// What each needs.
-        pub need: Room,
+        pub need: Resources,
         /// The caller's guess of a task's run time, in ms; often far off.
         pub estimate: u32,
         /// Steps whose tasks must all be done first.
@@ -112,7 +112,7 @@
         /// The number of its data centre.
         pub dc: crate::DataCentreId,
         /// What it has.
-        pub room: Room,
+        pub room: Resources,
         /// Its kind and its rack.
         pub labels: Vec<String>,
         /// Whether it takes work.
@@ -122,7 +122,7 @@
     }
 }
 
-impl Room {
+impl Resources {
     /// Whether `need` fits in.
     #[must_use]
     pub fn fits(self, need: Self) -> bool {
@@ -131,7 +131,7 @@
 
     /// What is left after `need` was taken; zero where it has less.
     #[must_use]
-    pub fn less(self, need: Self) -> Self {
+    pub fn saturating_sub(self, need: Self) -> Self {
         Self {
             cpu: self.cpu.saturating_sub(need.cpu),
             memory: self.memory.saturating_sub(need.memory),
@@ -141,7 +141,7 @@
 
     /// Both together.
     #[must_use]
-    pub fn plus(self, other: Self) -> Self {
+    pub fn saturating_add(self, other: Self) -> Self {
         Self {
             cpu: self.cpu.saturating_add(other.cpu),
             memory: self.memory.saturating_add(other.memory),
