--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -77,17 +77,17 @@
         age: 0,
         slack: 1_600,
         target: 60,
-        chain: 200,
-        fresh: false,
-        pass: false,
+        critical_path: 200,
+        refusable: false,
+        no_wait: false,
         tasks: vec![TaskOrder {
             index: 0,
             failures: 0,
             crashes: Crashes::default(),
             run: RunNumber(1),
-            doubt: PriorRuns::None,
-            hand: 1,
-            first: 1,
+            prior_runs: PriorRuns::None,
+            submission: 1,
+            first_submission: 1,
         }],
     }
 }
--- a/crates/celerywinch_origin/src/job.rs
+++ b/crates/celerywinch_origin/src/job.rs
@@ -58,9 +58,9 @@
             failures: self.failures,
             crashes: self.crashes,
             run: self.run,
-            doubt,
-            hand: self.hand,
-            first: self.first,
+            prior_runs: doubt,
+            submission: self.hand,
+            first_submission: self.first,
         }
     }
 }
@@ -173,9 +173,9 @@
             age: u32::try_from(age).unwrap_or(u32::MAX),
             slack: self.queue.slack,
             target: self.queue.target,
-            chain: self.chain(),
-            fresh: false,
-            pass: false,
+            critical_path: self.chain(),
+            refusable: false,
+            no_wait: false,
             tasks,
         }
     }
--- a/crates/celerywinch_origin/src/lost.rs
+++ b/crates/celerywinch_origin/src/lost.rs
@@ -59,7 +59,7 @@
                 let hand = self.hands;
                 let orders = here.map(|((_, index), task)| {
                     task.hand = hand;
-                    task.order(*index, PriorRuns::Open)
+                    task.order(*index, PriorRuns::Unknown)
                 });
                 let orders = orders.collect();
                 let mut order = job.order(now, step, orders);
@@ -91,7 +91,7 @@
         self.sessions.entry(peer).or_default().0 += 1;
         let trace = Trace {
             domains: self.held.get(&peer).cloned().unwrap_or_default(),
-            doubt: PriorRuns::Open,
+            doubt: PriorRuns::Unknown,
             since: now,
             at: Some(peer),
         };
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -301,7 +301,7 @@
     fn ended(&mut self, now: Time, from: InstanceId, news: TaskReport, out: &mut Vec<Output>) {
         let TaskReport {
             task: id,
-            hand,
+            submission: hand,
             end,
         } = news;
         let Some(job) = self.jobs.get_mut(&id.job) else {
@@ -313,7 +313,7 @@
         let Place::Out(at, trace) = task.place.clone() else {
             return;
         };
-        if at != from || (news.gives_back() && hand != task.hand) {
+        if at != from || (news.returns_task() && hand != task.hand) {
             return;
         }
         match end {
@@ -355,7 +355,7 @@
                 task.place = at.map_or(Place::Todo, |at| Place::Unsure(last_run(now, at)));
                 self.wait_for_holder(id.job, from);
             }
-            TaskEnd::Doubtful => {
+            TaskEnd::Undetermined => {
                 job.doubtful = true;
                 let again = task.hand != task.first;
                 let as_it_came = trace.clone().filter(|_| !again);
@@ -530,15 +530,15 @@
             tasks: count,
             unsure: orders
                 .iter()
-                .filter(|order| order.doubt != PriorRuns::None)
+                .filter(|order| order.prior_runs != PriorRuns::None)
                 .count(),
             free: holder.load.free,
         }));
         let session = self.sessions.get(&holder.instance);
         let mut order = job.order(now, step, orders);
         order.session = session.copied().unwrap_or_default();
-        order.fresh = fresh;
-        order.pass = choice.pass && !self.without.lacks(Mechanism::Passing);
+        order.refusable = fresh;
+        order.no_wait = choice.pass && !self.without.lacks(Mechanism::Passing);
         out.push(Output::Send(holder.instance, WorkMsg::Submit(order)));
         // Until the next heartbeat tells, the room is believed to be taken.
         let mut taken = u32::try_from(count).unwrap_or(u32::MAX);
@@ -568,7 +568,7 @@
     let before = came.iter().flat_map(|trace| trace.domains.iter());
     Trace {
         domains: Arc::new(before.chain(reach).copied().collect()),
-        doubt: PriorRuns::Open,
+        doubt: PriorRuns::Unknown,
         since: now,
         at: None,
     }
--- a/crates/celerywinch_origin/tests/hand_in.rs
+++ b/crates/celerywinch_origin/tests/hand_in.rs
@@ -114,7 +114,7 @@
                 step: 0,
                 index: task.index,
             },
-            hand: task.hand,
+            submission: task.submission,
             end,
         });
         let news = news.collect();
@@ -128,13 +128,16 @@
 #[rstest]
 #[case::full(TaskEnd::Full)]
 #[case::returned(TaskEnd::Returned { at: None, failures: 0, run: RunNumber(1_000) })]
-#[case::doubtful(TaskEnd::Doubtful)]
+#[case::doubtful(TaskEnd::Undetermined)]
 fn what_was_given_back_before_it_was_named_again_stays(#[case] end: TaskEnd) {
     let mut rig = Rig::new(1, &[5, 5]);
     let (first, order) = rig.last();
     rig.take(Input::LinkReset(first));
     let (again, named) = rig.last();
-    assert_eq!((again, named.tasks[0].doubt), (first, PriorRuns::Open));
+    assert_eq!(
+        (again, named.tasks[0].prior_runs),
+        (first, PriorRuns::Unknown)
+    );
     let sent = rig.sent.len();
     rig.tell(first, &order, &[0], end);
     assert_eq!(rig.sent.len(), sent, "{:?}", rig.last());
@@ -142,7 +145,7 @@
     rig.tell(first, &named, &[0], TaskEnd::Full);
     let (other, order) = rig.last();
     assert_ne!(other, first);
-    assert_eq!(order.tasks[0].doubt, PriorRuns::None);
+    assert_eq!(order.tasks[0].prior_runs, PriorRuns::None);
 }
 
 /// A caller is refused though there is room: the dispatcher that its job went to had some when it
@@ -154,13 +157,13 @@
     let mut tried = Vec::new();
     for _ in 0..3 {
         let (to, order) = rig.last();
-        assert!(order.pass && order.fresh, "{order:?}");
+        assert!(order.no_wait && order.refusable, "{order:?}");
         assert!(!tried.contains(&to));
         tried.push(to);
         rig.tell(to, &order, &[0, 1], TaskEnd::Full);
     }
     let (to, order) = rig.last();
-    assert!(!order.pass && order.fresh, "{order:?}");
+    assert!(!order.no_wait && order.refusable, "{order:?}");
     rig.tell(to, &order, &[0], TaskEnd::Refused(100));
     assert_eq!(rig.answers, [JobEnd::Refused(100)]);
 }
@@ -202,7 +205,7 @@
     rig.tell(to, &order, &[1], TaskEnd::Full);
     let (other, order) = rig.last();
     assert_ne!(other, to);
-    assert!(!order.fresh, "{order:?}");
+    assert!(!order.refusable, "{order:?}");
     let indices: Vec<u16> = order.tasks.iter().map(|task| task.index).collect();
     assert_eq!(indices, [1]);
 }
@@ -211,7 +214,7 @@
 #[test]
 fn only_dispatcher_keeps_what_has_no_room() {
     let rig = Rig::new(2, &[5]);
-    assert!(!rig.last().1.pass);
+    assert!(!rig.last().1.no_wait);
 }
 
 /// A task runs twice: its dispatcher was not heard for a moment and has it still, though it no longer
@@ -350,13 +353,16 @@
     };
     rig.take(Input::Holders(vec![successor]));
     let (to, order) = rig.last();
-    assert_eq!((to, order.tasks[0].doubt), (InstanceId(7), PriorRuns::Last));
+    assert_eq!(
+        (to, order.tasks[0].prior_runs),
+        (InstanceId(7), PriorRuns::Last)
+    );
     rig.take(Input::LinkReset(to));
     let (_, named) = rig.last();
-    rig.tell(to, &named, &[0], TaskEnd::Doubtful);
+    rig.tell(to, &named, &[0], TaskEnd::Undetermined);
     rig.take(Input::Holders(vec![holder(first.0, 5)]));
     let (_, order) = rig.last();
-    assert_eq!(order.tasks[0].doubt, PriorRuns::Open);
+    assert_eq!(order.tasks[0].prior_runs, PriorRuns::Unknown);
     assert!(order.tasks[0].run > RunNumber(1_002));
 }
 
--- a/crates/celerywinch_pool/src/admission.rs
+++ b/crates/celerywinch_pool/src/admission.rs
@@ -125,7 +125,7 @@
         }));
         let news = TaskReport {
             task: batch.id(0),
-            hand: 0,
+            submission: 0,
             end: TaskEnd::Refused(later),
         };
         out.push(Output::Send(
--- a/crates/celerywinch_pool/src/crashes.rs
+++ b/crates/celerywinch_pool/src/crashes.rs
@@ -295,7 +295,7 @@
             .is_some_and(|batch| self.is_careful(batch));
         if let Some(batch) = self.batches.get_mut(key) {
             batch.proved = true;
-            let passes = careful && batch.order.pass;
+            let passes = careful && batch.order.no_wait;
             self.passing.extend(passes.then_some(key));
         }
     }
--- a/crates/celerywinch_pool/src/origins.rs
+++ b/crates/celerywinch_pool/src/origins.rs
@@ -108,7 +108,7 @@
 
     pub(crate) fn drop_origin(&mut self, now: Time, origin: InstanceId, out: &mut Vec<Output>) {
         // Its next life counts from the beginning.
-        let gives_back = |told: &Told| told.origin == origin && told.news.gives_back();
+        let gives_back = |told: &Told| told.origin == origin && told.news.returns_task();
         self.told.retain(|_, told| !gives_back(told));
         let keys: Vec<_> = self
             .batches
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -481,7 +481,7 @@
         let task = batch.tasks.remove(&index);
         let news = TaskReport {
             task: id,
-            hand: task.map_or(0, |task| task.hand),
+            submission: task.map_or(0, |task| task.hand),
             end,
         };
         let told = Told {
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -44,7 +44,7 @@
             }
             None => {
                 let batch = self.new_batch(now, from, order);
-                let (fresh, pass) = (batch.order.fresh, batch.order.pass);
+                let (fresh, pass) = (batch.order.refusable, batch.order.no_wait);
                 if fresh && !pass && self.refuse_new(now, &batch, tasks.len(), out) {
                     return;
                 }
@@ -98,7 +98,7 @@
         }
         let batch = &mut self.batches[key];
         let earlier = |task: &Task| task.session != Some(order.session);
-        batch.begun |= !order.fresh && batch.tasks.values().any(earlier);
+        batch.begun |= !order.refusable && batch.tasks.values().any(earlier);
         true
     }
 
@@ -107,7 +107,7 @@
         let batch = &self.batches[key];
         let news = batch.tasks.keys().map(|index| TaskReport {
             task: batch.id(*index),
-            hand: 0,
+            submission: 0,
             end: TaskEnd::Superseded,
         });
         self.news.entry(origin).or_default().extend(news);
@@ -153,17 +153,17 @@
                 step: order.step,
                 index: task.index,
             };
-            let end = match task.doubt {
+            let end = match task.prior_runs {
                 PriorRuns::None => TaskEnd::Returned {
                     at: None,
                     failures: task.failures,
                     run: task.run,
                 },
-                PriorRuns::Last | PriorRuns::Open => TaskEnd::Doubtful,
+                PriorRuns::Last | PriorRuns::Unknown => TaskEnd::Undetermined,
             };
             let news = TaskReport {
                 task: id,
-                hand: task.hand,
+                submission: task.submission,
                 end,
             };
             self.news.entry(to).or_default().push(news);
@@ -173,7 +173,7 @@
     pub(crate) fn new_batch(&self, now: Time, origin: InstanceId, order: StepOrder) -> Batch {
         let ms = Duration::from_millis;
         let expected = self.times.expected(&order.queue, order.estimate);
-        let chain = self.times.expected(&order.queue, order.chain);
+        let chain = self.times.expected(&order.queue, order.critical_path);
         let objective = chain.mul_f64(f64::from(order.slack) / 1e3) + ms(order.target.into());
         let age = ms(order.age.into());
         Batch {
@@ -182,9 +182,9 @@
             due: now + objective - age,
             expected,
             tasks: BTreeMap::new(),
-            begun: !order.fresh,
+            begun: !order.refusable,
             // What another dispatcher passed on after it had started a part of the step.
-            proved: order.pass && !order.fresh,
+            proved: order.no_wait && !order.refusable,
             order,
         }
     }
@@ -200,7 +200,7 @@
         let batch = &mut self.batches[key];
         let id = batch.id(order.index);
         if let Some(task) = batch.tasks.get_mut(&order.index) {
-            task.hand = order.hand;
+            task.hand = order.submission;
             task.session = Some(session);
             task.unnamed = false;
             return;
@@ -209,7 +209,7 @@
             && told.settles(batch.origin, &order)
         {
             let news = TaskReport {
-                hand: order.hand,
+                submission: order.submission,
                 ..told.news
             };
             self.report(key, news);
@@ -220,15 +220,15 @@
             failures: order.failures,
             crashes: order.crashes.with(self.crashes.of(id)),
             run: order.run,
-            doubt: order.doubt,
-            hand: order.hand,
+            doubt: order.prior_runs,
+            hand: order.submission,
             session: Some(session),
             unnamed: false,
             avoid: None,
         };
         self.batches[key].tasks.insert(order.index, task);
         // What may run elsewhere waits for the end of the longest lease, and so for that of any run here.
-        if order.doubt != PriorRuns::None {
+        if order.prior_runs != PriorRuns::None {
             self.settle(now, key, order.index);
         } else if self.may_be_elsewhere(now, key, id) {
             let until = now + self.config.limbo;
@@ -266,7 +266,7 @@
         let origin = self.batches[key].origin;
         self.told.get(&id).is_some_and(|told| {
             let lately = now.since(told.at) <= SENT_AGAIN;
-            lately && told.origin != origin && told.news.gives_back()
+            lately && told.origin != origin && told.news.returns_task()
         })
     }
 }
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -134,7 +134,7 @@
             self.takeover.ends.remove(&id);
             return;
         }
-        let open = task.doubt == PriorRuns::Open;
+        let open = task.doubt == PriorRuns::Unknown;
         match self.takeover.aliens.get(&id).copied() {
             Some(alien)
                 if !alien.stopped
@@ -343,7 +343,7 @@
     }
 
     fn return_doubtful(&mut self, now: Time, key: BatchKey, index: u16) {
-        self.finish(now, key, index, TaskEnd::Doubtful);
+        self.finish(now, key, index, TaskEnd::Undetermined);
     }
 
     fn return_queue(&mut self, now: Time) -> usize {
--- a/crates/celerywinch_pool/src/told.rs
+++ b/crates/celerywinch_pool/src/told.rs
@@ -27,10 +27,14 @@
     /// the while: it has not been started since. If another had it meanwhile, it may run there.
     pub(crate) fn settles(&self, origin: InstanceId, order: &TaskOrder) -> bool {
         match self.news.end {
-            TaskEnd::Done | TaskEnd::Failed | TaskEnd::GivenUp => order.doubt != PriorRuns::None,
-            TaskEnd::Full => self.origin == origin && self.news.hand >= order.first,
+            TaskEnd::Done | TaskEnd::Failed | TaskEnd::GivenUp => {
+                order.prior_runs != PriorRuns::None
+            }
+            TaskEnd::Full => {
+                self.origin == origin && self.news.submission >= order.first_submission
+            }
             TaskEnd::Returned { .. }
-            | TaskEnd::Doubtful
+            | TaskEnd::Undetermined
             | TaskEnd::Refused(_)
             | TaskEnd::Superseded
             | TaskEnd::Unplaced => false,
--- a/crates/celerywinch_pool/tests/capacity.rs
+++ b/crates/celerywinch_pool/tests/capacity.rs
@@ -41,7 +41,7 @@
         let mut order = step(PriorRuns::None, 0);
         order.job = JobId(job);
         // Something of it has run, so it waits where it finds no room.
-        order.fresh = false;
+        order.refusable = false;
         rig.submit(order);
     }
 }
--- a/crates/celerywinch_pool/tests/crashes.rs
+++ b/crates/celerywinch_pool/tests/crashes.rs
@@ -104,7 +104,7 @@
     let mut rig = rig(6);
     let mut lives = Lives::new();
     let mut order = step(PriorRuns::None, 0);
-    order.fresh = false;
+    order.refusable = false;
     rig.submit(order);
     for ends in case.ends {
         end(&mut rig, &mut lives, *ends);
@@ -121,7 +121,7 @@
     let mut rig = rig(2);
     let mut lives = Lives::new();
     let mut order = step(PriorRuns::None, 0);
-    order.fresh = false;
+    order.refusable = false;
     rig.submit(order);
     let first = rig.last(is_start).worker;
     end(&mut rig, &mut lives, Ends::Silent);
@@ -167,7 +167,7 @@
 fn wide(job: u64) -> StepOrder {
     let mut order = step(PriorRuns::None, 0);
     order.job = JobId(job);
-    order.fresh = false;
+    order.refusable = false;
     let first = order.tasks[0];
     let tasks = (0..8).map(|index| TaskOrder { index, ..first });
     order.tasks = tasks.collect();
@@ -182,7 +182,7 @@
     let mut rig = rig(12);
     let mut lives = Lives::new();
     let mut order = step(PriorRuns::None, 0);
-    order.fresh = false;
+    order.refusable = false;
     rig.submit(order);
     end(&mut rig, &mut lives, Ends::Returns);
     end(&mut rig, &mut lives, Ends::Returns);
@@ -259,7 +259,7 @@
     rig.take(Input::Crashes(vec![(task(0), seen)]));
     rig.take(Input::Crashes(vec![(task(0), proven)]));
     let mut order = step(PriorRuns::None, 0);
-    order.fresh = false;
+    order.refusable = false;
     rig.submit(order);
     assert_eq!(rig.count(is_start), 1, "one worker has ended, told twice");
     rig.take(Input::Crashes(vec![(
--- a/crates/celerywinch_pool/tests/evacuated.rs
+++ b/crates/celerywinch_pool/tests/evacuated.rs
@@ -42,7 +42,7 @@
     for job in jobs {
         let mut order = step(PriorRuns::None, 0);
         order.job = JobId(job);
-        order.fresh = false;
+        order.refusable = false;
         rig.submit(order);
     }
 }
--- a/crates/celerywinch_pool/tests/grants.rs
+++ b/crates/celerywinch_pool/tests/grants.rs
@@ -40,7 +40,7 @@
         let mut order = step(doubt, 0);
         order.session = Session(session);
         // Else it would be refused while it waits.
-        order.fresh = false;
+        order.refusable = false;
         self.rig.take(Input::Work(REMOTE, WorkMsg::Submit(order)));
     }
 
@@ -334,7 +334,7 @@
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let mut passed = step(PriorRuns::None, 0);
-    passed.pass = true;
+    passed.no_wait = true;
     rig.submit(passed);
     assert_eq!(rig.told.last().map(|(_, end)| *end), Some(TaskEnd::Full));
     let cancel = WorkMsg::Cancel {
@@ -352,8 +352,8 @@
     let mut remote = Remote { rig };
     remote.grant(0, 500);
     let mut again = step(PriorRuns::None, 0);
-    again.tasks[0].hand = 2;
-    again.tasks[0].first = 2;
+    again.tasks[0].submission = 2;
+    again.tasks[0].first_submission = 2;
     let origin = if case.other { REMOTE } else { ORIGIN };
     remote.rig.take(Input::Work(origin, WorkMsg::Submit(again)));
     assert_eq!(remote.starts(), case.starts);
@@ -373,7 +373,7 @@
     };
     rig.take(Input::Work(ORIGIN, cancel));
     let stop = rig.last(is_stop);
-    rig.submit(step(PriorRuns::Open, 0));
+    rig.submit(step(PriorRuns::Unknown, 0));
     rig.answer(&stop, Answer::Taken(clock()));
     let look = rig.last(is_look);
     rig.answer(&look, lists(Vec::new(), vec![ended(1, How::Cut)]));
--- a/crates/celerywinch_pool/tests/limbo.rs
+++ b/crates/celerywinch_pool/tests/limbo.rs
@@ -42,7 +42,7 @@
     let late = GRANT - 10;
     rig.wait(late);
     let mut order = step(PriorRuns::None, 0);
-    order.fresh = false;
+    order.refusable = false;
     rig.take(Input::Work(REMOTE, WorkMsg::Submit(order)));
     let Order::Start { deadline, .. } = rig.last(is_start).order else {
         panic!("a start");
@@ -56,7 +56,7 @@
 /// Ms after it was handed in at which a successor starts a task of which it finds nothing.
 fn first_start() -> u64 {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(PriorRuns::Open, 7));
+    rig.submit(step(PriorRuns::Unknown, 7));
     let mut ms = 0;
     while rig.count(is_start) == 0 {
         rig.wait(10);
--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -71,17 +71,17 @@
         age: 0,
         slack: 1_600,
         target: 60,
-        chain: 200,
-        fresh: doubt == PriorRuns::None,
-        pass: false,
+        critical_path: 200,
+        refusable: doubt == PriorRuns::None,
+        no_wait: false,
         tasks: vec![TaskOrder {
             index: 0,
             failures: 0,
             crashes: Crashes::default(),
             run: RunNumber(run),
-            doubt,
-            hand: 1,
-            first: 1,
+            prior_runs: doubt,
+            submission: 1,
+            first_submission: 1,
         }],
     }
 }
--- a/crates/celerywinch_pool/tests/runs.rs
+++ b/crates/celerywinch_pool/tests/runs.rs
@@ -114,10 +114,10 @@
 /// worker that it has not reached.
 #[rstest]
 #[case::at_work(Found {
-    doubt: PriorRuns::Open, running: Some(7), ended: None, starts: false, told: None,
+    doubt: PriorRuns::Unknown, running: Some(7), ended: None, starts: false, told: None,
 })]
 #[case::done(Found {
-    doubt: PriorRuns::Open, running: None, ended: Some((7, How::Done)), starts: false,
+    doubt: PriorRuns::Unknown, running: None, ended: Some((7, How::Done)), starts: false,
     told: Some(TaskEnd::Done),
 })]
 #[case::cut_and_no_later_run(Found {
@@ -127,10 +127,10 @@
     doubt: PriorRuns::Last, running: None, ended: Some((6, How::Cut)), starts: false, told: None,
 })]
 #[case::cut_and_perhaps_a_later_run(Found {
-    doubt: PriorRuns::Open, running: None, ended: Some((7, How::Cut)), starts: false, told: None,
+    doubt: PriorRuns::Unknown, running: None, ended: Some((7, How::Cut)), starts: false, told: None,
 })]
 #[case::nothing(Found {
-    doubt: PriorRuns::Open, running: None, ended: None, starts: false, told: None,
+    doubt: PriorRuns::Unknown, running: None, ended: None, starts: false, told: None,
 })]
 fn successor_settles_a_task_in_doubt(#[case] case: Found) {
     let running = case.running.map(|run| RunningRow {
@@ -220,7 +220,7 @@
 #[test]
 fn run_after_limbo_has_a_number_of_its_own() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(PriorRuns::Open, 7));
+    rig.submit(step(PriorRuns::Unknown, 7));
     rig.wait(1_600);
     let start = rig.last(is_start);
     let Order::Start { run, .. } = start.order else {
@@ -240,7 +240,7 @@
         percent: 20,
     };
     let mut rig = Rig::new(vec![row(0), row(1)], Vec::new());
-    rig.submit(step(PriorRuns::Open, 7));
+    rig.submit(step(PriorRuns::Unknown, 7));
     for _ in 0..10 {
         rig.wait(20);
         let look = rig.last(is_look);
@@ -275,7 +275,7 @@
     rig.take(Input::Workers(vec![note("w2", 2)]));
     let other = rig.last(is_look);
     rig.answer(&other, lists(Vec::new(), Vec::new()));
-    rig.submit(step(PriorRuns::Open, 7));
+    rig.submit(step(PriorRuns::Unknown, 7));
     let mut looks = rig
         .calls
         .iter()
@@ -311,13 +311,13 @@
         rig.submit(order);
     }
     let mut order = step(PriorRuns::None, 10);
-    order.pass = true;
+    order.no_wait = true;
     rig.submit(order);
     assert_eq!(rig.told, [(task(0), TaskEnd::Full)]);
     rig.told.clear();
-    let mut again = step(PriorRuns::Open, 10);
-    again.tasks[0].first = case.first;
-    again.tasks[0].hand = 4;
+    let mut again = step(PriorRuns::Unknown, 10);
+    again.tasks[0].first_submission = case.first;
+    again.tasks[0].submission = 4;
     rig.submit(again);
     let told = rig.told.first().map(|(_, end)| *end);
     assert_eq!(told, case.told);
@@ -353,7 +353,7 @@
         rig.take(Input::AskOrigin(ORIGIN));
     }
     if case.again {
-        rig.submit(step(PriorRuns::Open, 10));
+        rig.submit(step(PriorRuns::Unknown, 10));
     }
     let unsure = case.unsure.then_some(task(0)).into_iter().collect();
     let named = WorkMsg::Named { ask: 1, unsure };
@@ -377,7 +377,7 @@
         ..ended(run, How::Cut)
     };
     rig.answer(&look, lists(Vec::new(), vec![end]));
-    rig.submit(step(PriorRuns::Open, 7));
+    rig.submit(step(PriorRuns::Unknown, 7));
     rig.wait(1_700);
     assert_eq!(rig.count(is_start), 0, "it is at work on w1");
 }
--- a/crates/celerywinch_pool/tests/silence.rs
+++ b/crates/celerywinch_pool/tests/silence.rs
@@ -143,7 +143,7 @@
     rig.now = rig.now + Duration::from_millis(age_ms);
     let mut order = step(PriorRuns::None, 0);
     // Else it would be refused for want of workers.
-    order.fresh = false;
+    order.refusable = false;
     rig.submit(order);
     assert_eq!(rig.count(is_start), starts);
     pass(&mut rig, 100, NOBODY);
--- a/crates/celerywinch_types/src/fleet.rs
+++ b/crates/celerywinch_types/src/fleet.rs
@@ -154,11 +154,11 @@
         /// Workers that have ended under it.
         pub crashes: Crashes,
         /// Whether it may be running.
-        pub doubt: PriorRuns,
+        pub prior_runs: PriorRuns,
         /// Names this time that the task was handed in; rises over all that its origin hands in.
-        pub hand: u32,
+        pub submission: u32,
         /// The first of those at this dispatcher, since when it should have the task.
-        pub first: u32,
+        pub first_submission: u32,
     }
 
     /// What became of a task that was handed to a dispatcher.
@@ -167,7 +167,7 @@
         /// The task.
         pub task: TaskId,
         /// Which of the times that it was handed in.
-        pub hand: u32,
+        pub submission: u32,
         /// What became of it.
         pub end: TaskEnd,
     }
@@ -181,7 +181,7 @@
         Last,
         /// Runs may have been started that its origin did not hear of. Only one found at work, or
         /// done, settles it.
-        Open,
+        Unknown,
     }
 
     /// Tasks of one step of a job.
@@ -220,12 +220,12 @@
         /// ... and so many ms.
         pub target: u32,
         /// Ms of the longest chain of work, by the estimates.
-        pub chain: u32,
+        pub critical_path: u32,
         /// Whether the job may still be refused as "not run".
-        pub fresh: bool,
+        pub refusable: bool,
         /// Whether tasks that find no room at once are to be given back, since another dispatcher
         /// may have some; else they wait here.
-        pub pass: bool,
+        pub no_wait: bool,
         /// The tasks.
         pub tasks: Vec<TaskOrder>,
     }
@@ -252,7 +252,7 @@
         /// Not started: there is no room at present, and another dispatcher was to be tried.
         Full,
         /// Given back as it came, in doubt: whether it runs was not found out.
-        Doubtful,
+        Undetermined,
         /// Will not be served, and nothing of its job has run here; worth a try after so many ms.
         Refused(u32),
         /// Its caller has sent the job again to another origin, which gets what becomes of it.
@@ -370,9 +370,9 @@
     /// Whether it tells that the task goes back to its origin. Such news of an earlier time that it
     /// was handed in must not count: the dispatcher may have it again.
     #[must_use]
-    pub fn gives_back(&self) -> bool {
+    pub fn returns_task(&self) -> bool {
         match self.end {
-            TaskEnd::Full | TaskEnd::Returned { .. } | TaskEnd::Doubtful => true,
+            TaskEnd::Full | TaskEnd::Returned { .. } | TaskEnd::Undetermined => true,
             TaskEnd::Done
             | TaskEnd::Failed
             | TaskEnd::GivenUp
