--- a/crates/celerywinch_bench/src/members/cuts.rs
+++ b/crates/celerywinch_bench/src/members/cuts.rs
@@ -122,7 +122,7 @@
             for other in 0..self.members.len() {
                 if index != other && self.members[other].is_up() && !self.knows(index, other) {
                     let theirs = self.beat_of(other, index);
-                    self.deliver(other, index, FleetMsg::Beat(theirs));
+                    self.deliver(other, index, FleetMsg::Heartbeat(theirs));
                 }
             }
         }
--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -396,12 +396,12 @@
         }
         let from = self.process(from);
         let input = match msg {
-            FleetMsg::Beat(beat) => Input::Beat(from, beat),
+            FleetMsg::Heartbeat(beat) => Input::Beat(from, beat),
             FleetMsg::Work(msg) => Input::Work(from, msg),
             FleetMsg::Workers(notes) => Input::Workers(notes),
             FleetMsg::Learned(learned) => Input::Learned(learned),
             FleetMsg::Crashes(told) => Input::Crashes(told),
-            FleetMsg::Careful(queues) => Input::Careful(queues),
+            FleetMsg::ProbeQueues(queues) => Input::Careful(queues),
             _ => return,
         };
         self.input(index, input);
@@ -575,8 +575,8 @@
             }
             let mine = self.beat_of(index, other);
             let theirs = self.beat_of(other, index);
-            self.deliver(index, other, FleetMsg::Beat(mine));
-            self.deliver(other, index, FleetMsg::Beat(theirs));
+            self.deliver(index, other, FleetMsg::Heartbeat(mine));
+            self.deliver(other, index, FleetMsg::Heartbeat(theirs));
         }
     }
 
--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -434,7 +434,7 @@
 
     fn peer(&mut self, now: Time, from: Process, msg: FleetMsg) {
         match msg {
-            FleetMsg::Beat(beat) => {
+            FleetMsg::Heartbeat(beat) => {
                 let told = SpreadInput::Heard(Told {
                     instance: from.instance,
                     part: beat.kind,
@@ -449,13 +449,13 @@
                 self.learn(&instances);
             }
             FleetMsg::Log(bytes) => self.to_store(StoreIn::Log(from.instance, bytes)),
-            FleetMsg::Keep(msg) => self.keep_msg(from.instance, msg),
+            FleetMsg::Keeper(msg) => self.keep_msg(from.instance, msg),
             FleetMsg::Workers(notes) => self.input(now, Input::Workers(notes)),
-            FleetMsg::Spread(msg) => self.spread(now, SpreadInput::Message(from.instance, msg)),
+            FleetMsg::Config(msg) => self.spread(now, SpreadInput::Message(from.instance, msg)),
             FleetMsg::Work(msg) => self.input(now, Input::Work(from, msg)),
             FleetMsg::Learned(learned) => self.input(now, Input::Learned(learned)),
             FleetMsg::Crashes(told) => self.input(now, Input::Crashes(told)),
-            FleetMsg::Careful(queues) => self.input(now, Input::Careful(queues)),
+            FleetMsg::ProbeQueues(queues) => self.input(now, Input::Careful(queues)),
         }
     }
 
--- a/crates/celerywinch_fleet/src/core/keeping.rs
+++ b/crates/celerywinch_fleet/src/core/keeping.rs
@@ -53,12 +53,12 @@
             match output {
                 SpreadOutput::Send(to, msg) => {
                     self.metrics.spreads(&msg);
-                    self.links.send(to, FleetMsg::Spread(msg));
+                    self.links.send(to, FleetMsg::Config(msg));
                 }
                 SpreadOutput::Tell(entries) => {
                     for entry in entries {
                         let beat = self.member.beat_for(now, entry);
-                        self.links.send(entry, FleetMsg::Beat(beat));
+                        self.links.send(entry, FleetMsg::Heartbeat(beat));
                     }
                 }
                 SpreadOutput::Whole(held) => self.put_in_force(now, held),
--- a/crates/celerywinch_fleet/src/core/members.rs
+++ b/crates/celerywinch_fleet/src/core/members.rs
@@ -38,7 +38,7 @@
         match event {
             LinkEvent::Opened | LinkEvent::Replaced => {
                 let beat = self.member.beat_for(now, peer);
-                self.links.send(peer, FleetMsg::Beat(beat));
+                self.links.send(peer, FleetMsg::Heartbeat(beat));
                 self.send_contacts(peer);
                 self.send_workers(peer);
                 self.input(now, Input::LinkReset(peer));
@@ -122,7 +122,7 @@
         let unheard: Vec<_> = seeds.filter(|seed| peers.get(*seed).is_none()).collect();
         for seed in unheard {
             let beat = self.member.beat_for(now, seed);
-            self.links.send(seed, FleetMsg::Beat(beat));
+            self.links.send(seed, FleetMsg::Heartbeat(beat));
         }
     }
 
--- a/crates/celerywinch_fleet/src/metrics.rs
+++ b/crates/celerywinch_fleet/src/metrics.rs
@@ -190,15 +190,15 @@
     /// A message is sent to another process.
     pub(crate) fn sends(&self, msg: &FleetMsg, bytes: usize) {
         let kind = match msg {
-            FleetMsg::Beat(_) => KINDS[0],
+            FleetMsg::Heartbeat(_) => KINDS[0],
             FleetMsg::Contacts(_) => KINDS[1],
             FleetMsg::Log(_) => KINDS[2],
-            FleetMsg::Keep(_) => KINDS[3],
+            FleetMsg::Keeper(_) => KINDS[3],
             FleetMsg::Workers(_) => KINDS[4],
-            FleetMsg::Spread(_) => KINDS[5],
+            FleetMsg::Config(_) => KINDS[5],
             FleetMsg::Work(_) => KINDS[6],
             FleetMsg::Learned(_) => KINDS[7],
-            FleetMsg::Crashes(_) | FleetMsg::Careful(_) => KINDS[8],
+            FleetMsg::Crashes(_) | FleetMsg::ProbeQueues(_) => KINDS[8],
         };
         self.messages.with_label_values(&[kind]).inc();
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
--- a/crates/celerywinch_fleet/src/spread.rs
+++ b/crates/celerywinch_fleet/src/spread.rs
@@ -185,7 +185,7 @@
             SpreadInput::Lost(peer) => {
                 self.heard.remove(&peer);
             }
-            SpreadInput::Message(from, ConfigMsg::Want { version, offset }) => {
+            SpreadInput::Message(from, ConfigMsg::Request { version, offset }) => {
                 self.wanted(now, from, version, offset, out);
             }
             SpreadInput::Message(from, ConfigMsg::Chunk(piece)) => {
--- a/crates/celerywinch_fleet/src/spread/transfer.rs
+++ b/crates/celerywinch_fleet/src/spread/transfer.rs
@@ -120,7 +120,7 @@
             self.open.insert(offset, now);
             self.asked.insert(self.source);
             let version = self.version;
-            let msg = ConfigMsg::Want { version, offset };
+            let msg = ConfigMsg::Request { version, offset };
             out.push(SpreadOutput::Send(self.source, msg));
         }
     }
--- a/crates/celerywinch_fleet/src/store.rs
+++ b/crates/celerywinch_fleet/src/store.rs
@@ -263,7 +263,7 @@
                     id: request.id,
                     request: request.request,
                 };
-                self.tell(StoreOut::Send(to, FleetMsg::Keep(msg)));
+                self.tell(StoreOut::Send(to, FleetMsg::Keeper(msg)));
             }
             RegistryOutput::Committed(held) => self.tell(StoreOut::Committed(held)),
             RegistryOutput::EvacuationsChanged(evacuations) => {
@@ -278,7 +278,7 @@
             self.tell(StoreOut::Answer(id, state));
             return;
         }
-        let msg = FleetMsg::Keep(KeeperMsg::Answer { id, state });
+        let msg = FleetMsg::Keeper(KeeperMsg::Answer { id, state });
         self.tell(StoreOut::Send(to, msg));
     }
 
--- a/crates/celerywinch_fleet/tests/pieces.rs
+++ b/crates/celerywinch_fleet/tests/pieces.rs
@@ -38,7 +38,7 @@
 }
 
 fn want(version: u64, offset: u64) -> SpreadInput {
-    SpreadInput::Message(ENTRY, ConfigMsg::Want { version, offset })
+    SpreadInput::Message(ENTRY, ConfigMsg::Request { version, offset })
 }
 
 /// A request of an entry, and what comes of it: a piece from this byte to that one, or nothing.
@@ -204,7 +204,7 @@
         SpreadInput::Tick,
     ));
     let asked = out.iter().find_map(|output| match output {
-        SpreadOutput::Send(KEEPER, ConfigMsg::Want { version: 4, offset }) => Some(*offset),
+        SpreadOutput::Send(KEEPER, ConfigMsg::Request { version: 4, offset }) => Some(*offset),
         _ => None,
     });
     assert_eq!(asked, Some(here), "{out:?}");
@@ -264,7 +264,7 @@
         let input = SpreadInput::Message(instance, ConfigMsg::Chunk(piece));
         out.extend(handle(&mut spread, NOW, input));
         let last = out.iter().rev().find_map(|output| match output {
-            SpreadOutput::Send(to, ConfigMsg::Want { .. }) => Some(*to),
+            SpreadOutput::Send(to, ConfigMsg::Request { .. }) => Some(*to),
             _ => None,
         });
         asked.push(last.expect("a request"));
--- a/crates/celerywinch_fleet/tests/wire/mod.rs
+++ b/crates/celerywinch_fleet/tests/wire/mod.rs
@@ -64,7 +64,7 @@
 impl Packet {
     fn bytes(&self) -> u64 {
         let body = match self {
-            Self::Beat(_) | Self::Spread(ConfigMsg::Want { .. }) => 0,
+            Self::Beat(_) | Self::Spread(ConfigMsg::Request { .. }) => 0,
             Self::Spread(ConfigMsg::Chunk(piece)) => piece.bytes.len(),
         };
         SMALL + body as u64
--- a/crates/celerywinch_member/src/beats.rs
+++ b/crates/celerywinch_member/src/beats.rs
@@ -322,7 +322,7 @@
     pub(crate) fn send_beat(&mut self, now: Time, to: InstanceId, out: &mut Vec<Output>) {
         self.promise(now, to);
         let beat = self.beat_for(now, to);
-        out.push(Output::Send(to, FleetMsg::Beat(beat)));
+        out.push(Output::Send(to, FleetMsg::Heartbeat(beat)));
     }
 
     fn promise(&mut self, now: Time, to: InstanceId) {
@@ -374,7 +374,7 @@
         self.peers.probed(now, peer);
         let mut beat = self.beat_for(now, peer);
         beat.probe = true;
-        out.push(Output::Send(peer, FleetMsg::Beat(beat)));
+        out.push(Output::Send(peer, FleetMsg::Heartbeat(beat)));
     }
 
     /// Tells the entries that would dispatch next what a successor needs to know, one after the other.
@@ -417,7 +417,7 @@
                 out.push(Output::Send(peer, FleetMsg::Crashes(crashes.clone())));
             }
             if !careful.is_empty() {
-                out.push(Output::Send(peer, FleetMsg::Careful(careful.clone())));
+                out.push(Output::Send(peer, FleetMsg::ProbeQueues(careful.clone())));
             }
         }
     }
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -643,7 +643,7 @@
             WorkMsg::Submit(_)
             | WorkMsg::Cancel { .. }
             | WorkMsg::Drop { .. }
-            | WorkMsg::Named { .. } => {
+            | WorkMsg::ResyncDone { .. } => {
                 self.pool_input(now, PoolInput::Work(from, msg), out);
             }
             WorkMsg::Ended(_) | WorkMsg::Crashed(..) | WorkMsg::Resync(_) => {
--- a/crates/celerywinch_member/tests/evacuations.rs
+++ b/crates/celerywinch_member/tests/evacuations.rs
@@ -60,7 +60,7 @@
 /// The receivers of the heartbeats that were sent, with the revision of the evacuations in each.
 fn sent_revisions(out: &[Output]) -> BTreeSet<(InstanceId, u64)> {
     let beats = out.iter().filter_map(|output| match output {
-        Output::Send(to, FleetMsg::Beat(beat)) => Some((*to, beat.evacuations.revision)),
+        Output::Send(to, FleetMsg::Heartbeat(beat)) => Some((*to, beat.evacuations.revision)),
         _ => None,
     });
     beats.collect()
--- a/crates/celerywinch_member/tests/hand_overs.rs
+++ b/crates/celerywinch_member/tests/hand_overs.rs
@@ -83,7 +83,7 @@
     member.handle(later, Input::Flush, &mut out);
     let beats = out
         .iter()
-        .filter(|output| matches!(output, Output::Send(_, FleetMsg::Beat(_))));
+        .filter(|output| matches!(output, Output::Send(_, FleetMsg::Heartbeat(_))));
     // Those that callers' jobs go to from now on, and whom it may have to stand in for.
     let beats = beats.count();
     assert!(beats <= 24, "{beats} heartbeats for {changes} changes");
--- a/crates/celerywinch_member/tests/probes.rs
+++ b/crates/celerywinch_member/tests/probes.rs
@@ -146,7 +146,7 @@
         }
         member.handle(now, Input::Tick, &mut out);
         for output in out {
-            if let Output::Send(to, FleetMsg::Beat(sent)) = output
+            if let Output::Send(to, FleetMsg::Heartbeat(sent)) = output
                 && sent.probe
                 && OTHERS.contains(&to.0)
             {
@@ -200,7 +200,7 @@
             let Output::Send(to, msg) = output else {
                 continue;
             };
-            if matches!(&msg, FleetMsg::Beat(sent) if sent.probe) {
+            if matches!(&msg, FleetMsg::Heartbeat(sent) if sent.probe) {
                 asked.insert(to.0);
             }
             if matches!(msg, FleetMsg::Work(WorkMsg::Submit(_))) {
--- a/crates/celerywinch_origin/src/lost.rs
+++ b/crates/celerywinch_origin/src/lost.rs
@@ -34,7 +34,13 @@
 
     pub(crate) fn tell(self, last: u32, out: &mut Vec<Output>) {
         for (at, tasks) in self.tasks {
-            out.push(Output::Send(at, WorkMsg::Drop { tasks, last }));
+            out.push(Output::Send(
+                at,
+                WorkMsg::Drop {
+                    tasks,
+                    last_submission: last,
+                },
+            ));
         }
     }
 }
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -249,7 +249,7 @@
         for dispatcher in job.dispatchers() {
             let cancel = WorkMsg::Cancel {
                 job: id,
-                last: self.hands,
+                last_submission: self.hands,
             };
             out.push(Output::Send(dispatcher, cancel));
         }
@@ -288,13 +288,19 @@
             WorkMsg::Resync(ask) => {
                 self.hand_in_again(now, from, out);
                 let unsure = self.unsure_at(from);
-                out.push(Output::Send(from, WorkMsg::Named { ask, unsure }));
+                out.push(Output::Send(
+                    from,
+                    WorkMsg::ResyncDone {
+                        request: ask,
+                        unsure,
+                    },
+                ));
             }
             // For dispatchers, not for origins.
             WorkMsg::Submit(_)
             | WorkMsg::Cancel { .. }
             | WorkMsg::Drop { .. }
-            | WorkMsg::Named { .. } => {}
+            | WorkMsg::ResyncDone { .. } => {}
         }
     }
 
@@ -324,7 +330,7 @@
                     // run it once more, as a task that is done is named in no cancellation of its job.
                     let drop = WorkMsg::Drop {
                         tasks: vec![id],
-                        last: self.hands,
+                        last_submission: self.hands,
                     };
                     out.push(Output::Send(from, drop));
                 }
--- a/crates/celerywinch_origin/tests/hand_in.rs
+++ b/crates/celerywinch_origin/tests/hand_in.rs
@@ -93,7 +93,7 @@
             match output {
                 Output::Send(to, WorkMsg::Submit(order)) => self.sent.push((to, order)),
                 Output::Send(to, WorkMsg::Drop { tasks, .. }) => self.dropped.push((to, tasks)),
-                Output::Send(_, msg @ WorkMsg::Named { .. }) => self.named.push(msg),
+                Output::Send(_, msg @ WorkMsg::ResyncDone { .. }) => self.named.push(msg),
                 Output::Answer(_, end) => self.answers.push(end),
                 Output::Send(..) | Output::Note(_) => {}
             }
@@ -284,7 +284,7 @@
     let mut rig = Rig::new(1, &[5]);
     let (to, _) = rig.last();
     rig.take(Input::Work(to, WorkMsg::Resync(7)));
-    let named = |unsure| WorkMsg::Named { ask: 7, unsure };
+    let named = |unsure| WorkMsg::ResyncDone { request: 7, unsure };
     assert_eq!(rig.sent.len(), 2);
     assert_eq!(rig.named, [named(Vec::new())]);
     rig.take(Input::PeerLost(to));
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -321,9 +321,18 @@
     fn work(&mut self, now: Time, from: InstanceId, msg: WorkMsg, out: &mut Vec<Output>) {
         match msg {
             WorkMsg::Submit(order) => self.submit(now, from, order, out),
-            WorkMsg::Cancel { job, last } => self.cancel(now, from, job, last, out),
-            WorkMsg::Drop { tasks, last } => self.drop_tasks(now, from, &tasks, last, out),
-            WorkMsg::Named { ask, unsure } => self.sweep(now, from, ask, &unsure, out),
+            WorkMsg::Cancel {
+                job,
+                last_submission: last,
+            } => self.cancel(now, from, job, last, out),
+            WorkMsg::Drop {
+                tasks,
+                last_submission: last,
+            } => self.drop_tasks(now, from, &tasks, last, out),
+            WorkMsg::ResyncDone {
+                request: ask,
+                unsure,
+            } => self.sweep(now, from, ask, &unsure, out),
             // For origins, not for dispatchers.
             WorkMsg::Ended(_) | WorkMsg::Crashed(..) | WorkMsg::Resync(_) => {}
         }
--- a/crates/celerywinch_pool/tests/capacity.rs
+++ b/crates/celerywinch_pool/tests/capacity.rs
@@ -95,7 +95,7 @@
     let look = rig.last(is_look);
     let cancel = celerywinch_types::WorkMsg::Cancel {
         job: rig::JOB,
-        last: u32::MAX,
+        last_submission: u32::MAX,
     };
     rig.take(Input::Work(rig::ORIGIN, cancel));
     assert_eq!(rig.count(is_stop), 1);
--- a/crates/celerywinch_pool/tests/crashes.rs
+++ b/crates/celerywinch_pool/tests/crashes.rs
@@ -148,7 +148,7 @@
         end(&mut rig, &mut lives, Ends::Returns);
         let cancel = WorkMsg::Cancel {
             job: rig::JOB,
-            last: u32::MAX,
+            last_submission: u32::MAX,
         };
         rig.take(Input::Work(ORIGIN, cancel));
         let stop = rig.last(rig::is_stop);
--- a/crates/celerywinch_pool/tests/grants.rs
+++ b/crates/celerywinch_pool/tests/grants.rs
@@ -164,12 +164,18 @@
     match how {
         TakenBack::Cancelled => {
             let job = rig::JOB;
-            let cancel = WorkMsg::Cancel { job, last };
+            let cancel = WorkMsg::Cancel {
+                job,
+                last_submission: last,
+            };
             remote.rig.take(Input::Work(REMOTE, cancel));
         }
         TakenBack::Dropped => {
             let tasks = vec![rig::task(0)];
-            let drop = WorkMsg::Drop { tasks, last };
+            let drop = WorkMsg::Drop {
+                tasks,
+                last_submission: last,
+            };
             remote.rig.take(Input::Work(REMOTE, drop));
         }
         TakenBack::WithoutGrant => remote.rig.wait(810),
@@ -216,7 +222,7 @@
     rig.answer(&start, Answer::Taken(clock()));
     let cancel = WorkMsg::Cancel {
         job: rig::JOB,
-        last: 1,
+        last_submission: 1,
     };
     rig.take(Input::Work(ORIGIN, cancel));
     if let Some(answer) = stop {
@@ -265,10 +271,10 @@
 /// goes back to it after the cut, and then that message arrives, which was held up. It takes back only
 /// what was handed in before it was sent.
 #[rstest]
-#[case::cancelled(WorkMsg::Cancel { job: rig::JOB, last: 0 }, 0)]
-#[case::dropped(WorkMsg::Drop { tasks: vec![rig::task(0)], last: 0 }, 0)]
-#[case::cancelled_in_time(WorkMsg::Cancel { job: rig::JOB, last: 1 }, 1)]
-#[case::dropped_in_time(WorkMsg::Drop { tasks: vec![rig::task(0)], last: 1 }, 1)]
+#[case::cancelled(WorkMsg::Cancel { job: rig::JOB, last_submission: 0 }, 0)]
+#[case::dropped(WorkMsg::Drop { tasks: vec![rig::task(0)], last_submission: 0 }, 0)]
+#[case::cancelled_in_time(WorkMsg::Cancel { job: rig::JOB, last_submission: 1 }, 1)]
+#[case::dropped_in_time(WorkMsg::Drop { tasks: vec![rig::task(0)], last_submission: 1 }, 1)]
 fn message_that_was_held_up_takes_nothing_back(#[case] msg: WorkMsg, #[case] stops: usize) {
     let mut remote = Remote::new();
     remote.hand_in(0, PriorRuns::None);
@@ -289,7 +295,7 @@
     rig.answer(&start, Answer::Taken(clock()));
     let cancel = WorkMsg::Cancel {
         job: rig::JOB,
-        last: 1,
+        last_submission: 1,
     };
     rig.take(Input::Work(ORIGIN, cancel));
     let stop = rig.last(is_stop);
@@ -339,7 +345,7 @@
     assert_eq!(rig.told.last().map(|(_, end)| *end), Some(TaskEnd::Full));
     let cancel = WorkMsg::Cancel {
         job: JobId(1),
-        last: 1,
+        last_submission: 1,
     };
     rig.take(Input::Work(ORIGIN, cancel));
     let stop = rig.last(is_stop);
@@ -369,7 +375,7 @@
     rig.answer(&start, Answer::Taken(clock()));
     let cancel = WorkMsg::Cancel {
         job: rig::JOB,
-        last: 1,
+        last_submission: 1,
     };
     rig.take(Input::Work(ORIGIN, cancel));
     let stop = rig.last(is_stop);
--- a/crates/celerywinch_pool/tests/runs.rs
+++ b/crates/celerywinch_pool/tests/runs.rs
@@ -86,7 +86,13 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
-    rig.take(Input::Work(ORIGIN, WorkMsg::Cancel { job: JOB, last: 1 }));
+    rig.take(Input::Work(
+        ORIGIN,
+        WorkMsg::Cancel {
+            job: JOB,
+            last_submission: 1,
+        },
+    ));
     let stop = rig.last(is_stop);
     rig.answer(&stop, Answer::Taken(clock()));
     rig.answer(&start, Answer::Silent);
@@ -356,7 +362,7 @@
         rig.submit(step(PriorRuns::Unknown, 10));
     }
     let unsure = case.unsure.then_some(task(0)).into_iter().collect();
-    let named = WorkMsg::Named { ask: 1, unsure };
+    let named = WorkMsg::ResyncDone { request: 1, unsure };
     rig.take(Input::Work(ORIGIN, named));
     let stops = rig.count(|order| matches!(order, Order::Stop { .. }));
     assert_eq!(stops, usize::from(case.stopped));
--- a/crates/celerywinch_types/src/fleet.rs
+++ b/crates/celerywinch_types/src/fleet.rs
@@ -271,14 +271,14 @@
             job: JobId,
             /// The origin's last hand-in so far. The message may be held up, and what was handed in later is
             /// wanted.
-            last: u32,
+            last_submission: u32,
         },
         /// These tasks are not wanted here any more; their origin has them done elsewhere.
         Drop {
             /// The tasks.
             tasks: Vec<TaskId>,
             /// As in `Cancel`.
-            last: u32,
+            last_submission: u32,
         },
         /// Ends of tasks.
         Ended(Vec<TaskReport>),
@@ -289,9 +289,9 @@
         Resync(u64),
         /// Answers `Resync`, after all that is wanted was handed in again: whatever else is here of
         /// this origin is not wanted.
-        Named {
+        ResyncDone {
             /// The number of the question.
-            ask: u64,
+            request: u64,
             /// Tasks that may be handed in again yet: their origin took this dispatcher for lost.
             unsure: Vec<TaskId>,
         },
@@ -300,7 +300,7 @@
     /// How the configuration spreads from the keepers to the entries.
     pub enum ConfigMsg {
         /// Asks for a piece of the configuration.
-        Want {
+        Request {
             /// The version.
             version: u64,
             /// The first byte.
@@ -410,17 +410,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FleetMsg {
     /// A heartbeat.
-    Beat(FleetHeartbeat),
+    Heartbeat(FleetHeartbeat),
     /// Processes that the sender has heard of.
     Contacts(Vec<Contact>),
     /// A message of the keepers' log.
     Log(Vec<u8>),
     /// A request to the keepers.
-    Keep(KeeperMsg),
+    Keeper(KeeperMsg),
     /// What workers said of themselves.
     Workers(Vec<WorkerAnnouncement>),
     /// How the configuration spreads.
-    Spread(ConfigMsg),
+    Config(ConfigMsg),
     /// Work.
     Work(WorkMsg),
     /// What a dispatcher has learned.
@@ -428,5 +428,5 @@
     /// Workers that ended under tasks, as a dispatcher knows by now.
     Crashes(Vec<(TaskId, Crashes)>),
     /// Queues whose steps are to be started with care.
-    Careful(Vec<String>),
+    ProbeQueues(Vec<String>),
 }
