--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -197,7 +197,7 @@
         let paces = held.map(|w| (w.note.id.clone(), w.pace as f32));
         Learned {
             queues: self.times.learned(),
-            paces: paces.collect(),
+            slowdowns: paces.collect(),
         }
     }
 
@@ -207,7 +207,7 @@
         if self.held.is_empty() {
             self.times.learn_from(learned.queues);
         }
-        for (id, pace) in learned.paces {
+        for (id, pace) in learned.slowdowns {
             if let Some(key) = self.names.get(&id)
                 && self.workers[*key].grip == Grip::None
             {
--- a/crates/celerywinch_pool/src/times.rs
+++ b/crates/celerywinch_pool/src/times.rs
@@ -47,7 +47,7 @@
         let learned = queues.map(|(name, times)| LearnedQueue {
             name: name.clone(),
             count: times.count as f32,
-            took: times.took as f32,
+            run_time: times.took as f32,
             bias: times.bias as f32,
         });
         learned.collect()
@@ -57,7 +57,7 @@
         for queue in queues {
             let times = QueueTimes {
                 count: queue.count.into(),
-                took: queue.took.into(),
+                took: queue.run_time.into(),
                 bias: queue.bias.into(),
             };
             self.queues.insert(queue.name, times);
--- a/crates/celerywinch_types/src/fleet.rs
+++ b/crates/celerywinch_types/src/fleet.rs
@@ -391,7 +391,7 @@
     /// How many tasks have ended.
     pub count: f32,
     /// What they took on a usual worker.
-    pub took: f32,
+    pub run_time: f32,
     /// That over what callers had guessed.
     pub bias: f32,
 }
@@ -403,7 +403,7 @@
     /// By queue.
     pub queues: Vec<LearnedQueue>,
     /// How much longer than usual work takes, by worker.
-    pub paces: Vec<(String, f32)>,
+    pub slowdowns: Vec<(String, f32)>,
 }
 
 /// A message between processes.
