--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -282,7 +282,7 @@
                 let job = self.jobs.get_mut(&task.job);
                 let task = job.and_then(|job| job.tasks.get_mut(&(task.step, task.index)));
                 if let Some(task) = task {
-                    task.crashes = task.crashes.with(crashes);
+                    task.crashes = task.crashes.merge(crashes);
                 }
             }
             WorkMsg::Resync(ask) => {
--- a/crates/celerywinch_pool/src/crashes.rs
+++ b/crates/celerywinch_pool/src/crashes.rs
@@ -96,7 +96,7 @@
         }
         silenced.at = now;
         silenced.tasks.push(run.task);
-        self.count_crash(now, run.task, out, Crashes::suspect);
+        self.count_crash(now, run.task, out, Crashes::record_suspected);
     }
 
     /// A life of a worker has ended: the tasks that were there when it fell silent may have ended it.
@@ -108,14 +108,16 @@
             return;
         }
         for task in silenced.tasks {
-            self.count_crash(now, task, out, |crashes| crashes.prove(true));
+            self.count_crash(now, task, out, |crashes| crashes.record_confirmed(true));
         }
     }
 
     /// A run was there as the life of its worker ended.
     pub(crate) fn ended_with(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
         if !run.stopped {
-            self.count_crash(now, run.task, out, |crashes| crashes.prove(false));
+            self.count_crash(now, run.task, out, |crashes| {
+                crashes.record_confirmed(false)
+            });
         }
     }
 
@@ -128,7 +130,7 @@
     ) {
         for (task, crashes) in told {
             let known = self.crashes.tasks.entry(task).or_default();
-            let together = known.0.with(crashes);
+            let together = known.0.merge(crashes);
             *known = (together, now);
             self.take_crashes(now, task, together, out);
         }
@@ -159,12 +161,12 @@
         let batch = &mut self.batches[key];
         let mut waits = false;
         if let Some(task) = batch.tasks.get_mut(&task.index) {
-            task.crashes = task.crashes.with(crashes);
+            task.crashes = task.crashes.merge(crashes);
             waits = task.state == TaskState::Waiting;
         }
         let queue = batch.order.queue.clone();
         let origin = batch.origin;
-        if crashes.are_many() {
+        if crashes.is_likely_cause() {
             self.be_careful(now, queue, out);
         }
         out.push(Output::Send(origin, WorkMsg::Crashed(task, crashes)));
@@ -208,7 +210,7 @@
         let tasks: Vec<_> = batch.tasks.keys().map(|index| batch.id(*index)).collect();
         self.be_careful(now, queue, out);
         for task in tasks {
-            self.count_crash(now, task, out, Crashes::condemn);
+            self.count_crash(now, task, out, Crashes::raise_to_limit);
         }
         self.give_up_batch(now, key, out);
     }
@@ -256,7 +258,7 @@
             return false;
         };
         let crashes = task.crashes;
-        if !crashes.suffice() {
+        if !crashes.reaches_limit() {
             return false;
         }
         out.push(Output::Note(Note::GivenUp { task: id, crashes }));
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -218,7 +218,7 @@
         let task = Task {
             state: TaskState::Waiting,
             failures: order.failures,
-            crashes: order.crashes.with(self.crashes.of(id)),
+            crashes: order.crashes.merge(self.crashes.of(id)),
             run: order.run,
             doubt: order.prior_runs,
             hand: order.submission,
--- a/crates/celerywinch_types/src/crashes.rs
+++ b/crates/celerywinch_types/src/crashes.rs
@@ -33,37 +33,37 @@
 
     /// Whether it is likely that the task ends its workers.
     #[must_use]
-    pub fn are_many(self) -> bool {
+    pub fn is_likely_cause(self) -> bool {
         self.seen >= MANY
     }
 
     /// Whether the task is to be given up.
     #[must_use]
-    pub fn suffice(self) -> bool {
+    pub fn reaches_limit(self) -> bool {
         self.proven >= MOST_PROVEN || self.seen >= MOST_SEEN
     }
 
     /// One more worker fell silent.
-    pub fn suspect(&mut self) {
+    pub fn record_suspected(&mut self) {
         self.seen = self.seen.saturating_add(1);
     }
 
     /// A worker fell silent as it started this task alone, or all workers that started its step did.
-    pub fn condemn(&mut self) {
+    pub fn raise_to_limit(&mut self) {
         self.seen = self.seen.max(MOST_SEEN);
     }
 
     /// One more has ended for certain; `seen` if it was counted as silent before.
-    pub fn prove(&mut self, seen: bool) {
+    pub fn record_confirmed(&mut self, seen: bool) {
         self.proven = self.proven.saturating_add(1);
         if !seen {
-            self.suspect();
+            self.record_suspected();
         }
     }
 
     /// What two processes know together.
     #[must_use]
-    pub fn with(self, other: Self) -> Self {
+    pub fn merge(self, other: Self) -> Self {
         Self {
             seen: max(self.seen, other.seen),
             proven: max(self.proven, other.proven),
