--- a/crates/celerywinch_bench/src/members/lives.rs
+++ b/crates/celerywinch_bench/src/members/lives.rs
@@ -70,10 +70,10 @@
             service: "catalogue".to_owned(),
             addr: ([127, 0, 0, 1], 1 + index as u16).into(),
             dc: celerywinch_types::DataCentreId(host.dc),
-            room: host.worker.room,
+            capacity: host.worker.room,
             labels: Vec::new(),
             stage: host.word.stage,
-            said: AnnouncementVersion {
+            version: AnnouncementVersion {
                 incarnation: life.unwrap_or(Incarnation(host.lives.into())),
                 sequence: host.word.sequence,
             },
--- a/crates/celerywinch_fleet/src/core/keeping.rs
+++ b/crates/celerywinch_fleet/src/core/keeping.rs
@@ -125,7 +125,7 @@
     /// A worker that leaves goes on to serve until its notice is acknowledged, and then counts on it that nothing more is started
     /// there. So an acknowledgement says that the notice was taken, and that there are dispatchers which were told.
     pub(super) fn announced(&mut self, now: Time, note: WorkerAnnouncement) -> bool {
-        let (worker, stage, said) = (note.id.clone(), note.stage, note.said);
+        let (worker, stage, said) = (note.id.clone(), note.stage, note.version);
         let known = self.roster.len();
         let heard = self.roster.heard(now, note.clone());
         self.metrics.announced(heard);
--- a/crates/celerywinch_fleet/src/roster.rs
+++ b/crates/celerywinch_fleet/src/roster.rs
@@ -57,16 +57,16 @@
             self.changed = true;
             return Heard::News;
         };
-        let last = known.note.said;
-        if note.said.incarnation < last.incarnation {
+        let last = known.note.version;
+        if note.version.incarnation < last.incarnation {
             return Heard::OtherLife(last);
         }
-        let same_life = note.said.incarnation == last.incarnation;
+        let same_life = note.version.incarnation == last.incarnation;
         if same_life && known.note.stage == WorkerStage::Gone {
             return Heard::Left;
         }
         known.heard = now;
-        if same_life && note.said <= last {
+        if same_life && note.version <= last {
             return Heard::Late(last);
         }
         let news = differs(&known.note, &note);
@@ -84,7 +84,7 @@
         life: Option<Incarnation>,
     ) -> Option<WorkerAnnouncement> {
         let known = self.workers.get_mut(id)?;
-        let said = &mut known.note.said;
+        let said = &mut known.note.version;
         if life.is_some_and(|life| life < said.incarnation) {
             return None;
         }
@@ -149,8 +149,11 @@
 /// Whether something changed but the count of announcements.
 fn differs(a: &WorkerAnnouncement, b: &WorkerAnnouncement) -> bool {
     let said = AnnouncementVersion {
-        sequence: a.said.sequence,
-        ..b.said
+        sequence: a.version.sequence,
+        ..b.version
     };
-    *a != WorkerAnnouncement { said, ..b.clone() }
+    *a != WorkerAnnouncement {
+        version: said,
+        ..b.clone()
+    }
 }
--- a/crates/celerywinch_fleet/tests/roster.rs
+++ b/crates/celerywinch_fleet/tests/roster.rs
@@ -22,10 +22,10 @@
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], 1).into(),
         dc: DataCentreId(0),
-        room: Resources::default(),
+        capacity: Resources::default(),
         labels: Vec::new(),
         stage,
-        said: said(1, sequence),
+        version: said(1, sequence),
     }
 }
 
@@ -81,7 +81,7 @@
     roster.heard(now, note("a", WorkerStage::Ready, 1));
     roster.heard(now, note("a", WorkerStage::Ready, 20));
     let leaves = WorkerAnnouncement {
-        said: said(2, 3),
+        version: said(2, 3),
         ..note("a", WorkerStage::Draining, 3)
     };
     assert_eq!(roster.heard(now, leaves), Heard::News);
@@ -97,7 +97,7 @@
     roster.heard(now, note("a", WorkerStage::Ready, 7));
     roster.left(now, "a", None);
     let again = WorkerAnnouncement {
-        said: said(2, 1),
+        version: said(2, 1),
         ..note("a", WorkerStage::Ready, 1)
     };
     assert_eq!(roster.heard(now, again), Heard::News);
@@ -114,7 +114,7 @@
     let now = Time(10_000_000);
     let mut roster = Roster::default();
     let second = WorkerAnnouncement {
-        said: said(2, 1),
+        version: said(2, 1),
         ..note("a", WorkerStage::Ready, 1)
     };
     roster.heard(now, second);
--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -44,10 +44,10 @@
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], index).into(),
         dc: FAR,
-        room: Resources::default(),
+        capacity: Resources::default(),
         labels: Vec::new(),
         stage: WorkerStage::Ready,
-        said: AnnouncementVersion {
+        version: AnnouncementVersion {
             incarnation: Incarnation(1),
             sequence: 1,
         },
--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -268,10 +268,10 @@
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], 1).into(),
         dc: DC,
-        room,
+        capacity: room,
         labels: Vec::new(),
         stage: WorkerStage::Ready,
-        said: AnnouncementVersion {
+        version: AnnouncementVersion {
             incarnation: Incarnation(1),
             sequence: 1,
         },
--- a/crates/celerywinch_pool/src/admission.rs
+++ b/crates/celerywinch_pool/src/admission.rs
@@ -29,7 +29,7 @@
     fn capacity(&self, now: Time) -> f64 {
         let workers = self.workers.values();
         let sound = workers.filter(|w| self.takes(now, w) || self.takes_after_takeover(w));
-        let speed = |w: &crate::worker::Worker| f64::from(w.note.room.cpu) / w.pace.max(1.0);
+        let speed = |w: &crate::worker::Worker| f64::from(w.note.capacity.cpu) / w.pace.max(1.0);
         sound.map(speed).sum::<f64>() * PACKING
     }
 
--- a/crates/celerywinch_pool/src/crashes.rs
+++ b/crates/celerywinch_pool/src/crashes.rs
@@ -83,7 +83,7 @@
     /// A worker fell silent until its lease was over, with this run.
     pub(crate) fn silenced(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
         let note = &self.workers[run.worker].note;
-        let life = note.said.incarnation;
+        let life = note.version.incarnation;
         let silenced = self.crashes.silenced.entry(note.id.clone());
         let silenced = silenced.or_insert_with(|| Silenced {
             life,
@@ -104,7 +104,7 @@
         let Some(silenced) = self.crashes.silenced.remove(&worker.note.id) else {
             return;
         };
-        if silenced.life != worker.note.said.incarnation {
+        if silenced.life != worker.note.version.incarnation {
             return;
         }
         for task in silenced.tasks {
--- a/crates/celerywinch_pool/src/lives.rs
+++ b/crates/celerywinch_pool/src/lives.rs
@@ -25,9 +25,9 @@
 
 impl OtherLives {
     fn keep(&mut self, note: WorkerAnnouncement) {
-        let life = note.said.incarnation;
+        let life = note.version.incarnation;
         let known = self.0.get(&life);
-        if known.is_none_or(|known| known.said < note.said) {
+        if known.is_none_or(|known| known.version < note.version) {
             self.0.insert(life, note);
         }
         while self.0.len() > MOST_OTHERS {
@@ -117,7 +117,7 @@
             .of(life)
             .unwrap_or_else(|| WorkerAnnouncement {
                 stage: WorkerStage::Ready,
-                said: AnnouncementVersion {
+                version: AnnouncementVersion {
                     incarnation: life,
                     sequence: 0,
                 },
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -211,7 +211,7 @@
 fn cost(batch: &Batch, task: &Task, key: WorkerKey, worker: &Worker, packs: bool) -> f64 {
     let left = worker.free().saturating_sub(batch.order.need).cpu;
     let empty = if packs {
-        f64::from(left) / f64::from(worker.note.room.cpu.max(1))
+        f64::from(left) / f64::from(worker.note.capacity.cpu.max(1))
     } else {
         0.0
     };
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -345,19 +345,19 @@
         }
         let Some(key) = self.names.get(&note.id).copied() else {
             let left = self.left.get(&note.id);
-            let has_left = left.is_some_and(|left| note.said.incarnation <= left.life);
+            let has_left = left.is_some_and(|left| note.version.incarnation <= left.life);
             if !gone && !has_left {
                 self.add_unknown(now, note, out);
             }
             return;
         };
-        let known = self.workers[key].note.said;
-        match note.said.incarnation.cmp(&known.incarnation) {
+        let known = self.workers[key].note.version;
+        match note.version.incarnation.cmp(&known.incarnation) {
             Ordering::Less if gone => {}
             Ordering::Less => self.other_life_speaks(key, note, out),
             Ordering::Equal if gone => self.worker_leaves(now, key, out),
             // A late announcement must not bring an earlier state back.
-            Ordering::Equal if note.said <= known => {}
+            Ordering::Equal if note.version <= known => {}
             Ordering::Equal => self.update_worker(key, note),
             Ordering::Greater => self.replace_worker(now, key, note, out),
         }
@@ -378,7 +378,7 @@
     }
 
     fn remember_left(&mut self, now: Time, note: &WorkerAnnouncement) {
-        let life = note.said.incarnation;
+        let life = note.version.incarnation;
         let left = Left { life, heard: now };
         let known = self.left.entry(note.id.clone()).or_insert(left);
         known.life = known.life.max(life);
--- a/crates/celerywinch_pool/src/worker.rs
+++ b/crates/celerywinch_pool/src/worker.rs
@@ -141,7 +141,7 @@
 
     /// Whether an answer is of another life of the worker than the one that is known.
     pub(crate) fn is_other(&self, life: Incarnation) -> bool {
-        let known = self.note.said.incarnation;
+        let known = self.note.version.incarnation;
         known != Incarnation::default() && life != known
     }
 
@@ -216,7 +216,7 @@
     /// What is free. Nothing where its room has shrunk below what is at work there: that ends as it would, and what
     /// comes next waits.
     pub(crate) fn free(&self) -> Resources {
-        self.note.room.saturating_sub(self.used)
+        self.note.capacity.saturating_sub(self.used)
     }
 
     /// Whether a new task may be sent there.
--- a/crates/celerywinch_pool/tests/capacity.rs
+++ b/crates/celerywinch_pool/tests/capacity.rs
@@ -26,12 +26,12 @@
 fn says(rig: &mut Rig, number: u64, room: Resources) {
     let first = note("w1", 1);
     let said = AnnouncementVersion {
-        sequence: first.said.sequence + number,
-        ..first.said
+        sequence: first.version.sequence + number,
+        ..first.version
     };
     rig.take(Input::Workers(vec![WorkerAnnouncement {
-        said,
-        room,
+        version: said,
+        capacity: room,
         ..first
     }]));
 }
--- a/crates/celerywinch_pool/tests/crashes.rs
+++ b/crates/celerywinch_pool/tests/crashes.rs
@@ -46,7 +46,7 @@
 fn life(worker: &str, life: u64, stage: WorkerStage) -> WorkerAnnouncement {
     let port = worker[1..].parse().expect("a worker's number");
     WorkerAnnouncement {
-        said: AnnouncementVersion {
+        version: AnnouncementVersion {
             incarnation: Incarnation(life),
             // The notice that a life leaves is its last word.
             sequence: if stage == WorkerStage::Ready { 2 } else { 3 },
--- a/crates/celerywinch_pool/tests/lives.rs
+++ b/crates/celerywinch_pool/tests/lives.rs
@@ -17,7 +17,7 @@
 /// The second life of the worker that the rig has.
 fn second_life() -> WorkerAnnouncement {
     WorkerAnnouncement {
-        said: AnnouncementVersion {
+        version: AnnouncementVersion {
             incarnation: Incarnation(2),
             sequence: 1,
         },
@@ -92,7 +92,7 @@
 
 fn said(incarnation: u64, sequence: u64, stage: WorkerStage) -> WorkerAnnouncement {
     WorkerAnnouncement {
-        said: AnnouncementVersion {
+        version: AnnouncementVersion {
             incarnation: Incarnation(incarnation),
             sequence,
         },
--- a/crates/celerywinch_pool/tests/locality.rs
+++ b/crates/celerywinch_pool/tests/locality.rs
@@ -23,7 +23,7 @@
     rig.pool.set_shards(shards);
     let far = |id: &str, port: u16| WorkerAnnouncement {
         dc: OTHER,
-        room: Resources {
+        capacity: Resources {
             cpu: 16_000,
             ..ROOM
         },
--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -40,10 +40,10 @@
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], port).into(),
         dc: DC,
-        room: ROOM,
+        capacity: ROOM,
         labels: Vec::new(),
         stage: WorkerStage::Ready,
-        said: AnnouncementVersion {
+        version: AnnouncementVersion {
             incarnation: Incarnation(1),
             sequence: 1,
         },
--- a/crates/celerywinch_types/src/work.rs
+++ b/crates/celerywinch_types/src/work.rs
@@ -112,13 +112,13 @@
         /// The number of its data centre.
         pub dc: crate::DataCentreId,
         /// What it has.
-        pub room: Resources,
+        pub capacity: Resources,
         /// Its kind and its rack.
         pub labels: Vec<String>,
         /// Whether it takes work.
         pub stage: WorkerStage,
         /// Which of its announcements this is.
-        pub said: AnnouncementVersion,
+        pub version: AnnouncementVersion,
     }
 }
 
