--- a/crates/celerywinch_origin/tests/hand_in.rs
+++ b/crates/celerywinch_origin/tests/hand_in.rs
@@ -330,7 +330,7 @@
     rig.take(Input::Holders(vec![successor]));
     let (_, again) = rig.last();
     // Its dispatcher left tasks in doubt alone, each time by a step that is not told.
-    let used = order.tasks[0].run.past_unheard().past_unheard();
+    let used = order.tasks[0].run.past_unreported().past_unreported();
     assert!(again.tasks[0].run > used, "{again:?}");
 }
 
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -524,7 +524,7 @@
         out: &mut Vec<Output>,
     ) -> Option<CallKey> {
         let callee = &self.workers[worker];
-        let fence = self.held.get(&callee.domain)?.of_life(callee.lives);
+        let fence = self.held.get(&callee.domain)?.for_incarnation(callee.lives);
         let slow = self.answers.wait(self.config.slow);
         let wait = match order {
             Order::Look { .. } => order.waits() + self.config.answer.max(slow),
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -293,7 +293,7 @@
             let due: Vec<u16> = tasks.map(|(index, _)| *index).collect();
             for index in due {
                 if let Some(task) = self.batches[key].tasks.get_mut(&index) {
-                    task.run = task.run.past_unheard();
+                    task.run = task.run.past_unreported();
                 }
                 self.set_task(key, index, TaskState::Waiting);
             }
--- a/crates/celerywinch_pool/tests/lives.rs
+++ b/crates/celerywinch_pool/tests/lives.rs
@@ -223,7 +223,7 @@
         highest = rig.last(is_start).fence;
     }
     assert!(
-        highest < LATER_FENCE.of_life(0),
+        highest < LATER_FENCE.for_incarnation(0),
         "a successor's token is higher"
     );
 }
--- a/crates/celerywinch_types/src/work.rs
+++ b/crates/celerywinch_types/src/work.rs
@@ -174,7 +174,7 @@
     /// A worker that starts again has seen no token, and would obey an order that was sent to the life before and held up on its
     /// way, while the task runs elsewhere. Once it has seen this one it refuses that order.
     #[must_use]
-    pub fn of_life(self, lives: u64) -> Self {
+    pub fn for_incarnation(self, lives: u64) -> Self {
         Self(self.0 + lives.min(MAX_INCARNATIONS))
     }
 }
@@ -190,7 +190,7 @@
     /// An end found of one of those would else be taken for the end of a later run with the same
     /// number, and the task be started again beside it.
     #[must_use]
-    pub fn past_unheard(self) -> Self {
+    pub fn past_unreported(self) -> Self {
         Self(self.0 + UNHEARD_RUNS)
     }
 
