--- a/crates/celerywinch_bench/tests/members_links.rs
+++ b/crates/celerywinch_bench/tests/members_links.rs
@@ -65,7 +65,7 @@
 #[test]
 fn fixed_times_for_answers_feed_the_overload() {
     let mut options = options(1, 2, 38);
-    options.without = DisabledMechanisms::default().and(Mechanism::Patience);
+    options.without = DisabledMechanisms::default().with(Mechanism::Patience);
     let served = served(&run(options));
     assert!(served < 800, "{served} of 1000 are served");
 }
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -544,7 +544,7 @@
         let mut order = job.order(now, step, orders);
         order.session = session.copied().unwrap_or_default();
         order.refusable = fresh;
-        order.no_wait = choice.pass && !self.without.lacks(Mechanism::Passing);
+        order.no_wait = choice.pass && !self.without.contains(Mechanism::Passing);
         out.push(Output::Send(holder.instance, WorkMsg::Submit(order)));
         // Until the next heartbeat tells, the room is believed to be taken.
         let mut taken = u32::try_from(count).unwrap_or(u32::MAX);
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -262,7 +262,7 @@
         let run = self.runs[key];
         let took = now.since(run.started);
         let late = run.expected.mul_f64(LATE_FACTOR) + LATE_MARGIN;
-        let stays = self.config.without.lacks(Mechanism::Moving);
+        let stays = self.config.without.contains(Mechanism::Moving);
         if run.stopping || took < late || stays {
             return;
         }
@@ -280,10 +280,10 @@
         }
         let usual = usual.as_secs_f64().max(1e-3);
         let worker = &mut self.workers[run.worker];
-        if !self.config.without.lacks(Mechanism::Pace) {
+        if !self.config.without.contains(Mechanism::Pace) {
             worker.learn_pace(took.as_secs_f64() / done / usual);
         }
-        let set_aside = !self.config.without.lacks(Mechanism::Probation);
+        let set_aside = !self.config.without.contains(Mechanism::Probation);
         if set_aside && (worker.pace > SLOW_PACE || percent == 0) {
             worker.aside = now + self.config.aside;
             worker.probation = true;
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -529,7 +529,7 @@
         let wait = match order {
             Order::Look { .. } => order.waits() + self.config.answer.max(slow),
             Order::Start { .. } | Order::Stop { .. }
-                if self.config.without.lacks(Mechanism::Patience) =>
+                if self.config.without.contains(Mechanism::Patience) =>
             {
                 self.config.order
             }
--- a/crates/celerywinch_pool/src/queue.rs
+++ b/crates/celerywinch_pool/src/queue.rs
@@ -17,7 +17,7 @@
 impl Rank {
     /// By priority, then by the end of the objective: those that would lose most by waiting.
     pub(crate) fn new(key: BatchKey, batch: &Batch, without: DisabledMechanisms) -> Self {
-        let priority = if without.lacks(Mechanism::Priority) {
+        let priority = if without.contains(Mechanism::Priority) {
             0
         } else {
             batch.order.priority
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -341,11 +341,11 @@
         }
         let usual = run.expected.as_secs_f64() / worker.pace.max(f64::EPSILON);
         let without = self.config.without;
-        if !without.lacks(Mechanism::Learning) {
+        if !without.contains(Mechanism::Learning) {
             self.times
                 .learn(&order.queue, order.estimate, took.div_f64(worker.pace));
         }
-        if !without.lacks(Mechanism::Pace) {
+        if !without.contains(Mechanism::Pace) {
             worker.learn_pace(took.as_secs_f64() / usual.max(1e-3));
         }
     }
@@ -378,7 +378,7 @@
     fn blame(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let worker = &mut self.workers[key];
         worker.failed();
-        let set_aside = !self.config.without.lacks(Mechanism::Probation);
+        let set_aside = !self.config.without.contains(Mechanism::Probation);
         if set_aside && worker.failing >= FAILING && worker.note.stage == WorkerStage::Ready {
             worker.aside = now + self.config.aside;
             worker.probation = true;
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -139,7 +139,7 @@
             Some(alien)
                 if !alien.stopped
                     && (open || alien.run == task.run)
-                    && !self.config.without.lacks(Mechanism::Adoption) =>
+                    && !self.config.without.contains(Mechanism::Adoption) =>
             {
                 self.takeover.aliens.remove(&id);
                 self.adopt_run(now, key, index, alien);
@@ -158,7 +158,7 @@
         how: How,
         run: RunNumber,
     ) -> bool {
-        let long_way = self.config.without.lacks(Mechanism::Shortcuts);
+        let long_way = self.config.without.contains(Mechanism::Shortcuts);
         let Some(task) = self.batches[key].tasks.get_mut(&index) else {
             return false;
         };
--- a/crates/celerywinch_pool/tests/locality.rs
+++ b/crates/celerywinch_pool/tests/locality.rs
@@ -59,7 +59,7 @@
 #[case::stay(Case { shards: 2, without: DisabledMechanisms::default(), jobs: 2, near: 2 })]
 #[case::the_rest_goes_elsewhere(Case { shards: 2, without: DisabledMechanisms::default(), jobs: 4, near: 2 })]
 #[case::one_dispatcher_for_all(Case { shards: 1, without: DisabledMechanisms::default(), jobs: 2, near: 0 })]
-#[case::left_out(Case { shards: 2, without: DisabledMechanisms::default().and(Mechanism::Locality), jobs: 2, near: 0 })]
+#[case::left_out(Case { shards: 2, without: DisabledMechanisms::default().with(Mechanism::Locality), jobs: 2, near: 0 })]
 fn tasks_stay_in_the_data_centre_of_their_dispatcher(#[case] case: Case) {
     let mut rig = rig(case.shards, case.without);
     for job in 0..case.jobs {
--- a/crates/celerywinch_types/src/mechanism.rs
+++ b/crates/celerywinch_types/src/mechanism.rs
@@ -77,13 +77,13 @@
 impl DisabledMechanisms {
     /// Leaves one more out.
     #[must_use]
-    pub fn and(self, mechanism: Mechanism) -> Self {
+    pub fn with(self, mechanism: Mechanism) -> Self {
         Self(self.0 | 1 << mechanism as u32)
     }
 
     /// Whether a mechanism is left out.
     #[must_use]
-    pub fn lacks(self, mechanism: Mechanism) -> bool {
+    pub fn contains(self, mechanism: Mechanism) -> bool {
         self.0 & 1 << mechanism as u32 != 0
     }
 }
@@ -109,7 +109,7 @@
                 let mut all = Mechanism::ALL.into_iter();
                 let known = all.find(|(_, known)| *known == name);
                 let (mechanism, _) = known.ok_or_else(|| UnknownMechanism(name.to_owned()))?;
-                Ok(without.and(mechanism))
+                Ok(without.with(mechanism))
             })
     }
 }
