--- a/crates/celerywinch_claims/src/replica.rs
+++ b/crates/celerywinch_claims/src/replica.rs
@@ -20,13 +20,13 @@
     /// Whether a key is too old to be run, by the clock of whoever asks.
     #[must_use]
     pub fn too_old(&self, key: &Key, wall: WallMs) -> bool {
-        key.born().0.saturating_add(millis(self.window)) < wall.0
+        key.created_at().0.saturating_add(millis(self.window)) < wall.0
     }
 
     /// Whether a key's time lies further in the future than clocks may be apart.
     #[must_use]
     pub fn too_new(&self, key: &Key, wall: WallMs) -> bool {
-        key.born().0 > wall.0.saturating_add(millis(self.skew))
+        key.created_at().0 > wall.0.saturating_add(millis(self.skew))
     }
 }
 
@@ -122,7 +122,7 @@
         if self.records.contains_key(key) {
             return false;
         }
-        key.born() <= self.blank_until
+        key.created_at() <= self.blank_until
             || self.limits.too_old(key, wall)
             || self.limits.too_new(key, wall)
     }
@@ -250,7 +250,7 @@
         let expiry = &mut self.expiry;
         self.records.entry(key.clone()).or_insert_with(|| {
             let keep = millis(limits.window + limits.skew * 2 + limits.retention);
-            let forget_at = WallMs(key.born().max(wall).0.saturating_add(keep));
+            let forget_at = WallMs(key.created_at().max(wall).0.saturating_add(keep));
             expiry.insert((forget_at, key.clone()));
             Record {
                 digest: 0,
--- a/crates/celerywinch_types/src/key.rs
+++ b/crates/celerywinch_types/src/key.rs
@@ -67,7 +67,7 @@
 
     /// When the caller made the key.
     #[must_use]
-    pub fn born(&self) -> WallMs {
+    pub fn created_at(&self) -> WallMs {
         self.born
     }
 
