--- a/crates/celerywinch_entry/src/claims.rs
+++ b/crates/celerywinch_entry/src/claims.rs
@@ -147,7 +147,7 @@
                     self.accepted(id, from, ballot, out);
                 }
             }
-            ClaimReply::Outbid {
+            ClaimReply::Preempted {
                 key,
                 ballot,
                 promised,
@@ -388,7 +388,7 @@
 
 fn refusal_reply(key: Key, ballot: Ballot, refused: Refused) -> ClaimReply {
     match refused {
-        Refused::Outbid(promised) => ClaimReply::Outbid {
+        Refused::Outbid(promised) => ClaimReply::Preempted {
             key,
             ballot,
             promised,
--- a/crates/celerywinch_entry/src/entry.rs
+++ b/crates/celerywinch_entry/src/entry.rs
@@ -244,7 +244,7 @@
         out.push(Output::Event(Event::Stop { open }));
         let peers: Vec<_> = self.peers.iter().map(|(id, _)| id).collect();
         for peer in peers {
-            out.push(Output::Send(peer, PeerMsg::Member(MemberMsg::Bye)));
+            out.push(Output::Send(peer, PeerMsg::Member(MemberMsg::Leave)));
         }
         self.refresh_owners();
         self.tell_decided(out);
--- a/crates/celerywinch_entry/src/members.rs
+++ b/crates/celerywinch_entry/src/members.rs
@@ -105,10 +105,10 @@
             wall: self.wall(now),
             sent: now,
             echo,
-            hears,
-            knows,
+            receives: hears,
+            known_incarnation: knows,
             catalogue: self.catalogue.version(),
-            held: self.held_version(),
+            pending_catalogue: self.held_version(),
             current: self.holding.current,
             stopping: self.stopping,
             queued: u32::try_from(self.dispatch.queued()).unwrap_or(u32::MAX),
@@ -136,7 +136,7 @@
             MemberMsg::Catalogue { version, document } => {
                 self.catalogue_heard(now, version, &document, out);
             }
-            MemberMsg::Bye => {
+            MemberMsg::Leave => {
                 self.peers.bye(from);
                 self.refresh_owners();
             }
--- a/crates/celerywinch_entry/src/settle.rs
+++ b/crates/celerywinch_entry/src/settle.rs
@@ -112,7 +112,7 @@
                 };
                 self.promised(now, id, me, ballot, promise, out);
             }
-            Some(ClaimReply::Outbid {
+            Some(ClaimReply::Preempted {
                 ballot, promised, ..
             }) => self.outbid(now, id, ballot, promised),
             Some(ClaimReply::Abstained { .. }) => self.abstained(now, id, me, out),
--- a/crates/celerywinch_members/src/peers.rs
+++ b/crates/celerywinch_members/src/peers.rs
@@ -197,10 +197,10 @@
             return;
         }
         peer.sequence = beat.sequence;
-        peer.hears = beat.hears;
+        peer.hears = beat.receives;
         peer.stopping = beat.stopping;
         peer.catalogue = beat.catalogue;
-        peer.held = beat.held;
+        peer.held = beat.pending_catalogue;
         peer.current = beat.current;
         peer.met = true;
         peer.queued = beat.queued;
--- a/crates/celerywinch_types/src/message.rs
+++ b/crates/celerywinch_types/src/message.rs
@@ -122,7 +122,7 @@
             ballot: Ballot,
         },
         /// To `Prepare` or `Accept`: a higher ballot was promised.
-        Outbid {
+        Preempted {
             /// The key.
             key: Key,
             /// The ballot that was refused.
@@ -161,13 +161,13 @@
         /// The receiver's last clock value that reached the sender, for the round trip.
         pub echo: Option<Time>,
         /// Whether the sender heard from the receiver lately: tells a one-way loss.
-        pub hears: bool,
+        pub receives: bool,
         /// Which incarnation of the receiver the sender knows.
-        pub knows: Incarnation,
+        pub known_incarnation: Incarnation,
         /// Version of the catalogue in force at the sender.
         pub catalogue: u64,
         /// Version that the sender holds and will put in force.
-        pub held: u64,
+        pub pending_catalogue: u64,
         /// Whether the sender may serve by what it has in force.
         pub current: bool,
         /// Whether the sender is stopping.
@@ -209,7 +209,7 @@
             document: Vec<u8>,
         },
         /// A stopping entry takes its leave: its claims are handed over or done.
-        Bye,
+        Leave,
     }
 
     /// Lending of endpoint slots between the entries of a data centre.
