--- a/crates/celerywinch_types/src/queue.rs
+++ b/crates/celerywinch_types/src/queue.rs
@@ -41,13 +41,13 @@
     #[derive(Copy, Default)]
     pub struct Bounds {
         /// Bytes of a request's head.
-        pub head: u32,
+        pub head_bytes: u32,
         /// Bytes of a body.
-        pub body: u32,
+        pub body_bytes: u32,
         /// Ms in which a head must arrive.
-        pub head_time: u32,
+        pub head_timeout: u32,
         /// Ms after which an idle connection is closed.
-        pub idle_time: u32,
+        pub idle_timeout: u32,
     }
 
     /// One version of the operators' configuration.
