--- a/crates/celerywinch_domains/src/domains.rs
+++ b/crates/celerywinch_domains/src/domains.rs
@@ -107,7 +107,7 @@
 
     /// The domains that it dispatches for.
     #[must_use]
-    pub fn held(&self) -> &BTreeMap<Domain, Fence> {
+    pub fn owned(&self) -> &BTreeMap<Domain, Fence> {
         &self.held
     }
 
@@ -125,18 +125,18 @@
 
     /// Says whether workers are known, and one dispatcher suffices for all of them. Where there are several,
     /// all entries have to be ready before they divide the shards, or a few hold most of them.
-    pub fn set_undivided(&mut self, undivided: bool) {
+    pub fn set_single_dispatcher(&mut self, undivided: bool) {
         self.undivided = undivided;
     }
 
     /// Says whether the workers are about to be divided: what is not held yet is not taken before.
-    pub fn set_unsettled(&mut self, unsettled: bool) {
+    pub fn set_resharding(&mut self, unsettled: bool) {
         self.unsettled = unsettled;
     }
 
     /// The highest fencing token that it knows of.
     #[must_use]
-    pub fn top(&self) -> Fence {
+    pub fn highest_fence(&self) -> Fence {
         self.top
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// A process is heard, for the first time or after a silence, that has run for some time: it may hold domains.
-    pub fn found(&mut self, now: Time) {
+    pub fn peer_found(&mut self, now: Time) {
         self.found = now;
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// A worker has seen a higher token than the one this process holds its domain under.
-    pub fn outbid(&mut self, now: Time, domain: Domain, out: &mut Vec<Change>) {
+    pub fn fenced(&mut self, now: Time, domain: Domain, out: &mut Vec<Change>) {
         let Some(fence) = self.held.remove(&domain) else {
             return;
         };
@@ -228,7 +228,7 @@
     /// Whom this entry has to hear often, to notice at once when it has to dispatch in their place, and who
     /// would do so in its place; nobody before it serves.
     #[must_use]
-    pub fn circle(&self, now: Time, peers: &Peers) -> Succession {
+    pub fn succession(&self, now: Time, peers: &Peers) -> Succession {
         if self.me.stage != Stage::Ready {
             return Succession::default();
         }
@@ -333,7 +333,7 @@
     /// The domains held here of whose data centres no process is heard: whether they are kept is
     /// up to their workers, that is to `reached`.
     #[must_use]
-    pub fn unheard(&self, now: Time, peers: &Peers) -> Vec<Domain> {
+    pub fn silent_domains(&self, now: Time, peers: &Peers) -> Vec<Domain> {
         let held = self.held.keys().copied();
         held.filter(|domain| !self.hears(now, domain.dc, peers))
             .collect()
--- a/crates/celerywinch_domains/src/survey.rs
+++ b/crates/celerywinch_domains/src/survey.rs
@@ -59,7 +59,7 @@
 pub struct Succession {
     /// The dispatchers that it may have to stand in for, and the entries that would do so before it: it has to
     /// notice at once when they are lost.
-    pub ahead: BTreeSet<InstanceId>,
+    pub predecessors: BTreeSet<InstanceId>,
     /// Those that would stand in for it, and have to know what it has learned.
     pub successors: BTreeSet<InstanceId>,
 }
@@ -115,7 +115,7 @@
             if me.of_shard(shard) > 0 {
                 circle.successors.extend(self.successors(shard));
             } else {
-                self.add_ahead(shard, me, &mut circle.ahead);
+                self.add_ahead(shard, me, &mut circle.predecessors);
             }
         }
         circle
--- a/crates/celerywinch_domains/tests/holders.rs
+++ b/crates/celerywinch_domains/tests/holders.rs
@@ -86,7 +86,7 @@
 
     fn held(&self) -> Vec<u8> {
         self.domains
-            .held()
+            .owned()
             .keys()
             .map(|domain| domain.dc.0)
             .collect()
@@ -156,7 +156,7 @@
     loop {
         rig.hear(2, beat(1, ProcessKind::Entry, &[(1, 5), (2, 6)]));
         if rig.now.since(start) <= Duration::from_millis(heal.found) {
-            rig.domains.found(rig.now);
+            rig.domains.peer_found(rig.now);
         }
         let changes = rig.tick();
         if rig.now.since(start) >= Duration::from_millis(heal.given_up + 40) {
@@ -178,7 +178,7 @@
     assert_eq!(rig.held(), [0]);
     for _ in 0..40 {
         rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
-        rig.domains.found(rig.now);
+        rig.domains.peer_found(rig.now);
         assert_eq!(rig.tick(), []);
     }
     for _ in 0..20 {
@@ -251,13 +251,13 @@
         rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
         rig.tick();
     }
-    let mine = rig.domains.held().clone();
+    let mine = rig.domains.owned().clone();
     for _ in 0..15 {
         rig.tick();
     }
     let mut out = Vec::new();
     for domain in mine.keys() {
-        rig.domains.outbid(rig.now, *domain, &mut out);
+        rig.domains.fenced(rig.now, *domain, &mut out);
     }
     for _ in 0..50 {
         rig.tick();
@@ -285,7 +285,7 @@
     #[case] held: &[u8],
 ) {
     let mut rig = Rig::new();
-    rig.domains.set_undivided(undivided);
+    rig.domains.set_single_dispatcher(undivided);
     for _ in 0..8 {
         for (instance, dc, age) in [(101, 1, 20), (102, 2, age)] {
             let beat = FleetHeartbeat {
@@ -325,7 +325,7 @@
         }
         rig.tick();
     }
-    assert_eq!(!rig.domains.held().is_empty(), holds_shards);
+    assert_eq!(!rig.domains.owned().is_empty(), holds_shards);
 }
 
 struct Behind {
@@ -347,14 +347,14 @@
             rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
             rig.tick();
         }
-        let fence = rig.domains.held()[&domain(0)];
+        let fence = rig.domains.owned()[&domain(0)];
         if fence > seen {
             return;
         }
         assert!(round < behind.rounds, "still outbid, at {fence:?}");
         let mut out = Vec::new();
-        for domain in rig.domains.held().clone().into_keys() {
-            rig.domains.outbid(rig.now, domain, &mut out);
+        for domain in rig.domains.owned().clone().into_keys() {
+            rig.domains.fenced(rig.now, domain, &mut out);
         }
     }
 }
--- a/crates/celerywinch_member/src/beats.rs
+++ b/crates/celerywinch_member/src/beats.rs
@@ -159,11 +159,11 @@
     /// Takes over whom this entry has to hear, and who has to hear it.
     pub(crate) fn set_circle(&mut self, now: Time, circle: Succession, out: &mut Vec<Output>) {
         let new: Vec<_> = circle
-            .ahead
+            .predecessors
             .difference(&self.close.ahead)
             .copied()
             .collect();
-        self.close.ahead = circle.ahead;
+        self.close.ahead = circle.predecessors;
         self.close.successors = circle.successors;
         for peer in new {
             self.greet(now, peer, out);
@@ -183,7 +183,7 @@
 
     /// Measures the room of what it dispatches for; once a tick, for it takes a look at each worker.
     pub(crate) fn measure(&mut self, now: Time) {
-        let held = self.domains.held().iter();
+        let held = self.domains.owned().iter();
         let holding = |(domain, fence): (&Domain, &Fence)| OwnedDomain {
             domain: *domain,
             fence: *fence,
@@ -225,7 +225,7 @@
             dc: self.config.dc,
             stage: self.stage,
             owned_domains: self.holdings.clone(),
-            fence: self.domains.top(),
+            fence: self.domains.highest_fence(),
             version: self.version,
             evacuations: self.evacuations.clone(),
             shards: self.domains.shards(),
@@ -285,7 +285,7 @@
     }
 
     pub(crate) fn beat_if_due(&mut self, now: Time, out: &mut Vec<Output>) {
-        let often = self.few() && !self.domains.held().is_empty();
+        let often = self.few() && !self.domains.owned().is_empty();
         let interval = if often { HOLDER_BEAT } else { BEAT };
         if now.since(self.beaten) >= interval {
             self.beaten = now;
@@ -380,7 +380,7 @@
     /// Tells the entries that would dispatch next what a successor needs to know, one after the other.
     pub(crate) fn spread_learned(&mut self, now: Time, out: &mut Vec<Output>) {
         let silent = self.config.pool.without.contains(Mechanism::Teaching);
-        if self.domains.held().is_empty() || silent {
+        if self.domains.owned().is_empty() || silent {
             self.teach_round.restart(now);
             return;
         }
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -527,7 +527,7 @@
     fn found(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         self.stale = true;
         if self.peers.get(peer).is_some_and(|view| !view.is_new()) {
-            self.domains.found(now);
+            self.domains.peer_found(now);
         }
         out.push(Output::Heard(peer));
         self.send_beat(now, peer, out);
@@ -557,16 +557,17 @@
         self.compared = now;
         // Idle workers are not called. Without asking them, a data centre whose processes are all
         // silent would be given up as soon as there is nothing to do, and tried again and again.
-        for domain in self.domains.unheard(now, &self.peers) {
+        for domain in self.domains.silent_domains(now, &self.peers) {
             self.pool_input(now, PoolInput::Ask(domain), out);
         }
         let mut changes = Vec::new();
         self.divide(now, &mut changes, out);
         let short = !self.config.pool.without.contains(Mechanism::ShortListening);
-        self.domains.set_undivided(short && self.is_undivided());
         self.domains
-            .set_unsettled(self.uneven.is_some() && self.domains.shards() == 1);
-        let held = self.domains.held().keys().copied();
+            .set_single_dispatcher(short && self.is_undivided());
+        self.domains
+            .set_resharding(self.uneven.is_some() && self.domains.shards() == 1);
+        let held = self.domains.owned().keys().copied();
         let reached = held.filter(|domain| self.pool.reaches(now, *domain, WORKERS_HEARD));
         self.domains
             .tick(now, &self.peers, &reached.collect(), &mut changes);
@@ -580,7 +581,7 @@
             return;
         }
         self.circled = now;
-        let circle = self.domains.circle(now, &self.peers);
+        let circle = self.domains.succession(now, &self.peers);
         self.set_circle(now, circle, out);
     }
 
@@ -670,7 +671,7 @@
                 celerywinch_pool::Output::Send(to, msg) => self.send_work(to, msg, out),
                 celerywinch_pool::Output::Outbid(domain) => {
                     let mut changes = Vec::new();
-                    self.domains.outbid(now, domain, &mut changes);
+                    self.domains.fenced(now, domain, &mut changes);
                     self.change_domains(now, changes, out);
                 }
                 celerywinch_pool::Output::UsedUp(domain) => {
