--- a/crates/celerywinch_domains/src/domains.rs
+++ b/crates/celerywinch_domains/src/domains.rs
@@ -301,7 +301,7 @@
 
     /// How long a holder that is alive may be silent to this entry.
     fn listen(&self, now: Time, peers: &Peers) -> Duration {
-        if peers.all_new(now) && (self.undivided || peers.all_entries_ready(now)) {
+        if peers.all_just_started(now) && (self.undivided || peers.all_entries_ready(now)) {
             LISTEN_ANEW
         } else {
             LISTEN
@@ -326,7 +326,7 @@
     /// Whether the workers of a data centre can be reached, as far as its processes show. Across a
     /// cut they cannot, and its own entries dispatch there.
     fn hears(&self, now: Time, dc: DataCentreId, peers: &Peers) -> bool {
-        let there = |view: &PeerView| view.beat.dc == dc && (view.alive(now) || view.refused);
+        let there = |view: &PeerView| view.heartbeat.dc == dc && (view.alive(now) || view.refused);
         dc == self.me.dc || peers.all().any(|(_, view)| there(view))
     }
 
--- a/crates/celerywinch_domains/src/peers.rs
+++ b/crates/celerywinch_domains/src/peers.rs
@@ -26,15 +26,15 @@
     /// Which life of it.
     pub process: Process,
     /// Its last heartbeat.
-    pub beat: FleetHeartbeat,
+    pub heartbeat: FleetHeartbeat,
     /// When that arrived.
-    pub heard: Time,
+    pub last_contact: Time,
     /// It counts as lost when it was not heard for this long.
-    pub window: Duration,
+    pub timeout: Duration,
     /// Its machine said that no process listens there, and nothing was heard since.
     pub refused: bool,
     /// When it was asked for an answer at once, if nothing was heard since.
-    pub probed: Option<Time>,
+    pub probed_at: Option<Time>,
 }
 
 impl PeerView {
@@ -42,19 +42,21 @@
     #[must_use]
     pub fn alive(&self, now: Time) -> bool {
         let silent = |probed: Time| now.since(probed) > PROBE_WAIT;
-        !self.refused && now.since(self.heard) <= self.window && !self.probed.is_some_and(silent)
+        !self.refused
+            && now.since(self.last_contact) <= self.timeout
+            && !self.probed_at.is_some_and(silent)
     }
 
     /// Whether it had just started when it was heard last.
     #[must_use]
-    pub fn is_new(&self) -> bool {
-        self.beat.sent < NEW
+    pub fn just_started(&self) -> bool {
+        self.heartbeat.sent < NEW
     }
 
     /// Whether its heartbeats come often enough that a silence of a moment tells something.
     #[must_use]
-    pub fn is_close(&self) -> bool {
-        self.window <= CLOSE_WINDOW
+    pub fn has_short_timeout(&self) -> bool {
+        self.timeout <= CLOSE_WINDOW
     }
 }
 
@@ -69,7 +71,7 @@
     /// its sender, as it would bring back what that held then.
     ///
     /// Another incarnation than before has replaced that one: links drop what comes on an earlier stream.
-    pub fn heard(
+    pub fn record_heartbeat(
         &mut self,
         now: Time,
         from: Process,
@@ -77,38 +79,38 @@
         window: Duration,
     ) -> bool {
         let known = self.views.get(&from.instance);
-        if known.is_some_and(|view| view.process == from && view.beat.sent > beat.sent) {
+        if known.is_some_and(|view| view.process == from && view.heartbeat.sent > beat.sent) {
             return false;
         }
         let view = PeerView {
             process: from,
-            beat,
-            heard: now,
-            window,
+            heartbeat: beat,
+            last_contact: now,
+            timeout: window,
             refused: false,
-            probed: None,
+            probed_at: None,
         };
         self.views.insert(from.instance, view);
         true
     }
 
     /// No process listens at a peer.
-    pub fn refused(&mut self, peer: InstanceId) {
+    pub fn record_refusal(&mut self, peer: InstanceId) {
         if let Some(view) = self.views.get_mut(&peer) {
             view.refused = true;
         }
     }
 
     /// A peer was asked for an answer at once.
-    pub fn probed(&mut self, now: Time, peer: InstanceId) {
+    pub fn record_probe(&mut self, now: Time, peer: InstanceId) {
         if let Some(view) = self.views.get_mut(&peer) {
-            view.probed.get_or_insert(now);
+            view.probed_at.get_or_insert(now);
         }
     }
 
     /// Drops those that were not heard for long, and names them.
-    pub fn forget(&mut self, now: Time) -> Vec<InstanceId> {
-        let old = |view: &PeerView| now.since(view.heard) > FORGET.max(view.window * 2);
+    pub fn remove_expired(&mut self, now: Time) -> Vec<InstanceId> {
+        let old = |view: &PeerView| now.since(view.last_contact) > FORGET.max(view.timeout * 2);
         let views = self.views.iter();
         let gone: Vec<_> = views.filter(|(_, v)| old(v)).map(|(id, _)| *id).collect();
         self.views.retain(|_, view| !old(view));
@@ -141,15 +143,15 @@
     /// nobody is left to listen for, and callers are waiting already. On the users' days that is 250 ms
     /// of refusals less after each such loss.
     #[must_use]
-    pub fn all_new(&self, now: Time) -> bool {
+    pub fn all_just_started(&self, now: Time) -> bool {
         let mut alive = self.alive(now).peekable();
-        alive.peek().is_some() && alive.all(|(_, view)| view.is_new())
+        alive.peek().is_some() && alive.all(|(_, view)| view.just_started())
     }
 
     /// Whether at least one entry is alive, and all entries that are alive are ready.
     #[must_use]
     pub fn all_entries_ready(&self, now: Time) -> bool {
-        let alive = self.alive(now).map(|(_, view)| &view.beat);
+        let alive = self.alive(now).map(|(_, view)| &view.heartbeat);
         let mut entries = alive
             .filter(|beat| beat.kind == ProcessKind::Entry)
             .peekable();
@@ -160,7 +162,7 @@
     pub fn keepers(&self) -> impl Iterator<Item = InstanceId> + '_ {
         let keepers = self.all();
         keepers
-            .filter(|(_, view)| view.beat.kind == ProcessKind::Keeper)
+            .filter(|(_, view)| view.heartbeat.kind == ProcessKind::Keeper)
             .map(|(id, _)| id)
     }
 }
--- a/crates/celerywinch_domains/src/survey.rs
+++ b/crates/celerywinch_domains/src/survey.rs
@@ -78,12 +78,16 @@
         let mut entries = Vec::new();
         let mut fences: BTreeMap<Domain, Fence> = BTreeMap::new();
         for (id, view) in peers.alive(now) {
-            for holding in &view.beat.owned_domains {
+            for holding in &view.heartbeat.owned_domains {
                 let fence = fences.entry(holding.domain).or_default();
                 *fence = holding.fence.max(*fence);
             }
             if serves(view) {
-                let held = view.beat.owned_domains.iter().map(|holding| holding.domain);
+                let held = view
+                    .heartbeat
+                    .owned_domains
+                    .iter()
+                    .map(|holding| holding.domain);
                 entries.push(Standing::new(id, held));
             }
         }
@@ -146,7 +150,7 @@
 }
 
 fn serves(view: &PeerView) -> bool {
-    view.beat.kind == ProcessKind::Entry && view.beat.stage == Stage::Ready
+    view.heartbeat.kind == ProcessKind::Entry && view.heartbeat.stage == Stage::Ready
 }
 
 fn rank(shard: u8, instance: InstanceId) -> u64 {
--- a/crates/celerywinch_domains/tests/holders.rs
+++ b/crates/celerywinch_domains/tests/holders.rs
@@ -73,7 +73,7 @@
             incarnation: Incarnation(1),
         };
         let window = Duration::from_millis(350);
-        self.peers.heard(self.now, process, beat, window);
+        self.peers.record_heartbeat(self.now, process, beat, window);
     }
 
     fn tick(&mut self) -> Vec<Change> {
--- a/crates/celerywinch_fleet/src/core/members.rs
+++ b/crates/celerywinch_fleet/src/core/members.rs
@@ -71,7 +71,7 @@
         let peers = self.member.peers().all();
         let contacts = peers.map(|(instance, view)| Contact {
             instance,
-            kind: view.beat.kind,
+            kind: view.heartbeat.kind,
         });
         let contacts = contacts.collect();
         self.links.send(to, FleetMsg::Contacts(contacts));
@@ -94,7 +94,7 @@
         }
         let contact = Contact {
             instance,
-            kind: view.beat.kind,
+            kind: view.heartbeat.kind,
         };
         for (peer, _) in peers.all().filter(|(peer, _)| *peer != instance) {
             self.links.send(peer, FleetMsg::Contacts(vec![contact]));
@@ -135,7 +135,7 @@
     /// Entries that are heard.
     pub(super) fn entries(&self, now: Time) -> Vec<InstanceId> {
         let alive = self.member.peers().alive(now);
-        let entries = alive.filter(|(_, view)| view.beat.kind == ProcessKind::Entry);
+        let entries = alive.filter(|(_, view)| view.heartbeat.kind == ProcessKind::Entry);
         entries.map(|(id, _)| id).collect()
     }
 }
--- a/crates/celerywinch_member/src/beats.rs
+++ b/crates/celerywinch_member/src/beats.rs
@@ -81,7 +81,7 @@
             add(self.config.me.instance, *holding);
         }
         for (instance, view) in self.peers.alive(now) {
-            for holding in &view.beat.owned_domains {
+            for holding in &view.heartbeat.owned_domains {
                 add(instance, *holding);
             }
         }
@@ -134,7 +134,7 @@
             || self
                 .peers
                 .get(peer)
-                .is_some_and(|view| view.beat.dc == self.config.dc);
+                .is_some_and(|view| view.heartbeat.dc == self.config.dc);
         here && !self.config.pool.without.contains(Mechanism::Locality)
     }
 
@@ -149,7 +149,10 @@
     /// seconds ago. Callers' jobs that went to such a dispatcher would wait there for as long, and so would the shard of
     /// one that such an entry comes before.
     fn greet(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
-        let known = self.peers.get(peer).is_some_and(|view| !view.is_close());
+        let known = self
+            .peers
+            .get(peer)
+            .is_some_and(|view| !view.has_short_timeout());
         if known && !self.few() {
             self.promise(now, peer);
             self.send_probe(now, peer, out);
@@ -172,7 +175,10 @@
 
     /// Whether new work may go to a dispatcher: this process, or one that is heard often.
     fn counts_on(&self, dispatcher: InstanceId) -> bool {
-        let heard = self.peers.get(dispatcher).is_none_or(PeerView::is_close);
+        let heard = self
+            .peers
+            .get(dispatcher)
+            .is_none_or(PeerView::has_short_timeout);
         self.hands_to(dispatcher) && heard
     }
 
@@ -212,7 +218,7 @@
         let view = self.peers.get(peer).filter(|view| view.alive(now));
         let echo = view.filter(|_| self.hands_to(peer)).map(|view| Echo {
             incarnation: view.process.incarnation,
-            sent: view.beat.sent,
+            sent: view.heartbeat.sent,
             session: self.origin.session(peer),
         });
         let every = if self.few() || self.close.promised.contains(&peer) {
@@ -275,7 +281,7 @@
 
     /// Whether a process gets frequent heartbeats: for the grants of what is handed to it, or since it asks.
     fn is_close(&self, now: Time, peer: InstanceId, view: &PeerView) -> bool {
-        self.hands_to(peer) || (view.beat.wants_frequent && view.alive(now))
+        self.hands_to(peer) || (view.heartbeat.wants_frequent && view.alive(now))
     }
 
     /// Between two heartbeats to a process that is not close.
@@ -346,9 +352,9 @@
         }
         let mut silent: BTreeMap<DataCentreId, bool> = BTreeMap::new();
         for (_, view) in self.peers.all() {
-            let quiet = now.since(view.heard);
-            if view.is_close() && !view.refused && quiet < SUSPECT_FOR {
-                let all = silent.entry(view.beat.dc).or_insert(true);
+            let quiet = now.since(view.last_contact);
+            if view.has_short_timeout() && !view.refused && quiet < SUSPECT_FOR {
+                let all = silent.entry(view.heartbeat.dc).or_insert(true);
                 *all &= quiet >= SUSPECT;
             }
         }
@@ -363,7 +369,7 @@
 
     fn probe(&mut self, now: Time, dc: DataCentreId, out: &mut Vec<Output>) {
         let alive = self.peers.alive(now);
-        let there = alive.filter(|(_, view)| view.beat.dc == dc && !view.is_close());
+        let there = alive.filter(|(_, view)| view.heartbeat.dc == dc && !view.has_short_timeout());
         let peers: Vec<_> = there.map(|(peer, _)| peer).collect();
         for peer in peers {
             self.send_probe(now, peer, out);
@@ -371,7 +377,7 @@
     }
 
     fn send_probe(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
-        self.peers.probed(now, peer);
+        self.peers.record_probe(now, peer);
         let mut beat = self.beat_for(now, peer);
         beat.probe = true;
         out.push(Output::Send(peer, FleetMsg::Heartbeat(beat)));
@@ -387,7 +393,7 @@
         let alive = self.peers.alive(now);
         let next = |peer: InstanceId| self.few() || self.close.successors.contains(&peer);
         let entries =
-            alive.filter(|(peer, view)| view.beat.kind == ProcessKind::Entry && next(*peer));
+            alive.filter(|(peer, view)| view.heartbeat.kind == ProcessKind::Entry && next(*peer));
         let entries = entries.map(|(entry, _)| entry).collect();
         let due = self.teach_round.due(now, TEACH, entries);
         if due.is_empty() {
@@ -401,9 +407,9 @@
 
     /// Tells all that dispatch, and those that would next, of workers that ended under tasks since the last tick.
     fn spread_crashes_to(&self, peer: InstanceId, view: &PeerView) -> bool {
-        let dispatches = !view.beat.owned_domains.is_empty();
+        let dispatches = !view.heartbeat.owned_domains.is_empty();
         let next = self.few() || self.close.successors.contains(&peer);
-        view.beat.kind == ProcessKind::Entry && (dispatches || next)
+        view.heartbeat.kind == ProcessKind::Entry && (dispatches || next)
     }
 
     pub(crate) fn spread_crashes(&mut self, now: Time, out: &mut Vec<Output>) {
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -228,7 +228,10 @@
     /// divide the workers among the few that it knows.
     #[must_use]
     pub fn tells_contacts(&self, peer: InstanceId) -> bool {
-        let was_there = self.peers.get(peer).is_some_and(|view| !view.is_new());
+        let was_there = self
+            .peers
+            .get(peer)
+            .is_some_and(|view| !view.just_started());
         self.config.part == ProcessKind::Keeper || !was_there
     }
 
@@ -290,7 +293,7 @@
         match input {
             Input::Beat(from, beat) => self.beat(now, from, beat, out),
             Input::Refused(peer) => {
-                self.peers.refused(peer);
+                self.peers.record_refusal(peer);
                 self.compare_alive(now, out);
             }
             Input::LinkReset(peer) => {
@@ -387,7 +390,7 @@
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
         self.flush(now, out);
         self.compare_alive(now, out);
-        for peer in self.peers.forget(now) {
+        for peer in self.peers.remove_expired(now) {
             self.lost.remove(&peer);
             out.push(Output::Forget(peer));
         }
@@ -415,7 +418,7 @@
     /// Becomes ready once it knows the configuration and had time to hear the others.
     fn join(&mut self, now: Time, out: &mut Vec<Output>) {
         let short = !self.config.pool.without.contains(Mechanism::ShortListening);
-        let wait = if short && self.is_undivided() && self.peers.all_new(now) {
+        let wait = if short && self.is_undivided() && self.peers.all_just_started(now) {
             JOIN_ANEW
         } else {
             JOIN
@@ -440,15 +443,15 @@
             let holdings = beat.owned_domains.iter();
             holdings.map(|h| (h.domain, h.fence)).collect()
         };
-        let held_before = before.map(|view| held(&view.beat));
+        let held_before = before.map(|view| held(&view.heartbeat));
         let evacuations = beat.evacuations.clone();
-        let hurried = before.is_some_and(PeerView::is_close);
+        let hurried = before.is_some_and(PeerView::has_short_timeout);
         let holdings = held(&beat);
         self.domains.observe(beat.fence);
         let window = Self::window(&beat);
         let (echo, loads) = (beat.echo, beat.owned_domains.clone());
         let answer = beat.probe;
-        if !self.peers.heard(now, from, beat, window) {
+        if !self.peers.record_heartbeat(now, from, beat, window) {
             return;
         }
         if life != Some(from.incarnation) {
@@ -526,7 +529,11 @@
 
     fn found(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         self.stale = true;
-        if self.peers.get(peer).is_some_and(|view| !view.is_new()) {
+        if self
+            .peers
+            .get(peer)
+            .is_some_and(|view| !view.just_started())
+        {
             self.domains.peer_found(now);
         }
         out.push(Output::Heard(peer));
@@ -540,7 +547,7 @@
     fn lose_peer(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         self.lost.insert(peer);
         let view = self.peers.get(peer);
-        let silent = view.map_or(Duration::ZERO, |view| now.since(view.heard));
+        let silent = view.map_or(Duration::ZERO, |view| now.since(view.last_contact));
         out.push(Output::Member(MemberNote::PeerLost {
             peer,
             silent: u32::try_from(silent.as_millis()).unwrap_or(u32::MAX),
@@ -594,7 +601,7 @@
     /// number only rises, so that all come to the same one.
     fn divide(&mut self, now: Time, changes: &mut Vec<Change>, out: &mut Vec<Output>) {
         let wanted = shards(self.pool.known_workers(), self.config.shard);
-        let told = self.peers.alive(now).map(|(_, view)| view.beat.shards);
+        let told = self.peers.alive(now).map(|(_, view)| view.heartbeat.shards);
         let told = told.max();
         let shards = told.unwrap_or(1).max(wanted);
         if shards <= self.domains.shards() {
--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -207,7 +207,7 @@
     };
     member.handle(now, Input::Beat(process(2, 1), older), &mut out);
     let view = member.peers().get(InstanceId(2));
-    assert_eq!(view.map(|view| view.beat.version), Some(7));
+    assert_eq!(view.map(|view| view.heartbeat.version), Some(7));
 }
 
 /// A heartbeat names what its sender has heard of the receiver, so that the receiver knows by its own clock
--- a/crates/celerywinch_member/tests/restarts.rs
+++ b/crates/celerywinch_member/tests/restarts.rs
@@ -72,5 +72,5 @@
     );
     assert!(out.contains(&Output::NewPeer(present)), "{out:#?}");
     let view = entry.peers().get(InstanceId(2)).expect("a known peer");
-    assert_eq!((view.process, view.beat.version), (present, 6));
+    assert_eq!((view.process, view.heartbeat.version), (present, 6));
 }
