--- a/crates/celerywinch_entry/src/cancel.rs
+++ b/crates/celerywinch_entry/src/cancel.rs
@@ -70,7 +70,7 @@
             return;
         };
         for (id, peer) in self.peers.iter() {
-            if peer.dc == home && self.peers.usable(id) {
+            if peer.dc == home && self.peers.is_reachable(id) {
                 let msg = PeerMsg::Relay(RelayMsg::Cancel(key.clone()));
                 out.push(Output::Send(id, msg));
             }
--- a/crates/celerywinch_entry/src/catalogues.rs
+++ b/crates/celerywinch_entry/src/catalogues.rs
@@ -61,7 +61,7 @@
         }
         let peers: Vec<_> = self.peers.iter().map(|(id, _)| id).collect();
         for peer in peers {
-            if self.peers.usable(peer) {
+            if self.peers.is_reachable(peer) {
                 self.send_catalogue(peer, out);
             }
         }
@@ -130,7 +130,10 @@
         peer: InstanceId,
         out: &mut Vec<Output>,
     ) {
-        let theirs = self.peers.get(peer).map_or(0, |peer| peer.held);
+        let theirs = self
+            .peers
+            .get(peer)
+            .map_or(0, |peer| peer.pending_catalogue);
         let due = now.since(self.holding.asked) >= ASK_EVERY || self.holding.asked == Time(0);
         if theirs > self.held_version() && due {
             self.holding.asked = now;
@@ -157,7 +160,10 @@
         if self.config.durable {
             return self.holding.saved >= version;
         }
-        let all_hold = self.peers.local().all(|(_, peer)| peer.held >= version);
+        let all_hold = self
+            .peers
+            .local()
+            .all(|(_, peer)| peer.pending_catalogue >= version);
         all_hold || now.since(self.holding.since) >= PATIENCE
     }
 
@@ -173,21 +179,24 @@
         let caught_up = self
             .peers
             .iter()
-            .all(|(_, peer)| !peer.met || peer.held <= version);
+            .all(|(_, peer)| !peer.has_heartbeat || peer.pending_catalogue <= version);
         let local = self
             .peers
             .iter()
             .filter(|(_, peer)| peer.dc == self.config.dc);
         let local: Vec<_> = local.map(|(_, peer)| peer).collect();
-        let lived_on = local.iter().any(|peer| peer.met && peer.current);
-        let all_known = local.iter().all(|p| p.met || p.state == PeerState::Dead);
+        let lived_on = local.iter().any(|peer| peer.has_heartbeat && peer.current);
+        let all_known = local
+            .iter()
+            .all(|p| p.has_heartbeat || p.state == PeerState::Dead);
         caught_up && (lived_on && all_known || self.met_keepers())
     }
 
     fn met_keepers(&self) -> bool {
         let keepers = &self.config.keepers;
         let me = self.me();
-        let met = |id: &&InstanceId| **id == me || self.peers.get(**id).is_some_and(|p| p.met);
+        let met =
+            |id: &&InstanceId| **id == me || self.peers.get(**id).is_some_and(|p| p.has_heartbeat);
         keepers.iter().filter(met).count() > keepers.len() / 2
     }
 
--- a/crates/celerywinch_entry/src/members.rs
+++ b/crates/celerywinch_entry/src/members.rs
@@ -16,7 +16,7 @@
     pub(crate) fn peer(&mut self, now: Time, from: Process, msg: PeerMsg, out: &mut Vec<Output>) {
         let mut changes = Vec::new();
         self.peers
-            .heard(now, from.instance, from.incarnation, &mut changes);
+            .record_contact(now, from.instance, from.incarnation, &mut changes);
         self.peer_changes(now, changes, out);
         match msg {
             PeerMsg::Claim(msg) => self.claim_msg(now, from.instance, msg, out),
@@ -30,7 +30,7 @@
 
     pub(crate) fn peer_gone(&mut self, now: Time, id: InstanceId, out: &mut Vec<Output>) {
         let mut changes = Vec::new();
-        self.peers.refused(id, &mut changes);
+        self.peers.record_refusal(id, &mut changes);
         self.peer_changes(now, changes, out);
     }
 
@@ -50,7 +50,7 @@
     fn peer_changes(&mut self, now: Time, changes: Vec<PeerChange>, out: &mut Vec<Output>) {
         for change in changes {
             match change {
-                PeerChange::Beat(peer) => self.beat(now, peer, out),
+                PeerChange::HeartbeatDue(peer) => self.beat(now, peer, out),
                 PeerChange::Up(peer) => {
                     out.push(Output::Event(Event::PeerUp { peer }));
                     self.ask_endpoints(peer, out);
@@ -96,7 +96,7 @@
     }
 
     pub(crate) fn beat(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
-        let Some((echo, hears, knows)) = self.peers.beat(now, peer) else {
+        let Some((echo, hears, knows)) = self.peers.heartbeat_fields(now, peer) else {
             return;
         };
         self.beats += 1;
@@ -122,7 +122,7 @@
             MemberMsg::Heartbeat(beat) => {
                 let wall = self.wall(now);
                 self.check_clock(wall, beat.wall);
-                self.peers.heartbeat(now, wall, from, &beat);
+                self.peers.record_heartbeat(now, wall, from, &beat);
                 self.refresh_owners();
                 self.compare_catalogues(now, from, out);
             }
@@ -137,7 +137,7 @@
                 self.catalogue_heard(now, version, &document, out);
             }
             MemberMsg::Leave => {
-                self.peers.bye(from);
+                self.peers.record_leave(from);
                 self.refresh_owners();
             }
         }
--- a/crates/celerywinch_entry/src/relay.rs
+++ b/crates/celerywinch_entry/src/relay.rs
@@ -37,7 +37,7 @@
         let entries = self
             .peers
             .iter()
-            .filter(|(id, peer)| peer.dc == dc && !peer.stopping && self.peers.usable(*id));
+            .filter(|(id, peer)| peer.dc == dc && !peer.stopping && self.peers.is_reachable(*id));
         let entries: Vec<_> = entries.map(|(id, _)| id).collect();
         if entries.is_empty() {
             return None;
--- a/crates/celerywinch_entry/src/settle.rs
+++ b/crates/celerywinch_entry/src/settle.rs
@@ -26,7 +26,7 @@
         if own_earlier_attempt
             || self
                 .peers
-                .gone(holder.process.instance, holder.process.incarnation)
+                .has_ended(holder.process.instance, holder.process.incarnation)
         {
             self.settle(now, id, Ballot::default(), out);
             return;
--- a/crates/celerywinch_entry/src/submit.rs
+++ b/crates/celerywinch_entry/src/submit.rs
@@ -144,7 +144,7 @@
         let order = group.order(&key);
         let first = order
             .into_iter()
-            .find(|r| *r == me || self.peers.usable(*r));
+            .find(|r| *r == me || self.peers.is_reachable(*r));
         let claim = Claim::new(key.clone(), digest, group, holder, first);
         self.jobs[id].phase = Phase::Voting(claim);
         self.schedule_resend(now, id, RESEND);
@@ -164,7 +164,7 @@
     pub(crate) fn has_quorum(&self, group: &Group) -> bool {
         let me = self.me();
         let members = group.members().iter();
-        let answering = members.filter(|r| **r == me || self.peers.usable(**r));
+        let answering = members.filter(|r| **r == me || self.peers.is_reachable(**r));
         answering.count() >= group.majority()
     }
 
--- a/crates/celerywinch_entry/src/tasks.rs
+++ b/crates/celerywinch_entry/src/tasks.rs
@@ -70,7 +70,7 @@
         let me = self.me();
         let heard = |id| {
             let peer = self.peers.get(id);
-            peer.is_some_and(|peer| now.since(peer.heard) < HOLDER_LEASE)
+            peer.is_some_and(|peer| now.since(peer.last_contact) < HOLDER_LEASE)
         };
         let members = group.members().iter();
         members.filter(|r| **r == me || heard(**r)).count() >= group.majority()
--- a/crates/celerywinch_members/src/peers.rs
+++ b/crates/celerywinch_members/src/peers.rs
@@ -9,22 +9,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DetectorConfig {
     /// Between heartbeats to an instance of the same data centre.
-    pub near: Duration,
+    pub local_interval: Duration,
     /// Between heartbeats to an instance of another data centre.
-    pub far: Duration,
+    pub remote_interval: Duration,
     /// How many heartbeats may be missing before the peer is suspected.
-    pub missed: u32,
+    pub max_missed: u32,
     /// How long a probe on a new connection may take.
-    pub probe: Duration,
+    pub probe_timeout: Duration,
 }
 
 impl Default for DetectorConfig {
     fn default() -> Self {
         Self {
-            near: Duration::from_millis(200),
-            far: Duration::from_millis(500),
-            missed: 3,
-            probe: Duration::from_millis(400),
+            local_interval: Duration::from_millis(200),
+            remote_interval: Duration::from_millis(500),
+            max_missed: 3,
+            probe_timeout: Duration::from_millis(400),
         }
     }
 }
@@ -58,23 +58,23 @@
     /// clock that may be set back.
     former: VecDeque<Incarnation>,
     /// When it was last heard from.
-    pub heard: Time,
+    pub last_contact: Time,
     /// Whether it hears this instance: false tells of a one-way loss.
-    pub hears: bool,
+    pub receives: bool,
     /// Whether it is stopping.
     pub stopping: bool,
     /// Version of the catalogue in force there.
     pub catalogue: u64,
     /// Version of the catalogue that it holds and will put in force.
-    pub held: u64,
+    pub pending_catalogue: u64,
     /// Whether it may serve by what it has in force.
     pub current: bool,
     /// Whether a heartbeat of its present life was heard.
-    pub met: bool,
+    pub has_heartbeat: bool,
     /// Tasks waiting there for a slot.
     pub queued: u32,
     /// Its wall clock minus ours, in milliseconds, at the last heartbeat.
-    pub skew: i64,
+    pub clock_skew: i64,
     /// The last round trip.
     pub round_trip: Option<Duration>,
     sent: Time,
@@ -94,7 +94,7 @@
     /// A peer has a new life: what its earlier life held is lost.
     Restarted(InstanceId, Incarnation),
     /// A heartbeat to this peer is due.
-    Beat(InstanceId),
+    HeartbeatDue(InstanceId),
 }
 
 /// The other instances.
@@ -135,18 +135,18 @@
     /// Peers of the own data centre that are alive, stopping ones included.
     pub fn local(&self) -> impl Iterator<Item = (InstanceId, &Peer)> {
         self.iter()
-            .filter(|(_, peer)| peer.dc == self.dc && peer.usable())
+            .filter(|(_, peer)| peer.dc == self.dc && peer.is_reachable())
     }
 
     /// Whether a peer can be asked for something.
     #[must_use]
-    pub fn usable(&self, id: InstanceId) -> bool {
-        self.peers.get(&id).is_some_and(Peer::usable)
+    pub fn is_reachable(&self, id: InstanceId) -> bool {
+        self.peers.get(&id).is_some_and(Peer::is_reachable)
     }
 
     /// Whether a certain life of a peer is over, as far as is known.
     #[must_use]
-    pub fn gone(&self, id: InstanceId, incarnation: Incarnation) -> bool {
+    pub fn has_ended(&self, id: InstanceId, incarnation: Incarnation) -> bool {
         self.peers.get(&id).is_some_and(|peer| {
             peer.state == PeerState::Dead
                 || peer.incarnation > incarnation
@@ -157,7 +157,7 @@
     /// Takes any message as a sign of life of the sender's incarnation.
     ///
     /// Another incarnation than before has replaced that one: links drop what comes on an earlier stream.
-    pub fn heard(
+    pub fn record_contact(
         &mut self,
         now: Time,
         from: InstanceId,
@@ -176,12 +176,12 @@
             peer.former.retain(|former| *former != incarnation);
             peer.stopping = false;
             peer.sequence = 0;
-            peer.met = false;
+            peer.has_heartbeat = false;
             if !first {
                 changes.push(PeerChange::Restarted(from, incarnation));
             }
         }
-        peer.heard = now;
+        peer.last_contact = now;
         if peer.state != PeerState::Alive {
             peer.state = PeerState::Alive;
             changes.push(PeerChange::Up(from));
@@ -189,7 +189,13 @@
     }
 
     /// Takes a heartbeat; `heard` was called for the same message before.
-    pub fn heartbeat(&mut self, now: Time, wall: WallMs, from: InstanceId, beat: &Heartbeat) {
+    pub fn record_heartbeat(
+        &mut self,
+        now: Time,
+        wall: WallMs,
+        from: InstanceId,
+        beat: &Heartbeat,
+    ) {
         let Some(peer) = self.peers.get_mut(&from) else {
             return;
         };
@@ -197,27 +203,27 @@
             return;
         }
         peer.sequence = beat.sequence;
-        peer.hears = beat.receives;
+        peer.receives = beat.receives;
         peer.stopping = beat.stopping;
         peer.catalogue = beat.catalogue;
-        peer.held = beat.pending_catalogue;
+        peer.pending_catalogue = beat.pending_catalogue;
         peer.current = beat.current;
-        peer.met = true;
+        peer.has_heartbeat = true;
         peer.queued = beat.queued;
-        peer.skew = wall_difference(beat.wall, wall);
+        peer.clock_skew = wall_difference(beat.wall, wall);
         peer.round_trip = beat.echo.map(|sent| now.since(sent));
         peer.echo = Some(beat.sent);
     }
 
     /// A peer said that it stops.
-    pub fn bye(&mut self, from: InstanceId) {
+    pub fn record_leave(&mut self, from: InstanceId) {
         if let Some(peer) = self.peers.get_mut(&from) {
             peer.stopping = true;
         }
     }
 
     /// The host found that nothing listens at the peer's address: the process is gone.
-    pub fn refused(&mut self, id: InstanceId, changes: &mut Vec<PeerChange>) {
+    pub fn record_refusal(&mut self, id: InstanceId, changes: &mut Vec<PeerChange>) {
         if let Some(peer) = self.peers.get_mut(&id)
             && peer.state != PeerState::Dead
         {
@@ -232,19 +238,23 @@
             let interval = interval(self.timing, self.dc, peer.dc);
             if now.since(peer.sent) >= interval || peer.sent == Time::default() {
                 peer.sent = now;
-                changes.push(PeerChange::Beat(*id));
+                changes.push(PeerChange::HeartbeatDue(*id));
             }
             match peer.state {
-                PeerState::Alive if now.since(peer.heard) > interval * self.timing.missed => {
+                PeerState::Alive
+                    if now.since(peer.last_contact) > interval * self.timing.max_missed =>
+                {
                     peer.state = PeerState::Suspect(now);
                     changes.push(PeerChange::Probe(*id));
                 }
-                PeerState::Suspect(since) if now.since(since) > self.timing.probe => {
+                PeerState::Suspect(since) if now.since(since) > self.timing.probe_timeout => {
                     peer.state = PeerState::Dead;
                     changes.push(PeerChange::Down(*id));
                 }
                 // An instance that never answered since this one started counts as gone.
-                PeerState::Unknown if now.since(Time(0)) > interval * self.timing.missed * 2 => {
+                PeerState::Unknown
+                    if now.since(Time(0)) > interval * self.timing.max_missed * 2 =>
+                {
                     peer.state = PeerState::Dead;
                     changes.push(PeerChange::Down(*id));
                 }
@@ -255,13 +265,17 @@
 
     /// The part of a heartbeat to `id` that follows from what is known of it.
     #[must_use]
-    pub fn beat(&self, now: Time, id: InstanceId) -> Option<(Option<Time>, bool, Incarnation)> {
+    pub fn heartbeat_fields(
+        &self,
+        now: Time,
+        id: InstanceId,
+    ) -> Option<(Option<Time>, bool, Incarnation)> {
         let peer = self.peers.get(&id)?;
         let interval = interval(self.timing, self.dc, peer.dc);
-        let hears = now.since(peer.heard) <= interval * self.timing.missed;
+        let hears = now.since(peer.last_contact) <= interval * self.timing.max_missed;
         Some((
             peer.echo,
-            hears && peer.heard != Time::default(),
+            hears && peer.last_contact != Time::default(),
             peer.incarnation,
         ))
     }
@@ -274,15 +288,15 @@
             state: PeerState::Unknown,
             incarnation: Incarnation(0),
             former: VecDeque::new(),
-            heard: Time::default(),
-            hears: false,
+            last_contact: Time::default(),
+            receives: false,
             stopping: false,
             catalogue: 0,
-            held: 0,
+            pending_catalogue: 0,
             current: false,
-            met: false,
+            has_heartbeat: false,
             queued: 0,
-            skew: 0,
+            clock_skew: 0,
             round_trip: None,
             sent: Time::default(),
             sequence: 0,
@@ -298,16 +312,16 @@
         }
     }
 
-    fn usable(&self) -> bool {
+    fn is_reachable(&self) -> bool {
         matches!(self.state, PeerState::Alive | PeerState::Suspect(_))
     }
 }
 
 fn interval(timing: DetectorConfig, own: DataCentreId, other: DataCentreId) -> Duration {
     if own == other {
-        timing.near
+        timing.local_interval
     } else {
-        timing.far
+        timing.remote_interval
     }
 }
 
--- a/crates/celerywinch_members/tests/peers.rs
+++ b/crates/celerywinch_members/tests/peers.rs
@@ -22,7 +22,7 @@
     for step in millis.step_by(20) {
         peers.tick(from + Duration::from_millis(step), &mut changes);
     }
-    changes.retain(|change| !matches!(change, PeerChange::Beat(_)));
+    changes.retain(|change| !matches!(change, PeerChange::HeartbeatDue(_)));
     changes
 }
 
@@ -32,14 +32,14 @@
 fn silent_peer_is_probed_before_it_is_gone() {
     let mut peers = peers();
     let mut changes = Vec::new();
-    peers.heard(START, PEER, Incarnation(1), &mut changes);
+    peers.record_contact(START, PEER, Incarnation(1), &mut changes);
     assert_eq!(changes, vec![PeerChange::Up(PEER)]);
     assert_eq!(
         tick(&mut peers, START, 0..700),
         vec![PeerChange::Probe(PEER)]
     );
-    assert!(peers.usable(PEER), "suspected, not gone");
-    peers.heard(
+    assert!(peers.is_reachable(PEER), "suspected, not gone");
+    peers.record_contact(
         START + Duration::from_millis(800),
         PEER,
         Incarnation(1),
@@ -64,13 +64,13 @@
 fn restart_is_told(#[case] incarnations: &[u64]) {
     let mut peers = peers();
     let mut changes = Vec::new();
-    peers.heard(START, PEER, Incarnation(incarnations[0]), &mut changes);
+    peers.record_contact(START, PEER, Incarnation(incarnations[0]), &mut changes);
     for pair in incarnations.windows(2) {
         let [before, after] = [pair[0], pair[1]].map(Incarnation);
         changes.clear();
-        peers.heard(START, PEER, after, &mut changes);
+        peers.record_contact(START, PEER, after, &mut changes);
         assert_eq!(changes, vec![PeerChange::Restarted(PEER, after)]);
-        assert!(peers.gone(PEER, before));
-        assert!(!peers.gone(PEER, after));
+        assert!(peers.has_ended(PEER, before));
+        assert!(!peers.has_ended(PEER, after));
     }
 }
--- a/crates/celerywinch_node/src/core.rs
+++ b/crates/celerywinch_node/src/core.rs
@@ -151,9 +151,9 @@
         let peers = self.entry.peers().iter().map(|(id, peer)| PeerLine {
             instance: id.0,
             state: peer_state(peer.state).into(),
-            hears_us: peer.hears,
+            hears_us: peer.receives,
             catalogue_version: peer.catalogue,
-            heard_ms_ago: u64::try_from(now.since(peer.heard).as_millis()).unwrap_or(0),
+            heard_ms_ago: u64::try_from(now.since(peer.last_contact).as_millis()).unwrap_or(0),
             round_trip_us: peer
                 .round_trip
                 .and_then(|span| u64::try_from(span.as_micros()).ok()),
