--- a/crates/celerywinch_entry/src/members.rs
+++ b/crates/celerywinch_entry/src/members.rs
@@ -129,7 +129,7 @@
             MemberMsg::Endpoints(notes) => self.notes_heard(now, notes, out),
             MemberMsg::Renewals(renewals) => self.renewals_heard(now, from, renewals, out),
             MemberMsg::EndpointsWanted => {
-                let msg = MemberMsg::Endpoints(self.endpoints.notes(now));
+                let msg = MemberMsg::Endpoints(self.endpoints.announcements(now));
                 out.push(Output::Send(from, PeerMsg::Member(msg)));
             }
             MemberMsg::CatalogueWanted => self.send_catalogue(from, out),
@@ -170,7 +170,7 @@
         if !news {
             return;
         }
-        let Some(note) = self.endpoints.note(now, addr) else {
+        let Some(note) = self.endpoints.announcement(now, addr) else {
             return;
         };
         for peer in self.local_peers() {
@@ -230,8 +230,11 @@
                     let Some(known) = self.endpoints.get(addr) else {
                         continue;
                     };
-                    self.dispatch.update(&known.note);
-                    (addr, format!("{:?}", known.note.state).to_lowercase())
+                    self.dispatch.update(&known.announcement);
+                    (
+                        addr,
+                        format!("{:?}", known.announcement.state).to_lowercase(),
+                    )
                 }
                 Change::Gone(addr) => {
                     self.dispatch.remove(addr);
--- a/crates/celerywinch_members/src/endpoints.rs
+++ b/crates/celerywinch_members/src/endpoints.rs
@@ -29,11 +29,11 @@
 #[derive(Clone, Debug)]
 pub struct EndpointRecord {
     /// Its latest announcement.
-    pub note: EndpointAnnouncement,
+    pub announcement: EndpointAnnouncement,
     /// When that was made, on our clock.
-    pub announced: Time,
+    pub announced_at: Time,
     /// Whether its lease has run out.
-    pub lapsed: bool,
+    pub expired: bool,
     dirty: bool,
 }
 
@@ -61,7 +61,7 @@
 
     /// All endpoints whose lease holds.
     pub fn iter(&self) -> impl Iterator<Item = &EndpointRecord> {
-        self.known.values().filter(|known| !known.lapsed)
+        self.known.values().filter(|known| !known.expired)
     }
 
     /// Takes an announcement, from the endpoint itself or from another entry.
@@ -82,21 +82,23 @@
         let Some(known) = self.known.get_mut(&addr) else {
             changes.push(Change::Updated(addr));
             let known = EndpointRecord {
-                note,
-                announced,
-                lapsed: false,
+                announcement: note,
+                announced_at: announced,
+                expired: false,
                 dirty,
             };
             self.known.insert(addr, known);
             return true;
         };
-        if (note.incarnation, note.sequence) <= (known.note.incarnation, known.note.sequence) {
+        if (note.incarnation, note.sequence)
+            <= (known.announcement.incarnation, known.announcement.sequence)
+        {
             return false;
         }
-        let news = known.lapsed || differs(&known.note, &note);
-        known.note = note;
-        known.announced = announced;
-        known.lapsed = false;
+        let news = known.expired || differs(&known.announcement, &note);
+        known.announcement = note;
+        known.announced_at = announced;
+        known.expired = false;
         known.dirty = dirty;
         if news {
             changes.push(Change::Updated(addr));
@@ -109,16 +111,16 @@
         let Some(known) = self.known.get_mut(&renewal.addr) else {
             return false;
         };
-        if renewal.incarnation != known.note.incarnation {
-            return renewal.incarnation < known.note.incarnation;
+        if renewal.incarnation != known.announcement.incarnation {
+            return renewal.incarnation < known.announcement.incarnation;
         }
-        if renewal.sequence <= known.note.sequence {
+        if renewal.sequence <= known.announcement.sequence {
             return true;
         }
-        known.note.sequence = renewal.sequence;
-        known.announced = now - Duration::from_millis(u64::from(renewal.age_ms));
-        if known.lapsed {
-            known.lapsed = false;
+        known.announcement.sequence = renewal.sequence;
+        known.announced_at = now - Duration::from_millis(u64::from(renewal.age_ms));
+        if known.expired {
+            known.expired = false;
             changes.push(Change::Updated(renewal.addr));
         }
         true
@@ -127,13 +129,13 @@
     /// Lets leases run out.
     pub fn tick(&mut self, now: Time, changes: &mut Vec<Change>) {
         for (addr, known) in &mut self.known {
-            if !known.lapsed && now.since(known.announced) > LEASE {
-                known.lapsed = true;
+            if !known.expired && now.since(known.announced_at) > LEASE {
+                known.expired = true;
                 changes.push(Change::Gone(*addr));
             }
         }
         self.known
-            .retain(|_, known| now.since(known.announced) <= LEASE + MEMORY);
+            .retain(|_, known| now.since(known.announced_at) <= LEASE + MEMORY);
     }
 
     /// The renewals taken since the last call, to be passed to the other entries.
@@ -143,10 +145,10 @@
             .map(|known| {
                 known.dirty = false;
                 Renewal {
-                    addr: known.note.addr,
-                    incarnation: known.note.incarnation,
-                    sequence: known.note.sequence,
-                    age_ms: age(now, known.announced),
+                    addr: known.announcement.addr,
+                    incarnation: known.announcement.incarnation,
+                    sequence: known.announcement.sequence,
+                    age_ms: age(now, known.announced_at),
                 }
             })
             .collect()
@@ -154,13 +156,13 @@
 
     /// Everything known, for an entry that asks.
     #[must_use]
-    pub fn notes(&self, now: Time) -> Vec<EndpointAnnouncement> {
+    pub fn announcements(&self, now: Time) -> Vec<EndpointAnnouncement> {
         self.iter().map(|known| aged(known, now)).collect()
     }
 
     /// One announcement with its present age, to be passed on.
     #[must_use]
-    pub fn note(&self, now: Time, addr: SocketAddr) -> Option<EndpointAnnouncement> {
+    pub fn announcement(&self, now: Time, addr: SocketAddr) -> Option<EndpointAnnouncement> {
         self.known.get(&addr).map(|known| aged(known, now))
     }
 }
@@ -175,8 +177,8 @@
 }
 
 fn aged(known: &EndpointRecord, now: Time) -> EndpointAnnouncement {
-    let mut note = known.note.clone();
-    note.age_ms = age(now, known.announced);
+    let mut note = known.announcement.clone();
+    note.age_ms = age(now, known.announced_at);
     note
 }
 
@@ -188,6 +190,6 @@
     /// Whether the endpoint takes new work.
     #[must_use]
     pub fn serves(&self) -> bool {
-        !self.lapsed && self.note.state == EndpointState::Serving
+        !self.expired && self.announcement.state == EndpointState::Serving
     }
 }
--- a/crates/celerywinch_node/src/core.rs
+++ b/crates/celerywinch_node/src/core.rs
@@ -159,10 +159,15 @@
                 .and_then(|span| u64::try_from(span.as_micros()).ok()),
         });
         let endpoints = self.entry.endpoints().iter().map(|known| EndpointLine {
-            addr: known.note.addr,
-            incarnation: known.note.incarnation,
-            state: known.note.state,
-            kinds: known.note.kinds.iter().map(ToString::to_string).collect(),
+            addr: known.announcement.addr,
+            incarnation: known.announcement.incarnation,
+            state: known.announcement.state,
+            kinds: known
+                .announcement
+                .kinds
+                .iter()
+                .map(ToString::to_string)
+                .collect(),
         });
         StatusPage {
             at: self.shared.me,
