--- a/crates/celerywinch_member/src/heartbeats.rs
+++ b/crates/celerywinch_member/src/heartbeats.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use celerywinch_domains::{Circle, PeerView};
+use celerywinch_domains::{PeerView, Succession};
 use celerywinch_origin::{Holder, Input as OriginInput};
 use celerywinch_pool::{Grant, Input as PoolInput};
 use celerywinch_types::{
-    Beat, DataCentreId, Domain, Echo, Fence, FleetMsg, Holding, InstanceId, Mechanism, Part,
-    Process, Time, score,
+    DataCentreId, Domain, Echo, Fence, FleetHeartbeat, FleetMsg, InstanceId, Mechanism,
+    OwnedDomain, Process, ProcessKind, Time, score,
 };
 
 use crate::member::{Member, Output};
@@ -66,12 +66,12 @@
 impl Member {
     /// Who dispatches for what, by the highest fencing token that is heard.
     pub(crate) fn update_holders(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.config.part != Part::Entry {
+        if self.config.part != ProcessKind::Entry {
             return;
         }
         self.stale = false;
-        let mut best: BTreeMap<Domain, (InstanceId, Holding)> = BTreeMap::new();
-        let mut add = |instance: InstanceId, holding: Holding| {
+        let mut best: BTreeMap<Domain, (InstanceId, OwnedDomain)> = BTreeMap::new();
+        let mut add = |instance: InstanceId, holding: OwnedDomain| {
             let known = best.get(&holding.domain);
             if known.is_none_or(|(_, other)| other.fence < holding.fence) {
                 best.insert(holding.domain, (instance, holding));
@@ -81,7 +81,7 @@
             add(self.config.me.instance, *holding);
         }
         for (instance, view) in self.peers.alive(now) {
-            for holding in &view.beat.holdings {
+            for holding in &view.heartbeat.owned_domains {
                 add(instance, *holding);
             }
         }
@@ -134,8 +134,8 @@
             || self
                 .peers
                 .get(peer)
-                .is_some_and(|view| view.beat.dc == self.config.dc);
-        here && !self.config.pool.without.lacks(Mechanism::Locality)
+                .is_some_and(|view| view.heartbeat.dc == self.config.dc);
+        here && !self.config.pool.without.contains(Mechanism::Locality)
     }
 
     /// Makes sure that a dispatcher hears often of this origin before it gets work: it starts it only then.
@@ -149,7 +149,10 @@
     /// seconds ago. Callers' jobs that went to such a dispatcher would wait there for as long, and so would the shard of
     /// one that such an entry comes before.
     fn greet(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
-        let known = self.peers.get(peer).is_some_and(|view| !view.is_close());
+        let known = self
+            .peers
+            .get(peer)
+            .is_some_and(|view| !view.has_short_timeout());
         if known && !self.few() {
             self.promise(now, peer);
             self.send_probe(now, peer, out);
@@ -157,13 +160,13 @@
     }
 
     /// Takes over whom this entry has to hear, and who has to hear it.
-    pub(crate) fn set_circle(&mut self, now: Time, circle: Circle, out: &mut Vec<Output>) {
+    pub(crate) fn set_circle(&mut self, now: Time, circle: Succession, out: &mut Vec<Output>) {
         let new: Vec<_> = circle
-            .ahead
+            .predecessors
             .difference(&self.close.ahead)
             .copied()
             .collect();
-        self.close.ahead = circle.ahead;
+        self.close.ahead = circle.predecessors;
         self.close.successors = circle.successors;
         for peer in new {
             self.greet(now, peer, out);
@@ -172,7 +175,10 @@
 
     /// Whether new work may go to a dispatcher: this process, or one that is heard often.
     fn counts_on(&self, dispatcher: InstanceId) -> bool {
-        let heard = self.peers.get(dispatcher).is_none_or(PeerView::is_close);
+        let heard = self
+            .peers
+            .get(dispatcher)
+            .is_none_or(PeerView::has_short_timeout);
         self.hands_to(dispatcher) && heard
     }
 
@@ -183,8 +189,8 @@
 
     /// Measures the room of what it dispatches for; once a tick, for it takes a look at each worker.
     pub(crate) fn measure(&mut self, now: Time) {
-        let held = self.domains.held().iter();
-        let holding = |(domain, fence): (&Domain, &Fence)| Holding {
+        let held = self.domains.owned().iter();
+        let holding = |(domain, fence): (&Domain, &Fence)| OwnedDomain {
             domain: *domain,
             fence: *fence,
             load: self.pool.load(now, *domain),
@@ -197,10 +203,10 @@
         &mut self,
         now: Time,
         dispatcher: InstanceId,
-        holdings: Vec<Holding>,
+        holdings: Vec<OwnedDomain>,
         out: &mut Vec<Output>,
     ) {
-        if self.config.part == Part::Entry && !holdings.is_empty() {
+        if self.config.part == ProcessKind::Entry && !holdings.is_empty() {
             let input = OriginInput::Loads(dispatcher, holdings);
             self.origin_input(now, input, out);
         }
@@ -208,11 +214,11 @@
 
     /// What this process tells another one of itself.
     #[must_use]
-    pub fn heartbeat_for(&self, now: Time, peer: InstanceId) -> Beat {
+    pub fn heartbeat_for(&self, now: Time, peer: InstanceId) -> FleetHeartbeat {
         let view = self.peers.get(peer).filter(|view| view.alive(now));
         let echo = view.filter(|_| self.hands_to(peer)).map(|view| Echo {
-            life: view.process.incarnation,
-            sent: view.beat.sent,
+            incarnation: view.process.incarnation,
+            sent: view.heartbeat.sent,
             session: self.origin.session(peer),
         });
         let every = if self.few() || self.close.promised.contains(&peer) {
@@ -220,19 +226,19 @@
         } else {
             self.slow_beat()
         };
-        Beat {
-            part: self.config.part,
+        FleetHeartbeat {
+            kind: self.config.part,
             dc: self.config.dc,
             stage: self.stage,
-            holdings: self.holdings.clone(),
-            fence: self.domains.top(),
+            owned_domains: self.holdings.clone(),
+            fence: self.domains.highest_fence(),
             version: self.version,
             evacuations: self.evacuations.clone(),
             shards: self.domains.shards(),
             sent: now,
             echo,
-            every: every.as_millis() as u32,
-            wants: self.wants(peer),
+            interval_ms: every.as_millis() as u32,
+            wants_frequent: self.wants(peer),
             probe: false,
         }
     }
@@ -246,7 +252,7 @@
         echo: Option<Echo>,
         out: &mut Vec<Output>,
     ) {
-        let own = |echo: &Echo| echo.life == self.config.me.incarnation;
+        let own = |echo: &Echo| echo.incarnation == self.config.me.incarnation;
         if let Some(echo) = echo.filter(own) {
             let grant = Grant {
                 life: from.incarnation,
@@ -258,8 +264,8 @@
     }
 
     /// How long the next heartbeat of a process is waited for.
-    pub(crate) fn window(beat: &Beat) -> Duration {
-        let every = Duration::from_millis(beat.every.into());
+    pub(crate) fn window(beat: &FleetHeartbeat) -> Duration {
+        let every = Duration::from_millis(beat.interval_ms.into());
         ALIVE.max(every.mul_f64(ALIVE.div_duration_f64(BEAT)))
     }
 
@@ -275,7 +281,7 @@
 
     /// Whether a process gets frequent heartbeats: for the grants of what is handed to it, or since it asks.
     fn is_close(&self, now: Time, peer: InstanceId, view: &PeerView) -> bool {
-        self.hands_to(peer) || (view.beat.wants && view.alive(now))
+        self.hands_to(peer) || (view.heartbeat.wants_frequent && view.alive(now))
     }
 
     /// Between two heartbeats to a process that is not close.
@@ -285,7 +291,7 @@
     }
 
     pub(crate) fn beat_if_due(&mut self, now: Time, out: &mut Vec<Output>) {
-        let often = self.few() && !self.domains.held().is_empty();
+        let often = self.few() && !self.domains.owned().is_empty();
         let interval = if often { HOLDER_BEAT } else { BEAT };
         if now.since(self.beaten) >= interval {
             self.beaten = now;
@@ -322,7 +328,7 @@
     pub(crate) fn send_beat(&mut self, now: Time, to: InstanceId, out: &mut Vec<Output>) {
         self.promise(now, to);
         let beat = self.heartbeat_for(now, to);
-        out.push(Output::Send(to, FleetMsg::Beat(beat)));
+        out.push(Output::Send(to, FleetMsg::Heartbeat(beat)));
     }
 
     fn promise(&mut self, now: Time, to: InstanceId) {
@@ -346,9 +352,9 @@
         }
         let mut silent: BTreeMap<DataCentreId, bool> = BTreeMap::new();
         for (_, view) in self.peers.all() {
-            let quiet = now.since(view.heard);
-            if view.is_close() && !view.refused && quiet < SUSPECT_FOR {
-                let all = silent.entry(view.beat.dc).or_insert(true);
+            let quiet = now.since(view.last_contact);
+            if view.has_short_timeout() && !view.refused && quiet < SUSPECT_FOR {
+                let all = silent.entry(view.heartbeat.dc).or_insert(true);
                 *all &= quiet >= SUSPECT;
             }
         }
@@ -363,7 +369,7 @@
 
     fn probe(&mut self, now: Time, dc: DataCentreId, out: &mut Vec<Output>) {
         let alive = self.peers.alive(now);
-        let there = alive.filter(|(_, view)| view.beat.dc == dc && !view.is_close());
+        let there = alive.filter(|(_, view)| view.heartbeat.dc == dc && !view.has_short_timeout());
         let peers: Vec<_> = there.map(|(peer, _)| peer).collect();
         for peer in peers {
             self.send_probe(now, peer, out);
@@ -371,22 +377,23 @@
     }
 
     fn send_probe(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
-        self.peers.probed(now, peer);
+        self.peers.record_probe(now, peer);
         let mut beat = self.heartbeat_for(now, peer);
         beat.probe = true;
-        out.push(Output::Send(peer, FleetMsg::Beat(beat)));
+        out.push(Output::Send(peer, FleetMsg::Heartbeat(beat)));
     }
 
     /// Tells the entries that would dispatch next what a successor needs to know, one after the other.
     pub(crate) fn spread_learned(&mut self, now: Time, out: &mut Vec<Output>) {
-        let silent = self.config.pool.without.lacks(Mechanism::Teaching);
-        if self.domains.held().is_empty() || silent {
+        let silent = self.config.pool.without.contains(Mechanism::Teaching);
+        if self.domains.owned().is_empty() || silent {
             self.teach_round.restart(now);
             return;
         }
         let alive = self.peers.alive(now);
         let next = |peer: InstanceId| self.few() || self.close.successors.contains(&peer);
-        let entries = alive.filter(|(peer, view)| view.beat.part == Part::Entry && next(*peer));
+        let entries =
+            alive.filter(|(peer, view)| view.heartbeat.kind == ProcessKind::Entry && next(*peer));
         let entries = entries.map(|(entry, _)| entry).collect();
         let due = self.teach_round.due(now, TEACH, entries);
         if due.is_empty() {
@@ -400,9 +407,9 @@
 
     /// Tells all that dispatch, and those that would next, of workers that ended under tasks since the last tick.
     fn spread_crashes_to(&self, peer: InstanceId, view: &PeerView) -> bool {
-        let dispatches = !view.beat.holdings.is_empty();
+        let dispatches = !view.heartbeat.owned_domains.is_empty();
         let next = self.few() || self.close.successors.contains(&peer);
-        view.beat.part == Part::Entry && (dispatches || next)
+        view.heartbeat.kind == ProcessKind::Entry && (dispatches || next)
     }
 
     pub(crate) fn spread_crashes(&mut self, now: Time, out: &mut Vec<Output>) {
@@ -416,7 +423,7 @@
                 out.push(Output::Send(peer, FleetMsg::Crashes(crashes.clone())));
             }
             if !careful.is_empty() {
-                out.push(Output::Send(peer, FleetMsg::Careful(careful.clone())));
+                out.push(Output::Send(peer, FleetMsg::ProbeQueues(careful.clone())));
             }
         }
     }
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -3,12 +3,13 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use celerywinch_domains::{Change, Domains, Me, PeerView, Peers};
+use celerywinch_domains::{Change, Domains, LocalEntry, PeerView, Peers};
 use celerywinch_origin::{CallerId, Input as OriginInput, JobEvent, NewJob, Origin};
 use celerywinch_pool::{Answer, Call, CallKey, Grant, Input as PoolInput, Note, Pool, PoolConfig};
 use celerywinch_types::{
-    Beat, Crashes, DataCentreId, Evacuations, FleetMsg, Holding, InstanceId, JobEnd, Learned,
-    Mechanism, Part, Process, Stage, TaskId, Time, WallMs, WorkMsg, WorkerNote,
+    Crashes, DataCentreId, Evacuations, FleetHeartbeat, FleetMsg, InstanceId, JobEnd, Learned,
+    Mechanism, OwnedDomain, Process, ProcessKind, Stage, TaskId, Time, WallMs, WorkMsg,
+    WorkerAnnouncement,
 };
 
 use crate::MemberEvent;
@@ -45,7 +46,7 @@
     /// This process.
     pub me: Process,
     /// What it does.
-    pub part: Part,
+    pub part: ProcessKind,
     /// Its data centre.
     pub dc: DataCentreId,
     /// All data centres.
@@ -60,7 +61,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A heartbeat.
-    Heartbeat(Process, Beat),
+    Heartbeat(Process, FleetHeartbeat),
     /// A machine says that nobody listens there.
     ConnectionRefused(InstanceId),
     /// Messages from or to a process may be lost.
@@ -68,7 +69,7 @@
     /// Between origins and dispatchers.
     Work(Process, WorkMsg),
     /// What workers said of themselves.
-    Workers(Vec<WorkerNote>),
+    Workers(Vec<WorkerAnnouncement>),
     /// What another dispatcher has learned.
     Learned(Learned),
     /// Workers that ended under tasks, as another dispatcher knows.
@@ -154,7 +155,7 @@
     /// When it was last compared who dispatches.
     compared: Time,
     /// What it dispatches for, with the room at the last tick.
-    pub(crate) holdings: Vec<Holding>,
+    pub(crate) holdings: Vec<OwnedDomain>,
     /// Workers that ended under tasks, which other dispatchers have to know.
     pub(crate) crashes: BTreeMap<TaskId, Crashes>,
     /// Queues that are started with care, which other dispatchers have to know.
@@ -172,10 +173,10 @@
     #[must_use]
     pub fn new(config: MemberConfig, now: Time, wall: WallMs) -> Self {
         let stage = match config.part {
-            Part::Entry => Stage::Joining,
-            Part::Keeper => Stage::Ready,
+            ProcessKind::Entry => Stage::Joining,
+            ProcessKind::Keeper => Stage::Ready,
         };
-        let me = Me {
+        let me = LocalEntry {
             instance: config.me.instance,
             dc: config.dc,
             stage,
@@ -227,8 +228,11 @@
     /// divide the workers among the few that it knows.
     #[must_use]
     pub fn sends_contacts(&self, peer: InstanceId) -> bool {
-        let was_there = self.peers.get(peer).is_some_and(|view| !view.is_new());
-        self.config.part == Part::Keeper || !was_there
+        let was_there = self
+            .peers
+            .get(peer)
+            .is_some_and(|view| !view.just_started());
+        self.config.part == ProcessKind::Keeper || !was_there
     }
 
     /// How many jobs of callers are open.
@@ -289,7 +293,7 @@
         match input {
             Input::Heartbeat(from, beat) => self.beat(now, from, beat, out),
             Input::ConnectionRefused(peer) => {
-                self.peers.refused(peer);
+                self.peers.record_refusal(peer);
                 self.compare_alive(now, out);
             }
             Input::LinkReset(peer) => {
@@ -317,7 +321,7 @@
             Input::ConfigVersion(version) => self.version = version,
             Input::Evacuations(evacuations) => {
                 let adopted = self.adopt_evacuations(now, &evacuations, out);
-                if adopted && self.config.part == Part::Keeper {
+                if adopted && self.config.part == ProcessKind::Keeper {
                     self.send_beats(now, out);
                 }
             }
@@ -386,11 +390,11 @@
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
         self.flush(now, out);
         self.compare_alive(now, out);
-        for peer in self.peers.forget(now) {
+        for peer in self.peers.remove_expired(now) {
             self.lost.remove(&peer);
             out.push(Output::RemovePeer(peer));
         }
-        if self.config.part == Part::Entry {
+        if self.config.part == ProcessKind::Entry {
             self.join(now, out);
             if now.since(self.compared) >= COMPARE {
                 self.compare_domains(now, out);
@@ -413,8 +417,8 @@
 
     /// Becomes ready once it knows the configuration and had time to hear the others.
     fn join(&mut self, now: Time, out: &mut Vec<Output>) {
-        let short = !self.config.pool.without.lacks(Mechanism::ShortListening);
-        let wait = if short && self.is_undivided() && self.peers.all_new(now) {
+        let short = !self.config.pool.without.contains(Mechanism::ShortListening);
+        let wait = if short && self.is_undivided() && self.peers.all_just_started(now) {
             JOIN_ANEW
         } else {
             JOIN
@@ -426,7 +430,7 @@
         }
     }
 
-    fn beat(&mut self, now: Time, from: Process, beat: Beat, out: &mut Vec<Output>) {
+    fn beat(&mut self, now: Time, from: Process, beat: FleetHeartbeat, out: &mut Vec<Output>) {
         // Work of a process that is silent is dropped. Where it is heard again before the next tick its silence has to be noticed
         // first, or neither side would ask for what was dropped, and a caller wait for it in vain.
         let known = self.peers.get(from.instance);
@@ -435,19 +439,19 @@
         }
         let before = self.peers.get(from.instance);
         let life = before.map(|view| view.process.incarnation);
-        let held = |beat: &Beat| -> Vec<_> {
-            let holdings = beat.holdings.iter();
+        let held = |beat: &FleetHeartbeat| -> Vec<_> {
+            let holdings = beat.owned_domains.iter();
             holdings.map(|h| (h.domain, h.fence)).collect()
         };
-        let held_before = before.map(|view| held(&view.beat));
+        let held_before = before.map(|view| held(&view.heartbeat));
         let evacuations = beat.evacuations.clone();
-        let hurried = before.is_some_and(PeerView::is_close);
+        let hurried = before.is_some_and(PeerView::has_short_timeout);
         let holdings = held(&beat);
         self.domains.observe(beat.fence);
         let window = Self::window(&beat);
-        let (echo, loads) = (beat.echo, beat.holdings.clone());
+        let (echo, loads) = (beat.echo, beat.owned_domains.clone());
         let answer = beat.probe;
-        if !self.peers.heard(now, from, beat, window) {
+        if !self.peers.record_heartbeat(now, from, beat, window) {
             return;
         }
         if life != Some(from.incarnation) {
@@ -525,8 +529,12 @@
 
     fn found(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         self.stale = true;
-        if self.peers.get(peer).is_some_and(|view| !view.is_new()) {
-            self.domains.found(now);
+        if self
+            .peers
+            .get(peer)
+            .is_some_and(|view| !view.just_started())
+        {
+            self.domains.peer_found(now);
         }
         out.push(Output::PeerAlive(peer));
         self.send_beat(now, peer, out);
@@ -539,7 +547,7 @@
     fn lose_peer(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         self.lost.insert(peer);
         let view = self.peers.get(peer);
-        let silent = view.map_or(Duration::ZERO, |view| now.since(view.heard));
+        let silent = view.map_or(Duration::ZERO, |view| now.since(view.last_contact));
         out.push(Output::Member(MemberEvent::PeerLost {
             peer,
             silent_ms: u32::try_from(silent.as_millis()).unwrap_or(u32::MAX),
@@ -550,22 +558,23 @@
     }
 
     fn compare_domains(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.config.part != Part::Entry {
+        if self.config.part != ProcessKind::Entry {
             return;
         }
         self.compared = now;
         // Idle workers are not called. Without asking them, a data centre whose processes are all
         // silent would be given up as soon as there is nothing to do, and tried again and again.
-        for domain in self.domains.unheard(now, &self.peers) {
+        for domain in self.domains.silent_domains(now, &self.peers) {
             self.pool_input(now, PoolInput::Ask(domain), out);
         }
         let mut changes = Vec::new();
         self.divide(now, &mut changes, out);
-        let short = !self.config.pool.without.lacks(Mechanism::ShortListening);
-        self.domains.set_undivided(short && self.is_undivided());
+        let short = !self.config.pool.without.contains(Mechanism::ShortListening);
         self.domains
-            .set_unsettled(self.uneven.is_some() && self.domains.shards() == 1);
-        let held = self.domains.held().keys().copied();
+            .set_single_dispatcher(short && self.is_undivided());
+        self.domains
+            .set_resharding(self.uneven.is_some() && self.domains.shards() == 1);
+        let held = self.domains.owned().keys().copied();
         let reached = held.filter(|domain| self.pool.reaches(now, *domain, WORKERS_HEARD));
         self.domains
             .tick(now, &self.peers, &reached.collect(), &mut changes);
@@ -579,7 +588,7 @@
             return;
         }
         self.circled = now;
-        let circle = self.domains.circle(now, &self.peers);
+        let circle = self.domains.succession(now, &self.peers);
         self.set_circle(now, circle, out);
     }
 
@@ -592,7 +601,7 @@
     /// number only rises, so that all come to the same one.
     fn divide(&mut self, now: Time, changes: &mut Vec<Change>, out: &mut Vec<Output>) {
         let wanted = shards(self.pool.known_workers(), self.config.shard_size);
-        let told = self.peers.alive(now).map(|(_, view)| view.beat.shards);
+        let told = self.peers.alive(now).map(|(_, view)| view.heartbeat.shards);
         let told = told.max();
         let shards = told.unwrap_or(1).max(wanted);
         if shards <= self.domains.shards() {
@@ -642,7 +651,7 @@
             WorkMsg::Submit(_)
             | WorkMsg::Cancel { .. }
             | WorkMsg::Drop { .. }
-            | WorkMsg::Named { .. } => {
+            | WorkMsg::ResyncDone { .. } => {
                 self.pool_input(now, PoolInput::Work(from, msg), out);
             }
             WorkMsg::Ended(_) | WorkMsg::Crashed(..) | WorkMsg::Resync(_) => {
@@ -669,7 +678,7 @@
                 celerywinch_pool::Output::Send(to, msg) => self.send_work(to, msg, out),
                 celerywinch_pool::Output::Outbid(domain) => {
                     let mut changes = Vec::new();
-                    self.domains.outbid(now, domain, &mut changes);
+                    self.domains.fenced(now, domain, &mut changes);
                     self.change_domains(now, changes, out);
                 }
                 celerywinch_pool::Output::UsedUp(domain) => {
--- a/crates/celerywinch_member/tests/evacuations.rs
+++ b/crates/celerywinch_member/tests/evacuations.rs
@@ -6,8 +6,8 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Evacuations, Fence, FleetMsg, Incarnation, InstanceId, Part, Process,
-    Stage, Time, WallMs,
+    DataCentreId, Evacuations, Fence, FleetHeartbeat, FleetMsg, Incarnation, InstanceId, Process,
+    ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
 
@@ -27,25 +27,25 @@
     }
 }
 
-fn beat(evacuations: Evacuations) -> Beat {
-    Beat {
-        part: Part::Entry,
+fn beat(evacuations: Evacuations) -> FleetHeartbeat {
+    FleetHeartbeat {
+        kind: ProcessKind::Entry,
         dc: DataCentreId(0),
         stage: Stage::Ready,
-        holdings: Vec::new(),
+        owned_domains: Vec::new(),
         fence: Fence(0),
         version: 1,
         evacuations,
         shards: 1,
         sent: Time(0),
         echo: None,
-        every: 100,
-        wants: true,
+        interval_ms: 100,
+        wants_frequent: true,
         probe: false,
     }
 }
 
-fn member(part: Part) -> Member {
+fn member(part: ProcessKind) -> Member {
     let config = MemberConfig {
         me: process(ME.0),
         part,
@@ -60,7 +60,7 @@
 /// The receivers of the heartbeats that were sent, with the revision of the evacuations in each.
 fn sent_revisions(out: &[Output]) -> BTreeSet<(InstanceId, u64)> {
     let beats = out.iter().filter_map(|output| match output {
-        Output::Send(to, FleetMsg::Beat(beat)) => Some((*to, beat.evacuations.revision)),
+        Output::Send(to, FleetMsg::Heartbeat(beat)) => Some((*to, beat.evacuations.revision)),
         _ => None,
     });
     beats.collect()
@@ -80,7 +80,7 @@
 #[case::ended(Case { received: &[(1, &[1]), (2, &[])], known: (2, &[]) })]
 #[case::older_revision(Case { received: &[(3, &[1]), (2, &[]), (0, &[])], known: (3, &[1]) })]
 fn highest_revision_is_kept(#[case] case: Case) {
-    let mut member = member(Part::Entry);
+    let mut member = member(ProcessKind::Entry);
     let mut out = Vec::new();
     for (peer, (revision, dcs)) in (2..).zip(case.received) {
         let beat = beat(evacuations(*revision, dcs));
@@ -94,7 +94,7 @@
 /// large deployment.
 #[test]
 fn keeper_sends_evacuations_to_all_at_once() {
-    let mut member = member(Part::Keeper);
+    let mut member = member(ProcessKind::Keeper);
     let mut out = Vec::new();
     for peer in 2..60 {
         let beat = beat(Evacuations::default());
--- a/crates/celerywinch_member/tests/hand_overs.rs
+++ b/crates/celerywinch_member/tests/hand_overs.rs
@@ -5,8 +5,8 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Domain, Evacuations, Fence, FleetMsg, Holding, Incarnation, InstanceId,
-    Load, Part, Process, Stage, Time, WallMs,
+    DataCentreId, Domain, Evacuations, Fence, FleetHeartbeat, FleetMsg, Incarnation, InstanceId,
+    Load, OwnedDomain, Process, ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
 
@@ -20,25 +20,25 @@
     }
 }
 
-fn beat(now: Time, shard: Option<u8>) -> Beat {
-    let holding = |shard| Holding {
+fn beat(now: Time, shard: Option<u8>) -> FleetHeartbeat {
+    let holding = |shard| OwnedDomain {
         domain: Domain { dc: THERE, shard },
         fence: Fence(5),
         load: Load::default(),
     };
-    Beat {
-        part: Part::Entry,
+    FleetHeartbeat {
+        kind: ProcessKind::Entry,
         dc: THERE,
         stage: Stage::Ready,
-        holdings: shard.map(holding).into_iter().collect(),
+        owned_domains: shard.map(holding).into_iter().collect(),
         fence: Fence(5),
         version: 1,
         evacuations: Evacuations::default(),
         shards: 64,
         sent: now,
         echo: None,
-        every: 5_000,
-        wants: false,
+        interval_ms: 5_000,
+        wants_frequent: false,
         probe: false,
     }
 }
@@ -47,7 +47,7 @@
 fn member(now: Time, others: u32) -> Member {
     let config = MemberConfig {
         me: process(1),
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: HERE,
         dcs: BTreeSet::from([HERE, THERE]),
         shard_size: 80,
@@ -87,7 +87,7 @@
     member.handle(later, Input::Flush, &mut out);
     let beats = out
         .iter()
-        .filter(|output| matches!(output, Output::Send(_, FleetMsg::Beat(_))));
+        .filter(|output| matches!(output, Output::Send(_, FleetMsg::Heartbeat(_))));
     // Those that callers' jobs go to from now on, and whom it may have to stand in for.
     let beats = beats.count();
     assert!(beats <= 24, "{beats} heartbeats for {changes} changes");
--- a/crates/celerywinch_pool/tests/capacity.rs
+++ b/crates/celerywinch_pool/tests/capacity.rs
@@ -3,45 +3,45 @@
 mod rig;
 
 use celerywinch_pool::{Answer, How, Input};
-use celerywinch_types::{Doubt, JobId, Room, Said, WorkerNote};
+use celerywinch_types::{AnnouncementVersion, JobId, PriorRuns, Resources, WorkerAnnouncement};
 use rig::{DOMAIN, Rig, clock, ended, is_look, is_start, is_stop, lists, note, row, step};
 use rstest::rstest;
 
 /// Room for one of the rig's tasks, and for two.
-const ONE: Room = Room {
+const ONE: Resources = Resources {
     cpu: 16_000,
     memory: 65_536,
     accelerators: 0,
 };
-const TWO: Room = Room { cpu: 32_000, ..ONE };
-const NONE: Room = Room { cpu: 4_000, ..ONE };
+const TWO: Resources = Resources { cpu: 32_000, ..ONE };
+const NONE: Resources = Resources { cpu: 4_000, ..ONE };
 
 struct Case {
     /// What the worker says that it has, one after the other; two tasks fit at first.
-    rooms: &'static [Room],
+    rooms: &'static [Resources],
     /// How many of three tasks are started then, with none at work before, and with one.
     starts: [usize; 2],
 }
 
-fn says(rig: &mut Rig, number: u64, room: Room) {
+fn says(rig: &mut Rig, number: u64, room: Resources) {
     let first = note("w1", 1);
-    let said = Said {
-        sequence: first.said.sequence + number,
-        ..first.said
+    let said = AnnouncementVersion {
+        sequence: first.version.sequence + number,
+        ..first.version
     };
-    rig.take(Input::Workers(vec![WorkerNote {
-        said,
-        room,
+    rig.take(Input::Workers(vec![WorkerAnnouncement {
+        version: said,
+        capacity: room,
         ..first
     }]));
 }
 
 fn submit(rig: &mut Rig, jobs: std::ops::Range<u64>) {
     for job in jobs {
-        let mut order = step(Doubt::None, 0);
+        let mut order = step(PriorRuns::None, 0);
         order.job = JobId(job);
         // Something of it has run, so it waits where it finds no room.
-        order.fresh = false;
+        order.refusable = false;
         rig.submit(order);
     }
 }
@@ -88,14 +88,14 @@
 #[test]
 fn what_is_being_stopped_counts() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     says(&mut rig, 1, ONE);
     let look = rig.last(is_look);
     let cancel = celerywinch_types::WorkMsg::Cancel {
         job: rig::JOB,
-        last: u32::MAX,
+        last_submission: u32::MAX,
     };
     rig.take(Input::Work(rig::ORIGIN, cancel));
     assert_eq!(rig.count(is_stop), 1);
--- a/crates/celerywinch_types/src/mechanism.rs
+++ b/crates/celerywinch_types/src/mechanism.rs
@@ -71,19 +71,19 @@
 domain! {
     /// Mechanisms that are left out; none by default.
     #[derive(Copy, Default)]
-    pub struct Without(u32);
+    pub struct DisabledMechanisms(u32);
 }
 
-impl Without {
+impl DisabledMechanisms {
     /// Leaves one more out.
     #[must_use]
-    pub fn and(self, mechanism: Mechanism) -> Self {
+    pub fn with(self, mechanism: Mechanism) -> Self {
         Self(self.0 | 1 << mechanism as u32)
     }
 
     /// Whether a mechanism is left out.
     #[must_use]
-    pub fn lacks(self, mechanism: Mechanism) -> bool {
+    pub fn contains(self, mechanism: Mechanism) -> bool {
         self.0 & 1 << mechanism as u32 != 0
     }
 }
@@ -97,7 +97,7 @@
     Mechanism::ALL.map(|(_, name)| name).join(" ")
 }
 
-impl FromStr for Without {
+impl FromStr for DisabledMechanisms {
     type Err = UnknownMechanism;
 
     /// Reads names that are separated by commas; an empty text leaves nothing out.
@@ -109,7 +109,7 @@
                 let mut all = Mechanism::ALL.into_iter();
                 let known = all.find(|(_, known)| *known == name);
                 let (mechanism, _) = known.ok_or_else(|| UnknownMechanism(name.to_owned()))?;
-                Ok(without.and(mechanism))
+                Ok(without.with(mechanism))
             })
     }
 }
--- a/crates/celerywinch_types/src/work.rs
+++ b/crates/celerywinch_types/src/work.rs
@@ -32,7 +32,7 @@
 
     /// What a task needs of a worker, or what a worker has.
     #[derive(Copy, Default)]
-    pub struct Room {
+    pub struct Resources {
         /// Thousandths of a core.
         pub cpu: u32,
         /// MiB.
@@ -46,7 +46,7 @@
         /// How many tasks.
         pub count: u16,
         /// What each needs.
-        pub need: Room,
+        pub need: Resources,
         /// The caller's guess of a task's run time, in ms; often far off.
         pub estimate: u32,
         /// Steps whose tasks must all be done first.
@@ -94,7 +94,7 @@
     /// Orders the announcements of a worker. Numbers of one life say nothing of those of another: a worker that starts
     /// again counts from the beginning, so the life comes first.
     #[derive(Copy, Default, PartialOrd, Ord)]
-    pub struct Said {
+    pub struct AnnouncementVersion {
         /// The life that speaks: ms since 1970 at its start, by the worker's clock; 0 where it does not say.
         pub incarnation: crate::Incarnation,
         /// Rises with each announcement of a life.
@@ -102,7 +102,7 @@
     }
 
     /// What a worker says of itself.
-    pub struct WorkerNote {
+    pub struct WorkerAnnouncement {
         /// Its name, which it keeps when it starts again.
         pub id: String,
         /// The service whose tasks it runs.
@@ -112,17 +112,17 @@
         /// The number of its data centre.
         pub dc: crate::DataCentreId,
         /// What it has.
-        pub room: Room,
+        pub capacity: Resources,
         /// Its kind and its rack.
         pub labels: Vec<String>,
         /// Whether it takes work.
         pub stage: WorkerStage,
         /// Which of its announcements this is.
-        pub said: Said,
+        pub version: AnnouncementVersion,
     }
 }
 
-impl Room {
+impl Resources {
     /// Whether `need` fits in.
     #[must_use]
     pub fn fits(self, need: Self) -> bool {
@@ -131,7 +131,7 @@
 
     /// What is left after `need` was taken; zero where it has less.
     #[must_use]
-    pub fn less(self, need: Self) -> Self {
+    pub fn saturating_sub(self, need: Self) -> Self {
         Self {
             cpu: self.cpu.saturating_sub(need.cpu),
             memory: self.memory.saturating_sub(need.memory),
@@ -141,7 +141,7 @@
 
     /// Both together.
     #[must_use]
-    pub fn plus(self, other: Self) -> Self {
+    pub fn saturating_add(self, other: Self) -> Self {
         Self {
             cpu: self.cpu.saturating_add(other.cpu),
             memory: self.memory.saturating_add(other.memory),
@@ -153,7 +153,7 @@
 /// Low bits of a fencing token that are left for the lives of a worker.
 const LIFE_BITS: u32 = 5;
 /// So many later lives of a worker can be told apart under one token of its domain.
-pub const MOST_LIVES: u64 = (1 << LIFE_BITS) - 1;
+pub const MAX_INCARNATIONS: u64 = (1 << LIFE_BITS) - 1;
 
 impl Fence {
     /// The token of a change of hands: a later epoch is higher; `holder` keeps apart those who take the same one.
@@ -174,8 +174,8 @@
     /// A worker that starts again has seen no token, and would obey an order that was sent to the life before and held up on its
     /// way, while the task runs elsewhere. Once it has seen this one it refuses that order.
     #[must_use]
-    pub fn of_life(self, lives: u64) -> Self {
-        Self(self.0 + lives.min(MOST_LIVES))
+    pub fn for_incarnation(self, lives: u64) -> Self {
+        Self(self.0 + lives.min(MAX_INCARNATIONS))
     }
 }
 
@@ -190,7 +190,7 @@
     /// An end found of one of those would else be taken for the end of a later run with the same
     /// number, and the task be started again beside it.
     #[must_use]
-    pub fn past_unheard(self) -> Self {
+    pub fn past_unreported(self) -> Self {
         Self(self.0 + UNHEARD_RUNS)
     }
 
