--- a/crates/celerywinch_bench/src/members/lives.rs
+++ b/crates/celerywinch_bench/src/members/lives.rs
@@ -4,7 +4,10 @@
 
 use celerywinch_pool::{Call, Order};
 use celerywinch_standin::LeasedWorker;
-use celerywinch_types::{FleetMsg, Incarnation, Room, Said, TaskId, Time, WorkerNote, WorkerStage};
+use celerywinch_types::{
+    AnnouncementVersion, FleetMsg, Incarnation, Resources, TaskId, Time, WorkerAnnouncement,
+    WorkerStage,
+};
 use rand::Rng;
 
 use super::history::Violation;
@@ -38,11 +41,11 @@
     /// Since when it has the room that it has.
     pub(crate) room_since: Time,
     /// What it has where nothing is taken from it.
-    pub(crate) whole: Room,
+    pub(crate) whole: Resources,
 }
 
 impl Word {
-    pub(crate) fn new(whole: Room) -> Self {
+    pub(crate) fn new(whole: Resources) -> Self {
         Self {
             stage: WorkerStage::Ready,
             sequence: 1,
@@ -59,18 +62,18 @@
     }
 
     /// What a worker says of itself.
-    pub(crate) fn note(&self, index: usize) -> WorkerNote {
+    pub(crate) fn note(&self, index: usize) -> WorkerAnnouncement {
         let host = &self.workers[index];
         let life = host.worker.incarnation;
-        WorkerNote {
+        WorkerAnnouncement {
             id: host.worker.id.clone(),
             service: "catalogue".to_owned(),
             addr: ([127, 0, 0, 1], 1 + index as u16).into(),
             dc: celerywinch_types::DataCentreId(host.dc),
-            room: host.worker.room,
+            capacity: host.worker.room,
             labels: Vec::new(),
             stage: host.word.stage,
-            said: Said {
+            version: AnnouncementVersion {
                 incarnation: life.unwrap_or(Incarnation(host.lives.into())),
                 sequence: host.word.sequence,
             },
@@ -82,7 +85,7 @@
         self.tell_all(&self.note(index));
     }
 
-    pub(crate) fn tell_all(&mut self, note: &WorkerNote) {
+    pub(crate) fn tell_all(&mut self, note: &WorkerAnnouncement) {
         for member in 0..self.members.len() {
             if self.members[member].is_up() {
                 let msg = FleetMsg::Workers(vec![note.clone()]);
--- a/crates/celerywinch_claims/src/replica.rs
+++ b/crates/celerywinch_claims/src/replica.rs
@@ -20,13 +20,13 @@
     /// Whether a key is too old to be run, by the caller's clock.
     #[must_use]
     pub fn too_old(&self, key: &Key, wall: WallMs) -> bool {
-        key.born().0.saturating_add(millis(self.window)) < wall.0
+        key.created_at().0.saturating_add(millis(self.window)) < wall.0
     }
 
     /// Whether the time of a key is further in the future than the allowed clock skew.
     #[must_use]
     pub fn too_new(&self, key: &Key, wall: WallMs) -> bool {
-        key.born().0 > wall.0.saturating_add(millis(self.skew))
+        key.created_at().0 > wall.0.saturating_add(millis(self.skew))
     }
 }
 
@@ -124,7 +124,7 @@
         if self.records.contains_key(key) {
             return false;
         }
-        key.born() <= self.abstain_until
+        key.created_at() <= self.abstain_until
             || self.limits.too_old(key, wall)
             || self.limits.too_new(key, wall)
     }
@@ -257,7 +257,7 @@
         let expiry = &mut self.expiry;
         self.records.entry(key.clone()).or_insert_with(|| {
             let keep = millis(limits.window + limits.skew * 2 + limits.retention);
-            let expires_at = WallMs(key.born().max(wall).0.saturating_add(keep));
+            let expires_at = WallMs(key.created_at().max(wall).0.saturating_add(keep));
             expiry.insert((expires_at, key.clone()));
             Record {
                 digest: 0,
--- a/crates/celerywinch_dispatch/src/dispatch.rs
+++ b/crates/celerywinch_dispatch/src/dispatch.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use celerywinch_catalogue::{Catalogue, Class, Kind};
-use celerywinch_types::{EndpointNote, EndpointState, InstanceId, KindName, Refusal, Time};
+use celerywinch_types::{EndpointAnnouncement, EndpointState, InstanceId, KindName, Refusal, Time};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use slotmap::{SlotMap, new_key_type};
@@ -83,7 +83,7 @@
 
 #[derive(Debug)]
 pub(crate) struct Endpoint {
-    pub(crate) announcement: EndpointNote,
+    pub(crate) announcement: EndpointAnnouncement,
     pub(crate) share: u16,
     pub(crate) lent: u16,
     pub(crate) borrowed: u16,
@@ -226,7 +226,7 @@
 
     /// Applies an endpoint's announcement. A new incarnation at an address starts without history, and calls to the
     /// earlier one no longer count.
-    pub fn update(&mut self, announcement: &EndpointNote) {
+    pub fn update(&mut self, announcement: &EndpointAnnouncement) {
         if let Some(id) = self.by_addr.get(&announcement.addr).copied() {
             let endpoint = &mut self.endpoints[id];
             if endpoint.announcement.incarnation == announcement.incarnation {
@@ -531,7 +531,7 @@
 
     /// Returns the announcement of an endpoint, as long as it has calls in flight or a lease.
     #[must_use]
-    pub fn announcement(&self, id: EndpointId) -> Option<&EndpointNote> {
+    pub fn announcement(&self, id: EndpointId) -> Option<&EndpointAnnouncement> {
         self.endpoints
             .get(id)
             .map(|endpoint| &endpoint.announcement)
--- a/crates/celerywinch_domains/src/peers.rs
+++ b/crates/celerywinch_domains/src/peers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use celerywinch_types::{Beat, InstanceId, Part, Process, Stage, Time};
+use celerywinch_types::{FleetHeartbeat, InstanceId, Process, ProcessKind, Stage, Time};
 
 /// One that was not heard for this long is forgotten, and for as long as two of its windows: among 1,000 processes most
 /// hear each other once in 50 s. Long enough for a cut to heal.
@@ -26,15 +26,15 @@
     /// Which life of it.
     pub process: Process,
     /// Its last heartbeat.
-    pub beat: Beat,
+    pub heartbeat: FleetHeartbeat,
     /// When that arrived.
-    pub heard: Time,
+    pub last_contact: Time,
     /// It counts as lost when it was not heard for this long.
-    pub window: Duration,
+    pub timeout: Duration,
     /// Its machine said that no process listens there, and nothing was heard since.
     pub refused: bool,
     /// When it was asked for an answer at once, if nothing was heard since.
-    pub probed: Option<Time>,
+    pub probed_at: Option<Time>,
 }
 
 impl PeerView {
@@ -42,19 +42,21 @@
     #[must_use]
     pub fn alive(&self, now: Time) -> bool {
         let silent = |probed: Time| now.since(probed) > PROBE_WAIT;
-        !self.refused && now.since(self.heard) <= self.window && !self.probed.is_some_and(silent)
+        !self.refused
+            && now.since(self.last_contact) <= self.timeout
+            && !self.probed_at.is_some_and(silent)
     }
 
     /// Whether it had just started when it was heard last.
     #[must_use]
-    pub fn is_new(&self) -> bool {
-        self.beat.sent < NEW
+    pub fn just_started(&self) -> bool {
+        self.heartbeat.sent < NEW
     }
 
     /// Whether its heartbeats come often enough that a silence of a moment tells something.
     #[must_use]
-    pub fn is_close(&self) -> bool {
-        self.window <= CLOSE_WINDOW
+    pub fn has_short_timeout(&self) -> bool {
+        self.timeout <= CLOSE_WINDOW
     }
 }
 
@@ -69,40 +71,46 @@
     /// its sender, as it would bring back what that held then.
     ///
     /// Another incarnation than before has replaced that one: links drop what comes on an earlier stream.
-    pub fn heard(&mut self, now: Time, from: Process, beat: Beat, window: Duration) -> bool {
+    pub fn record_heartbeat(
+        &mut self,
+        now: Time,
+        from: Process,
+        beat: FleetHeartbeat,
+        window: Duration,
+    ) -> bool {
         let known = self.views.get(&from.instance);
-        if known.is_some_and(|view| view.process == from && view.beat.sent > beat.sent) {
+        if known.is_some_and(|view| view.process == from && view.heartbeat.sent > beat.sent) {
             return false;
         }
         let view = PeerView {
             process: from,
-            beat,
-            heard: now,
-            window,
+            heartbeat: beat,
+            last_contact: now,
+            timeout: window,
             refused: false,
-            probed: None,
+            probed_at: None,
         };
         self.views.insert(from.instance, view);
         true
     }
 
     /// No process listens at a peer.
-    pub fn refused(&mut self, peer: InstanceId) {
+    pub fn record_refusal(&mut self, peer: InstanceId) {
         if let Some(view) = self.views.get_mut(&peer) {
             view.refused = true;
         }
     }
 
     /// A peer was asked for an answer at once.
-    pub fn probed(&mut self, now: Time, peer: InstanceId) {
+    pub fn record_probe(&mut self, now: Time, peer: InstanceId) {
         if let Some(view) = self.views.get_mut(&peer) {
-            view.probed.get_or_insert(now);
+            view.probed_at.get_or_insert(now);
         }
     }
 
     /// Drops those that were not heard for long, and names them.
-    pub fn forget(&mut self, now: Time) -> Vec<InstanceId> {
-        let old = |view: &PeerView| now.since(view.heard) > FORGET.max(view.window * 2);
+    pub fn remove_expired(&mut self, now: Time) -> Vec<InstanceId> {
+        let old = |view: &PeerView| now.since(view.last_contact) > FORGET.max(view.timeout * 2);
         let views = self.views.iter();
         let gone: Vec<_> = views.filter(|(_, v)| old(v)).map(|(id, _)| *id).collect();
         self.views.retain(|_, view| !old(view));
@@ -135,16 +143,18 @@
     /// nobody is left to listen for, and callers are waiting already. On the users' days that is 250 ms
     /// of refusals less after each such loss.
     #[must_use]
-    pub fn all_new(&self, now: Time) -> bool {
+    pub fn all_just_started(&self, now: Time) -> bool {
         let mut alive = self.alive(now).peekable();
-        alive.peek().is_some() && alive.all(|(_, view)| view.is_new())
+        alive.peek().is_some() && alive.all(|(_, view)| view.just_started())
     }
 
     /// Whether at least one entry is alive, and all entries that are alive are ready.
     #[must_use]
     pub fn all_entries_ready(&self, now: Time) -> bool {
-        let alive = self.alive(now).map(|(_, view)| &view.beat);
-        let mut entries = alive.filter(|beat| beat.part == Part::Entry).peekable();
+        let alive = self.alive(now).map(|(_, view)| &view.heartbeat);
+        let mut entries = alive
+            .filter(|beat| beat.kind == ProcessKind::Entry)
+            .peekable();
         entries.peek().is_some() && entries.all(|beat| beat.stage == Stage::Ready)
     }
 
@@ -152,7 +162,7 @@
     pub fn keepers(&self) -> impl Iterator<Item = InstanceId> + '_ {
         let keepers = self.all();
         keepers
-            .filter(|(_, view)| view.beat.part == Part::Keeper)
+            .filter(|(_, view)| view.heartbeat.kind == ProcessKind::Keeper)
             .map(|(id, _)| id)
     }
 }
--- a/crates/celerywinch_domains/src/survey.rs
+++ b/crates/celerywinch_domains/src/survey.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-use celerywinch_types::{Domain, Fence, InstanceId, Part, Stage, Time, score};
+use celerywinch_types::{Domain, Fence, InstanceId, ProcessKind, Stage, Time, score};
 
 use crate::{PeerView, Peers};
 
@@ -56,10 +56,10 @@
 
 /// Whom an entry has to do with beside its callers' work.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Circle {
+pub struct Succession {
     /// The dispatchers that it may have to stand in for, and the entries that would do so before it: it has to
     /// notice at once when they are lost.
-    pub ahead: BTreeSet<InstanceId>,
+    pub predecessors: BTreeSet<InstanceId>,
     /// Those that would stand in for it, and have to know what it has learned.
     pub successors: BTreeSet<InstanceId>,
 }
@@ -78,12 +78,16 @@
         let mut entries = Vec::new();
         let mut fences: BTreeMap<Domain, Fence> = BTreeMap::new();
         for (id, view) in peers.alive(now) {
-            for holding in &view.beat.holdings {
+            for holding in &view.heartbeat.owned_domains {
                 let fence = fences.entry(holding.domain).or_default();
                 *fence = holding.fence.max(*fence);
             }
             if serves(view) {
-                let held = view.beat.holdings.iter().map(|holding| holding.domain);
+                let held = view
+                    .heartbeat
+                    .owned_domains
+                    .iter()
+                    .map(|holding| holding.domain);
                 entries.push(Standing::new(id, held));
             }
         }
@@ -109,13 +113,13 @@
     }
 
     /// Whom this entry has to do with for all shards.
-    pub(crate) fn circle(&self, shards: u8, me: &Standing) -> Circle {
-        let mut circle = Circle::default();
+    pub(crate) fn circle(&self, shards: u8, me: &Standing) -> Succession {
+        let mut circle = Succession::default();
         for shard in 0..shards {
             if me.of_shard(shard) > 0 {
                 circle.successors.extend(self.successors(shard));
             } else {
-                self.add_ahead(shard, me, &mut circle.ahead);
+                self.add_ahead(shard, me, &mut circle.predecessors);
             }
         }
         circle
@@ -146,7 +150,7 @@
 }
 
 fn serves(view: &PeerView) -> bool {
-    view.beat.part == Part::Entry && view.beat.stage == Stage::Ready
+    view.heartbeat.kind == ProcessKind::Entry && view.heartbeat.stage == Stage::Ready
 }
 
 fn rank(shard: u8, instance: InstanceId) -> u64 {
--- a/crates/celerywinch_entry/src/members.rs
+++ b/crates/celerywinch_entry/src/members.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_members::{Change, PeerChange, RENEWAL, Source};
 use celerywinch_types::{
-    EndpointNote, Heartbeat, InstanceId, MemberMsg, PeerMsg, Process, Renewal, Time, WallMs,
+    EndpointAnnouncement, Heartbeat, InstanceId, MemberMsg, PeerMsg, Process, Renewal, Time, WallMs,
 };
 
 use crate::{Entry, Event, Output};
@@ -16,7 +16,7 @@
     pub(crate) fn peer(&mut self, now: Time, from: Process, msg: PeerMsg, out: &mut Vec<Output>) {
         let mut changes = Vec::new();
         self.peers
-            .heard(now, from.instance, from.incarnation, &mut changes);
+            .record_contact(now, from.instance, from.incarnation, &mut changes);
         self.peer_changes(now, changes, out);
         match msg {
             PeerMsg::Claim(msg) => self.claim_msg(now, from.instance, msg, out),
@@ -30,7 +30,7 @@
 
     pub(crate) fn peer_gone(&mut self, now: Time, id: InstanceId, out: &mut Vec<Output>) {
         let mut changes = Vec::new();
-        self.peers.refused(id, &mut changes);
+        self.peers.record_refusal(id, &mut changes);
         self.peer_changes(now, changes, out);
     }
 
@@ -50,7 +50,7 @@
     fn peer_changes(&mut self, now: Time, changes: Vec<PeerChange>, out: &mut Vec<Output>) {
         for change in changes {
             match change {
-                PeerChange::Beat(peer) => self.beat(now, peer, out),
+                PeerChange::HeartbeatDue(peer) => self.beat(now, peer, out),
                 PeerChange::Up(peer) => {
                     out.push(Output::Event(Event::PeerUp { peer }));
                     self.ask_endpoints(peer, out);
@@ -96,7 +96,7 @@
     }
 
     pub(crate) fn beat(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
-        let Some((echo, hears, knows)) = self.peers.beat(now, peer) else {
+        let Some((echo, hears, knows)) = self.peers.heartbeat_fields(now, peer) else {
             return;
         };
         self.beats += 1;
@@ -105,10 +105,10 @@
             wall: self.wall(now),
             sent: now,
             echo,
-            hears,
-            knows,
+            receives: hears,
+            known_incarnation: knows,
             catalogue: self.catalogue.version(),
-            held: self.held_version(),
+            pending_catalogue: self.held_version(),
             current: self.holding.current,
             stopping: self.stopping,
             queued: u32::try_from(self.dispatch.queued()).unwrap_or(u32::MAX),
@@ -122,22 +122,22 @@
             MemberMsg::Heartbeat(beat) => {
                 let wall = self.wall(now);
                 self.check_clock(wall, beat.wall);
-                self.peers.heartbeat(now, wall, from, &beat);
+                self.peers.record_heartbeat(now, wall, from, &beat);
                 self.refresh_owners();
                 self.compare_catalogues(now, from, out);
             }
             MemberMsg::Endpoints(notes) => self.notes_heard(now, notes, out),
             MemberMsg::Renewals(renewals) => self.renewals_heard(now, from, renewals, out),
             MemberMsg::EndpointsWanted => {
-                let msg = MemberMsg::Endpoints(self.endpoints.notes(now));
+                let msg = MemberMsg::Endpoints(self.endpoints.announcements(now));
                 out.push(Output::Send(from, PeerMsg::Member(msg)));
             }
             MemberMsg::CatalogueWanted => self.send_catalogue(from, out),
             MemberMsg::Catalogue { version, document } => {
                 self.catalogue_heard(now, version, &document, out);
             }
-            MemberMsg::Bye => {
-                self.peers.bye(from);
+            MemberMsg::Leave => {
+                self.peers.record_leave(from);
                 self.refresh_owners();
             }
         }
@@ -155,7 +155,12 @@
 
     /// An endpoint announced itself here: other entries of the data centre get to know at once
     /// what is new, and renewals with the next batch.
-    pub(crate) fn announce(&mut self, now: Time, note: EndpointNote, out: &mut Vec<Output>) {
+    pub(crate) fn announce(
+        &mut self,
+        now: Time,
+        note: EndpointAnnouncement,
+        out: &mut Vec<Output>,
+    ) {
         let addr = note.addr;
         let mut changes = Vec::new();
         let news = self
@@ -165,7 +170,7 @@
         if !news {
             return;
         }
-        let Some(note) = self.endpoints.note(now, addr) else {
+        let Some(note) = self.endpoints.announcement(now, addr) else {
             return;
         };
         for peer in self.local_peers() {
@@ -178,7 +183,7 @@
         self.peers.local().map(|(id, _)| id).collect()
     }
 
-    fn notes_heard(&mut self, now: Time, notes: Vec<EndpointNote>, out: &mut Vec<Output>) {
+    fn notes_heard(&mut self, now: Time, notes: Vec<EndpointAnnouncement>, out: &mut Vec<Output>) {
         let mut changes = Vec::new();
         for note in notes.into_iter().filter(|note| note.dc == self.config.dc) {
             self.endpoints
@@ -225,8 +230,11 @@
                     let Some(known) = self.endpoints.get(addr) else {
                         continue;
                     };
-                    self.dispatch.update(&known.note);
-                    (addr, format!("{:?}", known.note.state).to_lowercase())
+                    self.dispatch.update(&known.announcement);
+                    (
+                        addr,
+                        format!("{:?}", known.announcement.state).to_lowercase(),
+                    )
                 }
                 Change::Gone(addr) => {
                     self.dispatch.remove(addr);
--- a/crates/celerywinch_fleet/src/core/keeping.rs
+++ b/crates/celerywinch_fleet/src/core/keeping.rs
@@ -3,8 +3,8 @@
 use celerywinch_member::Input;
 use celerywinch_registry::Request;
 use celerywinch_types::{
-    FleetMsg, Incarnation, InstanceId, KeepMsg, KeeperRequest, KeeperState, Time, WorkerNote,
-    WorkerStage,
+    FleetMsg, Incarnation, InstanceId, KeeperMsg, KeeperRequest, KeeperState, Time,
+    WorkerAnnouncement, WorkerStage,
 };
 use tokio::sync::oneshot;
 
@@ -53,12 +53,12 @@
             match output {
                 SpreadOutput::Send(to, msg) => {
                     self.metrics.spreads(&msg);
-                    self.links.send(to, FleetMsg::Spread(msg));
+                    self.links.send(to, FleetMsg::Config(msg));
                 }
                 SpreadOutput::Tell(entries) => {
                     for entry in entries {
                         let beat = self.member.heartbeat_for(now, entry);
-                        self.links.send(entry, FleetMsg::Beat(beat));
+                        self.links.send(entry, FleetMsg::Heartbeat(beat));
                     }
                 }
                 SpreadOutput::Whole(held) => self.put_in_force(now, held),
@@ -92,12 +92,12 @@
         self.to_store(StoreIn::Request(Request { from, id, request }));
     }
 
-    pub(super) fn keep_msg(&mut self, from: InstanceId, msg: KeepMsg) {
+    pub(super) fn keep_msg(&mut self, from: InstanceId, msg: KeeperMsg) {
         match msg {
-            KeepMsg::Propose { id, request } => {
+            KeeperMsg::Propose { id, request } => {
                 self.to_store(StoreIn::Request(Request { from, id, request }));
             }
-            KeepMsg::Answer { id, state } => self.answer_keep(id, state),
+            KeeperMsg::Answer { id, state } => self.answer_keep(id, state),
         }
     }
 
@@ -124,8 +124,8 @@
     ///
     /// A worker that leaves goes on to serve until its notice is acknowledged, and then counts on it that nothing more is started
     /// there. So an acknowledgement says that the notice was taken, and that there are dispatchers which were told.
-    pub(super) fn announced(&mut self, now: Time, note: WorkerNote) -> bool {
-        let (worker, stage, said) = (note.id.clone(), note.stage, note.said);
+    pub(super) fn announced(&mut self, now: Time, note: WorkerAnnouncement) -> bool {
+        let (worker, stage, said) = (note.id.clone(), note.stage, note.version);
         let known = self.roster.len();
         let heard = self.roster.heard(now, note.clone());
         self.metrics.announced(heard);
--- a/crates/celerywinch_fleet/tests/pieces.rs
+++ b/crates/celerywinch_fleet/tests/pieces.rs
@@ -4,7 +4,9 @@
 
 use celerywinch_fleet::{Spread, SpreadInput, SpreadNote, SpreadOutput, Told};
 use celerywinch_registry::VersionedDocument;
-use celerywinch_types::{DataCentreId, InstanceId, Part, Piece, SpreadMsg, Time, stable_hash};
+use celerywinch_types::{
+    Chunk, ConfigMsg, DataCentreId, InstanceId, ProcessKind, Time, stable_hash,
+};
 use rstest::rstest;
 
 const DC: DataCentreId = DataCentreId(0);
@@ -28,7 +30,7 @@
 }
 
 fn keeper(versions: std::ops::RangeInclusive<u64>, bytes: usize) -> Spread {
-    let mut spread = Spread::new(KEEPER, Part::Keeper, DC);
+    let mut spread = Spread::new(KEEPER, ProcessKind::Keeper, DC);
     for version in versions {
         handle(&mut spread, NOW, SpreadInput::Held(held(version, bytes)));
     }
@@ -36,7 +38,7 @@
 }
 
 fn want(version: u64, offset: u64) -> SpreadInput {
-    SpreadInput::Message(ENTRY, SpreadMsg::Want { version, offset })
+    SpreadInput::Message(ENTRY, ConfigMsg::Request { version, offset })
 }
 
 /// A request of an entry, and what comes of it: a piece from this byte to that one, or nothing.
@@ -60,7 +62,7 @@
     let mut spread = keeper(1..=9, 40_000);
     let out = handle(&mut spread, NOW, want(case.version, case.offset));
     match (&out[..], case.piece) {
-        ([SpreadOutput::Send(ENTRY, SpreadMsg::Piece(piece))], Some((start, end))) => {
+        ([SpreadOutput::Send(ENTRY, ConfigMsg::Chunk(piece))], Some((start, end))) => {
             assert_eq!(
                 (piece.offset, piece.offset + piece.bytes.len() as u64),
                 (start, end)
@@ -107,14 +109,14 @@
     let mut spread = keeper(1..=1, 100);
     let told = Told {
         instance: ENTRY,
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: DC,
         version: 1,
     };
     handle(&mut spread, NOW, SpreadInput::Heard(told));
     let other = Told {
         instance: InstanceId(3),
-        part: Part::Keeper,
+        part: ProcessKind::Keeper,
         dc: DC,
         version: 1,
     };
@@ -125,11 +127,11 @@
 
 /// An entry that has heard of a version.
 fn asking(version: u64) -> Spread {
-    let mut spread = Spread::new(ENTRY, Part::Entry, DC);
+    let mut spread = Spread::new(ENTRY, ProcessKind::Entry, DC);
     handle(&mut spread, NOW, SpreadInput::Held(held(3, 10)));
     let told = Told {
         instance: KEEPER,
-        part: Part::Keeper,
+        part: ProcessKind::Keeper,
         dc: DC,
         version,
     };
@@ -137,8 +139,8 @@
     spread
 }
 
-fn piece(version: u64, offset: usize, bytes: usize, of: &[u8]) -> Piece {
-    Piece {
+fn piece(version: u64, offset: usize, bytes: usize, of: &[u8]) -> Chunk {
+    Chunk {
         version,
         total: of.len() as u64,
         digest: stable_hash(of),
@@ -149,7 +151,7 @@
 
 /// Pieces that come in this order, and how many bytes of the document are here then; all of them where it is whole.
 struct Pieces {
-    pieces: Vec<Piece>,
+    pieces: Vec<Chunk>,
     here: u64,
 }
 
@@ -164,17 +166,17 @@
 #[case::empty(|of: &[u8]| Pieces { here: 0, pieces: vec![piece(4, 0, 0, of)] })]
 #[case::too_long(|of: &[u8]| Pieces { here: 0, pieces: vec![piece(4, 0, PIECE + 1, of)] })]
 #[case::beyond_the_end(|of: &[u8]| Pieces {
-    here: 0, pieces: vec![Piece { total: 100, ..piece(4, 0, PIECE, of) }],
+    here: 0, pieces: vec![Chunk { total: 100, ..piece(4, 0, PIECE, of) }],
 })]
 #[case::a_huge_length(|of: &[u8]| Pieces {
-    here: 0, pieces: vec![Piece { total: u64::MAX, ..piece(4, 0, PIECE, of) }],
+    here: 0, pieces: vec![Chunk { total: u64::MAX, ..piece(4, 0, PIECE, of) }],
 })]
 #[case::of_two_documents(|of: &[u8]| Pieces {
-    here: 0, pieces: vec![piece(4, 0, PIECE, of), Piece { digest: 1, ..piece(4, PIECE, 3_616, of) }],
+    here: 0, pieces: vec![piece(4, 0, PIECE, of), Chunk { digest: 1, ..piece(4, PIECE, 3_616, of) }],
 })]
 #[case::another_hash(|of: &[u8]| Pieces {
     here: 0,
-    pieces: [piece(4, 0, PIECE, of), piece(4, PIECE, 3_616, of)].map(|p| Piece { digest: 1, ..p }).into(),
+    pieces: [piece(4, 0, PIECE, of), piece(4, PIECE, 3_616, of)].map(|p| Chunk { digest: 1, ..p }).into(),
 })]
 fn pieces_are_taken(#[case] pieces: fn(&[u8]) -> Pieces) {
     let whole = held(4, 20_000);
@@ -182,7 +184,7 @@
     let mut spread = asking(4);
     let mut came = Vec::new();
     for piece in pieces {
-        let input = SpreadInput::Message(KEEPER, SpreadMsg::Piece(piece));
+        let input = SpreadInput::Message(KEEPER, ConfigMsg::Chunk(piece));
         for output in handle(&mut spread, NOW, input) {
             if let SpreadOutput::Whole(held) = output {
                 came.push(held);
@@ -202,7 +204,7 @@
         SpreadInput::Tick,
     ));
     let asked = out.iter().find_map(|output| match output {
-        SpreadOutput::Send(KEEPER, SpreadMsg::Want { version: 4, offset }) => Some(*offset),
+        SpreadOutput::Send(KEEPER, ConfigMsg::Request { version: 4, offset }) => Some(*offset),
         _ => None,
     });
     assert_eq!(asked, Some(here), "{out:?}");
@@ -221,14 +223,14 @@
     #[case] unreadable: Option<u64>,
     #[case] fetched: bool,
 ) {
-    let mut spread = Spread::new(ENTRY, Part::Entry, DC);
+    let mut spread = Spread::new(ENTRY, ProcessKind::Entry, DC);
     handle(&mut spread, NOW, SpreadInput::Held(held(3, 10)));
     if let Some(version) = unreadable {
         handle(&mut spread, NOW, SpreadInput::Unreadable(version));
     }
     let told = Told {
         instance: KEEPER,
-        part: Part::Keeper,
+        part: ProcessKind::Keeper,
         dc: DC,
         version,
     };
@@ -241,13 +243,13 @@
 #[test]
 fn the_best_source_is_asked() {
     let far = DataCentreId(1);
-    let mut spread = Spread::new(ENTRY, Part::Entry, DC);
+    let mut spread = Spread::new(ENTRY, ProcessKind::Entry, DC);
     let whole = held(4, 200_000);
     let sources = [
-        (InstanceId(11), Part::Entry, far),
-        (InstanceId(12), Part::Entry, DC),
-        (InstanceId(13), Part::Keeper, far),
-        (InstanceId(14), Part::Keeper, DC),
+        (InstanceId(11), ProcessKind::Entry, far),
+        (InstanceId(12), ProcessKind::Entry, DC),
+        (InstanceId(13), ProcessKind::Keeper, far),
+        (InstanceId(14), ProcessKind::Keeper, DC),
     ];
     let mut asked = Vec::new();
     for (n, (instance, part, dc)) in sources.into_iter().enumerate() {
@@ -259,10 +261,10 @@
         };
         let mut out = handle(&mut spread, NOW, SpreadInput::Heard(told));
         let piece = piece(4, n * PIECE, PIECE, &whole.document);
-        let input = SpreadInput::Message(instance, SpreadMsg::Piece(piece));
+        let input = SpreadInput::Message(instance, ConfigMsg::Chunk(piece));
         out.extend(handle(&mut spread, NOW, input));
         let last = out.iter().rev().find_map(|output| match output {
-            SpreadOutput::Send(to, SpreadMsg::Want { .. }) => Some(*to),
+            SpreadOutput::Send(to, ConfigMsg::Request { .. }) => Some(*to),
             _ => None,
         });
         asked.push(last.expect("a request"));
--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -6,8 +6,9 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::{Answer, Note, PoolConfig};
 use celerywinch_types::{
-    Beat, DataCentreId, Evacuations, Fence, Incarnation, InstanceId, Part, Process, Room, Said,
-    Stage, Time, WallMs, WorkerClock, WorkerNote, WorkerStage,
+    AnnouncementVersion, DataCentreId, Evacuations, Fence, FleetHeartbeat, Incarnation, InstanceId,
+    Process, ProcessKind, Resources, Stage, Time, WallMs, WorkerAnnouncement, WorkerClock,
+    WorkerStage,
 };
 
 const FAR: DataCentreId = DataCentreId(1);
@@ -19,34 +20,34 @@
     }
 }
 
-fn beat(dc: u8) -> Beat {
-    Beat {
-        part: Part::Keeper,
+fn beat(dc: u8) -> FleetHeartbeat {
+    FleetHeartbeat {
+        kind: ProcessKind::Keeper,
         dc: DataCentreId(dc),
         stage: Stage::Ready,
-        holdings: Vec::new(),
+        owned_domains: Vec::new(),
         fence: Fence(0),
         evacuations: Evacuations::default(),
         version: 1,
         shards: 1,
         sent: Time(0),
         echo: None,
-        every: 100,
-        wants: true,
+        interval_ms: 100,
+        wants_frequent: true,
         probe: false,
     }
 }
 
-fn worker(index: u16) -> WorkerNote {
-    WorkerNote {
+fn worker(index: u16) -> WorkerAnnouncement {
+    WorkerAnnouncement {
         id: format!("w{index}"),
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], index).into(),
         dc: FAR,
-        room: Room::default(),
+        capacity: Resources::default(),
         labels: Vec::new(),
         stage: WorkerStage::Ready,
-        said: Said {
+        version: AnnouncementVersion {
             incarnation: Incarnation(1),
             sequence: 1,
         },
@@ -59,7 +60,7 @@
 fn times_given_up(heard: u64, dead: u16, workers: u16) -> usize {
     let config = MemberConfig {
         me: process(1),
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: DataCentreId(0),
         dcs: BTreeSet::from([DataCentreId(0), FAR]),
         shard_size: 80,
--- a/crates/celerywinch_origin/src/choice.rs
+++ b/crates/celerywinch_origin/src/choice.rs
@@ -50,7 +50,7 @@
     /// The dispatcher.
     pub(crate) holder: Holder,
     /// Whether the dispatcher returns tasks that it cannot start at once.
-    pub(crate) may_return: bool,
+    pub(crate) no_wait: bool,
 }
 
 /// A dispatcher, with the sum over all of its domains.
@@ -94,7 +94,7 @@
     {
         return Some(Choice {
             holder: best.holder,
-            may_return: !single,
+            no_wait: !single,
         });
     }
     let class = usize::from(request.priority).min(2);
@@ -104,7 +104,7 @@
     let first = drawn.iter().min_by_key(wait)?;
     Some(Choice {
         holder: first.holder,
-        may_return: false,
+        no_wait: false,
     })
 }
 
--- a/crates/celerywinch_origin/src/job.rs
+++ b/crates/celerywinch_origin/src/job.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use celerywinch_types::{
-    Crashes, Domain, Doubt, InstanceId, JobId, JobPlan, Queue, RunNumber, Session, StepOrder,
+    Crashes, Domain, InstanceId, JobId, JobPlan, PriorRuns, Queue, RunNumber, Session, StepOrder,
     TaskOrder, Time,
 };
 
@@ -16,7 +16,7 @@
     /// The domains of the workers that may have it.
     pub(crate) domains: Arc<BTreeSet<Domain>>,
     /// Whether later runs may have been started.
-    pub(crate) doubt: Doubt,
+    pub(crate) prior_runs: PriorRuns,
     /// Since when its lease is not renewed, as far as this origin knows.
     pub(crate) since: Time,
     /// The dispatcher that had the task when it was reported as lost; it may still have it.
@@ -52,15 +52,15 @@
 
 impl Task {
     /// Returns the part of the submission that concerns this task.
-    pub(crate) fn order(&self, index: u16, doubt: Doubt) -> TaskOrder {
+    pub(crate) fn order(&self, index: u16, prior_runs: PriorRuns) -> TaskOrder {
         TaskOrder {
             index,
             failures: self.failures,
             crashes: self.crashes,
             run: self.run,
-            doubt,
-            hand: self.submission,
-            first: self.first_submission,
+            prior_runs: prior_runs,
+            submission: self.submission,
+            first_submission: self.first_submission,
         }
     }
 }
@@ -75,7 +75,7 @@
     pub(crate) arrived: Time,
     pub(crate) tasks: BTreeMap<(u16, u16), Task>,
     /// Whether one of its tasks was returned or lost and may have run.
-    pub(crate) doubtful: bool,
+    pub(crate) maybe_ran: bool,
     /// Dispatchers that returned its tasks because they had no room.
     pub(crate) full: Vec<InstanceId>,
 }
@@ -110,7 +110,7 @@
             plan,
             arrived: now,
             tasks,
-            doubtful: false,
+            maybe_ran: false,
             full: Vec::new(),
         }
     }
@@ -128,7 +128,7 @@
 
     /// Whether any of its tasks may have run. Tasks that a dispatcher returned for lack of room have not.
     pub(crate) fn may_have_started(&self) -> bool {
-        self.doubtful
+        self.maybe_ran
             || self
                 .tasks
                 .values()
@@ -140,10 +140,10 @@
         let open = |step: &u16| {
             let plan = &self.plan.steps[usize::from(*step)];
             let mut tasks = self.tasks.range((*step, 0)..=(*step, u16::MAX));
-            let todo = |state: &TaskState| {
+            let unassigned = |state: &TaskState| {
                 matches!(state, TaskState::Pending | TaskState::MaybeRunning(_))
             };
-            tasks.any(|(_, task)| todo(&task.state))
+            tasks.any(|(_, task)| unassigned(&task.state))
                 && plan.after.iter().all(|s| self.step_done(*s))
         };
         let count = u16::try_from(self.plan.steps.len()).unwrap_or(u16::MAX);
@@ -181,9 +181,9 @@
             age: u32::try_from(age).unwrap_or(u32::MAX),
             slack: self.queue.slack,
             target: self.queue.target,
-            chain: self.critical_path(),
-            fresh: false,
-            pass: false,
+            critical_path: self.critical_path(),
+            refusable: false,
+            no_wait: false,
             tasks,
         }
     }
--- a/crates/celerywinch_origin/src/lost.rs
+++ b/crates/celerywinch_origin/src/lost.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use celerywinch_types::{Doubt, InstanceId, JobEnd, JobId, TaskId, Time, WorkMsg};
+use celerywinch_types::{InstanceId, JobEnd, JobId, PriorRuns, TaskId, Time, WorkMsg};
 
 use crate::JobEvent;
 use crate::job::{PossibleRun, TaskState};
@@ -32,10 +32,16 @@
         }
     }
 
-    /// Sends the `Drop` messages; `last` is the number of the last submission.
-    pub(crate) fn send(self, last: u32, out: &mut Vec<Output>) {
+    /// Sends the `Drop` messages; `last_submission` is the number of the last submission.
+    pub(crate) fn send(self, last_submission: u32, out: &mut Vec<Output>) {
         for (at, tasks) in self.tasks {
-            out.push(Output::Send(at, WorkMsg::Drop { tasks, last }));
+            out.push(Output::Send(
+                at,
+                WorkMsg::Drop {
+                    tasks,
+                    last_submission,
+                },
+            ));
         }
     }
 }
@@ -58,11 +64,11 @@
                 let tasks = job.tasks.range_mut((step, 0)..=(step, u16::MAX));
                 let here = tasks
                     .filter(|(_, t)| matches!(t.state, TaskState::Submitted(at, _) if at == peer));
-                self.submissions += 1;
-                let submission = self.submissions;
+                self.last_submission += 1;
+                let submission = self.last_submission;
                 let orders = here.map(|((_, index), task)| {
                     task.submission = submission;
-                    task.order(*index, Doubt::Open)
+                    task.order(*index, PriorRuns::Unknown)
                 });
                 let orders = orders.collect();
                 let mut order = job.order(now, step, orders);
@@ -93,7 +99,7 @@
         self.sessions.entry(peer).or_default().0 += 1;
         let run = PossibleRun {
             domains: self.owned.get(&peer).cloned().unwrap_or_default(),
-            doubt: Doubt::Open,
+            prior_runs: PriorRuns::Unknown,
             since: now,
             dispatcher: Some(peer),
         };
@@ -109,7 +115,7 @@
                 }
             }
             if lost {
-                job.doubtful = true;
+                job.maybe_ran = true;
                 self.pending.insert(job.id);
                 let note = JobEvent::DispatcherLost {
                     job: job.id,
@@ -160,7 +166,7 @@
                 withdrawals.add(run, id, step, *index);
             }
         }
-        withdrawals.send(self.submissions, out);
+        withdrawals.send(self.last_submission, out);
     }
 
     /// Makes tasks that can no longer be running pending, to be submitted like new ones.
@@ -178,6 +184,6 @@
                 task.state = TaskState::Pending;
             }
         }
-        withdrawals.send(self.submissions, out);
+        withdrawals.send(self.last_submission, out);
     }
 }
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -5,8 +5,9 @@
 use std::time::Duration;
 
 use celerywinch_types::{
-    DataCentreId, Domain, Doubt, Holding, InstanceId, JobEnd, JobId, JobPlan, Mechanism, Queue,
-    RunNumber, Session, TaskEnd, TaskNews, Time, Without, WorkMsg, domain, identifier,
+    DataCentreId, DisabledMechanisms, Domain, InstanceId, JobEnd, JobId, JobPlan, Mechanism,
+    OwnedDomain, PriorRuns, Queue, RunNumber, Session, TaskEnd, TaskReport, Time, WorkMsg, domain,
+    identifier,
 };
 
 use crate::choice::{Choice, Request, choose};
@@ -55,7 +56,7 @@
     /// The current dispatchers of all domains and their free capacity.
     Holders(Vec<Holder>),
     /// New load figures of a dispatcher whose domains have not changed.
-    Loads(InstanceId, Vec<Holding>),
+    Loads(InstanceId, Vec<OwnedDomain>),
     /// The link to this dispatcher was reset; messages in either direction may be lost.
     LinkReset(InstanceId),
     /// The failure detector reports this process as lost.
@@ -81,7 +82,7 @@
 #[derive(Debug)]
 pub struct Origin {
     dc: DataCentreId,
-    without: Without,
+    disabled: DisabledMechanisms,
     pub(crate) holders: Vec<Holder>,
     holders_incomplete: bool,
     /// The domains that each dispatcher was last known to own.
@@ -94,7 +95,7 @@
     unserved_since: Option<Time>,
     /// Number of the last submission. It rises over all jobs, so that a job submitted again by its caller gets numbers
     /// of its own; else a late reply about the first one would be taken for its answer.
-    pub(crate) submissions: u32,
+    pub(crate) last_submission: u32,
     /// How often each dispatcher was reported as lost.
     pub(crate) sessions: BTreeMap<InstanceId, Session>,
 }
@@ -102,10 +103,10 @@
 impl Origin {
     /// Creates an origin without jobs, in data centre `dc`.
     #[must_use]
-    pub fn new(dc: DataCentreId, without: Without) -> Self {
+    pub fn new(dc: DataCentreId, disabled: DisabledMechanisms) -> Self {
         Self {
             dc,
-            without,
+            disabled,
             holders: Vec::new(),
             holders_incomplete: false,
             owned: BTreeMap::new(),
@@ -113,7 +114,7 @@
             callers: BTreeMap::new(),
             pending: BTreeSet::new(),
             unserved_since: None,
-            submissions: 0,
+            last_submission: 0,
             sessions: BTreeMap::new(),
         }
     }
@@ -135,9 +136,9 @@
     #[must_use]
     pub fn describe_jobs(&self) -> Vec<String> {
         let line = |job: &Job| {
-            let places: Vec<_> = job.tasks.values().map(|task| &task.state).collect();
+            let states: Vec<_> = job.tasks.values().map(|task| &task.state).collect();
             format!(
-                "job {}: {} callers, {places:?}",
+                "job {}: {} callers, {states:?}",
                 job.id.0,
                 job.callers.len()
             )
@@ -186,7 +187,7 @@
         self.holders_incomplete = false;
     }
 
-    fn set_loads(&mut self, dispatcher: InstanceId, holdings: &[Holding]) {
+    fn set_loads(&mut self, dispatcher: InstanceId, holdings: &[OwnedDomain]) {
         let holders = self.holders.iter_mut();
         for holder in holders.filter(|holder| holder.instance == dispatcher) {
             let reported = holdings.iter().find(|h| h.domain == holder.domain);
@@ -251,7 +252,7 @@
         for dispatcher in job.dispatchers() {
             let cancel = WorkMsg::Cancel {
                 job: id,
-                last: self.submissions,
+                last_submission: self.last_submission,
             };
             out.push(Output::Send(dispatcher, cancel));
         }
@@ -275,37 +276,37 @@
 
     fn work(&mut self, now: Time, from: InstanceId, msg: WorkMsg, out: &mut Vec<Output>) {
         match msg {
-            WorkMsg::Ended(news) => {
-                for news in news {
-                    self.ended(now, from, news, out);
+            WorkMsg::Ended(reports) => {
+                for report in reports {
+                    self.ended(now, from, report, out);
                 }
             }
             WorkMsg::Crashed(task, crashes) => {
                 let job = self.jobs.get_mut(&task.job);
                 let task = job.and_then(|job| job.tasks.get_mut(&(task.step, task.index)));
                 if let Some(task) = task {
-                    task.crashes = task.crashes.with(crashes);
+                    task.crashes = task.crashes.merge(crashes);
                 }
             }
-            WorkMsg::Resync(ask) => {
+            WorkMsg::Resync(request) => {
                 self.resubmit(now, from, out);
                 let unsure = self.lost_tasks(from);
-                out.push(Output::Send(from, WorkMsg::Named { ask, unsure }));
+                out.push(Output::Send(from, WorkMsg::ResyncDone { request, unsure }));
             }
             // Sent to dispatchers, never to origins.
             WorkMsg::Submit(_)
             | WorkMsg::Cancel { .. }
             | WorkMsg::Drop { .. }
-            | WorkMsg::Named { .. } => {}
+            | WorkMsg::ResyncDone { .. } => {}
         }
     }
 
-    fn ended(&mut self, now: Time, from: InstanceId, news: TaskNews, out: &mut Vec<Output>) {
-        let TaskNews {
+    fn ended(&mut self, now: Time, from: InstanceId, report: TaskReport, out: &mut Vec<Output>) {
+        let TaskReport {
             task: id,
-            hand,
+            submission,
             end,
-        } = news;
+        } = report;
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
         };
@@ -315,18 +316,18 @@
         let TaskState::Submitted(at, run) = task.state.clone() else {
             return;
         };
-        if at != from || (news.gives_back() && hand != task.submission) {
+        if at != from || (report.returns_task() && submission != task.submission) {
             return;
         }
         match end {
             TaskEnd::Done => {
                 task.state = TaskState::Done;
-                if hand != task.submission {
+                if submission != task.submission {
                     // The result was delayed, and the dispatcher may have accepted the task again since. It would run
                     // it once more: the cancellation of a job does not go to dispatchers of completed tasks.
                     let drop = WorkMsg::Drop {
                         tasks: vec![id],
-                        last: self.submissions,
+                        last_submission: self.last_submission,
                     };
                     out.push(Output::Send(from, drop));
                 }
@@ -340,7 +341,7 @@
                 self.answer(now, id.job, JobEnd::Unsure, out);
             }
             // The dispatcher does not know that a task of the job may have run elsewhere.
-            TaskEnd::Refused(_) if job.doubtful => self.answer(now, id.job, JobEnd::Unsure, out),
+            TaskEnd::Refused(_) if job.maybe_ran => self.answer(now, id.job, JobEnd::Unsure, out),
             TaskEnd::Refused(later) => self.answer(now, id.job, JobEnd::Refused(later), out),
             TaskEnd::Full => {
                 task.state = TaskState::Pending;
@@ -351,7 +352,7 @@
                 self.mark_full(from);
             }
             TaskEnd::Returned { at, failures, run } => {
-                job.doubtful = true;
+                job.maybe_ran = true;
                 task.failures = failures;
                 task.run = task.run.max(run);
                 task.state = at.map_or(TaskState::Pending, |at| {
@@ -359,8 +360,8 @@
                 });
                 self.await_holder(id.job, from);
             }
-            TaskEnd::Doubtful => {
-                job.doubtful = true;
+            TaskEnd::Undetermined => {
+                job.maybe_ran = true;
                 let resubmitted = task.submission != task.first_submission;
                 let unchanged = run.clone().filter(|_| !resubmitted);
                 let owned = self.owned.get(&from).cloned().unwrap_or_default();
@@ -459,7 +460,7 @@
                 |state: &TaskState| matches!(state, TaskState::MaybeRunning(run) if owns_all(run));
             let choice = Choice {
                 holder,
-                may_return: false,
+                no_wait: false,
             };
             self.send_tasks(now, id, step, choice, resumable, out);
         }
@@ -513,8 +514,8 @@
             return;
         };
         let holder = choice.holder;
-        let fresh = !job.may_have_started();
-        self.submissions += 1;
+        let refusable = !job.may_have_started();
+        self.last_submission += 1;
         let mut orders = Vec::new();
         let mut withdrawals = Withdrawals::default();
         for ((_, index), task) in job.tasks.range_mut((step, 0)..=(step, u16::MAX)) {
@@ -528,17 +529,17 @@
                     }
                     TaskState::Pending | TaskState::Submitted(..) | TaskState::Done => None,
                 };
-                task.submission = self.submissions;
-                task.first_submission = self.submissions;
-                let doubt = run.as_ref().map_or(Doubt::None, |run| run.doubt);
-                orders.push(task.order(*index, doubt));
+                task.submission = self.last_submission;
+                task.first_submission = self.last_submission;
+                let prior_runs = run.as_ref().map_or(PriorRuns::None, |run| run.prior_runs);
+                orders.push(task.order(*index, prior_runs));
                 task.state = TaskState::Submitted(holder.instance, run);
             }
         }
         if orders.is_empty() {
             return;
         }
-        withdrawals.send(self.submissions, out);
+        withdrawals.send(self.last_submission, out);
         let count = orders.len();
         out.push(Output::Event(JobEvent::HandedIn {
             job: id,
@@ -547,15 +548,15 @@
             tasks: count,
             unsure: orders
                 .iter()
-                .filter(|order| order.doubt != Doubt::None)
+                .filter(|order| order.prior_runs != PriorRuns::None)
                 .count(),
             free: holder.load.free,
         }));
         let session = self.sessions.get(&holder.instance);
         let mut order = job.order(now, step, orders);
         order.session = session.copied().unwrap_or_default();
-        order.fresh = fresh;
-        order.pass = choice.may_return && !self.without.lacks(Mechanism::Passing);
+        order.refusable = refusable;
+        order.no_wait = choice.no_wait && !self.disabled.contains(Mechanism::Passing);
         out.push(Output::Send(holder.instance, WorkMsg::Submit(order)));
         // Counts the room as taken until the next heartbeat reports the load.
         let mut taken = u32::try_from(count).unwrap_or(u32::MAX);
@@ -572,7 +573,7 @@
 fn run_at(now: Time, domain: Domain) -> PossibleRun {
     PossibleRun {
         domains: Arc::new(BTreeSet::from([domain])),
-        doubt: Doubt::Last,
+        prior_runs: PriorRuns::Last,
         since: now,
         dispatcher: None,
     }
@@ -590,7 +591,7 @@
     let before = earlier.iter().flat_map(|run| run.domains.iter());
     PossibleRun {
         domains: Arc::new(before.chain(owned).copied().collect()),
-        doubt: Doubt::Open,
+        prior_runs: PriorRuns::Unknown,
         since: now,
         dispatcher: None,
     }
--- a/crates/celerywinch_origin/tests/submissions.rs
+++ b/crates/celerywinch_origin/tests/submissions.rs
@@ -4,8 +4,8 @@
 
 use celerywinch_origin::{CallerId, Holder, Input, NewJob, Origin, Output};
 use celerywinch_types::{
-    DataCentreId, Domain, Doubt, InstanceId, JobEnd, JobId, JobPlan, Load, Queue, Room, RunNumber,
-    StepOrder, StepPlan, TaskEnd, TaskId, TaskNews, Time, Without, WorkMsg,
+    DataCentreId, DisabledMechanisms, Domain, InstanceId, JobEnd, JobId, JobPlan, Load, PriorRuns,
+    Queue, Resources, RunNumber, StepOrder, StepPlan, TaskEnd, TaskId, TaskReport, Time, WorkMsg,
 };
 use rstest::rstest;
 
@@ -45,7 +45,7 @@
             spec: String::new(),
             steps: vec![StepPlan {
                 count: tasks,
-                need: Room::default(),
+                need: Resources::default(),
                 estimate: 200,
                 after: Vec::new(),
                 label: None,
@@ -71,7 +71,7 @@
     /// Creates an origin with a job of so many tasks, and dispatchers with these numbers of free places.
     fn new(tasks: u16, rooms: &[u32]) -> Self {
         let mut harness = Self {
-            origin: Origin::new(DC, Without::default()),
+            origin: Origin::new(DC, DisabledMechanisms::default()),
             now: Time(1_000_000),
             sent: Vec::new(),
             dropped: Vec::new(),
@@ -93,7 +93,7 @@
             match output {
                 Output::Send(to, WorkMsg::Submit(order)) => self.sent.push((to, order)),
                 Output::Send(to, WorkMsg::Drop { tasks, .. }) => self.dropped.push((to, tasks)),
-                Output::Send(_, msg @ WorkMsg::Named { .. }) => self.resyncs.push(msg),
+                Output::Send(_, msg @ WorkMsg::ResyncDone { .. }) => self.resyncs.push(msg),
                 Output::Answer(_, end) => self.answers.push(end),
                 Output::Send(..) | Output::Event(_) => {}
             }
@@ -108,17 +108,17 @@
     fn reply(&mut self, from: InstanceId, order: &StepOrder, indices: &[u16], end: TaskEnd) {
         let tasks = order.tasks.iter();
         let tasks = tasks.filter(|task| indices.contains(&task.index));
-        let news = tasks.map(|task| TaskNews {
+        let reports = tasks.map(|task| TaskReport {
             task: TaskId {
                 job: JOB,
                 step: 0,
                 index: task.index,
             },
-            hand: task.hand,
+            submission: task.submission,
             end,
         });
-        let news = news.collect();
-        self.handle(Input::Work(from, WorkMsg::Ended(news)));
+        let reports = reports.collect();
+        self.handle(Input::Work(from, WorkMsg::Ended(reports)));
     }
 }
 
@@ -128,13 +128,16 @@
 #[rstest]
 #[case::full(TaskEnd::Full)]
 #[case::returned(TaskEnd::Returned { at: None, failures: 0, run: RunNumber(1_000) })]
-#[case::doubtful(TaskEnd::Doubtful)]
+#[case::undetermined(TaskEnd::Undetermined)]
 fn return_sent_before_a_resubmission_is_ignored(#[case] end: TaskEnd) {
     let mut harness = Harness::new(1, &[5, 5]);
     let (first, order) = harness.last();
     harness.handle(Input::LinkReset(first));
     let (again, resubmitted) = harness.last();
-    assert_eq!((again, resubmitted.tasks[0].doubt), (first, Doubt::Open));
+    assert_eq!(
+        (again, resubmitted.tasks[0].prior_runs),
+        (first, PriorRuns::Unknown)
+    );
     let sent = harness.sent.len();
     harness.reply(first, &order, &[0], end);
     assert_eq!(harness.sent.len(), sent, "{:?}", harness.last());
@@ -142,7 +145,7 @@
     harness.reply(first, &resubmitted, &[0], TaskEnd::Full);
     let (other, order) = harness.last();
     assert_ne!(other, first);
-    assert_eq!(order.tasks[0].doubt, Doubt::None);
+    assert_eq!(order.tasks[0].prior_runs, PriorRuns::None);
 }
 
 /// Guards against refusing a caller although a dispatcher has room. The dispatcher that its job went to had room
@@ -154,13 +157,13 @@
     let mut tried = Vec::new();
     for _ in 0..3 {
         let (to, order) = harness.last();
-        assert!(order.pass && order.fresh, "{order:?}");
+        assert!(order.no_wait && order.refusable, "{order:?}");
         assert!(!tried.contains(&to));
         tried.push(to);
         harness.reply(to, &order, &[0, 1], TaskEnd::Full);
     }
     let (to, order) = harness.last();
-    assert!(!order.pass && order.fresh, "{order:?}");
+    assert!(!order.no_wait && order.refusable, "{order:?}");
     harness.reply(to, &order, &[0], TaskEnd::Refused(100));
     assert_eq!(harness.answers, [JobEnd::Refused(100)]);
 }
@@ -202,7 +205,7 @@
     harness.reply(to, &order, &[1], TaskEnd::Full);
     let (other, order) = harness.last();
     assert_ne!(other, to);
-    assert!(!order.fresh, "{order:?}");
+    assert!(!order.refusable, "{order:?}");
     let indices: Vec<u16> = order.tasks.iter().map(|task| task.index).collect();
     assert_eq!(indices, [1]);
 }
@@ -211,7 +214,7 @@
 #[test]
 fn single_dispatcher_keeps_tasks_without_room() {
     let harness = Harness::new(2, &[5]);
-    assert!(!harness.last().1.pass);
+    assert!(!harness.last().1.no_wait);
 }
 
 /// Guards against running a task twice. Its dispatcher was unreachable for a moment and still has it, but no longer owns
@@ -281,7 +284,7 @@
     let mut harness = Harness::new(1, &[5]);
     let (to, _) = harness.last();
     harness.handle(Input::Work(to, WorkMsg::Resync(7)));
-    let resync = |unsure| WorkMsg::Named { ask: 7, unsure };
+    let resync = |unsure| WorkMsg::ResyncDone { request: 7, unsure };
     assert_eq!(harness.sent.len(), 2);
     assert_eq!(harness.resyncs, [resync(Vec::new())]);
     harness.handle(Input::PeerLost(to));
@@ -328,7 +331,7 @@
     harness.handle(Input::Holders(vec![successor]));
     let (_, again) = harness.last();
     // The lost dispatcher may itself have given up runs in doubt twice, each time raising the number without reporting it.
-    let used = order.tasks[0].run.past_unheard().past_unheard();
+    let used = order.tasks[0].run.past_unreported().past_unreported();
     assert!(again.tasks[0].run > used, "{again:?}");
 }
 
@@ -352,13 +355,16 @@
     };
     harness.handle(Input::Holders(vec![successor]));
     let (to, order) = harness.last();
-    assert_eq!((to, order.tasks[0].doubt), (InstanceId(7), Doubt::Last));
+    assert_eq!(
+        (to, order.tasks[0].prior_runs),
+        (InstanceId(7), PriorRuns::Last)
+    );
     harness.handle(Input::LinkReset(to));
     let (_, resubmitted) = harness.last();
-    harness.reply(to, &resubmitted, &[0], TaskEnd::Doubtful);
+    harness.reply(to, &resubmitted, &[0], TaskEnd::Undetermined);
     harness.handle(Input::Holders(vec![holder(first.0, 5)]));
     let (_, order) = harness.last();
-    assert_eq!(order.tasks[0].doubt, Doubt::Open);
+    assert_eq!(order.tasks[0].prior_runs, PriorRuns::Unknown);
     assert!(order.tasks[0].run > RunNumber(1_002));
 }
 
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -7,7 +7,7 @@
 
 use celerywinch_types::{
     Crashes, DataCentreId, Domain, Fence, Incarnation, InstanceId, JobId, Learned, Mechanism,
-    RunNumber, TaskEnd, TaskId, TaskNews, Time, WorkMsg, WorkerNote, WorkerStage,
+    RunNumber, TaskEnd, TaskId, TaskReport, Time, WorkMsg, WorkerAnnouncement, WorkerStage,
 };
 use slotmap::SlotMap;
 
@@ -45,7 +45,7 @@
     /// Do so no more; what is open is given back to its origins.
     Resign(Domain),
     /// What workers said of themselves.
-    Workers(Vec<WorkerNote>),
+    Workers(Vec<WorkerAnnouncement>),
     /// Replaces the set of evacuated data centres: their workers get no new tasks, and running tasks
     /// continue.
     EvacuatedDataCentres(BTreeSet<DataCentreId>),
@@ -121,7 +121,7 @@
     pub(crate) grants: Grants,
     /// What origins were told of tasks that are here no more.
     pub(crate) told: BTreeMap<TaskId, Told>,
-    pub(crate) news: BTreeMap<InstanceId, Vec<TaskNews>>,
+    pub(crate) news: BTreeMap<InstanceId, Vec<TaskReport>>,
     /// Batches that lost a task during the current input; the empty ones are dropped after it.
     pub(crate) touched: Vec<BatchKey>,
     /// The last question to each origin, and how many there were.
@@ -197,7 +197,7 @@
         let paces = held.map(|w| (w.note.id.clone(), w.pace as f32));
         Learned {
             queues: self.times.learned(),
-            paces: paces.collect(),
+            slowdowns: paces.collect(),
         }
     }
 
@@ -207,7 +207,7 @@
         if self.held.is_empty() {
             self.times.learn_from(learned.queues);
         }
-        for (id, pace) in learned.paces {
+        for (id, pace) in learned.slowdowns {
             if let Some(key) = self.names.get(&id)
                 && self.workers[*key].grip == Grip::None
             {
@@ -321,34 +321,43 @@
     fn work(&mut self, now: Time, from: InstanceId, msg: WorkMsg, out: &mut Vec<Output>) {
         match msg {
             WorkMsg::Submit(order) => self.submit(now, from, order, out),
-            WorkMsg::Cancel { job, last } => self.cancel(now, from, job, last, out),
-            WorkMsg::Drop { tasks, last } => self.drop_tasks(now, from, &tasks, last, out),
-            WorkMsg::Named { ask, unsure } => self.sweep(now, from, ask, &unsure, out),
+            WorkMsg::Cancel {
+                job,
+                last_submission: last,
+            } => self.cancel(now, from, job, last, out),
+            WorkMsg::Drop {
+                tasks,
+                last_submission: last,
+            } => self.drop_tasks(now, from, &tasks, last, out),
+            WorkMsg::ResyncDone {
+                request: ask,
+                unsure,
+            } => self.sweep(now, from, ask, &unsure, out),
             // For origins, not for dispatchers.
             WorkMsg::Ended(_) | WorkMsg::Crashed(..) | WorkMsg::Resync(_) => {}
         }
     }
 
-    fn worker(&mut self, now: Time, note: WorkerNote, out: &mut Vec<Output>) {
+    fn worker(&mut self, now: Time, note: WorkerAnnouncement, out: &mut Vec<Output>) {
         let gone = note.stage == WorkerStage::Gone;
         if gone {
             self.remember_left(now, &note);
         }
         let Some(key) = self.names.get(&note.id).copied() else {
             let left = self.left.get(&note.id);
-            let has_left = left.is_some_and(|left| note.said.incarnation <= left.life);
+            let has_left = left.is_some_and(|left| note.version.incarnation <= left.life);
             if !gone && !has_left {
                 self.add_unknown(now, note, out);
             }
             return;
         };
-        let known = self.workers[key].note.said;
-        match note.said.incarnation.cmp(&known.incarnation) {
+        let known = self.workers[key].note.version;
+        match note.version.incarnation.cmp(&known.incarnation) {
             Ordering::Less if gone => {}
             Ordering::Less => self.other_life_speaks(key, note, out),
             Ordering::Equal if gone => self.worker_leaves(now, key, out),
             // A late announcement must not bring an earlier state back.
-            Ordering::Equal if note.said <= known => {}
+            Ordering::Equal if note.version <= known => {}
             Ordering::Equal => self.update_worker(key, note),
             Ordering::Greater => self.replace_worker(now, key, note, out),
         }
@@ -368,8 +377,8 @@
             && !self.evacuated.contains(&worker.note.dc)
     }
 
-    fn remember_left(&mut self, now: Time, note: &WorkerNote) {
-        let life = note.said.incarnation;
+    fn remember_left(&mut self, now: Time, note: &WorkerAnnouncement) {
+        let life = note.version.incarnation;
         let left = Left { life, heard: now };
         let known = self.left.entry(note.id.clone()).or_insert(left);
         known.life = known.life.max(life);
@@ -377,7 +386,7 @@
     }
 
     /// A worker has said something new of the life that is known.
-    fn update_worker(&mut self, key: WorkerKey, note: WorkerNote) {
+    fn update_worker(&mut self, key: WorkerKey, note: WorkerAnnouncement) {
         let worker = &mut self.workers[key];
         let addr = std::mem::replace(&mut worker.note, note).addr;
         let new = worker.note.addr;
@@ -423,7 +432,7 @@
     pub(crate) fn add_worker(
         &mut self,
         now: Time,
-        note: WorkerNote,
+        note: WorkerAnnouncement,
         lives: u64,
         out: &mut Vec<Output>,
     ) -> WorkerKey {
@@ -479,9 +488,9 @@
         };
         let id = batch.id(index);
         let task = batch.tasks.remove(&index);
-        let news = TaskNews {
+        let news = TaskReport {
             task: id,
-            hand: task.map_or(0, |task| task.hand),
+            submission: task.map_or(0, |task| task.hand),
             end,
         };
         let told = Told {
@@ -494,7 +503,7 @@
         self.touched.push(key);
     }
 
-    pub(crate) fn report(&mut self, key: BatchKey, news: TaskNews) {
+    pub(crate) fn report(&mut self, key: BatchKey, news: TaskReport) {
         if let Some(batch) = self.batches.get(key) {
             self.news.entry(batch.origin).or_default().push(news);
         }
@@ -515,12 +524,12 @@
         out: &mut Vec<Output>,
     ) -> Option<CallKey> {
         let callee = &self.workers[worker];
-        let fence = self.held.get(&callee.domain)?.of_life(callee.lives);
+        let fence = self.held.get(&callee.domain)?.for_incarnation(callee.lives);
         let slow = self.answers.wait(self.config.slow);
         let wait = match order {
             Order::Look { .. } => order.waits() + self.config.answer.max(slow),
             Order::Start { .. } | Order::Stop { .. }
-                if self.config.without.lacks(Mechanism::Patience) =>
+                if self.config.without.contains(Mechanism::Patience) =>
             {
                 self.config.order
             }
@@ -564,7 +573,7 @@
         let run = self.runs.remove(key)?;
         if let Some(worker) = self.workers.get_mut(run.worker) {
             worker.runs.retain(|other| *other != key);
-            worker.used = worker.used.less(run.need);
+            worker.used = worker.used.saturating_sub(run.need);
         }
         Some(run)
     }
@@ -576,7 +585,7 @@
         let key = self.runs.insert(run);
         let worker = &mut self.workers[worker];
         worker.runs.push(key);
-        worker.used = worker.used.plus(need);
+        worker.used = worker.used.saturating_add(need);
         key
     }
 
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use celerywinch_types::{Domain, Doubt, Fence, Mechanism, RunNumber, TaskEnd, TaskId, Time};
+use celerywinch_types::{Domain, Fence, Mechanism, PriorRuns, RunNumber, TaskEnd, TaskId, Time};
 
 use crate::Note;
 use crate::call::{EndedRow, How, Order, Pending, RunningRow};
@@ -134,12 +134,12 @@
             self.takeover.ends.remove(&id);
             return;
         }
-        let open = task.doubt == Doubt::Open;
+        let open = task.doubt == PriorRuns::Unknown;
         match self.takeover.aliens.get(&id).copied() {
             Some(alien)
                 if !alien.stopped
                     && (open || alien.run == task.run)
-                    && !self.config.without.lacks(Mechanism::Adoption) =>
+                    && !self.config.without.contains(Mechanism::Adoption) =>
             {
                 self.takeover.aliens.remove(&id);
                 self.adopt_run(now, key, index, alien);
@@ -158,11 +158,11 @@
         how: How,
         run: RunNumber,
     ) -> bool {
-        let long_way = self.config.without.lacks(Mechanism::Shortcuts);
+        let long_way = self.config.without.contains(Mechanism::Shortcuts);
         let Some(task) = self.batches[key].tasks.get_mut(&index) else {
             return false;
         };
-        let last = task.doubt == Doubt::Last && run == task.run && !long_way;
+        let last = task.doubt == PriorRuns::Last && run == task.run && !long_way;
         match how {
             How::Done => self.finish(now, key, index, TaskEnd::Done),
             How::Failed | How::Cut if last => {
@@ -293,7 +293,7 @@
             let due: Vec<u16> = tasks.map(|(index, _)| *index).collect();
             for index in due {
                 if let Some(task) = self.batches[key].tasks.get_mut(&index) {
-                    task.run = task.run.past_unheard();
+                    task.run = task.run.past_unreported();
                 }
                 self.set_task(key, index, TaskState::Waiting);
             }
@@ -343,7 +343,7 @@
     }
 
     fn return_doubtful(&mut self, now: Time, key: BatchKey, index: u16) {
-        self.finish(now, key, index, TaskEnd::Doubtful);
+        self.finish(now, key, index, TaskEnd::Undetermined);
     }
 
     fn return_queue(&mut self, now: Time) -> usize {
--- a/crates/celerywinch_pool/tests/crashes.rs
+++ b/crates/celerywinch_pool/tests/crashes.rs
@@ -6,8 +6,8 @@
 
 use celerywinch_pool::{Answer, Input};
 use celerywinch_types::{
-    Crashes, Doubt, Incarnation, JobId, Said, StepOrder, TaskEnd, TaskOrder, WorkMsg, WorkerNote,
-    WorkerStage,
+    AnnouncementVersion, Crashes, Incarnation, JobId, PriorRuns, StepOrder, TaskEnd, TaskOrder,
+    WorkMsg, WorkerAnnouncement, WorkerStage,
 };
 use rig::{ORIGIN, Rig, clock, is_look, is_start, lists, lists_of, note, row, step, task};
 use rstest::rstest;
@@ -43,10 +43,10 @@
     rig
 }
 
-fn life(worker: &str, life: u64, stage: WorkerStage) -> WorkerNote {
+fn life(worker: &str, life: u64, stage: WorkerStage) -> WorkerAnnouncement {
     let port = worker[1..].parse().expect("a worker's number");
-    WorkerNote {
-        said: Said {
+    WorkerAnnouncement {
+        version: AnnouncementVersion {
             incarnation: Incarnation(life),
             // The notice that a life leaves is its last word.
             sequence: if stage == WorkerStage::Ready { 2 } else { 3 },
@@ -103,8 +103,8 @@
 fn task_that_ends_its_workers_is_given_up(#[case] case: Case) {
     let mut rig = rig(6);
     let mut lives = Lives::new();
-    let mut order = step(Doubt::None, 0);
-    order.fresh = false;
+    let mut order = step(PriorRuns::None, 0);
+    order.refusable = false;
     rig.submit(order);
     for ends in case.ends {
         end(&mut rig, &mut lives, *ends);
@@ -120,8 +120,8 @@
 fn worker_that_is_back_counts_once() {
     let mut rig = rig(2);
     let mut lives = Lives::new();
-    let mut order = step(Doubt::None, 0);
-    order.fresh = false;
+    let mut order = step(PriorRuns::None, 0);
+    order.refusable = false;
     rig.submit(order);
     let first = rig.last(is_start).worker;
     end(&mut rig, &mut lives, Ends::Silent);
@@ -144,11 +144,11 @@
     let mut rig = rig(4);
     let mut lives = Lives::new();
     if here {
-        rig.submit(step(Doubt::None, 0));
+        rig.submit(step(PriorRuns::None, 0));
         end(&mut rig, &mut lives, Ends::Returns);
         let cancel = WorkMsg::Cancel {
             job: rig::JOB,
-            last: u32::MAX,
+            last_submission: u32::MAX,
         };
         rig.take(Input::Work(ORIGIN, cancel));
         let stop = rig.last(rig::is_stop);
@@ -156,7 +156,7 @@
         end(&mut rig, &mut lives, Ends::Returns);
     }
     let starts = rig.count(is_start);
-    let mut order = step(Doubt::None, 9_000);
+    let mut order = step(PriorRuns::None, 9_000);
     order.tasks[0].crashes = told;
     rig.submit(order);
     assert_eq!(rig.count(is_start), starts, "not started again");
@@ -165,9 +165,9 @@
 
 /// Steps of eight tasks, each of which ends its worker, take eight workers at a time.
 fn wide(job: u64) -> StepOrder {
-    let mut order = step(Doubt::None, 0);
+    let mut order = step(PriorRuns::None, 0);
     order.job = JobId(job);
-    order.fresh = false;
+    order.refusable = false;
     let first = order.tasks[0];
     let tasks = (0..8).map(|index| TaskOrder { index, ..first });
     order.tasks = tasks.collect();
@@ -181,8 +181,8 @@
 fn steps_of_a_queue_that_ends_workers_begin_with_one_task() {
     let mut rig = rig(12);
     let mut lives = Lives::new();
-    let mut order = step(Doubt::None, 0);
-    order.fresh = false;
+    let mut order = step(PriorRuns::None, 0);
+    order.refusable = false;
     rig.submit(order);
     end(&mut rig, &mut lives, Ends::Returns);
     end(&mut rig, &mut lives, Ends::Returns);
@@ -258,8 +258,8 @@
     let proven = Crashes { seen: 1, proven: 1 };
     rig.take(Input::Crashes(vec![(task(0), seen)]));
     rig.take(Input::Crashes(vec![(task(0), proven)]));
-    let mut order = step(Doubt::None, 0);
-    order.fresh = false;
+    let mut order = step(PriorRuns::None, 0);
+    order.refusable = false;
     rig.submit(order);
     assert_eq!(rig.count(is_start), 1, "one worker has ended, told twice");
     rig.take(Input::Crashes(vec![(
--- a/crates/celerywinch_types/src/fleet.rs
+++ b/crates/celerywinch_types/src/fleet.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    Crashes, DataCentreId, Fence, Incarnation, InstanceId, JobId, Room, RunNumber, TaskId, Time,
-    WorkerNote, domain, identifier,
+    Crashes, DataCentreId, Fence, Incarnation, InstanceId, JobId, Resources, RunNumber, TaskId,
+    Time, WorkerAnnouncement, domain, identifier,
 };
 
 identifier! {
@@ -19,7 +19,7 @@
 domain! {
     /// What a process does.
     #[derive(Copy)]
-    pub enum Part {
+    pub enum ProcessKind {
         /// Serves callers, and may dispatch.
         Entry,
         /// Keeps the configuration, and hears the workers' announcements.
@@ -57,7 +57,7 @@
 
     /// A domain that a process dispatches for.
     #[derive(Copy)]
-    pub struct Holding {
+    pub struct OwnedDomain {
         /// The domain.
         pub domain: Domain,
         /// The fencing token it dispatches under.
@@ -93,7 +93,7 @@
     #[derive(Copy)]
     pub struct Echo {
         /// The life of the receiver that was heard.
-        pub life: Incarnation,
+        pub incarnation: Incarnation,
         /// When that life sent what was heard, by its own clock.
         pub sent: Time,
         /// The session of the receiver as dispatcher of the sender's jobs.
@@ -101,15 +101,15 @@
     }
 
     /// A heartbeat.
-    pub struct Beat {
+    pub struct FleetHeartbeat {
         /// What the sender does.
-        pub part: Part,
+        pub kind: ProcessKind,
         /// Its data centre.
         pub dc: DataCentreId,
         /// How far it is in its life.
         pub stage: Stage,
         /// What it dispatches for.
-        pub holdings: Vec<Holding>,
+        pub owned_domains: Vec<OwnedDomain>,
         /// The highest fencing token it knows of.
         pub fence: Fence,
         /// The version of the configuration it has in force.
@@ -124,10 +124,10 @@
         /// count it as alive.
         pub echo: Option<Echo>,
         /// Ms until the next heartbeat to this receiver, at most.
-        pub every: u32,
+        pub interval_ms: u32,
         /// Whether the sender needs the receiver's heartbeats often: it hands work to it, or would dispatch in
         /// its place.
-        pub wants: bool,
+        pub wants_frequent: bool,
         /// Whether the receiver is to answer at once: all that the sender hears often in the receiver's data
         /// centre have fallen silent.
         pub probe: bool,
@@ -139,7 +139,7 @@
         /// Where it runs.
         pub instance: InstanceId,
         /// What it does.
-        pub part: Part,
+        pub kind: ProcessKind,
     }
 
     /// A task that is handed to a dispatcher.
@@ -154,34 +154,34 @@
         /// Workers that have ended under it.
         pub crashes: Crashes,
         /// Whether it may be running.
-        pub doubt: Doubt,
+        pub prior_runs: PriorRuns,
         /// Names this time that the task was handed in; rises over all that its origin hands in.
-        pub hand: u32,
+        pub submission: u32,
         /// The first of those at this dispatcher, since when it should have the task.
-        pub first: u32,
+        pub first_submission: u32,
     }
 
     /// What became of a task that was handed to a dispatcher.
     #[derive(Copy)]
-    pub struct TaskNews {
+    pub struct TaskReport {
         /// The task.
         pub task: TaskId,
         /// Which of the times that it was handed in.
-        pub hand: u32,
+        pub submission: u32,
         /// What became of it.
         pub end: TaskEnd,
     }
 
     /// Whether a task that is handed in may be running under an earlier dispatcher.
     #[derive(Copy)]
-    pub enum Doubt {
+    pub enum PriorRuns {
         /// It is not.
         None,
         /// Its last run may be; there is no later one, so what is found of that run settles it.
         Last,
         /// Runs may have been started that its origin did not hear of. Only one found at work, or
         /// done, settles it.
-        Open,
+        Unknown,
     }
 
     /// Tasks of one step of a job.
@@ -204,7 +204,7 @@
         /// A task that failed so often fails its job.
         pub attempts: u32,
         /// What each task needs.
-        pub need: Room,
+        pub need: Resources,
         /// The caller's guess of a task's run time, in ms.
         pub estimate: u32,
         /// The label that a worker must have.
@@ -220,12 +220,12 @@
         /// ... and so many ms.
         pub target: u32,
         /// Ms of the longest chain of work, by the estimates.
-        pub chain: u32,
+        pub critical_path: u32,
         /// Whether the job may still be refused as "not run".
-        pub fresh: bool,
+        pub refusable: bool,
         /// Whether tasks that find no room at once are to be given back, since another dispatcher
         /// may have some; else they wait here.
-        pub pass: bool,
+        pub no_wait: bool,
         /// The tasks.
         pub tasks: Vec<TaskOrder>,
     }
@@ -252,7 +252,7 @@
         /// Not started: there is no room at present, and another dispatcher was to be tried.
         Full,
         /// Given back as it came, in doubt: whether it runs was not found out.
-        Doubtful,
+        Undetermined,
         /// Will not be served, and nothing of its job has run here; worth a try after so many ms.
         Refused(u32),
         /// Its caller has sent the job again to another origin, which gets what becomes of it.
@@ -271,17 +271,17 @@
             job: JobId,
             /// The origin's last hand-in so far. The message may be held up, and what was handed in later is
             /// wanted.
-            last: u32,
+            last_submission: u32,
         },
         /// These tasks are not wanted here any more; their origin has them done elsewhere.
         Drop {
             /// The tasks.
             tasks: Vec<TaskId>,
             /// As in `Cancel`.
-            last: u32,
+            last_submission: u32,
         },
         /// Ends of tasks.
-        Ended(Vec<TaskNews>),
+        Ended(Vec<TaskReport>),
         /// A worker has ended under a task: what is known by now. Its origin keeps it, as the dispatcher may be lost.
         Crashed(TaskId, Crashes),
         /// What was sent before may be lost: hand in again what is open here. The number is
@@ -289,29 +289,29 @@
         Resync(u64),
         /// Answers `Resync`, after all that is wanted was handed in again: whatever else is here of
         /// this origin is not wanted.
-        Named {
+        ResyncDone {
             /// The number of the question.
-            ask: u64,
+            request: u64,
             /// Tasks that may be handed in again yet: their origin took this dispatcher for lost.
             unsure: Vec<TaskId>,
         },
     }
 
     /// How the configuration spreads from the keepers to the entries.
-    pub enum SpreadMsg {
+    pub enum ConfigMsg {
         /// Asks for a piece of the configuration.
-        Want {
+        Request {
             /// The version.
             version: u64,
             /// The first byte.
             offset: u64,
         },
         /// Answers `Want`.
-        Piece(Piece),
+        Chunk(Chunk),
     }
 
     /// A piece of the configuration.
-    pub struct Piece {
+    pub struct Chunk {
         /// The version.
         pub version: u64,
         /// Bytes of the whole document.
@@ -348,7 +348,7 @@
     }
 
     /// Messages between keepers: operators' requests forwarded to the leader, and their answers.
-    pub enum KeepMsg {
+    pub enum KeeperMsg {
         /// Forwards a request to the leader.
         Propose {
             /// Names the request at its sender.
@@ -366,13 +366,13 @@
     }
 }
 
-impl TaskNews {
+impl TaskReport {
     /// Whether it tells that the task goes back to its origin. Such news of an earlier time that it
     /// was handed in must not count: the dispatcher may have it again.
     #[must_use]
-    pub fn gives_back(&self) -> bool {
+    pub fn returns_task(&self) -> bool {
         match self.end {
-            TaskEnd::Full | TaskEnd::Returned { .. } | TaskEnd::Doubtful => true,
+            TaskEnd::Full | TaskEnd::Returned { .. } | TaskEnd::Undetermined => true,
             TaskEnd::Done
             | TaskEnd::Failed
             | TaskEnd::GivenUp
@@ -391,7 +391,7 @@
     /// How many tasks have ended.
     pub count: f32,
     /// What they took on a usual worker.
-    pub took: f32,
+    pub run_time: f32,
     /// That over what callers had guessed.
     pub bias: f32,
 }
@@ -403,24 +403,24 @@
     /// By queue.
     pub queues: Vec<LearnedQueue>,
     /// How much longer than usual work takes, by worker.
-    pub paces: Vec<(String, f32)>,
+    pub slowdowns: Vec<(String, f32)>,
 }
 
 /// A message between processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FleetMsg {
     /// A heartbeat.
-    Beat(Beat),
+    Heartbeat(FleetHeartbeat),
     /// Processes that the sender has heard of.
     Contacts(Vec<Contact>),
     /// A message of the keepers' log.
     Log(Vec<u8>),
     /// A request to the keepers.
-    Keep(KeepMsg),
+    Keeper(KeeperMsg),
     /// What workers said of themselves.
-    Workers(Vec<WorkerNote>),
+    Workers(Vec<WorkerAnnouncement>),
     /// How the configuration spreads.
-    Spread(SpreadMsg),
+    Config(ConfigMsg),
     /// Work.
     Work(WorkMsg),
     /// What a dispatcher has learned.
@@ -428,5 +428,5 @@
     /// Workers that ended under tasks, as a dispatcher knows by now.
     Crashes(Vec<(TaskId, Crashes)>),
     /// Queues whose steps are to be started with care.
-    Careful(Vec<String>),
+    ProbeQueues(Vec<String>),
 }
