--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_member::{Input, Member, MemberConfig, Output};
-use celerywinch_pool::{Answer, CLOCK_ERROR, CallKey, Note, PoolConfig};
+use celerywinch_pool::{Answer, CallKey, MAX_CLOCK_DRIFT, Note, PoolConfig};
 use celerywinch_standin::{LeasedWorker, Ran};
 use celerywinch_types::{
     Beat, DataCentreId, FleetMsg, Incarnation, InstanceId, JobId, Part, Process, Room, TaskId,
@@ -296,7 +296,7 @@
             return 1.0;
         }
         let drawn = score(self.options.seed, worker.into()) % 3;
-        1.0 - CLOCK_ERROR * drawn as f64 / 2.0
+        1.0 - MAX_CLOCK_DRIFT * drawn as f64 / 2.0
     }
 
     pub(crate) fn at(&mut self, due: Time, event: Event) {
@@ -550,7 +550,7 @@
             dcs: (0..self.options.dcs).map(DataCentreId).collect(),
             shard: self.options.shard,
             pool: PoolConfig {
-                without: self.options.without,
+                disabled: self.options.without,
                 ..PoolConfig::default()
             },
         };
--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -278,7 +278,7 @@
             dcs: config.dcs.clone(),
             shard: shard(config.cores, config.link),
             pool: PoolConfig {
-                without: config.without,
+                disabled: config.without,
                 ..PoolConfig::default()
             },
         };
--- a/crates/celerywinch_member/src/beats.rs
+++ b/crates/celerywinch_member/src/beats.rs
@@ -135,7 +135,7 @@
                 .peers
                 .get(peer)
                 .is_some_and(|view| view.beat.dc == self.config.dc);
-        here && !self.config.pool.without.lacks(Mechanism::Locality)
+        here && !self.config.pool.disabled.lacks(Mechanism::Locality)
     }
 
     /// Makes sure that a dispatcher hears often of this origin before it gets work: it starts it only then.
@@ -379,7 +379,7 @@
 
     /// Tells the entries that would dispatch next what a successor needs to know, one after the other.
     pub(crate) fn spread_learned(&mut self, now: Time, out: &mut Vec<Output>) {
-        let silent = self.config.pool.without.lacks(Mechanism::Teaching);
+        let silent = self.config.pool.disabled.lacks(Mechanism::Teaching);
         if self.domains.held().is_empty() || silent {
             self.teach_round.restart(now);
             return;
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -191,7 +191,7 @@
             lost: BTreeSet::new(),
             domains: Domains::new(now, wall, me, config.dcs.clone()),
             pool,
-            origin: Origin::new(config.dc, config.pool.without),
+            origin: Origin::new(config.dc, config.pool.disabled),
             stage,
             version: 0,
             evacuations: Evacuations::default(),
@@ -413,7 +413,7 @@
 
     /// Becomes ready once it knows the configuration and had time to hear the others.
     fn join(&mut self, now: Time, out: &mut Vec<Output>) {
-        let short = !self.config.pool.without.lacks(Mechanism::ShortListening);
+        let short = !self.config.pool.disabled.lacks(Mechanism::ShortListening);
         let wait = if short && self.is_undivided() && self.peers.all_new(now) {
             JOIN_ANEW
         } else {
@@ -561,7 +561,7 @@
         }
         let mut changes = Vec::new();
         self.divide(now, &mut changes, out);
-        let short = !self.config.pool.without.lacks(Mechanism::ShortListening);
+        let short = !self.config.pool.disabled.lacks(Mechanism::ShortListening);
         self.domains.set_undivided(short && self.is_undivided());
         self.domains
             .set_unsettled(self.uneven.is_some() && self.domains.shards() == 1);
--- a/crates/celerywinch_pool/src/admission.rs
+++ b/crates/celerywinch_pool/src/admission.rs
@@ -81,7 +81,7 @@
         tasks: usize,
         out: &mut Vec<Output>,
     ) -> bool {
-        let without = self.config.without;
+        let without = self.config.disabled;
         let room = self.queue.is_empty() && self.places(now, batch) >= tasks;
         if room || without.lacks(Mechanism::Admission) {
             return false;
@@ -112,7 +112,7 @@
     }
 
     fn refuse(&mut self, now: Time, batch: &Batch, wait: u32, out: &mut Vec<Output>) {
-        let later = if self.config.without.lacks(Mechanism::RetryTime) {
+        let later = if self.config.disabled.lacks(Mechanism::RetryTime) {
             LEAST_RETRY_MS
         } else {
             wait.max(LEAST_RETRY_MS)
@@ -138,7 +138,7 @@
     /// told at once, and the room goes to those that can. While all workers of a service are in evacuated data
     /// centres, its waiting jobs that may have run are given up as well, as unsure.
     pub(crate) fn shed(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.config.without.lacks(Mechanism::Shedding) {
+        if self.config.disabled.lacks(Mechanism::Shedding) {
             return;
         }
         for key in self.queue.keys() {
--- a/crates/celerywinch_pool/src/config.rs
+++ b/crates/celerywinch_pool/src/config.rs
@@ -5,14 +5,14 @@
 use celerywinch_types::{DataCentreId, Without};
 
 /// How slow a worker's steady clock may be; by the users' page.
-pub const CLOCK_ERROR: f64 = 0.02;
+pub const MAX_CLOCK_DRIFT: f64 = 0.02;
 /// Allowance for the rounding of times to whole ms and for a message under way, added to the end of
 /// a lease.
 pub(crate) const LEASE_MARGIN: Duration = Duration::from_millis(25);
 
 /// No lease is counted from an older reading of a worker's clock: the time between two looks at an idle worker,
 /// the wait and the time-out of a look, and ticks that are late.
-pub(crate) const OLDEST_READING: Duration = Duration::from_millis(4_500);
+pub(crate) const MAX_READING_AGE: Duration = Duration::from_millis(4_500);
 
 /// What may be set.
 #[derive(Clone, Copy, Debug)]
@@ -23,68 +23,68 @@
     pub lease: Duration,
     /// How long a look at a worker waits there for an end. Two missed looks and their time-outs
     /// fit into a lease.
-    pub look_wait: Duration,
+    pub poll_wait: Duration,
     /// The least wait of a look, while runs take longer than expected: shorter, late runs cost looks.
-    pub least_wait: Duration,
+    pub min_wait: Duration,
     /// How much longer than its wait an answer may take.
-    pub answer: Duration,
+    pub answer_timeout: Duration,
     /// The same for orders; one that takes longer is settled by a stop.
-    pub order: Duration,
+    pub order_timeout: Duration,
     /// The most that any answer is waited for, beside the wait of a look, where all of them are slow. With the wait for what
     /// is not read yet two of them fit into a lease.
-    pub slow: Duration,
+    pub max_timeout: Duration,
     /// How long ends wait for being acknowledged to a worker that has nothing else to do.
-    pub tidy: Duration,
+    pub ack_delay: Duration,
     /// An idle worker is looked at this often. Its clock may lose 2% of the time since the last reading, and a lease
     /// that is counted from there lasts so much longer: 90 ms at most, which the waits for lost dispatchers count.
     /// And a task does not find out by its own start that a worker is dead. 350 idle workers cost 88 looks/s, a
     /// thirtieth of what they get under load.
-    pub idle: Duration,
+    pub idle_interval: Duration,
     /// A domain whose workers said nothing for this long has one of them asked, when its
     /// dispatcher needs to know whether they can be reached. Several can be asked one after the
     /// other, each for the time of an order, before a second is over and the domain given up.
-    pub quiet: Duration,
+    pub reach_window: Duration,
     /// Between two attempts to reach a worker that does not answer.
-    pub retry: Duration,
+    pub retry_delay: Duration,
     /// How long runs found at a takeover wait for their origin before they are stopped. Origins
     /// hear of a new dispatcher within a heartbeat.
-    pub adopt: Duration,
+    pub adopt_timeout: Duration,
     /// How long a task that may run somewhere waits at most before it is started: the time for which an origin
     /// lets a dispatcher start its tasks (500 ms), and the longest lease (931 ms). Not less by the silence after
     /// which a dispatcher counts as lost: a cut that refuses connections makes it count as lost at once.
-    pub limbo: Duration,
+    pub doubt_timeout: Duration,
     /// How long a worker that failed tasks gets none.
-    pub aside: Duration,
+    pub quarantine: Duration,
     /// A worker that was asked in vain for this long is forgotten.
-    pub forget: Duration,
+    pub remove_after: Duration,
     /// How long a stop may take on a worker.
-    pub stop: Duration,
+    pub stop_delay: Duration,
     /// The dispatcher's data centre, whose workers it prefers.
     pub dc: Option<DataCentreId>,
     /// Mechanisms that are left out.
-    pub without: Without,
+    pub disabled: Without,
 }
 
 impl Default for PoolConfig {
     fn default() -> Self {
         Self {
             lease: Duration::from_millis(800),
-            look_wait: Duration::from_millis(150),
-            least_wait: Duration::from_millis(80),
-            answer: Duration::from_millis(80),
-            order: Duration::from_millis(80),
-            slow: Duration::from_millis(300),
-            tidy: Duration::from_millis(400),
-            idle: Duration::from_secs(4),
-            quiet: Duration::from_millis(400),
-            retry: Duration::from_millis(250),
-            adopt: Duration::from_millis(150),
-            limbo: Duration::from_millis(1_450),
-            aside: Duration::from_millis(1_500),
-            forget: Duration::from_secs(20),
-            stop: Duration::from_millis(50),
+            poll_wait: Duration::from_millis(150),
+            min_wait: Duration::from_millis(80),
+            answer_timeout: Duration::from_millis(80),
+            order_timeout: Duration::from_millis(80),
+            max_timeout: Duration::from_millis(300),
+            ack_delay: Duration::from_millis(400),
+            idle_interval: Duration::from_secs(4),
+            reach_window: Duration::from_millis(400),
+            retry_delay: Duration::from_millis(250),
+            adopt_timeout: Duration::from_millis(150),
+            doubt_timeout: Duration::from_millis(1_450),
+            quarantine: Duration::from_millis(1_500),
+            remove_after: Duration::from_secs(20),
+            stop_delay: Duration::from_millis(50),
             dc: None,
-            without: Without::default(),
+            disabled: Without::default(),
         }
     }
 }
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -102,7 +102,7 @@
         let runs = self.workers[key].runs.iter().map(|run| &self.runs[*run]);
         let left = runs.map(|run| (run.started + run.expected.mul_f64(PAST_EXPECTED)).since(now));
         let first = left.min().unwrap_or_default();
-        let wait = first.max(self.config.least_wait).min(self.config.look_wait);
+        let wait = first.max(self.config.min_wait).min(self.config.poll_wait);
         wait.as_millis() as u32
     }
 
@@ -138,7 +138,7 @@
             if worker.silent > 0 && worker.lease <= now && !worker.runs.is_empty() {
                 self.lapse(now, key, out);
             }
-            if self.workers[key].is_lost(now, self.config.forget) {
+            if self.workers[key].is_lost(now, self.config.remove_after) {
                 self.forget_worker(now, key, Departure::Silent, out);
             } else if !self.forget_if_left(now, key, out) {
                 self.look(now, key, out);
@@ -149,7 +149,7 @@
     /// Asks one worker of a domain for a sign of life: the one that was heard last. One after the other
     /// where they do not answer, until the domain counts as out of reach.
     pub(crate) fn ask(&mut self, now: Time, domain: Domain, out: &mut Vec<Output>) {
-        if self.reaches(now, domain, self.config.quiet) {
+        if self.reaches(now, domain, self.config.reach_window) {
             return;
         }
         let there = self.workers.iter().filter(|(_, w)| w.domain == domain);
@@ -262,7 +262,7 @@
         let run = self.runs[key];
         let took = now.since(run.started);
         let late = run.expected.mul_f64(LATE_FACTOR) + LATE_MARGIN;
-        let stays = self.config.without.lacks(Mechanism::Moving);
+        let stays = self.config.disabled.lacks(Mechanism::Moving);
         if run.stopping || took < late || stays {
             return;
         }
@@ -280,12 +280,12 @@
         }
         let usual = usual.as_secs_f64().max(1e-3);
         let worker = &mut self.workers[run.worker];
-        if !self.config.without.lacks(Mechanism::Pace) {
+        if !self.config.disabled.lacks(Mechanism::Pace) {
             worker.learn_pace(took.as_secs_f64() / done / usual);
         }
-        let set_aside = !self.config.without.lacks(Mechanism::Probation);
+        let set_aside = !self.config.disabled.lacks(Mechanism::Probation);
         if set_aside && (worker.pace > SLOW_PACE || percent == 0) {
-            worker.aside = now + self.config.aside;
+            worker.aside = now + self.config.quarantine;
             worker.probation = true;
         }
         out.push(Output::Note(Note::Moved {
--- a/crates/celerywinch_pool/src/lib.rs
+++ b/crates/celerywinch_pool/src/lib.rs
@@ -8,7 +8,7 @@
 //! What the host must guarantee: time is monotonic and counts suspensions; every [`Output::Call`]
 //! is answered once by [`Input::Answered`], at the latest when its timeout is over; `Tick` comes at
 //! least every 20 ms. What the pool guarantees: a task has no second run while a first one may
-//! still be at work, as long as a worker's clock is at most [`CLOCK_ERROR`] slow.
+//! still be at work, as long as a worker's clock is at most [`MAX_CLOCK_DRIFT`] slow.
 
 mod admission;
 mod call;
@@ -34,7 +34,7 @@
 mod worker;
 
 pub use call::{Answer, Call, CallKey, EndedRow, How, Order, Reject, RunningRow};
-pub use config::{CLOCK_ERROR, PoolConfig};
+pub use config::{MAX_CLOCK_DRIFT, PoolConfig};
 pub use grants::Grant;
 pub use note::{Departure, Note};
 pub use pool::{Input, Output, Pool};
--- a/crates/celerywinch_pool/src/lives.rs
+++ b/crates/celerywinch_pool/src/lives.rs
@@ -139,7 +139,7 @@
         moved: bool,
         out: &mut Vec<Output>,
     ) {
-        let longest = now + self.config.limbo;
+        let longest = now + self.config.doubt_timeout;
         let Some(run) = self.runs.get_mut(key) else {
             return;
         };
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -82,7 +82,7 @@
                 && !self.has_suspended(now, worker)
                 && !self.meets_suspect(task.crashes, worker)
         });
-        let packs = !self.config.without.lacks(Mechanism::Packing);
+        let packs = !self.config.disabled.lacks(Mechanism::Packing);
         let careful = self.is_careful(batch);
         let cost = |key: WorkerKey, worker: &Worker| {
             let shared = PROBE_COST * self.shared_with_probes(worker, careful) as f64;
@@ -97,7 +97,7 @@
     /// is, with that only. A dispatcher of all workers has no part of the load that would stay, and what may end its worker
     /// is better kept away from the rest.
     fn away(&self, worker: &Worker, careful: bool) -> f64 {
-        let stays = self.shards > 1 && !careful && !self.config.without.lacks(Mechanism::Locality);
+        let stays = self.shards > 1 && !careful && !self.config.disabled.lacks(Mechanism::Locality);
         let elsewhere = self.config.dc.is_some_and(|dc| dc != worker.note.dc);
         if stays && elsewhere { AWAY_COST } else { 0.0 }
     }
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -453,7 +453,7 @@
 
     /// Where a batch stands in the queue.
     pub(crate) fn rank(&self, key: BatchKey, batch: &Batch) -> Rank {
-        Rank::new(key, batch, self.config.without)
+        Rank::new(key, batch, self.config.disabled)
     }
 
     pub(crate) fn unqueue(&mut self, key: BatchKey) {
@@ -516,16 +516,18 @@
     ) -> Option<CallKey> {
         let callee = &self.workers[worker];
         let fence = self.held.get(&callee.domain)?.of_life(callee.lives);
-        let slow = self.answers.wait(self.config.slow);
+        let slow = self.answers.wait(self.config.max_timeout);
         let wait = match order {
-            Order::Look { .. } => order.waits() + self.config.answer.max(slow),
+            Order::Look { .. } => order.waits() + self.config.answer_timeout.max(slow),
             Order::Start { .. } | Order::Stop { .. }
-                if self.config.without.lacks(Mechanism::Patience) =>
+                if self.config.disabled.lacks(Mechanism::Patience) =>
             {
-                self.config.order
+                self.config.order_timeout
             }
             Order::Start { .. } | Order::Stop { .. } => {
-                let wait = self.workers[worker].patience.wait(self.config.order);
+                let wait = self.workers[worker]
+                    .patience
+                    .wait(self.config.order_timeout);
                 wait.max(slow)
             }
         };
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -105,7 +105,7 @@
                 return;
             }
             Reject::Unwell => {
-                worker.aside = now + self.config.aside;
+                worker.aside = now + self.config.quarantine;
                 worker.probation = true;
                 let why = "it says that it is not well";
                 let worker = worker.note.id.clone();
@@ -113,7 +113,7 @@
             }
             Reject::Room => {
                 // It has more to do than is known here; the next look tells.
-                worker.aside = now + self.config.stop;
+                worker.aside = now + self.config.stop_delay;
                 worker.look_at = now;
             }
             Reject::Malformed => {
@@ -166,7 +166,7 @@
                 if doubtful {
                     self.check(worker, out);
                 }
-                self.workers[worker].look_at = now + self.config.stop;
+                self.workers[worker].look_at = now + self.config.stop_delay;
                 self.look(now, worker, out);
             }
             Answer::OtherLife => self.forget_worker(now, worker, Departure::OtherLife, out),
@@ -235,7 +235,7 @@
         let retry = if worker.silent <= 2 && !worker.runs.is_empty() {
             std::time::Duration::ZERO
         } else {
-            self.config.retry
+            self.config.retry_delay
         };
         worker.look_at = now + retry;
         if worker.silent == SILENT_LOOKS {
@@ -273,9 +273,9 @@
         let worker = &mut self.workers[key];
         let idle = worker.runs.is_empty() && worker.aliens == 0;
         worker.look_at = if idle && worker.cursor > worker.acknowledged {
-            now + self.config.tidy
+            now + self.config.ack_delay
         } else if idle {
-            now + worker.idle_wait(self.config.idle)
+            now + worker.idle_wait(self.config.idle_interval)
         } else {
             now
         };
@@ -340,7 +340,7 @@
             return;
         }
         let usual = run.expected.as_secs_f64() / worker.pace.max(f64::EPSILON);
-        let without = self.config.without;
+        let without = self.config.disabled;
         if !without.lacks(Mechanism::Learning) {
             self.times
                 .learn(&order.queue, order.estimate, took.div_f64(worker.pace));
@@ -378,9 +378,9 @@
     fn blame(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let worker = &mut self.workers[key];
         worker.failed();
-        let set_aside = !self.config.without.lacks(Mechanism::Probation);
+        let set_aside = !self.config.disabled.lacks(Mechanism::Probation);
         if set_aside && worker.failing >= FAILING && worker.note.stage == WorkerStage::Ready {
-            worker.aside = now + self.config.aside;
+            worker.aside = now + self.config.quarantine;
             worker.probation = true;
             let worker = worker.note.id.clone();
             let why = "it fails tasks";
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -231,7 +231,7 @@
         if order.doubt != Doubt::None {
             self.settle(now, key, order.index);
         } else if self.may_be_elsewhere(now, key, id) {
-            let until = now + self.config.limbo;
+            let until = now + self.config.doubt_timeout;
             self.set_task(key, order.index, TaskState::Limbo(until));
         } else if !self.take_stopping_run(key, order.index) {
             self.give_up(now, key, order.index, out);
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -105,7 +105,7 @@
             worker.lease = worker.lease.max(Worker::longest(now, self.config.lease));
         }
         worker.aliens = running.len();
-        worker.look_at = now + self.config.tidy;
+        worker.look_at = now + self.config.ack_delay;
         out.push(Output::Note(Note::WorkerHeld {
             worker: worker.note.id.clone(),
             found: running.len(),
@@ -139,12 +139,16 @@
             Some(alien)
                 if !alien.stopped
                     && (open || alien.run == task.run)
-                    && !self.config.without.lacks(Mechanism::Adoption) =>
+                    && !self.config.disabled.lacks(Mechanism::Adoption) =>
             {
                 self.takeover.aliens.remove(&id);
                 self.adopt_run(now, key, index, alien);
             }
-            _ => self.set_task(key, index, TaskState::Limbo(now + self.config.limbo)),
+            _ => self.set_task(
+                key,
+                index,
+                TaskState::Limbo(now + self.config.doubt_timeout),
+            ),
         }
     }
 
@@ -158,7 +162,7 @@
         how: How,
         run: RunNumber,
     ) -> bool {
-        let long_way = self.config.without.lacks(Mechanism::Shortcuts);
+        let long_way = self.config.disabled.lacks(Mechanism::Shortcuts);
         let Some(task) = self.batches[key].tasks.get_mut(&index) else {
             return false;
         };
@@ -267,7 +271,7 @@
     }
 
     fn stop_aliens(&mut self, now: Time, out: &mut Vec<Output>) {
-        let adopt = self.config.adopt;
+        let adopt = self.config.adopt_timeout;
         let mut unwanted = Vec::new();
         for (task, alien) in &mut self.takeover.aliens {
             if !alien.stopped && now.since(alien.found) >= adopt {
--- a/crates/celerywinch_pool/src/worker.rs
+++ b/crates/celerywinch_pool/src/worker.rs
@@ -8,7 +8,7 @@
 use slotmap::new_key_type;
 
 use crate::call::{CallKey, Question};
-use crate::config::{CLOCK_ERROR, LEASE_MARGIN, OLDEST_READING};
+use crate::config::{LEASE_MARGIN, MAX_CLOCK_DRIFT, MAX_READING_AGE};
 use crate::leases::Loss;
 use crate::lives::OtherLives;
 use crate::patience::Patience;
@@ -189,7 +189,7 @@
     /// seconds longer than a successor waits for it, and the caller's task run at both.
     fn has_clock(&self, now: Time) -> bool {
         let read = self.clock.map(|(read, _)| now.since(read));
-        read.is_some_and(|age| age <= OLDEST_READING)
+        read.is_some_and(|age| age <= MAX_READING_AGE)
     }
 
     /// The end of a lease that starts now, on the worker's clock; none before the first reading.
@@ -203,13 +203,13 @@
     pub(crate) fn bound(&self, now: Time, lease: Duration) -> Time {
         let read = self.clock.map_or(now, |(read, _)| read);
         // The reading may be older than the lease: its clock may have run slow since.
-        let drift = (now.since(read) + lease).mul_f64(CLOCK_ERROR);
+        let drift = (now.since(read) + lease).mul_f64(MAX_CLOCK_DRIFT);
         now + lease + drift + LEASE_MARGIN
     }
 
     /// The latest moment at which a lease that another dispatcher has asked for by now can end.
     pub(crate) fn longest(now: Time, lease: Duration) -> Time {
-        let drift = (OLDEST_READING + lease).mul_f64(CLOCK_ERROR);
+        let drift = (MAX_READING_AGE + lease).mul_f64(MAX_CLOCK_DRIFT);
         now + lease + drift + LEASE_MARGIN
     }
 
--- a/crates/celerywinch_pool/tests/locality.rs
+++ b/crates/celerywinch_pool/tests/locality.rs
@@ -16,7 +16,7 @@
 fn rig(shards: u8, without: Without) -> Rig {
     let mut rig = Rig::empty(PoolConfig {
         dc: Some(DC),
-        without,
+        disabled: without,
         ..PoolConfig::default()
     });
     rig.pool.set_shards(shards);
