--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_member::{Input, Member, MemberConfig, Output};
-use celerywinch_pool::{Answer, CallKey, MAX_CLOCK_DRIFT, Note, PoolConfig};
+use celerywinch_pool::{Answer, CallKey, MAX_CLOCK_DRIFT, PoolConfig, PoolEvent};
 use celerywinch_standin::{LeasedWorker, Ran};
 use celerywinch_types::{
     Beat, DataCentreId, FleetMsg, Incarnation, InstanceId, JobId, Part, Process, Room, TaskId,
@@ -435,7 +435,9 @@
                 Output::Dispatch(note) => {
                     let of_members = matches!(
                         note,
-                        Note::Acquired { .. } | Note::Resigned { .. } | Note::WorkerGone { .. }
+                        PoolEvent::Acquired { .. }
+                            | PoolEvent::Resigned { .. }
+                            | PoolEvent::WorkerGone { .. }
                     );
                     self.follow(index, &note, of_members);
                 }
--- a/crates/celerywinch_fleet/src/metrics.rs
+++ b/crates/celerywinch_fleet/src/metrics.rs
@@ -5,7 +5,7 @@
 
 use celerywinch_metrics::Meter;
 use celerywinch_origin::JobNote;
-use celerywinch_pool::{Note, Order};
+use celerywinch_pool::{Order, PoolEvent};
 use celerywinch_types::{FleetMsg, JobEnd, SpreadMsg};
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
@@ -153,23 +153,23 @@
         self.announced.with_label_values(&[what]).inc();
     }
 
-    pub(crate) fn dispatched(&self, note: &Note) {
+    pub(crate) fn dispatched(&self, note: &PoolEvent) {
         match note {
-            Note::RunEnded { how, .. } => self.runs.with_label_values(&[*how]).inc(),
-            Note::Refused { .. } => self.refused.inc(),
-            Note::Crashed { .. } => self.crashes.inc(),
-            Note::GivenUp { .. } => self.given_up.inc(),
-            Note::Moved { .. } => self.moved.inc(),
-            Note::WorkerAside { .. } => self.aside.inc(),
-            Note::WorkerGone { why, .. } => self.gone.with_label_values(&[why.label()]).inc(),
-            Note::Acquired { .. } | Note::Resigned { .. } => self.changes.inc(),
-            Note::Queued { .. }
-            | Note::Passed { .. }
-            | Note::HeldUp { .. }
-            | Note::GrantOver { .. }
-            | Note::Started { .. }
-            | Note::WorkerSilent { .. }
-            | Note::WorkerHeld { .. } => {}
+            PoolEvent::RunEnded { how, .. } => self.runs.with_label_values(&[*how]).inc(),
+            PoolEvent::Refused { .. } => self.refused.inc(),
+            PoolEvent::Crashed { .. } => self.crashes.inc(),
+            PoolEvent::GivenUp { .. } => self.given_up.inc(),
+            PoolEvent::Moved { .. } => self.moved.inc(),
+            PoolEvent::WorkerAside { .. } => self.aside.inc(),
+            PoolEvent::WorkerGone { why, .. } => self.gone.with_label_values(&[why.label()]).inc(),
+            PoolEvent::Acquired { .. } | PoolEvent::Resigned { .. } => self.changes.inc(),
+            PoolEvent::Queued { .. }
+            | PoolEvent::Passed { .. }
+            | PoolEvent::HeldUp { .. }
+            | PoolEvent::GrantOver { .. }
+            | PoolEvent::Started { .. }
+            | PoolEvent::WorkerSilent { .. }
+            | PoolEvent::WorkerHeld { .. } => {}
         }
     }
 
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -5,7 +5,9 @@
 
 use celerywinch_domains::{Change, Domains, Me, PeerView, Peers};
 use celerywinch_origin::{CallerId, Input as OriginInput, JobNote, NewJob, Origin};
-use celerywinch_pool::{Answer, Call, CallKey, Grant, Input as PoolInput, Note, Pool, PoolConfig};
+use celerywinch_pool::{
+    Answer, Call, CallKey, Grant, Input as PoolInput, Pool, PoolConfig, PoolEvent,
+};
 use celerywinch_types::{
     Beat, Crashes, DataCentreId, Evacuations, FleetMsg, Holding, InstanceId, JobEnd, Learned,
     Mechanism, Part, Process, Stage, TaskId, Time, WallMs, WorkMsg, WorkerNote,
@@ -118,7 +120,7 @@
     /// For the logs: of the member, the dispatcher, the origin.
     Member(MemberNote),
     /// A decision of the dispatcher.
-    Dispatch(Note),
+    Dispatch(PoolEvent),
     /// A decision of the origin.
     Origin(JobNote),
 }
@@ -683,7 +685,7 @@
                 celerywinch_pool::Output::Careful(queue) => {
                     self.careful.insert(queue);
                 }
-                celerywinch_pool::Output::Note(note) => out.push(Output::Dispatch(note)),
+                celerywinch_pool::Output::Event(note) => out.push(Output::Dispatch(note)),
             }
         }
     }
--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_member::{Input, Member, MemberConfig, Output};
-use celerywinch_pool::{Answer, Note, PoolConfig};
+use celerywinch_pool::{Answer, PoolConfig, PoolEvent};
 use celerywinch_types::{
     Beat, DataCentreId, Evacuations, Fence, Incarnation, InstanceId, Part, Process, Room, Said,
     Stage, Time, WallMs, WorkerClock, WorkerNote, WorkerStage,
@@ -94,7 +94,7 @@
                         let answer = if lost { Answer::Silent } else { lists };
                         inputs.push(Input::Answered(call.key, answer));
                     }
-                    Output::Dispatch(Note::Resigned { .. }) => given_up += 1,
+                    Output::Dispatch(PoolEvent::Resigned { .. }) => given_up += 1,
                     _ => {}
                 }
             }
--- a/crates/celerywinch_pool/src/admission.rs
+++ b/crates/celerywinch_pool/src/admission.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_types::{Domain, Load, Mechanism, TaskEnd, TaskNews, Time};
 
-use crate::Note;
+use crate::PoolEvent;
 use crate::job::{Batch, BatchKey, TaskState};
 use crate::pool::{Output, Pool};
 
@@ -99,7 +99,7 @@
         let own = batch.work_of(tasks);
         let wait = self.wait_ms(now, self.queue.ahead(rank), own, coming);
         if fits(now, batch, wait) {
-            out.push(Output::Note(Note::Queued {
+            out.push(Output::Event(PoolEvent::Queued {
                 job: batch.order.job,
                 origin: batch.origin,
                 tasks,
@@ -117,7 +117,7 @@
         } else {
             wait.max(LEAST_RETRY_MS)
         };
-        out.push(Output::Note(Note::Refused {
+        out.push(Output::Event(PoolEvent::Refused {
             job: batch.order.job,
             wait,
             expected: batch.expected.as_millis() as u32,
--- a/crates/celerywinch_pool/src/crashes.rs
+++ b/crates/celerywinch_pool/src/crashes.rs
@@ -12,7 +12,7 @@
 
 use celerywinch_types::{Crashes, Incarnation, TaskEnd, TaskId, Time, WorkMsg};
 
-use crate::Note;
+use crate::PoolEvent;
 use crate::job::{Batch, BatchKey, TaskState};
 use crate::pool::{Output, Pool};
 use crate::results::SILENT_LOOKS;
@@ -145,7 +145,7 @@
         count(&mut known.0);
         known.1 = now;
         let crashes = known.0;
-        out.push(Output::Note(Note::Crashed { task, crashes }));
+        out.push(Output::Event(PoolEvent::Crashed { task, crashes }));
         out.push(Output::Crashed(task, crashes));
         self.take_crashes(now, task, crashes, out);
     }
@@ -231,7 +231,7 @@
         for (index, task) in tasks {
             let id = self.batches[key].id(index);
             let crashes = task.crashes;
-            out.push(Output::Note(Note::GivenUp { task: id, crashes }));
+            out.push(Output::Event(PoolEvent::GivenUp { task: id, crashes }));
             self.finish(now, key, index, TaskEnd::GivenUp);
             if let TaskState::Running(run_key) = task.state
                 && let Some(run) = self.runs.get_mut(run_key)
@@ -259,7 +259,7 @@
         if !crashes.suffice() {
             return false;
         }
-        out.push(Output::Note(Note::GivenUp { task: id, crashes }));
+        out.push(Output::Event(PoolEvent::GivenUp { task: id, crashes }));
         self.unqueue(key);
         self.finish(now, key, index, TaskEnd::GivenUp);
         self.requeue(key);
--- a/crates/celerywinch_pool/src/note.rs
+++ b/crates/celerywinch_pool/src/event.rs
@@ -10,7 +10,8 @@
     /// It said so itself.
     Left,
     /// Another life answers at its address.
-    OtherLife,
+    #[serde(rename = "other_life")]
+    OtherIncarnation,
     /// It gave no answers for long.
     Silent,
 }
@@ -21,7 +22,7 @@
     pub fn label(self) -> &'static str {
         match self {
             Self::Left => "left",
-            Self::OtherLife => "other_life",
+            Self::OtherIncarnation => "other_life",
             Self::Silent => "silent",
         }
     }
@@ -30,7 +31,7 @@
 /// A decision of the dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub enum Note {
+pub enum PoolEvent {
     /// A step of a job was taken into the queue.
     Queued {
         /// The job.
@@ -179,7 +180,7 @@
     },
 }
 
-impl Note {
+impl PoolEvent {
     /// Whether it tells of something that goes as it should.
     #[must_use]
     pub fn is_routine(&self) -> bool {
--- a/crates/celerywinch_pool/src/grants.rs
+++ b/crates/celerywinch_pool/src/grants.rs
@@ -12,7 +12,7 @@
 
 use celerywinch_types::{Incarnation, InstanceId, Session, Time};
 
-use crate::Note;
+use crate::PoolEvent;
 use crate::job::Task;
 use crate::pool::{Output, Pool};
 use crate::worker::Worker;
@@ -133,7 +133,7 @@
         if present == Some(session) {
             return true;
         }
-        out.push(Output::Note(Note::HeldUp {
+        out.push(Output::Event(PoolEvent::HeldUp {
             origin,
             session,
             present,
@@ -166,7 +166,7 @@
     pub(crate) fn tend_grants(&mut self, now: Time, out: &mut Vec<Output>) {
         let origins = self.batches.values().map(|batch| batch.origin);
         for origin in self.grants.lapsed(now, origins) {
-            out.push(Output::Note(Note::GrantOver { origin }));
+            out.push(Output::Event(PoolEvent::GrantOver { origin }));
             self.drop_origin(now, origin, out);
         }
     }
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -8,7 +8,7 @@
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, RunKey};
 use crate::worker::{Grip, WorkerKey};
-use crate::{Departure, Note};
+use crate::{Departure, PoolEvent};
 
 /// A run is late when it takes this much longer than expected, ...
 const LATE_FACTOR: f64 = 2.5;
@@ -179,7 +179,7 @@
         let Some(run) = self.release(key) else {
             return;
         };
-        out.push(Output::Note(Note::RunEnded {
+        out.push(Output::Event(PoolEvent::RunEnded {
             task: run.task,
             run: run.number,
             worker: self.workers[run.worker].note.id.clone(),
@@ -213,22 +213,22 @@
         let addr = worker.note.addr;
         let runs = worker.runs.clone();
         let stage = worker.note.stage;
-        out.push(Output::Note(Note::WorkerGone {
+        out.push(Output::Event(PoolEvent::WorkerGone {
             worker: id.clone(),
             why,
             silent: now.since(worker.heard).as_millis() as u32,
             runs: runs.len(),
         }));
         let loss = match why {
-            Departure::OtherLife if stage == WorkerStage::Ready => Loss::Crashed,
-            Departure::OtherLife | Departure::Left | Departure::Silent => Loss::Left,
+            Departure::OtherIncarnation if stage == WorkerStage::Ready => Loss::Crashed,
+            Departure::OtherIncarnation | Departure::Left | Departure::Silent => Loss::Left,
         };
         for run in runs {
             self.lose_run(now, run, loss, out);
         }
         if let Some(worker) = self.workers.remove(key) {
             self.forgotten.insert(id.clone(), (worker.lives, now));
-            if why == Departure::OtherLife {
+            if why == Departure::OtherIncarnation {
                 self.life_ended(now, &worker, out);
             }
         }
@@ -288,7 +288,7 @@
             worker.aside = now + self.config.quarantine;
             worker.probation = true;
         }
-        out.push(Output::Note(Note::Moved {
+        out.push(Output::Event(PoolEvent::Moved {
             task: run.task,
             worker: worker.note.id.clone(),
             took: took.as_millis() as u32,
--- a/crates/celerywinch_pool/src/lives.rs
+++ b/crates/celerywinch_pool/src/lives.rs
@@ -12,7 +12,7 @@
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, Run, RunKey};
 use crate::worker::WorkerKey;
-use crate::{Departure, Note};
+use crate::{Departure, PoolEvent};
 
 /// So many lives of a worker are remembered beside the one that is known.
 const MOST_OTHERS: usize = 4;
@@ -56,9 +56,9 @@
         };
         self.takeover.forget(key);
         self.forget_addr(earlier.note.addr);
-        out.push(Output::Note(Note::WorkerGone {
+        out.push(Output::Event(PoolEvent::WorkerGone {
             worker: note.id.clone(),
-            why: Departure::OtherLife,
+            why: Departure::OtherIncarnation,
             silent: now.since(earlier.heard).as_millis() as u32,
             runs: earlier.runs.len(),
         }));
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -2,7 +2,7 @@
 
 use celerywinch_types::{Mechanism, RunNumber, Time};
 
-use crate::Note;
+use crate::PoolEvent;
 use crate::call::{Order, Pending};
 use crate::job::{Batch, BatchKey, Task, TaskState};
 use crate::pool::{Output, Pool};
@@ -180,7 +180,7 @@
             spec: batch.order.spec.clone(),
             deadline,
         };
-        out.push(Output::Note(Note::Started {
+        out.push(Output::Event(PoolEvent::Started {
             task: run.task,
             run: run.number,
             worker: self.workers[worker_key].note.id.clone(),
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -23,7 +23,7 @@
 use crate::times::Times;
 use crate::told::Told;
 use crate::worker::{Grip, Worker, WorkerKey, domain_of};
-use crate::{Departure, Note, PoolConfig};
+use crate::{Departure, PoolConfig, PoolEvent};
 
 /// A worker that has left is remembered for so long: a keeper that did not hear of it may tell of it as ready for
 /// 20 s after its last announcement there, and a dispatcher that starts work there would break its leave.
@@ -88,7 +88,7 @@
     /// Steps of this queue are started with care; other dispatchers are to know.
     Careful(String),
     /// A decision for the logs.
-    Note(Note),
+    Event(PoolEvent),
 }
 
 /// The dispatcher.
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -9,7 +9,7 @@
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, Run, RunKey};
 use crate::worker::{Grip, WorkerKey};
-use crate::{Departure, Note};
+use crate::{Departure, PoolEvent};
 
 /// Added to a run number that a worker calls old: past any that an earlier origin can have used.
 const RUN_LEAP: u64 = 1 << 20;
@@ -70,7 +70,9 @@
         match answer {
             Answer::Taken(_) | Answer::Lists { .. } => self.set_phase(key, heard),
             Answer::Rejected(reject, _) => self.start_rejected(now, key, run, reject, out),
-            Answer::OtherLife => self.forget_worker(now, run.worker, Departure::OtherLife, out),
+            Answer::OtherLife => {
+                self.forget_worker(now, run.worker, Departure::OtherIncarnation, out)
+            }
             Answer::Refused => {
                 self.not_started(now, key, out);
                 self.missed(now, run.worker, out);
@@ -109,7 +111,7 @@
                 worker.probation = true;
                 let why = "it says that it is not well";
                 let worker = worker.note.id.clone();
-                out.push(Output::Note(Note::WorkerAside { worker, why }));
+                out.push(Output::Event(PoolEvent::WorkerAside { worker, why }));
             }
             Reject::Room => {
                 // It has more to do than is known here; the next look tells.
@@ -169,7 +171,7 @@
                 self.workers[worker].look_at = now + self.config.stop_delay;
                 self.look(now, worker, out);
             }
-            Answer::OtherLife => self.forget_worker(now, worker, Departure::OtherLife, out),
+            Answer::OtherLife => self.forget_worker(now, worker, Departure::OtherIncarnation, out),
             Answer::Rejected(Reject::Fence, _) => {
                 let domain = self.workers[worker].domain;
                 out.push(Output::Outbid(domain));
@@ -218,7 +220,7 @@
                 }
             }
             Answer::Rejected(Reject::Fence, _) => out.push(Output::Outbid(worker.domain)),
-            Answer::OtherLife => self.forget_worker(now, key, Departure::OtherLife, out),
+            Answer::OtherLife => self.forget_worker(now, key, Departure::OtherIncarnation, out),
             Answer::Taken(_) | Answer::Rejected(..) | Answer::Refused | Answer::Silent => {
                 self.missed(now, key, out);
             }
@@ -241,7 +243,7 @@
         if worker.silent == SILENT_LOOKS {
             let looks = worker.silent;
             let worker = worker.note.id.clone();
-            out.push(Output::Note(Note::WorkerSilent { worker, looks }));
+            out.push(Output::Event(PoolEvent::WorkerSilent { worker, looks }));
             self.suspect_runs(now, key, out);
         }
     }
@@ -322,7 +324,7 @@
             How::Failed => "failed",
             How::Cut => "cut",
         };
-        out.push(Output::Note(Note::RunEnded {
+        out.push(Output::Event(PoolEvent::RunEnded {
             task: run.task,
             run: run.number,
             worker: self.workers[run.worker].note.id.clone(),
@@ -384,7 +386,7 @@
             worker.probation = true;
             let worker = worker.note.id.clone();
             let why = "it fails tasks";
-            out.push(Output::Note(Note::WorkerAside { worker, why }));
+            out.push(Output::Event(PoolEvent::WorkerAside { worker, why }));
         }
     }
 
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -7,7 +7,7 @@
     Doubt, InstanceId, Session, StepOrder, TaskEnd, TaskId, TaskNews, TaskOrder, Time,
 };
 
-use crate::Note;
+use crate::PoolEvent;
 use crate::job::{Batch, BatchKey, Task, TaskState};
 use crate::pool::{Output, Pool};
 use crate::run::Run;
@@ -129,7 +129,7 @@
         self.inflow
             .add(now, batch.order.priority, batch.work_of(started));
         if !waiting.is_empty() {
-            out.push(Output::Note(Note::Passed {
+            out.push(Output::Event(PoolEvent::Passed {
                 job: batch.order.job,
                 origin: batch.origin,
                 tasks: waiting.len(),
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_types::{Domain, Doubt, Fence, Mechanism, RunNumber, TaskEnd, TaskId, Time};
 
-use crate::Note;
+use crate::PoolEvent;
 use crate::call::{EndedRow, How, Order, Pending, RunningRow};
 use crate::job::{BatchKey, TaskState};
 use crate::pool::{Output, Pool};
@@ -48,7 +48,7 @@
         let here = |worker: &Worker| worker.domain == domain;
         let workers = self.workers.iter().filter(|(_, w)| here(w));
         let keys: Vec<_> = workers.map(|(key, _)| key).collect();
-        out.push(Output::Note(Note::Acquired {
+        out.push(Output::Event(PoolEvent::Acquired {
             domain,
             workers: keys.len(),
         }));
@@ -106,7 +106,7 @@
         }
         worker.aliens = running.len();
         worker.look_at = now + self.config.ack_delay;
-        out.push(Output::Note(Note::WorkerHeld {
+        out.push(Output::Event(PoolEvent::WorkerHeld {
             worker: worker.note.id.clone(),
             found: running.len(),
         }));
@@ -327,7 +327,7 @@
         if self.held.is_empty() {
             given += self.return_queue(now);
         }
-        out.push(Output::Note(Note::Resigned {
+        out.push(Output::Event(PoolEvent::Resigned {
             domain,
             tasks: given,
         }));
--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -139,7 +139,7 @@
                 | Output::UsedUp(_)
                 | Output::Crashed(..)
                 | Output::Careful(_)
-                | Output::Note(_) => {}
+                | Output::Event(_) => {}
             }
         }
     }
