--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -298,7 +298,7 @@
                 // What it has handed in since it names by itself, as its own link has broken. Asking also without
                 // having any of it would be six messages for each two processes of a deployment as they start.
                 if self.pool.has_work_of(peer) {
-                    self.pool_input(now, PoolInput::AskOrigin(peer), out);
+                    self.pool_input(now, PoolInput::ResyncOrigin(peer), out);
                 }
                 self.origin_input(now, OriginInput::LinkReset(peer), out);
             }
@@ -306,7 +306,7 @@
             Input::Workers(notes) => self.pool_input(now, PoolInput::Workers(notes), out),
             Input::Learned(learned) => self.pool.learn_from(learned),
             Input::Crashes(told) => self.pool_input(now, PoolInput::Crashes(told), out),
-            Input::Careful(queues) => self.pool_input(now, PoolInput::Careful(queues), out),
+            Input::Careful(queues) => self.pool_input(now, PoolInput::ProbeQueues(queues), out),
             Input::Submit(caller, job) => self.arrivals.push((caller, job)),
             Input::CallerGone(caller) => self.caller_gone(now, caller, out),
             Input::Flush => self.flush(now, out),
@@ -534,7 +534,7 @@
         self.send_beat(now, peer, out);
         // What it handed in while it was taken for lost was not taken.
         if self.lost.remove(&peer) {
-            self.pool_input(now, PoolInput::AskOrigin(peer), out);
+            self.pool_input(now, PoolInput::ResyncOrigin(peer), out);
         }
     }
 
@@ -559,7 +559,7 @@
         // Idle workers are not called. Without asking them, a data centre whose processes are all
         // silent would be given up as soon as there is nothing to do, and tried again and again.
         for domain in self.domains.unheard(now, &self.peers) {
-            self.pool_input(now, PoolInput::Ask(domain), out);
+            self.pool_input(now, PoolInput::CheckReachable(domain), out);
         }
         let mut changes = Vec::new();
         self.divide(now, &mut changes, out);
@@ -568,7 +568,7 @@
         self.domains
             .set_unsettled(self.uneven.is_some() && self.domains.shards() == 1);
         let held = self.domains.held().keys().copied();
-        let reached = held.filter(|domain| self.pool.reaches(now, *domain, WORKERS_HEARD));
+        let reached = held.filter(|domain| self.pool.is_reachable(now, *domain, WORKERS_HEARD));
         self.domains
             .tick(now, &self.peers, &reached.collect(), &mut changes);
         self.change_domains(now, changes, out);
@@ -669,12 +669,12 @@
             match output {
                 celerywinch_pool::Output::Call(call) => out.push(Output::Call(call)),
                 celerywinch_pool::Output::Send(to, msg) => self.send_work(to, msg, out),
-                celerywinch_pool::Output::Outbid(domain) => {
+                celerywinch_pool::Output::Fenced(domain) => {
                     let mut changes = Vec::new();
                     self.domains.outbid(now, domain, &mut changes);
                     self.change_domains(now, changes, out);
                 }
-                celerywinch_pool::Output::UsedUp(domain) => {
+                celerywinch_pool::Output::TokenExhausted(domain) => {
                     let mut changes = Vec::new();
                     self.domains.renew(domain, &mut changes);
                     self.change_domains(now, changes, out);
@@ -682,7 +682,7 @@
                 celerywinch_pool::Output::Crashed(task, crashes) => {
                     self.crashes.insert(task, crashes);
                 }
-                celerywinch_pool::Output::Careful(queue) => {
+                celerywinch_pool::Output::ProbeQueue(queue) => {
                     self.careful.insert(queue);
                 }
                 celerywinch_pool::Output::Event(note) => out.push(Output::Dispatch(note)),
--- a/crates/celerywinch_pool/src/crashes.rs
+++ b/crates/celerywinch_pool/src/crashes.rs
@@ -214,7 +214,7 @@
     }
 
     fn be_careful(&mut self, now: Time, queue: String, out: &mut Vec<Output>) {
-        out.push(Output::Careful(queue.clone()));
+        out.push(Output::ProbeQueue(queue.clone()));
         self.crashes.careful.insert(queue, now + CAREFUL);
     }
 
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -149,7 +149,7 @@
     /// Asks one worker of a domain for a sign of life: the one that was heard last. One after the other
     /// where they do not answer, until the domain counts as out of reach.
     pub(crate) fn ask(&mut self, now: Time, domain: Domain, out: &mut Vec<Output>) {
-        if self.reaches(now, domain, self.config.reach_window) {
+        if self.is_reachable(now, domain, self.config.reach_window) {
             return;
         }
         let there = self.workers.iter().filter(|(_, w)| w.domain == domain);
--- a/crates/celerywinch_pool/src/lives.rs
+++ b/crates/celerywinch_pool/src/lives.rs
@@ -81,7 +81,7 @@
         }
         self.life_ended(now, &earlier, out);
         if lives > MOST_LIVES {
-            out.push(Output::UsedUp(self.workers[later].domain));
+            out.push(Output::TokenExhausted(self.workers[later].domain));
         }
     }
 
@@ -92,7 +92,7 @@
         let lives = forgotten.map_or(0, |(lives, _)| lives + 1);
         let key = self.add_worker(now, note, lives, out);
         if lives > MOST_LIVES {
-            out.push(Output::UsedUp(self.workers[key].domain));
+            out.push(Output::TokenExhausted(self.workers[key].domain));
         }
     }
 
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -54,7 +54,7 @@
     /// An origin counts this dispatcher as alive.
     Granted(InstanceId, Grant),
     /// Messages from an origin may be lost: it is asked what it wants.
-    AskOrigin(InstanceId),
+    ResyncOrigin(InstanceId),
     /// An origin is lost: its callers' connections broke, or it cannot be told of ends.
     OriginLost(InstanceId),
     /// What came of a call.
@@ -64,10 +64,10 @@
     /// What other dispatchers know of workers that ended under tasks.
     Crashes(Vec<(TaskId, Crashes)>),
     /// Queues whose steps another dispatcher starts with care.
-    Careful(Vec<String>),
+    ProbeQueues(Vec<String>),
     /// Whether any worker of a domain that is held can be reached: one that has nothing to do is
     /// asked, unless one has answered lately.
-    Ask(Domain),
+    CheckReachable(Domain),
     /// Time passed.
     Tick,
 }
@@ -80,13 +80,13 @@
     /// Tell an origin.
     Send(InstanceId, WorkMsg),
     /// A worker of this domain has seen a higher fencing token.
-    Outbid(Domain),
+    Fenced(Domain),
     /// The fencing token of this domain is used up by a worker that has started again so often.
-    UsedUp(Domain),
+    TokenExhausted(Domain),
     /// Workers have ended under a task; other dispatchers are to know.
     Crashed(TaskId, Crashes),
     /// Steps of this queue are started with care; other dispatchers are to know.
-    Careful(String),
+    ProbeQueue(String),
     /// A decision for the logs.
     Event(PoolEvent),
 }
@@ -184,7 +184,7 @@
 
     /// Whether a worker of a domain answered within `span`.
     #[must_use]
-    pub fn reaches(&self, now: Time, domain: Domain, span: Duration) -> bool {
+    pub fn is_reachable(&self, now: Time, domain: Domain, span: Duration) -> bool {
         let mut there = self.workers.values().filter(|w| w.domain == domain);
         there.any(|w| w.grip == Grip::Held && w.silent == 0 && now.since(w.heard) <= span)
     }
@@ -287,13 +287,13 @@
             Input::EvacuatedDataCentres(dcs) => self.evacuated = dcs,
             Input::Work(from, msg) => self.work(now, from, msg, out),
             Input::Granted(origin, grant) => self.granted(now, origin, grant, out),
-            Input::AskOrigin(origin) => self.ask_origin(origin, out),
+            Input::ResyncOrigin(origin) => self.ask_origin(origin, out),
             Input::OriginLost(origin) => self.drop_origin(now, origin, out),
             Input::Answered(key, answer) => self.answered(now, key, answer, out),
             Input::AnsweredLate(took) => self.answers.learn(took),
             Input::Crashes(told) => self.learn_crashes(now, told, out),
-            Input::Careful(queues) => self.learn_careful(now, queues),
-            Input::Ask(domain) => self.ask(now, domain, out),
+            Input::ProbeQueues(queues) => self.learn_careful(now, queues),
+            Input::CheckReachable(domain) => self.ask(now, domain, out),
             Input::Tick => self.tick(now, out),
         }
         self.drop_empty();
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -102,7 +102,7 @@
         let worker = &mut self.workers[run.worker];
         match reject {
             Reject::Fence => {
-                out.push(Output::Outbid(worker.domain));
+                out.push(Output::Fenced(worker.domain));
                 // Left as it is: the data centre is resigned, and the task goes to its holder.
                 return;
             }
@@ -174,7 +174,7 @@
             Answer::OtherLife => self.forget_worker(now, worker, Departure::OtherIncarnation, out),
             Answer::Rejected(Reject::Fence, _) => {
                 let domain = self.workers[worker].domain;
-                out.push(Output::Outbid(domain));
+                out.push(Output::Fenced(domain));
             }
             // Tried again with the next tick, until the lease is over.
             Answer::Rejected(..) | Answer::Refused | Answer::Silent => {
@@ -219,7 +219,7 @@
                     self.tend_runs(now, out);
                 }
             }
-            Answer::Rejected(Reject::Fence, _) => out.push(Output::Outbid(worker.domain)),
+            Answer::Rejected(Reject::Fence, _) => out.push(Output::Fenced(worker.domain)),
             Answer::OtherLife => self.forget_worker(now, key, Departure::OtherIncarnation, out),
             Answer::Taken(_) | Answer::Rejected(..) | Answer::Refused | Answer::Silent => {
                 self.missed(now, key, out);
--- a/crates/celerywinch_pool/tests/asked.rs
+++ b/crates/celerywinch_pool/tests/asked.rs
@@ -74,10 +74,10 @@
     open.pass(&mut rig, 5_000, false);
     let mut unreached = 0;
     for _ in 0..2_000 / COMPARE {
-        rig.take(Input::Ask(DOMAIN));
+        rig.take(Input::CheckReachable(DOMAIN));
         open.answer(&mut rig, false);
         open.pass(&mut rig, COMPARE, false);
-        unreached += u64::from(!rig.pool.reaches(rig.now, DOMAIN, REACHED));
+        unreached += u64::from(!rig.pool.is_reachable(rig.now, DOMAIN, REACHED));
     }
     assert_eq!(unreached, 0, "of {} comparisons", 2_000 / COMPARE);
 }
--- a/crates/celerywinch_pool/tests/crashes.rs
+++ b/crates/celerywinch_pool/tests/crashes.rs
@@ -305,7 +305,7 @@
 fn step_that_seems_to_end_its_workers_is_given_up_at_once(#[case] case: Suspect) {
     let mut rig = rig(8);
     if case.careful {
-        rig.take(Input::Careful(vec!["q".to_owned()]));
+        rig.take(Input::ProbeQueues(vec!["q".to_owned()]));
     }
     rig.submit(wide(500));
     let workers = started(&rig);
@@ -327,7 +327,7 @@
 #[test]
 fn first_task_is_looked_at_once_it_has_been_at_work_for_a_moment() {
     let mut rig = rig(8);
-    rig.take(Input::Careful(vec!["q".to_owned()]));
+    rig.take(Input::ProbeQueues(vec!["q".to_owned()]));
     rig.submit(wide(500));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Taken(clock()));
--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -134,11 +134,11 @@
                     self.told
                         .extend(news.iter().map(|news| (news.task, news.end)));
                 }
-                Output::Outbid(_) => self.outbid += 1,
+                Output::Fenced(_) => self.outbid += 1,
                 Output::Send(..)
-                | Output::UsedUp(_)
+                | Output::TokenExhausted(_)
                 | Output::Crashed(..)
-                | Output::Careful(_)
+                | Output::ProbeQueue(_)
                 | Output::Event(_) => {}
             }
         }
--- a/crates/celerywinch_pool/tests/runs.rs
+++ b/crates/celerywinch_pool/tests/runs.rs
@@ -348,9 +348,9 @@
 fn what_its_origin_does_not_name_is_stopped(#[case] case: Named) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 10));
-    rig.take(Input::AskOrigin(ORIGIN));
+    rig.take(Input::ResyncOrigin(ORIGIN));
     if !case.last {
-        rig.take(Input::AskOrigin(ORIGIN));
+        rig.take(Input::ResyncOrigin(ORIGIN));
     }
     if case.again {
         rig.submit(step(Doubt::Open, 10));
@@ -388,7 +388,7 @@
 fn run_that_nobody_knows_is_stopped() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.wait(500);
-    rig.take(Input::Ask(rig::DOMAIN));
+    rig.take(Input::CheckReachable(rig::DOMAIN));
     let look = rig.last(is_look);
     rig.answer(&look, lists(vec![row(3)], Vec::new()));
     rig.wait(200);
