--- a/crates/celerywinch_pool/src/admission.rs
+++ b/crates/celerywinch_pool/src/admission.rs
@@ -28,7 +28,8 @@
     /// that jobs are not refused before the first of them has answered.
     fn capacity(&self, now: Time) -> f64 {
         let workers = self.workers.values();
-        let sound = workers.filter(|w| self.takes(now, w) || self.takes_after_takeover(w));
+        let sound =
+            workers.filter(|w| self.accepts_tasks(now, w) || self.accepts_after_takeover(w));
         let speed = |w: &crate::worker::Worker| f64::from(w.note.room.cpu) / w.pace.max(1.0);
         sound.map(speed).sum::<f64>() * PACKING
     }
@@ -66,7 +67,10 @@
 
     /// How many tasks could start at once.
     fn places(&self, now: Time, batch: &Batch) -> usize {
-        let workers = self.workers.iter().filter(|(_, w)| self.takes(now, w));
+        let workers = self
+            .workers
+            .iter()
+            .filter(|(_, w)| self.accepts_tasks(now, w));
         let fitting = workers.filter(|(key, worker)| self.suits(batch, *key, worker));
         let cpu = batch.order.need.cpu.max(1);
         fitting.map(|(_, w)| (w.free().cpu / cpu) as usize).sum()
@@ -169,10 +173,10 @@
 
     /// Gives up the waiting tasks of a job that may have run.
     fn give_up_unplaced(&mut self, now: Time, key: BatchKey) {
-        self.unqueue(key);
+        self.dequeue(key);
         let indices: Vec<u16> = self.batches[key].tasks.keys().copied().collect();
         for index in indices {
-            self.finish(now, key, index, TaskEnd::Unplaced);
+            self.finish_task(now, key, index, TaskEnd::Unplaced);
         }
     }
 
@@ -182,7 +186,7 @@
         let cpu = self.usual_cpu();
         let workers = self.workers.values().filter(|w| w.domain == domain);
         let free = workers
-            .filter(|worker| self.takes(now, worker))
+            .filter(|worker| self.accepts_tasks(now, worker))
             .map(|worker| worker.free().cpu / cpu)
             .sum();
         let mut wait = [0; PRIORITIES as usize];
--- a/crates/celerywinch_pool/src/crashes.rs
+++ b/crates/celerywinch_pool/src/crashes.rs
@@ -152,7 +152,7 @@
 
     /// Acts on what is known of a task by now.
     fn take_crashes(&mut self, now: Time, task: TaskId, crashes: Crashes, out: &mut Vec<Output>) {
-        let batch = self.jobs.get(&(task.job, task.step)).copied();
+        let batch = self.batch_keys.get(&(task.job, task.step)).copied();
         let Some(key) = batch else {
             return;
         };
@@ -225,14 +225,14 @@
 
     /// Gives up all tasks of a batch, and stops its runs.
     fn give_up_batch(&mut self, now: Time, key: BatchKey, out: &mut Vec<Output>) {
-        self.unqueue(key);
+        self.dequeue(key);
         let tasks = self.batches[key].tasks.iter();
         let tasks: Vec<_> = tasks.map(|(index, task)| (*index, *task)).collect();
         for (index, task) in tasks {
             let id = self.batches[key].id(index);
             let crashes = task.crashes;
             out.push(Output::Event(PoolEvent::GivenUp { task: id, crashes }));
-            self.finish(now, key, index, TaskEnd::GivenUp);
+            self.finish_task(now, key, index, TaskEnd::GivenUp);
             if let TaskState::Running(run_key) = task.state
                 && let Some(run) = self.runs.get_mut(run_key)
             {
@@ -260,8 +260,8 @@
             return false;
         }
         out.push(Output::Event(PoolEvent::GivenUp { task: id, crashes }));
-        self.unqueue(key);
-        self.finish(now, key, index, TaskEnd::GivenUp);
+        self.dequeue(key);
+        self.finish_task(now, key, index, TaskEnd::GivenUp);
         self.requeue(key);
         true
     }
--- a/crates/celerywinch_pool/src/grants.rs
+++ b/crates/celerywinch_pool/src/grants.rs
@@ -117,7 +117,7 @@
         out: &mut Vec<Output>,
     ) {
         let change = self.grants.renew(now, origin, grant);
-        if change == Change::New && grant.until > now && !self.held.is_empty() {
+        if change == Change::New && grant.until > now && !self.owned.is_empty() {
             self.ask_origin(origin, out);
         }
     }
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -84,7 +84,7 @@
         }
         let cursor = worker.cursor;
         worker.look_at = Time::NEVER;
-        let input = self.inputs;
+        let input = self.input_count;
         let kind = LookKind { input, cursor };
         let wait = if waits { self.look_wait(now, key) } else { 0 };
         let order = Order::Look {
@@ -112,7 +112,7 @@
     /// sake would throw away what is at work; to wait for the next look costs up to 150 ms, when
     /// the task may have less to spare, and the worker takes nothing meanwhile. It is asked at once.
     pub(crate) fn check(&mut self, key: WorkerKey, out: &mut Vec<Output>) {
-        let input = self.inputs;
+        let input = self.input_count;
         let Some(worker) = self.workers.get(key) else {
             return;
         };
@@ -140,7 +140,7 @@
             }
             if self.workers[key].is_lost(now, self.config.remove_after) {
                 self.forget_worker(now, key, Departure::Silent, out);
-            } else if !self.forget_if_left(now, key, out) {
+            } else if !self.remove_if_left(now, key, out) {
                 self.look(now, key, out);
             }
         }
@@ -176,7 +176,7 @@
     }
 
     pub(crate) fn lose_run(&mut self, now: Time, key: RunKey, loss: Loss, out: &mut Vec<Output>) {
-        let Some(run) = self.release(key) else {
+        let Some(run) = self.remove_run(key) else {
             return;
         };
         out.push(Output::Event(PoolEvent::RunEnded {
@@ -194,7 +194,7 @@
         if let Some(batch) = run.batch
             && !self.give_up(now, batch, run.task.index, out)
         {
-            self.back_to_queue(batch, run.task.index, run.number);
+            self.requeue_task(batch, run.task.index, run.number);
         }
     }
 
@@ -227,13 +227,13 @@
             self.lose_run(now, run, loss, out);
         }
         if let Some(worker) = self.workers.remove(key) {
-            self.forgotten.insert(id.clone(), (worker.lives, now));
+            self.removed.insert(id.clone(), (worker.lives, now));
             if why == Departure::OtherIncarnation {
                 self.life_ended(now, &worker, out);
             }
         }
-        self.names.remove(&id);
-        self.forget_addr(addr);
+        self.worker_ids.remove(&id);
+        self.remove_addr(addr);
         self.takeover.forget(key);
     }
 
--- a/crates/celerywinch_pool/src/lives.rs
+++ b/crates/celerywinch_pool/src/lives.rs
@@ -55,7 +55,7 @@
             return;
         };
         self.takeover.forget(key);
-        self.forget_addr(earlier.note.addr);
+        self.remove_addr(earlier.note.addr);
         out.push(Output::Event(PoolEvent::WorkerGone {
             worker: note.id.clone(),
             why: Departure::OtherIncarnation,
@@ -88,7 +88,7 @@
     /// A worker is heard of that is not known. If it was forgotten lately, as it had left or was silent, an order to that life may
     /// still be on its way, and would be obeyed under the same token.
     pub(crate) fn add_unknown(&mut self, now: Time, note: WorkerNote, out: &mut Vec<Output>) {
-        let forgotten = self.forgotten.remove(&note.id);
+        let forgotten = self.removed.remove(&note.id);
         let lives = forgotten.map_or(0, |(lives, _)| lives + 1);
         let key = self.add_worker(now, note, lives, out);
         if lives > MOST_LIVES {
@@ -185,7 +185,7 @@
                 self.lose_inherited(now, run, out);
                 continue;
             }
-            self.set_phase(run, Phase::Running(self.inputs));
+            self.set_phase(run, Phase::Running(self.input_count));
             if batch.is_none() {
                 self.stop_run(now, run, out);
             }
--- a/crates/celerywinch_pool/src/origins.rs
+++ b/crates/celerywinch_pool/src/origins.rs
@@ -15,13 +15,13 @@
     /// and run a second time beside them when the caller sends the job again elsewhere. So each time
     /// that messages may be lost the origin names what it wants, and all else is stopped.
     pub(crate) fn ask_origin(&mut self, origin: InstanceId, out: &mut Vec<Output>) {
-        self.asks += 1;
-        self.asked.insert(origin, self.asks);
+        self.resync_count += 1;
+        self.resyncs.insert(origin, self.resync_count);
         let batches = self.batches.values_mut();
         for batch in batches.filter(|batch| batch.origin == origin) {
             batch.tasks.values_mut().for_each(|t| t.unnamed = true);
         }
-        out.push(Output::Send(origin, WorkMsg::Resync(self.asks)));
+        out.push(Output::Send(origin, WorkMsg::Resync(self.resync_count)));
     }
 
     /// Whether work of an origin is here.
@@ -40,10 +40,10 @@
         out: &mut Vec<Output>,
     ) {
         // An earlier question was answered; what was handed in between is not marked by it.
-        if self.asked.get(&origin) != Some(&ask) {
+        if self.resyncs.get(&origin) != Some(&ask) {
             return;
         }
-        self.asked.remove(&origin);
+        self.resyncs.remove(&origin);
         let unsure: BTreeSet<_> = unsure.iter().copied().collect();
         let mut left = Vec::new();
         for batch in self.batches.values().filter(|b| b.origin == origin) {
@@ -65,7 +65,7 @@
         out: &mut Vec<Output>,
     ) {
         for task in tasks {
-            let known = self.jobs.get(&(task.job, task.step)).copied();
+            let known = self.batch_keys.get(&(task.job, task.step)).copied();
             let Some(key) = known.filter(|key| self.batches[*key].origin == origin) else {
                 continue;
             };
@@ -77,10 +77,10 @@
     }
 
     fn drop_task(&mut self, now: Time, key: BatchKey, index: u16, out: &mut Vec<Output>) {
-        self.unqueue(key);
+        self.dequeue(key);
         let task = self.batches[key].tasks.remove(&index);
         self.requeue(key);
-        self.touched.push(key);
+        self.shrunk.push(key);
         if let Some(TaskState::Running(run)) = task.map(|task| task.state) {
             self.runs[run].batch = None;
             self.stop_run(now, run, out);
@@ -109,7 +109,7 @@
     pub(crate) fn drop_origin(&mut self, now: Time, origin: InstanceId, out: &mut Vec<Output>) {
         // Its next life counts from the beginning.
         let gives_back = |told: &Told| told.origin == origin && told.news.gives_back();
-        self.told.retain(|_, told| !gives_back(told));
+        self.sent_ends.retain(|_, told| !gives_back(told));
         let keys: Vec<_> = self
             .batches
             .iter()
@@ -123,11 +123,11 @@
 
     /// Nobody wants the batch any more: its runs are stopped.
     pub(crate) fn drop_batch(&mut self, now: Time, key: BatchKey, out: &mut Vec<Output>) {
-        self.unqueue(key);
+        self.dequeue(key);
         let Some(batch) = self.batches.remove(key) else {
             return;
         };
-        self.jobs.remove(&(batch.order.job, batch.order.step));
+        self.batch_keys.remove(&(batch.order.job, batch.order.step));
         for task in batch.tasks.values() {
             if let TaskState::Running(run) = task.state {
                 self.runs[run].batch = None;
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -26,7 +26,7 @@
 impl Pool {
     /// Starts what fits, in the order of the queue. A batch that finds no room does not hold up
     /// smaller ones behind it.
-    pub(crate) fn place(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(crate) fn place_tasks(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.queue.is_empty() {
             return;
         }
@@ -46,7 +46,7 @@
 
     /// Starts the waiting tasks of a batch; false if there was no room for one.
     fn place_batch(&mut self, now: Time, key: BatchKey, out: &mut Vec<Output>) -> bool {
-        self.unqueue(key);
+        self.dequeue(key);
         let batch = &self.batches[key];
         let ready = |task: &Task| {
             task.state == TaskState::Waiting && self.may_start(now, batch.origin, task)
@@ -77,7 +77,7 @@
         let task = &batch.tasks[&index];
         let workers = self.workers.iter();
         let fitting = workers.filter(|(key, worker)| {
-            self.takes(now, worker)
+            self.accepts_tasks(now, worker)
                 && self.suits(batch, *key, worker)
                 && !self.has_suspended(now, worker)
                 && !self.meets_suspect(task.crashes, worker)
@@ -187,7 +187,7 @@
             expected: run.expected.as_millis() as u32,
         }));
         let number = run.number;
-        let run_key = self.occupy(run);
+        let run_key = self.add_run(run);
         let batch = &mut self.batches[key];
         batch.begun = true;
         if let Some(task) = batch.tasks.get_mut(&index) {
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -95,40 +95,40 @@
 #[derive(Debug)]
 pub struct Pool {
     pub(crate) config: PoolConfig,
-    pub(crate) held: BTreeMap<Domain, Fence>,
+    pub(crate) owned: BTreeMap<Domain, Fence>,
     pub(crate) shards: u8,
     pub(crate) evacuated: BTreeSet<DataCentreId>,
     pub(crate) workers: SlotMap<WorkerKey, Worker>,
-    pub(crate) names: BTreeMap<String, WorkerKey>,
+    pub(crate) worker_ids: BTreeMap<String, WorkerKey>,
     /// Workers that have left.
-    left: BTreeMap<String, Left>,
+    departed: BTreeMap<String, Left>,
     /// How often workers that were forgotten had started again, and when that was.
-    pub(crate) forgotten: BTreeMap<String, (u64, Time)>,
+    pub(crate) removed: BTreeMap<String, (u64, Time)>,
     /// How many lives of workers are known at each address.
-    pub(crate) addrs: BTreeMap<SocketAddr, usize>,
+    pub(crate) addr_counts: BTreeMap<SocketAddr, usize>,
     pub(crate) batches: SlotMap<BatchKey, Batch>,
-    pub(crate) jobs: BTreeMap<(JobId, u16), BatchKey>,
+    pub(crate) batch_keys: BTreeMap<(JobId, u16), BatchKey>,
     pub(crate) runs: SlotMap<RunKey, Run>,
     pub(crate) calls: SlotMap<CallKey, Sent>,
     pub(crate) queue: Queue,
-    pub(crate) times: Times,
+    pub(crate) run_times: Times,
     /// What the answers of all workers took.
-    pub(crate) answers: Patience,
+    pub(crate) answer_times: Patience,
     pub(crate) inflow: Inflow,
     /// Workers that ended under tasks.
     pub(crate) crashes: CrashLog,
     pub(crate) takeover: Takeover,
     pub(crate) grants: Grants,
     /// What origins were told of tasks that are here no more.
-    pub(crate) told: BTreeMap<TaskId, Told>,
-    pub(crate) news: BTreeMap<InstanceId, Vec<TaskNews>>,
+    pub(crate) sent_ends: BTreeMap<TaskId, Told>,
+    pub(crate) unsent_ends: BTreeMap<InstanceId, Vec<TaskNews>>,
     /// Batches that lost a task during the current input; the empty ones are dropped after it.
-    pub(crate) touched: Vec<BatchKey>,
+    pub(crate) shrunk: Vec<BatchKey>,
     /// The last question to each origin, and how many there were.
-    pub(crate) asked: BTreeMap<InstanceId, u64>,
-    pub(crate) asks: u64,
+    pub(crate) resyncs: BTreeMap<InstanceId, u64>,
+    pub(crate) resync_count: u64,
     /// Counts the inputs: what was sent during one of them was sent after all that was heard before.
-    pub(crate) inputs: u64,
+    pub(crate) input_count: u64,
     /// Batches of which what finds no room in the current input is to be given back.
     pub(crate) passing: Vec<BatchKey>,
 }
@@ -139,31 +139,31 @@
     pub fn new(config: PoolConfig) -> Self {
         Self {
             config,
-            held: BTreeMap::new(),
+            owned: BTreeMap::new(),
             shards: 1,
             evacuated: BTreeSet::new(),
             workers: SlotMap::with_key(),
-            names: BTreeMap::new(),
-            left: BTreeMap::new(),
-            forgotten: BTreeMap::new(),
-            addrs: BTreeMap::new(),
+            worker_ids: BTreeMap::new(),
+            departed: BTreeMap::new(),
+            removed: BTreeMap::new(),
+            addr_counts: BTreeMap::new(),
             batches: SlotMap::with_key(),
-            jobs: BTreeMap::new(),
+            batch_keys: BTreeMap::new(),
             runs: SlotMap::with_key(),
             calls: SlotMap::with_key(),
             queue: Queue::default(),
-            times: Times::default(),
-            answers: Patience::quick(),
+            run_times: Times::default(),
+            answer_times: Patience::quick(),
             inflow: Inflow::default(),
             crashes: CrashLog::default(),
             takeover: Takeover::default(),
             grants: Grants::default(),
-            told: BTreeMap::new(),
-            news: BTreeMap::new(),
-            touched: Vec::new(),
-            asked: BTreeMap::new(),
-            asks: 0,
-            inputs: 0,
+            sent_ends: BTreeMap::new(),
+            unsent_ends: BTreeMap::new(),
+            shrunk: Vec::new(),
+            resyncs: BTreeMap::new(),
+            resync_count: 0,
+            input_count: 0,
             passing: Vec::new(),
         }
     }
@@ -171,7 +171,7 @@
     /// How many workers are known, by their addresses.
     #[must_use]
     pub fn known_workers(&self) -> usize {
-        self.addrs.len()
+        self.addr_counts.len()
     }
 
     /// Divides the workers in shards; only while none is held.
@@ -196,7 +196,7 @@
         let held = self.workers.values().filter(|w| w.grip == Grip::Held);
         let paces = held.map(|w| (w.note.id.clone(), w.pace as f32));
         Learned {
-            queues: self.times.learned(),
+            queues: self.run_times.learned(),
             paces: paces.collect(),
         }
     }
@@ -204,11 +204,11 @@
     /// Takes over what another dispatcher has learned; one that dispatches itself keeps its own run
     /// times.
     pub fn learn_from(&mut self, learned: Learned) {
-        if self.held.is_empty() {
-            self.times.learn_from(learned.queues);
+        if self.owned.is_empty() {
+            self.run_times.learn_from(learned.queues);
         }
         for (id, pace) in learned.paces {
-            if let Some(key) = self.names.get(&id)
+            if let Some(key) = self.worker_ids.get(&id)
                 && self.workers[*key].grip == Grip::None
             {
                 self.workers[*key].pace = pace.into();
@@ -275,33 +275,33 @@
 
     /// Takes an input and appends what the host is to do.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
-        self.inputs += 1;
+        self.input_count += 1;
         match input {
             Input::Acquire(domain, fence) => self.acquire(now, domain, fence, out),
             Input::Resign(domain) => self.resign(now, domain, out),
             Input::Workers(notes) => {
                 for note in notes {
-                    self.worker(now, note, out);
+                    self.worker_announced(now, note, out);
                 }
             }
             Input::EvacuatedDataCentres(dcs) => self.evacuated = dcs,
-            Input::Work(from, msg) => self.work(now, from, msg, out),
+            Input::Work(from, msg) => self.handle_message(now, from, msg, out),
             Input::Granted(origin, grant) => self.granted(now, origin, grant, out),
             Input::ResyncOrigin(origin) => self.ask_origin(origin, out),
             Input::OriginLost(origin) => self.drop_origin(now, origin, out),
             Input::Answered(key, answer) => self.answered(now, key, answer, out),
-            Input::AnsweredLate(took) => self.answers.learn(took),
+            Input::AnsweredLate(took) => self.answer_times.learn(took),
             Input::Crashes(told) => self.learn_crashes(now, told, out),
             Input::ProbeQueues(queues) => self.learn_careful(now, queues),
             Input::CheckReachable(domain) => self.ask(now, domain, out),
             Input::Tick => self.tick(now, out),
         }
-        self.drop_empty();
-        self.place(now, out);
+        self.remove_empty();
+        self.place_tasks(now, out);
         for key in std::mem::take(&mut self.passing) {
             self.pass_on(now, key, out);
         }
-        self.tell(out);
+        self.send_ends(out);
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
@@ -311,14 +311,14 @@
         self.tend_runs(now, out);
         self.shed(now, out);
         self.tend_crashes(now, out);
-        self.told.retain(|_, told| told.is_kept(now));
-        self.left
+        self.sent_ends.retain(|_, told| told.is_kept(now));
+        self.departed
             .retain(|_, left| now.since(left.heard) <= REMEMBER_LEFT);
-        self.forgotten
+        self.removed
             .retain(|_, (_, at)| now.since(*at) <= REMEMBER_LEFT);
     }
 
-    fn work(&mut self, now: Time, from: InstanceId, msg: WorkMsg, out: &mut Vec<Output>) {
+    fn handle_message(&mut self, now: Time, from: InstanceId, msg: WorkMsg, out: &mut Vec<Output>) {
         match msg {
             WorkMsg::Submit(order) => self.submit(now, from, order, out),
             WorkMsg::Cancel { job, last } => self.cancel(now, from, job, last, out),
@@ -329,13 +329,13 @@
         }
     }
 
-    fn worker(&mut self, now: Time, note: WorkerNote, out: &mut Vec<Output>) {
+    fn worker_announced(&mut self, now: Time, note: WorkerNote, out: &mut Vec<Output>) {
         let gone = note.stage == WorkerStage::Gone;
         if gone {
-            self.remember_left(now, &note);
+            self.record_departure(now, &note);
         }
-        let Some(key) = self.names.get(&note.id).copied() else {
-            let left = self.left.get(&note.id);
+        let Some(key) = self.worker_ids.get(&note.id).copied() else {
+            let left = self.departed.get(&note.id);
             let has_left = left.is_some_and(|left| note.said.incarnation <= left.life);
             if !gone && !has_left {
                 self.add_unknown(now, note, out);
@@ -346,7 +346,7 @@
         match note.said.incarnation.cmp(&known.incarnation) {
             Ordering::Less if gone => {}
             Ordering::Less => self.other_life_speaks(key, note, out),
-            Ordering::Equal if gone => self.worker_leaves(now, key, out),
+            Ordering::Equal if gone => self.worker_left(now, key, out),
             // A late announcement must not bring an earlier state back.
             Ordering::Equal if note.said <= known => {}
             Ordering::Equal => self.update_worker(key, note),
@@ -355,23 +355,23 @@
     }
 
     /// Whether a worker takes new tasks and its data centre is not evacuated.
-    pub(crate) fn takes(&self, now: Time, worker: &Worker) -> bool {
+    pub(crate) fn accepts_tasks(&self, now: Time, worker: &Worker) -> bool {
         worker.takes(now) && !self.evacuated.contains(&worker.note.dc)
     }
 
     /// Whether a worker is being taken over and is expected to take new tasks once it has answered the first
     /// look. False once a look has timed out.
-    pub(crate) fn takes_after_takeover(&self, worker: &Worker) -> bool {
+    pub(crate) fn accepts_after_takeover(&self, worker: &Worker) -> bool {
         let sound = worker.grip == Grip::Taking && worker.silent == 0;
         sound
             && worker.note.stage == WorkerStage::Ready
             && !self.evacuated.contains(&worker.note.dc)
     }
 
-    fn remember_left(&mut self, now: Time, note: &WorkerNote) {
+    fn record_departure(&mut self, now: Time, note: &WorkerNote) {
         let life = note.said.incarnation;
         let left = Left { life, heard: now };
-        let known = self.left.entry(note.id.clone()).or_insert(left);
+        let known = self.departed.entry(note.id.clone()).or_insert(left);
         known.life = known.life.max(life);
         known.heard = now;
     }
@@ -382,8 +382,8 @@
         let addr = std::mem::replace(&mut worker.note, note).addr;
         let new = worker.note.addr;
         if addr != new {
-            self.forget_addr(addr);
-            *self.addrs.entry(new).or_default() += 1;
+            self.remove_addr(addr);
+            *self.addr_counts.entry(new).or_default() += 1;
         }
     }
 
@@ -391,13 +391,13 @@
     ///
     /// If the acknowledgement is lost, it goes on for seconds, and a task started elsewhere would run twice.
     /// So it stays known, without new work, until it lists the ends of its runs or the lease is over.
-    fn worker_leaves(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
+    fn worker_left(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         self.workers[key].note.stage = WorkerStage::Gone;
-        self.forget_if_left(now, key, out);
+        self.remove_if_left(now, key, out);
     }
 
     /// Forgets a worker that has left, once nothing runs there; whether it did.
-    pub(crate) fn forget_if_left(
+    pub(crate) fn remove_if_left(
         &mut self,
         now: Time,
         key: WorkerKey,
@@ -411,11 +411,11 @@
         over
     }
 
-    pub(crate) fn forget_addr(&mut self, addr: SocketAddr) {
-        if let Some(lives) = self.addrs.get_mut(&addr) {
+    pub(crate) fn remove_addr(&mut self, addr: SocketAddr) {
+        if let Some(lives) = self.addr_counts.get_mut(&addr) {
             *lives -= 1;
             if *lives == 0 {
-                self.addrs.remove(&addr);
+                self.addr_counts.remove(&addr);
             }
         }
     }
@@ -428,25 +428,25 @@
         out: &mut Vec<Output>,
     ) -> WorkerKey {
         let id = note.id.clone();
-        *self.addrs.entry(note.addr).or_default() += 1;
+        *self.addr_counts.entry(note.addr).or_default() += 1;
         let mut worker = Worker::new(now, note, self.shards);
         worker.lives = lives;
         let domain = worker.domain;
         let key = self.workers.insert(worker);
-        self.names.insert(id, key);
-        if self.held.contains_key(&domain) {
+        self.worker_ids.insert(id, key);
+        if self.owned.contains_key(&domain) {
             self.take_worker(now, key, out);
         }
         key
     }
 
     /// Not before the end of an input: what works on a batch must not lose it on the way.
-    pub(crate) fn drop_empty(&mut self) {
-        for key in std::mem::take(&mut self.touched) {
+    pub(crate) fn remove_empty(&mut self) {
+        for key in std::mem::take(&mut self.shrunk) {
             let empty = self.batches.get(key).is_some_and(|b| b.tasks.is_empty());
             if empty && let Some(batch) = self.batches.remove(key) {
                 self.queue.remove(self.rank(key, &batch));
-                self.jobs.remove(&(batch.order.job, batch.order.step));
+                self.batch_keys.remove(&(batch.order.job, batch.order.step));
             }
         }
     }
@@ -456,7 +456,7 @@
         Rank::new(key, batch, self.config.disabled)
     }
 
-    pub(crate) fn unqueue(&mut self, key: BatchKey) {
+    pub(crate) fn dequeue(&mut self, key: BatchKey) {
         if let Some(batch) = self.batches.get(key) {
             let rank = self.rank(key, batch);
             self.queue.remove(rank);
@@ -473,7 +473,7 @@
     }
 
     /// Tells an origin of the end of a task, and takes the task out of its batch.
-    pub(crate) fn finish(&mut self, now: Time, key: BatchKey, index: u16, end: TaskEnd) {
+    pub(crate) fn finish_task(&mut self, now: Time, key: BatchKey, index: u16, end: TaskEnd) {
         let Some(batch) = self.batches.get_mut(key) else {
             return;
         };
@@ -489,19 +489,19 @@
             origin: batch.origin,
             news,
         };
-        self.told.insert(id, told);
-        self.report(key, news);
-        self.touched.push(key);
+        self.sent_ends.insert(id, told);
+        self.report_end(key, news);
+        self.shrunk.push(key);
     }
 
-    pub(crate) fn report(&mut self, key: BatchKey, news: TaskNews) {
+    pub(crate) fn report_end(&mut self, key: BatchKey, news: TaskNews) {
         if let Some(batch) = self.batches.get(key) {
-            self.news.entry(batch.origin).or_default().push(news);
+            self.unsent_ends.entry(batch.origin).or_default().push(news);
         }
     }
 
-    fn tell(&mut self, out: &mut Vec<Output>) {
-        for (origin, ends) in std::mem::take(&mut self.news) {
+    fn send_ends(&mut self, out: &mut Vec<Output>) {
+        for (origin, ends) in std::mem::take(&mut self.unsent_ends) {
             out.push(Output::Send(origin, WorkMsg::Ended(ends)));
         }
     }
@@ -515,8 +515,8 @@
         out: &mut Vec<Output>,
     ) -> Option<CallKey> {
         let callee = &self.workers[worker];
-        let fence = self.held.get(&callee.domain)?.of_life(callee.lives);
-        let slow = self.answers.wait(self.config.max_timeout);
+        let fence = self.owned.get(&callee.domain)?.of_life(callee.lives);
+        let slow = self.answer_times.wait(self.config.max_timeout);
         let wait = match order {
             Order::Look { .. } => order.waits() + self.config.answer_timeout.max(slow),
             Order::Start { .. } | Order::Stop { .. }
@@ -562,7 +562,7 @@
     }
 
     /// A run is over, or surely never was: its room is free.
-    pub(crate) fn release(&mut self, key: RunKey) -> Option<Run> {
+    pub(crate) fn remove_run(&mut self, key: RunKey) -> Option<Run> {
         let run = self.runs.remove(key)?;
         if let Some(worker) = self.workers.get_mut(run.worker) {
             worker.runs.retain(|other| *other != key);
@@ -572,7 +572,7 @@
     }
 
     /// Makes a run; its room is taken.
-    pub(crate) fn occupy(&mut self, run: Run) -> RunKey {
+    pub(crate) fn add_run(&mut self, run: Run) -> RunKey {
         let worker = run.worker;
         let need = run.need;
         let key = self.runs.insert(run);
@@ -583,8 +583,8 @@
     }
 
     /// The task waits for room again, and its next run gets a higher number.
-    pub(crate) fn back_to_queue(&mut self, key: BatchKey, index: u16, number: RunNumber) {
-        self.unqueue(key);
+    pub(crate) fn requeue_task(&mut self, key: BatchKey, index: u16, number: RunNumber) {
+        self.dequeue(key);
         if let Some(batch) = self.batches.get_mut(key)
             && let Some(task) = batch.tasks.get_mut(&index)
         {
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -64,9 +64,9 @@
             if let Some(worker) = self.workers.get_mut(run.worker) {
                 worker.patience.learn(now.since(run.started));
             }
-            self.answers.learn(now.since(run.started));
+            self.answer_times.learn(now.since(run.started));
         }
-        let heard = Phase::Running(self.inputs);
+        let heard = Phase::Running(self.input_count);
         match answer {
             Answer::Taken(_) | Answer::Lists { .. } => self.set_phase(key, heard),
             Answer::Rejected(reject, _) => self.start_rejected(now, key, run, reject, out),
@@ -120,26 +120,26 @@
             }
             Reject::Malformed => {
                 if let Some(batch) = run.batch {
-                    self.release(key);
-                    self.finish(now, batch, run.task.index, TaskEnd::Failed);
+                    self.remove_run(key);
+                    self.finish_task(now, batch, run.task.index, TaskEnd::Failed);
                 }
                 return;
             }
             Reject::Old | Reject::Late => {}
         }
         let leap = if reject == Reject::Old { RUN_LEAP } else { 0 };
-        self.release(key);
+        self.remove_run(key);
         if let Some(batch) = run.batch {
-            self.back_to_queue(batch, run.task.index, RunNumber(run.number.0 + leap));
+            self.requeue_task(batch, run.task.index, RunNumber(run.number.0 + leap));
         }
     }
 
     /// The order surely had no effect.
     fn not_started(&mut self, _now: Time, key: RunKey, _out: &mut Vec<Output>) {
-        if let Some(run) = self.release(key)
+        if let Some(run) = self.remove_run(key)
             && let Some(batch) = run.batch
         {
-            self.back_to_queue(batch, run.task.index, run.number);
+            self.requeue_task(batch, run.task.index, run.number);
         }
     }
 
@@ -155,7 +155,7 @@
         match answer {
             Answer::Taken(_) | Answer::Lists { .. } => {
                 // Refused from now on if it was not there; else its end is listed soon.
-                let heard = Phase::Running(self.inputs);
+                let heard = Phase::Running(self.input_count);
                 let mut doubtful = false;
                 if let Some(run) = self.runs.get_mut(key) {
                     run.stopping = true;
@@ -300,7 +300,7 @@
     }
 
     fn run_ended(&mut self, now: Time, key: RunKey, how: How, out: &mut Vec<Output>) {
-        let Some(run) = self.release(key) else {
+        let Some(run) = self.remove_run(key) else {
             return;
         };
         self.note_end(now, &run, how, out);
@@ -311,10 +311,10 @@
             How::Done => {
                 self.prove_batch(Some(batch));
                 self.learn(now, &run, batch);
-                self.finish(now, batch, run.task.index, TaskEnd::Done);
+                self.finish_task(now, batch, run.task.index, TaskEnd::Done);
             }
             How::Failed => self.run_failed(now, &run, batch, out),
-            How::Cut => self.back_to_queue(batch, run.task.index, run.number),
+            How::Cut => self.requeue_task(batch, run.task.index, run.number),
         }
     }
 
@@ -344,7 +344,7 @@
         let usual = run.expected.as_secs_f64() / worker.pace.max(f64::EPSILON);
         let without = self.config.disabled;
         if !without.lacks(Mechanism::Learning) {
-            self.times
+            self.run_times
                 .learn(&order.queue, order.estimate, took.div_f64(worker.pace));
         }
         if !without.lacks(Mechanism::Pace) {
@@ -371,9 +371,9 @@
             _ => self.blame(now, run.worker, out),
         }
         if failures >= self.batches[batch].order.attempts {
-            self.finish(now, batch, index, TaskEnd::Failed);
+            self.finish_task(now, batch, index, TaskEnd::Failed);
         } else {
-            self.back_to_queue(batch, index, run.number);
+            self.requeue_task(batch, index, run.number);
         }
     }
 
@@ -412,7 +412,7 @@
             }
             (Some(_), Phase::Starting | Phase::Doubtful) => {
                 self.seen_at_work(now, &run);
-                self.set_phase(key, Phase::Running(self.inputs));
+                self.set_phase(key, Phase::Running(self.input_count));
             }
             // Confirmed before the look was sent, and neither at work nor ended: it is gone.
             (None, Phase::Running(heard)) if heard <= kind.input => {
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -30,11 +30,11 @@
         }
         let session = order.session;
         let tasks = std::mem::take(&mut order.tasks);
-        if self.held.is_empty() {
-            self.give_back(from, &order, &tasks);
+        if self.owned.is_empty() {
+            self.return_tasks(from, &order, &tasks);
             return;
         }
-        let known = self.jobs.get(&(order.job, order.step)).copied();
+        let known = self.batch_keys.get(&(order.job, order.step)).copied();
         let key = match known {
             Some(key) => {
                 if !self.known_batch(now, key, from, &order) {
@@ -54,17 +54,17 @@
                 }
                 let name = (batch.order.job, batch.order.step);
                 let key = self.batches.insert(batch);
-                self.jobs.insert(name, key);
+                self.batch_keys.insert(name, key);
                 self.passing.extend(pass.then_some(key));
                 key
             }
         };
-        self.unqueue(key);
+        self.dequeue(key);
         for task in tasks {
             self.add_task(now, key, session, task, out);
         }
         self.requeue(key);
-        self.touched.push(key);
+        self.shrunk.push(key);
     }
 
     /// A step that is known was handed in again, perhaps by another origin. What that does not name may
@@ -110,7 +110,7 @@
             hand: 0,
             end: TaskEnd::Superseded,
         });
-        self.news.entry(origin).or_default().extend(news);
+        self.unsent_ends.entry(origin).or_default().extend(news);
     }
 
     /// Gives back what found no room of a batch that came in just now, for another dispatcher to start.
@@ -137,16 +137,16 @@
                 queued: self.queue.len(),
             }));
         }
-        self.unqueue(key);
+        self.dequeue(key);
         for index in waiting {
-            self.finish(now, key, index, TaskEnd::Full);
+            self.finish_task(now, key, index, TaskEnd::Full);
         }
-        self.drop_empty();
+        self.remove_empty();
     }
 
     /// Nothing is dispatched here. What may be running elsewhere stays with its origin as it was,
     /// until the heartbeat tells who dispatches.
-    pub(crate) fn give_back(&mut self, to: InstanceId, order: &StepOrder, tasks: &[TaskOrder]) {
+    pub(crate) fn return_tasks(&mut self, to: InstanceId, order: &StepOrder, tasks: &[TaskOrder]) {
         for task in tasks {
             let id = TaskId {
                 job: order.job,
@@ -166,14 +166,14 @@
                 hand: task.hand,
                 end,
             };
-            self.news.entry(to).or_default().push(news);
+            self.unsent_ends.entry(to).or_default().push(news);
         }
     }
 
     pub(crate) fn new_batch(&self, now: Time, origin: InstanceId, order: StepOrder) -> Batch {
         let ms = Duration::from_millis;
-        let expected = self.times.expected(&order.queue, order.estimate);
-        let chain = self.times.expected(&order.queue, order.chain);
+        let expected = self.run_times.expected(&order.queue, order.estimate);
+        let chain = self.run_times.expected(&order.queue, order.chain);
         let objective = chain.mul_f64(f64::from(order.slack) / 1e3) + ms(order.target.into());
         let age = ms(order.age.into());
         Batch {
@@ -205,14 +205,14 @@
             task.unnamed = false;
             return;
         }
-        if let Some(told) = self.told.get(&id)
+        if let Some(told) = self.sent_ends.get(&id)
             && told.settles(batch.origin, &order)
         {
             let news = TaskNews {
                 hand: order.hand,
                 ..told.news
             };
-            self.report(key, news);
+            self.report_end(key, news);
             return;
         }
         let task = Task {
@@ -264,7 +264,7 @@
     /// job to both, and which of them it left is not known here before the cancellation.
     fn may_be_elsewhere(&self, now: Time, key: BatchKey, id: TaskId) -> bool {
         let origin = self.batches[key].origin;
-        self.told.get(&id).is_some_and(|told| {
+        self.sent_ends.get(&id).is_some_and(|told| {
             let lately = now.since(told.at) <= SENT_AGAIN;
             lately && told.origin != origin && told.news.gives_back()
         })
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -44,7 +44,7 @@
         fence: Fence,
         out: &mut Vec<Output>,
     ) {
-        self.held.insert(domain, fence);
+        self.owned.insert(domain, fence);
         let here = |worker: &Worker| worker.domain == domain;
         let workers = self.workers.iter().filter(|(_, w)| here(w));
         let keys: Vec<_> = workers.map(|(key, _)| key).collect();
@@ -112,7 +112,7 @@
         }));
         // Origins that were faster than this look wait for what it shows.
         for row in &running {
-            if let Some(batch) = self.jobs.get(&(row.task.job, row.task.step)).copied() {
+            if let Some(batch) = self.batch_keys.get(&(row.task.job, row.task.step)).copied() {
                 self.settle(now, batch, row.task.index);
             }
         }
@@ -168,10 +168,10 @@
         };
         let last = task.doubt == Doubt::Last && run == task.run && !long_way;
         match how {
-            How::Done => self.finish(now, key, index, TaskEnd::Done),
+            How::Done => self.finish_task(now, key, index, TaskEnd::Done),
             How::Failed | How::Cut if last => {
                 task.failures += u32::from(how == How::Failed);
-                self.back_to_queue(key, index, run);
+                self.requeue_task(key, index, run);
             }
             How::Failed | How::Cut => return false,
         }
@@ -188,14 +188,14 @@
             need: batch.order.need,
             started: now,
             expected: batch.expected,
-            phase: Phase::Running(self.inputs),
+            phase: Phase::Running(self.input_count),
             suspect: batch.tasks[&index].crashes.is_suspect(),
             probe: false,
             adopted: true,
             stopping: false,
             stopped: false,
         };
-        let run_key = self.occupy(run);
+        let run_key = self.add_run(run);
         self.batches[key].begun = true;
         self.set_task(key, index, TaskState::Running(run_key));
         if let Some(task) = self.batches[key].tasks.get_mut(&index) {
@@ -207,7 +207,7 @@
     }
 
     pub(crate) fn set_task(&mut self, key: BatchKey, index: u16, state: TaskState) {
-        self.unqueue(key);
+        self.dequeue(key);
         if let Some(task) = self.batches[key].tasks.get_mut(&index) {
             task.state = state;
         }
@@ -222,7 +222,7 @@
             let worker = &mut self.workers[key];
             worker.aliens = worker.aliens.saturating_sub(1);
         }
-        let batch = self.jobs.get(&(row.task.job, row.task.step)).copied();
+        let batch = self.batch_keys.get(&(row.task.job, row.task.step)).copied();
         let limbo = batch.is_some_and(|batch| {
             let task = self.batches[batch].tasks.get(&row.task.index);
             task.is_some_and(|task| matches!(task.state, TaskState::Limbo(_)))
@@ -307,7 +307,7 @@
     /// Gives a domain up: all that may run there goes back to its origins as unsure, and what
     /// waits goes back if nothing is held any more.
     pub(crate) fn resign(&mut self, now: Time, domain: Domain, out: &mut Vec<Output>) {
-        self.held.remove(&domain);
+        self.owned.remove(&domain);
         let here = |worker: &Worker| worker.domain == domain;
         let workers = self.workers.iter().filter(|(_, w)| here(w));
         let keys: Vec<_> = workers.map(|(key, _)| key).collect();
@@ -324,7 +324,7 @@
             self.takeover.forget(key);
             self.workers[key].let_go();
         }
-        if self.held.is_empty() {
+        if self.owned.is_empty() {
             given += self.return_queue(now);
         }
         out.push(Output::Event(PoolEvent::Resigned {
@@ -343,11 +343,11 @@
             failures: task.failures,
             run: task.run,
         };
-        self.finish(now, key, index, end);
+        self.finish_task(now, key, index, end);
     }
 
     fn return_doubtful(&mut self, now: Time, key: BatchKey, index: u16) {
-        self.finish(now, key, index, TaskEnd::Doubtful);
+        self.finish_task(now, key, index, TaskEnd::Doubtful);
     }
 
     fn return_queue(&mut self, now: Time) -> usize {
