--- a/crates/celerywinch_pool/src/admission.rs
+++ b/crates/celerywinch_pool/src/admission.rs
@@ -43,7 +43,7 @@
         own: f64,
         coming: f64,
     ) -> u32 {
-        let ahead: f64 = ahead.map(|key| self.batches[key].work_waiting()).sum();
+        let ahead: f64 = ahead.map(|key| self.batches[key].waiting_work()).sum();
         let whole = self.capacity(now);
         let capacity = (whole - coming).max(whole * LEFT_FOR_LOW);
         if ahead + own <= 0.0 {
@@ -128,7 +128,7 @@
             left: batch.due.since(now).as_millis() as u32,
         }));
         let news = TaskNews {
-            task: batch.id(0),
+            task: batch.task_id(0),
             hand: 0,
             end: TaskEnd::Refused(later),
         };
@@ -152,7 +152,7 @@
                 continue;
             }
             let evacuated = self.all_evacuated(&batch.order.service);
-            if batch.begun {
+            if batch.started {
                 if evacuated {
                     self.give_up_unplaced(now, key);
                 }
--- a/crates/celerywinch_pool/src/crashes.rs
+++ b/crates/celerywinch_pool/src/crashes.rs
@@ -71,7 +71,7 @@
         let due = |run: &&Run| run.probe && now.since(run.started) >= AT_WORK;
         let unproved = |run: &&Run| {
             let batch = run.batch.and_then(|key| self.batches.get(key));
-            batch.is_some_and(|batch| !batch.proved)
+            batch.is_some_and(|batch| !batch.probe_passed)
         };
         let runs = self.runs.values().filter(due).filter(unproved);
         let workers: BTreeSet<_> = runs.map(|run| run.worker).collect();
@@ -188,12 +188,12 @@
     /// Whether a step seems to end its workers: its first task was started with care and its worker is silent, or all of several
     /// that have its tasks are.
     fn is_suspect(&self, key: BatchKey) -> bool {
-        let Some(batch) = self.batches.get(key).filter(|batch| !batch.proved) else {
+        let Some(batch) = self.batches.get(key).filter(|batch| !batch.probe_passed) else {
             return false;
         };
         let runs = batch.tasks.values().filter_map(|task| match task.state {
             TaskState::Running(run) => Some(&self.runs[run]),
-            TaskState::Waiting | TaskState::Limbo(_) => None,
+            TaskState::Waiting | TaskState::MaybeRunning(_) => None,
         });
         let silent = |run: &Run| self.workers[run.worker].silent >= SILENT_LOOKS;
         let (silent, others): (Vec<&Run>, Vec<&Run>) = runs.partition(|run| silent(run));
@@ -205,7 +205,11 @@
     fn condemn_batch(&mut self, now: Time, key: BatchKey, out: &mut Vec<Output>) {
         let batch = &self.batches[key];
         let queue = batch.order.queue.clone();
-        let tasks: Vec<_> = batch.tasks.keys().map(|index| batch.id(*index)).collect();
+        let tasks: Vec<_> = batch
+            .tasks
+            .keys()
+            .map(|index| batch.task_id(*index))
+            .collect();
         self.be_careful(now, queue, out);
         for task in tasks {
             self.count_crash(now, task, out, Crashes::condemn);
@@ -229,7 +233,7 @@
         let tasks = self.batches[key].tasks.iter();
         let tasks: Vec<_> = tasks.map(|(index, task)| (*index, *task)).collect();
         for (index, task) in tasks {
-            let id = self.batches[key].id(index);
+            let id = self.batches[key].task_id(index);
             let crashes = task.crashes;
             out.push(Output::Event(PoolEvent::GivenUp { task: id, crashes }));
             self.finish_task(now, key, index, TaskEnd::GivenUp);
@@ -251,7 +255,7 @@
         out: &mut Vec<Output>,
     ) -> bool {
         let batch = &self.batches[key];
-        let id = batch.id(index);
+        let id = batch.task_id(index);
         let Some(task) = batch.tasks.get(&index) else {
             return false;
         };
@@ -268,7 +272,7 @@
 
     /// Whether the tasks of a batch are to be started one first.
     pub(crate) fn is_careful(&self, batch: &Batch) -> bool {
-        !batch.proved && self.crashes.careful.contains_key(&batch.order.queue)
+        !batch.probe_passed && self.crashes.careful.contains_key(&batch.order.queue)
     }
 
     /// Whether a task that may have ended a worker would share one with another such task.
@@ -294,7 +298,7 @@
             .get(key)
             .is_some_and(|batch| self.is_careful(batch));
         if let Some(batch) = self.batches.get_mut(key) {
-            batch.proved = true;
+            batch.probe_passed = true;
             let passes = careful && batch.order.pass;
             self.passing.extend(passes.then_some(key));
         }
--- a/crates/celerywinch_pool/src/job.rs
+++ b/crates/celerywinch_pool/src/job.rs
@@ -20,7 +20,7 @@
     /// Waits for room.
     Waiting,
     /// May be running under an earlier dispatcher; waits until that is settled, or until then.
-    Limbo(Time),
+    MaybeRunning(Time),
     /// Has a run.
     Running(RunKey),
 }
@@ -37,13 +37,13 @@
     /// Whether it may be running under an earlier dispatcher.
     pub(crate) doubt: Doubt,
     /// The last time that it was handed in.
-    pub(crate) hand: u32,
+    pub(crate) submission: u32,
     /// The session in which its origin handed it in; none since another origin has the job.
     pub(crate) session: Option<Session>,
     /// Its origin was asked whether it is wanted, and has not named it yet.
-    pub(crate) unnamed: bool,
+    pub(crate) unconfirmed: bool,
     /// The worker that failed it last.
-    pub(crate) avoid: Option<WorkerKey>,
+    pub(crate) failed_on: Option<WorkerKey>,
 }
 
 /// A step of a job; tasks that ended are no more in it.
@@ -59,13 +59,13 @@
     pub(crate) expected: Duration,
     pub(crate) tasks: BTreeMap<u16, Task>,
     /// Whether any task was sent to a worker.
-    pub(crate) begun: bool,
+    pub(crate) started: bool,
     /// Whether a task of it is done, or was at work for a moment without ending its worker.
-    pub(crate) proved: bool,
+    pub(crate) probe_passed: bool,
 }
 
 impl Batch {
-    pub(crate) fn id(&self, index: u16) -> TaskId {
+    pub(crate) fn task_id(&self, index: u16) -> TaskId {
         TaskId {
             job: self.order.job,
             step: self.order.step,
@@ -73,7 +73,7 @@
         }
     }
 
-    pub(crate) fn waiting(&self) -> usize {
+    pub(crate) fn waiting_count(&self) -> usize {
         let tasks = self.tasks.values();
         tasks.filter(|t| t.state == TaskState::Waiting).count()
     }
@@ -85,7 +85,7 @@
     }
 
     /// The same of what waits.
-    pub(crate) fn work_waiting(&self) -> f64 {
-        self.work_of(self.waiting())
+    pub(crate) fn waiting_work(&self) -> f64 {
+        self.work_of(self.waiting_count())
     }
 }
--- a/crates/celerywinch_pool/src/lib.rs
+++ b/crates/celerywinch_pool/src/lib.rs
@@ -27,9 +27,9 @@
 mod queue;
 mod results;
 mod run;
+mod run_times;
 mod submit;
 mod takeover;
-mod times;
 mod told;
 mod worker;
 
--- a/crates/celerywinch_pool/src/origins.rs
+++ b/crates/celerywinch_pool/src/origins.rs
@@ -19,7 +19,7 @@
         self.resyncs.insert(origin, self.resync_count);
         let batches = self.batches.values_mut();
         for batch in batches.filter(|batch| batch.origin == origin) {
-            batch.tasks.values_mut().for_each(|t| t.unnamed = true);
+            batch.tasks.values_mut().for_each(|t| t.unconfirmed = true);
         }
         out.push(Output::Send(origin, WorkMsg::Resync(self.resync_count)));
     }
@@ -47,8 +47,8 @@
         let unsure: BTreeSet<_> = unsure.iter().copied().collect();
         let mut left = Vec::new();
         for batch in self.batches.values().filter(|b| b.origin == origin) {
-            let unnamed = batch.tasks.iter().filter(|(_, task)| task.unnamed);
-            left.extend(unnamed.map(|(index, _)| batch.id(*index)));
+            let unnamed = batch.tasks.iter().filter(|(_, task)| task.unconfirmed);
+            left.extend(unnamed.map(|(index, _)| batch.task_id(*index)));
         }
         left.retain(|task| !unsure.contains(task));
         self.drop_tasks(now, origin, &left, u32::MAX, out);
@@ -70,7 +70,7 @@
                 continue;
             };
             let here = self.batches[key].tasks.get(&task.index);
-            if here.is_some_and(|here| here.hand <= last) {
+            if here.is_some_and(|here| here.submission <= last) {
                 self.drop_task(now, key, task.index, out);
             }
         }
@@ -96,7 +96,7 @@
         out: &mut Vec<Output>,
     ) {
         let meant = |batch: &Batch| {
-            let before = batch.tasks.values().all(|task| task.hand <= last);
+            let before = batch.tasks.values().all(|task| task.submission <= last);
             batch.order.job == job && batch.origin == from && before
         };
         let batches = self.batches.iter().filter(|(_, batch)| meant(batch));
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -110,7 +110,7 @@
         }
         let unproved = |run: &&Run| {
             let batch = run.batch.and_then(|key| self.batches.get(key));
-            run.probe && batch.is_none_or(|batch| !batch.proved)
+            run.probe && batch.is_none_or(|batch| !batch.probe_passed)
         };
         runs.by_ref().filter(unproved).count()
     }
@@ -160,7 +160,7 @@
         let batch = &self.batches[key];
         let task = batch.tasks[&index];
         let run = Run {
-            task: batch.id(index),
+            task: batch.task_id(index),
             batch: Some(key),
             worker: worker_key,
             number: RunNumber(task.run.0 + 1),
@@ -189,7 +189,7 @@
         let number = run.number;
         let run_key = self.add_run(run);
         let batch = &mut self.batches[key];
-        batch.begun = true;
+        batch.started = true;
         if let Some(task) = batch.tasks.get_mut(&index) {
             task.state = TaskState::Running(run_key);
             task.run = number;
@@ -216,7 +216,7 @@
         0.0
     };
     let pace = worker.pace * distance(batch, worker);
-    let avoid = if task.avoid == Some(key) {
+    let avoid = if task.failed_on == Some(key) {
         AVOID_COST
     } else {
         0.0
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -19,8 +19,8 @@
 use crate::patience::Patience;
 use crate::queue::{Queue, Rank};
 use crate::run::{Phase, Run, RunKey};
+use crate::run_times::RunTimes;
 use crate::takeover::Takeover;
-use crate::times::Times;
 use crate::told::Told;
 use crate::worker::{Grip, Worker, WorkerKey, domain_of};
 use crate::{Departure, PoolConfig, PoolEvent};
@@ -111,7 +111,7 @@
     pub(crate) runs: SlotMap<RunKey, Run>,
     pub(crate) calls: SlotMap<CallKey, Sent>,
     pub(crate) queue: Queue,
-    pub(crate) run_times: Times,
+    pub(crate) run_times: RunTimes,
     /// What the answers of all workers took.
     pub(crate) answer_times: Patience,
     pub(crate) inflow: Inflow,
@@ -152,7 +152,7 @@
             runs: SlotMap::with_key(),
             calls: SlotMap::with_key(),
             queue: Queue::default(),
-            run_times: Times::default(),
+            run_times: RunTimes::default(),
             answer_times: Patience::quick(),
             inflow: Inflow::default(),
             crashes: CrashLog::default(),
@@ -252,7 +252,7 @@
     pub fn open_steps(&self, now: Time) -> Vec<String> {
         let line = |batch: &Batch| {
             let states: Vec<_> = batch.tasks.values().map(|task| task.state).collect();
-            let unnamed = batch.tasks.values().filter(|task| task.unnamed).count();
+            let unnamed = batch.tasks.values().filter(|task| task.unconfirmed).count();
             let granted = batch.tasks.values();
             let granted = granted.filter(|task| self.may_start(now, batch.origin, task));
             format!(
@@ -465,7 +465,7 @@
 
     pub(crate) fn requeue(&mut self, key: BatchKey) {
         if let Some(batch) = self.batches.get(key)
-            && batch.waiting() > 0
+            && batch.waiting_count() > 0
         {
             let rank = self.rank(key, batch);
             self.queue.insert(rank);
@@ -477,11 +477,11 @@
         let Some(batch) = self.batches.get_mut(key) else {
             return;
         };
-        let id = batch.id(index);
+        let id = batch.task_id(index);
         let task = batch.tasks.remove(&index);
         let news = TaskNews {
             task: id,
-            hand: task.map_or(0, |task| task.hand),
+            hand: task.map_or(0, |task| task.submission),
             end,
         };
         let told = Told {
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -360,7 +360,7 @@
             return;
         };
         task.failures += 1;
-        let earlier = task.avoid.replace(run.worker);
+        let earlier = task.failed_on.replace(run.worker);
         let failures = task.failures;
         match earlier {
             Some(other) if other != run.worker => {
--- a/crates/celerywinch_pool/src/times.rs
+++ b/crates/celerywinch_pool/src/run_times.rs
@@ -22,11 +22,11 @@
 
 /// The run times of all queues.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Times {
+pub(crate) struct RunTimes {
     queues: BTreeMap<String, QueueTimes>,
 }
 
-impl Times {
+impl RunTimes {
     /// What a task should take on a usual worker.
     ///
     /// Guesses differ from the truth by a factor that differs from job to job, and jobs differ from
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -98,7 +98,7 @@
         }
         let batch = &mut self.batches[key];
         let earlier = |task: &Task| task.session != Some(order.session);
-        batch.begun |= !order.fresh && batch.tasks.values().any(earlier);
+        batch.started |= !order.fresh && batch.tasks.values().any(earlier);
         true
     }
 
@@ -106,7 +106,7 @@
     fn supersede(&mut self, origin: InstanceId, key: BatchKey) {
         let batch = &self.batches[key];
         let news = batch.tasks.keys().map(|index| TaskNews {
-            task: batch.id(*index),
+            task: batch.task_id(*index),
             hand: 0,
             end: TaskEnd::Superseded,
         });
@@ -182,9 +182,9 @@
             due: now + objective - age,
             expected,
             tasks: BTreeMap::new(),
-            begun: !order.fresh,
+            started: !order.fresh,
             // What another dispatcher passed on after it had started a part of the step.
-            proved: order.pass && !order.fresh,
+            probe_passed: order.pass && !order.fresh,
             order,
         }
     }
@@ -198,11 +198,11 @@
         out: &mut Vec<Output>,
     ) {
         let batch = &mut self.batches[key];
-        let id = batch.id(order.index);
+        let id = batch.task_id(order.index);
         if let Some(task) = batch.tasks.get_mut(&order.index) {
-            task.hand = order.hand;
+            task.submission = order.hand;
             task.session = Some(session);
-            task.unnamed = false;
+            task.unconfirmed = false;
             return;
         }
         if let Some(told) = self.sent_ends.get(&id)
@@ -221,10 +221,10 @@
             crashes: order.crashes.with(self.crashes.of(id)),
             run: order.run,
             doubt: order.doubt,
-            hand: order.hand,
+            submission: order.hand,
             session: Some(session),
-            unnamed: false,
-            avoid: None,
+            unconfirmed: false,
+            failed_on: None,
         };
         self.batches[key].tasks.insert(order.index, task);
         // What may run elsewhere waits for the end of the longest lease, and so for that of any run here.
@@ -232,7 +232,7 @@
             self.settle(now, key, order.index);
         } else if self.may_be_elsewhere(now, key, id) {
             let until = now + self.config.doubt_timeout;
-            self.set_task(key, order.index, TaskState::Limbo(until));
+            self.set_task(key, order.index, TaskState::MaybeRunning(until));
         } else if !self.take_stopping_run(key, order.index) {
             self.give_up(now, key, order.index, out);
         }
@@ -241,7 +241,7 @@
     /// Gives a task the run that it still has here, though nobody wanted that any more: a caller whose connection broke sends its job
     /// again before the worker has carried out the stop. The task is started anew when the run has ended.
     fn take_stopping_run(&mut self, key: BatchKey, index: u16) -> bool {
-        let id = self.batches[key].id(index);
+        let id = self.batches[key].task_id(index);
         let unwanted = |run: &Run| run.task == id && run.batch.is_none();
         let runs = self.runs.iter().filter(|(_, run)| unwanted(run));
         let Some((run, number)) = runs
@@ -252,7 +252,7 @@
         };
         self.runs[run].batch = Some(key);
         let batch = &mut self.batches[key];
-        batch.begun = true;
+        batch.started = true;
         if let Some(task) = batch.tasks.get_mut(&index) {
             task.state = TaskState::Running(run);
             task.run = task.run.max(number);
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -121,7 +121,7 @@
     /// A task in doubt: found at work, found ended, or in limbo until it must have ended.
     pub(crate) fn settle(&mut self, now: Time, key: BatchKey, index: u16) {
         let batch = &self.batches[key];
-        let id = batch.id(index);
+        let id = batch.task_id(index);
         let Some(task) = batch.tasks.get(&index).copied() else {
             return;
         };
@@ -147,7 +147,7 @@
             _ => self.set_task(
                 key,
                 index,
-                TaskState::Limbo(now + self.config.doubt_timeout),
+                TaskState::MaybeRunning(now + self.config.doubt_timeout),
             ),
         }
     }
@@ -181,7 +181,7 @@
     fn adopt_run(&mut self, now: Time, key: BatchKey, index: u16, alien: Alien) {
         let batch = &self.batches[key];
         let run = Run {
-            task: batch.id(index),
+            task: batch.task_id(index),
             batch: Some(key),
             worker: alien.worker,
             number: alien.run,
@@ -196,7 +196,7 @@
             stopped: false,
         };
         let run_key = self.add_run(run);
-        self.batches[key].begun = true;
+        self.batches[key].started = true;
         self.set_task(key, index, TaskState::Running(run_key));
         if let Some(task) = self.batches[key].tasks.get_mut(&index) {
             task.run = task.run.max(alien.run);
@@ -225,7 +225,7 @@
         let batch = self.batch_keys.get(&(row.task.job, row.task.step)).copied();
         let limbo = batch.is_some_and(|batch| {
             let task = self.batches[batch].tasks.get(&row.task.index);
-            task.is_some_and(|task| matches!(task.state, TaskState::Limbo(_)))
+            task.is_some_and(|task| matches!(task.state, TaskState::MaybeRunning(_)))
         });
         let settled = match batch {
             Some(batch) if limbo => {
@@ -291,7 +291,7 @@
     fn leave_limbo(&mut self, now: Time) {
         let keys: Vec<_> = self.batches.keys().collect();
         for key in keys {
-            let over = |state: &TaskState| matches!(state, TaskState::Limbo(t) if *t <= now);
+            let over = |state: &TaskState| matches!(state, TaskState::MaybeRunning(t) if *t <= now);
             let batch = &self.batches[key];
             let tasks = batch.tasks.iter().filter(|(_, task)| over(&task.state));
             let due: Vec<u16> = tasks.map(|(index, _)| *index).collect();
@@ -364,7 +364,7 @@
                 match state {
                     TaskState::Waiting => self.return_task(now, key, index, None),
                     // As doubtful as it came; its origin knows since when.
-                    TaskState::Limbo(_) | TaskState::Running(_) => {
+                    TaskState::MaybeRunning(_) | TaskState::Running(_) => {
                         self.return_doubtful(now, key, index);
                     }
                 }
