--- a/crates/celerywinch_pool/tests/capacity.rs
+++ b/crates/celerywinch_pool/tests/capacity.rs
@@ -4,7 +4,10 @@
 
 use celerywinch_pool::{Answer, How, Input};
 use celerywinch_types::{Doubt, JobId, Room, Said, WorkerNote};
-use rig::{DOMAIN, Rig, clock, ended, is_look, is_start, is_stop, lists, note, row, step};
+use rig::{
+    DOMAIN, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step,
+    worker_note,
+};
 use rstest::rstest;
 
 /// Room for one of the rig's tasks, and for two.
@@ -24,12 +27,12 @@
 }
 
 fn says(rig: &mut Rig, number: u64, room: Room) {
-    let first = note("w1", 1);
+    let first = worker_note("w1", 1);
     let said = Said {
         sequence: first.said.sequence + number,
         ..first.said
     };
-    rig.take(Input::Workers(vec![WorkerNote {
+    rig.handle(Input::Workers(vec![WorkerNote {
         said,
         room,
         ..first
@@ -61,15 +64,15 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     if busy {
         submit(&mut rig, 77..78);
-        let start = rig.last(is_start);
+        let start = rig.last_call(is_start);
         rig.answer(&start, Answer::Taken(clock()));
     }
     for (room, number) in case.rooms.iter().zip(1..) {
         says(&mut rig, number, *room);
     }
     submit(&mut rig, 78..81);
-    assert_eq!(rig.count(is_start), case.starts[usize::from(busy)]);
-    assert_eq!(rig.count(is_stop), 0, "nothing is ended for it");
+    assert_eq!(rig.count_calls(is_start), case.starts[usize::from(busy)]);
+    assert_eq!(rig.count_calls(is_stop), 0, "nothing is ended for it");
 }
 
 /// Room comes back within one announcement, and the task that waited is started without another cause.
@@ -79,9 +82,9 @@
     says(&mut rig, 1, NONE);
     assert_eq!(rig.pool.load(rig.now, DOMAIN).free, 0, "nothing is offered");
     submit(&mut rig, 77..78);
-    assert_eq!(rig.count(is_start), 0);
+    assert_eq!(rig.count_calls(is_start), 0);
     says(&mut rig, 2, ONE);
-    assert_eq!(rig.count(is_start), 1);
+    assert_eq!(rig.count_calls(is_start), 1);
 }
 
 /// A run that is being stopped holds its room until its end is listed, also after the room has shrunk: the sums stay right.
@@ -89,26 +92,26 @@
 fn what_is_being_stopped_counts() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     says(&mut rig, 1, ONE);
-    let look = rig.last(is_look);
+    let look = rig.last_call(is_look);
     let cancel = celerywinch_types::WorkMsg::Cancel {
         job: rig::JOB,
         last: u32::MAX,
     };
-    rig.take(Input::Work(rig::ORIGIN, cancel));
-    assert_eq!(rig.count(is_stop), 1);
+    rig.handle(Input::Work(rig::ORIGIN, cancel));
+    assert_eq!(rig.count_calls(is_stop), 1);
     // From here on only its room keeps others away.
-    let stop = rig.last(is_stop);
+    let stop = rig.last_call(is_stop);
     rig.answer(&stop, Answer::Taken(clock()));
     submit(&mut rig, 80..81);
-    assert_eq!(rig.count(is_start), 1, "the first one is still there");
-    rig.answer(&look, lists(vec![row(1)], Vec::new()));
-    assert_eq!(rig.count(is_start), 1);
-    let look = rig.last(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, How::Cut)]));
-    assert_eq!(rig.count(is_start), 2);
+    assert_eq!(rig.count_calls(is_start), 1, "the first one is still there");
+    rig.answer(&look, lists(vec![running_row(1)], Vec::new()));
+    assert_eq!(rig.count_calls(is_start), 1);
+    let look = rig.last_call(is_look);
+    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, How::Cut)]));
+    assert_eq!(rig.count_calls(is_start), 2);
     submit(&mut rig, 81..82);
-    assert_eq!(rig.count(is_start), 2, "one fits, and one is there");
+    assert_eq!(rig.count_calls(is_start), 2, "one fits, and one is there");
 }
--- a/crates/celerywinch_pool/tests/crashes.rs
+++ b/crates/celerywinch_pool/tests/crashes.rs
@@ -9,7 +9,9 @@
     Crashes, Doubt, Incarnation, JobId, Said, StepOrder, TaskEnd, TaskOrder, WorkMsg, WorkerNote,
     WorkerStage,
 };
-use rig::{ORIGIN, Rig, clock, is_look, is_start, lists, lists_of, note, row, step, task};
+use rig::{
+    ORIGIN, Rig, clock, is_look, is_start, lists, lists_of, running_row, step, task, worker_note,
+};
 use rstest::rstest;
 
 /// How a worker ends with the task that it has.
@@ -36,8 +38,11 @@
 fn rig(workers: u16) -> Rig {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     for index in 2..=workers {
-        rig.take(Input::Workers(vec![note(&format!("w{index}"), index)]));
-        let look = rig.last(is_look);
+        rig.handle(Input::Workers(vec![worker_note(
+            &format!("w{index}"),
+            index,
+        )]));
+        let look = rig.last_call(is_look);
         rig.answer(&look, lists_of(1, Vec::new(), Vec::new()));
     }
     rig
@@ -52,7 +57,7 @@
             sequence: if stage == WorkerStage::Ready { 2 } else { 3 },
         },
         stage,
-        ..note(worker, port)
+        ..worker_note(worker, port)
     }
 }
 
@@ -61,7 +66,7 @@
 
 /// Ends the worker that the task was started on last.
 fn end(rig: &mut Rig, lives: &mut Lives, ends: Ends) {
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let worker = start.worker.clone();
     match ends {
@@ -72,22 +77,22 @@
                 for call in calls {
                     rig.answer(&call, Answer::Silent);
                 }
-                rig.wait(10);
+                rig.advance(10);
             }
         }
         Ends::Returns | Ends::Planned => {
             let known = lives.entry(worker.clone()).or_insert(1);
             if ends == Ends::Planned {
                 let leaves = life(&worker, *known, WorkerStage::Draining);
-                rig.take(Input::Workers(vec![leaves]));
+                rig.handle(Input::Workers(vec![leaves]));
             }
             *known += 1;
             let later = *known;
             let back = life(&worker, later, WorkerStage::Ready);
-            rig.take(Input::Workers(vec![back]));
-            let look = rig.last(is_look);
+            rig.handle(Input::Workers(vec![back]));
+            let look = rig.last_call(is_look);
             rig.answer(&look, lists_of(later, Vec::new(), Vec::new()));
-            rig.wait(10);
+            rig.advance(10);
         }
     }
 }
@@ -109,8 +114,8 @@
     for ends in case.ends {
         end(&mut rig, &mut lives, *ends);
     }
-    assert_eq!(rig.count(is_start), case.starts);
-    let given_up = rig.told.contains(&(task(0), TaskEnd::GivenUp));
+    assert_eq!(rig.count_calls(is_start), case.starts);
+    let given_up = rig.ends.contains(&(task(0), TaskEnd::GivenUp));
     assert_eq!(given_up, case.given_up);
 }
 
@@ -123,16 +128,16 @@
     let mut order = step(Doubt::None, 0);
     order.fresh = false;
     rig.submit(order);
-    let first = rig.last(is_start).worker;
+    let first = rig.last_call(is_start).worker;
     end(&mut rig, &mut lives, Ends::Silent);
-    let second = rig.last(is_start).worker;
+    let second = rig.last_call(is_start).worker;
     assert_ne!(first, second);
-    rig.take(Input::Workers(vec![life(&first, 2, WorkerStage::Ready)]));
-    let look = rig.last(is_look);
+    rig.handle(Input::Workers(vec![life(&first, 2, WorkerStage::Ready)]));
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists_of(2, Vec::new(), Vec::new()));
-    assert!(rig.told.is_empty(), "one worker has ended");
+    assert!(rig.ends.is_empty(), "one worker has ended");
     end(&mut rig, &mut lives, Ends::Returns);
-    assert_eq!(rig.told, [(task(0), TaskEnd::GivenUp)]);
+    assert_eq!(rig.ends, [(task(0), TaskEnd::GivenUp)]);
 }
 
 /// A task goes on ending workers as its caller sends the job again to another entry, or as its dispatcher is lost: what is known
@@ -150,17 +155,17 @@
             job: rig::JOB,
             last: u32::MAX,
         };
-        rig.take(Input::Work(ORIGIN, cancel));
-        let stop = rig.last(rig::is_stop);
+        rig.handle(Input::Work(ORIGIN, cancel));
+        let stop = rig.last_call(rig::is_stop);
         rig.answer(&stop, Answer::Silent);
         end(&mut rig, &mut lives, Ends::Returns);
     }
-    let starts = rig.count(is_start);
+    let starts = rig.count_calls(is_start);
     let mut order = step(Doubt::None, 9_000);
     order.tasks[0].crashes = told;
     rig.submit(order);
-    assert_eq!(rig.count(is_start), starts, "not started again");
-    assert_eq!(rig.told.last(), Some(&(task(0), TaskEnd::GivenUp)));
+    assert_eq!(rig.count_calls(is_start), starts, "not started again");
+    assert_eq!(rig.ends.last(), Some(&(task(0), TaskEnd::GivenUp)));
 }
 
 /// Steps of eight tasks, each of which ends its worker, take eight workers at a time.
@@ -186,23 +191,23 @@
     rig.submit(order);
     end(&mut rig, &mut lives, Ends::Returns);
     end(&mut rig, &mut lives, Ends::Returns);
-    let before = rig.count(is_start);
+    let before = rig.count_calls(is_start);
     rig.submit(wide(500));
-    assert_eq!(rig.count(is_start), before + 1, "one first");
-    let start = rig.last(is_start);
+    assert_eq!(rig.count_calls(is_start), before + 1, "one first");
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
-    rig.wait(60);
-    let look = rig.last(is_look);
-    let mut at_work = row(1);
+    rig.advance(60);
+    let look = rig.last_call(is_look);
+    let mut at_work = running_row(1);
     at_work.task.job = JobId(500);
     assert_eq!(look.worker, start.worker);
     rig.answer(&look, lists(vec![at_work], Vec::new()));
-    assert_eq!(rig.count(is_start), before + 8, "the others follow");
+    assert_eq!(rig.count_calls(is_start), before + 8, "the others follow");
     let mut other = wide(501);
     other.queue = "another".to_owned();
     rig.submit(other);
     assert_eq!(
-        rig.count(is_start),
+        rig.count_calls(is_start),
         before + 16,
         "another queue is not held up"
     );
@@ -235,8 +240,8 @@
     for start in starts {
         rig.answer(&start, Answer::Taken(clock()));
     }
-    rig.take(Input::Workers(vec![life(&worker, 2, WorkerStage::Ready)]));
-    let look = rig.last(is_look);
+    rig.handle(Input::Workers(vec![life(&worker, 2, WorkerStage::Ready)]));
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists_of(2, Vec::new(), Vec::new()));
     let again: Vec<_> = rig
         .calls
@@ -256,19 +261,23 @@
     let mut rig = rig(2);
     let seen = Crashes { seen: 1, proven: 0 };
     let proven = Crashes { seen: 1, proven: 1 };
-    rig.take(Input::Crashes(vec![(task(0), seen)]));
-    rig.take(Input::Crashes(vec![(task(0), proven)]));
+    rig.handle(Input::Crashes(vec![(task(0), seen)]));
+    rig.handle(Input::Crashes(vec![(task(0), proven)]));
     let mut order = step(Doubt::None, 0);
     order.fresh = false;
     rig.submit(order);
-    assert_eq!(rig.count(is_start), 1, "one worker has ended, told twice");
-    rig.take(Input::Crashes(vec![(
+    assert_eq!(
+        rig.count_calls(is_start),
+        1,
+        "one worker has ended, told twice"
+    );
+    rig.handle(Input::Crashes(vec![(
         task(0),
         Crashes { seen: 2, proven: 2 },
     )]));
     end(&mut rig, &mut Lives::new(), Ends::Returns);
-    assert_eq!(rig.count(is_start), 1);
-    assert_eq!(rig.told.last(), Some(&(task(0), TaskEnd::GivenUp)));
+    assert_eq!(rig.count_calls(is_start), 1);
+    assert_eq!(rig.ends.last(), Some(&(task(0), TaskEnd::GivenUp)));
 }
 
 /// No call to these workers gets an answer for so long; all others find their tasks at work.
@@ -279,7 +288,7 @@
         for look in looks.iter().filter(|look| silent.contains(&look.worker)) {
             rig.answer(look, Answer::Silent);
         }
-        rig.wait(10);
+        rig.advance(10);
     }
 }
 
@@ -305,21 +314,25 @@
 fn step_that_seems_to_end_its_workers_is_given_up_at_once(#[case] case: Suspect) {
     let mut rig = rig(8);
     if case.careful {
-        rig.take(Input::ProbeQueues(vec!["q".to_owned()]));
+        rig.handle(Input::ProbeQueues(vec!["q".to_owned()]));
     }
     rig.submit(wide(500));
     let workers = started(&rig);
     assert_eq!(workers.len(), if case.careful { 1 } else { 4 });
     let silent = workers.into_iter().take(case.silent).collect();
     silence(&mut rig, &silent, 400);
-    let given_up = rig.told.iter().any(|(_, end)| *end == TaskEnd::GivenUp);
-    assert_eq!(given_up, case.given_up, "{:?}", rig.told);
+    let given_up = rig.ends.iter().any(|(_, end)| *end == TaskEnd::GivenUp);
+    assert_eq!(given_up, case.given_up, "{:?}", rig.ends);
     if given_up {
-        let starts = rig.count(is_start);
+        let starts = rig.count_calls(is_start);
         rig.submit(wide(500));
-        assert_eq!(rig.count(is_start), starts, "not started again");
+        assert_eq!(rig.count_calls(is_start), starts, "not started again");
         rig.submit(wide(501));
-        assert_eq!(rig.count(is_start), starts + 1, "the next one with care");
+        assert_eq!(
+            rig.count_calls(is_start),
+            starts + 1,
+            "the next one with care"
+        );
     }
 }
 
@@ -327,17 +340,17 @@
 #[test]
 fn first_task_is_looked_at_once_it_has_been_at_work_for_a_moment() {
     let mut rig = rig(8);
-    rig.take(Input::ProbeQueues(vec!["q".to_owned()]));
+    rig.handle(Input::ProbeQueues(vec!["q".to_owned()]));
     rig.submit(wide(500));
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let looks = |rig: &Rig| {
         let here = rig.calls.iter().filter(|call| call.worker == start.worker);
         here.filter(|call| is_look(&call.order)).count()
     };
     let before = looks(&rig);
-    rig.wait(40);
+    rig.advance(40);
     assert_eq!(looks(&rig), before);
-    rig.wait(20);
+    rig.advance(20);
     assert_eq!(looks(&rig), before + 1);
 }
--- a/crates/celerywinch_pool/tests/limbo.rs
+++ b/crates/celerywinch_pool/tests/doubt_timeout.rs
@@ -31,20 +31,20 @@
 fn last_end(idle: u64) -> f64 {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     let read = rig.now;
-    rig.wait(idle);
+    rig.advance(idle);
     let until = rig.now + Duration::from_millis(GRANT);
     let grant = Grant {
         life: Incarnation(1),
         session: Session(0),
         until,
     };
-    rig.take(Input::Granted(REMOTE, grant));
+    rig.handle(Input::Granted(REMOTE, grant));
     let late = GRANT - 10;
-    rig.wait(late);
+    rig.advance(late);
     let mut order = step(Doubt::None, 0);
     order.fresh = false;
-    rig.take(Input::Work(REMOTE, WorkMsg::Submit(order)));
-    let Order::Start { deadline, .. } = rig.last(is_start).order else {
+    rig.handle(Input::Work(REMOTE, WorkMsg::Submit(order)));
+    let Order::Start { deadline, .. } = rig.last_call(is_start).order else {
         panic!("a start");
     };
     let passed = rig.now.since(read).as_secs_f64() * 1e3;
@@ -58,8 +58,8 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::Open, 7));
     let mut ms = 0;
-    while rig.count(is_start) == 0 {
-        rig.wait(10);
+    while rig.count_calls(is_start) == 0 {
+        rig.advance(10);
         ms += 10;
     }
     ms
--- a/crates/celerywinch_pool/tests/evacuated.rs
+++ b/crates/celerywinch_pool/tests/evacuated.rs
@@ -6,7 +6,9 @@
 
 use celerywinch_pool::{Answer, How, Input};
 use celerywinch_types::{DataCentreId, Domain, Doubt, Fence, JobId, TaskEnd, WorkerNote};
-use rig::{DC, Rig, clock, ended, is_look, is_start, is_stop, lists, note, row, step};
+use rig::{
+    DC, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step, worker_note,
+};
 use rstest::rstest;
 
 const OTHER: DataCentreId = DataCentreId(1);
@@ -16,15 +18,15 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     let far = WorkerNote {
         dc: OTHER,
-        ..note("w2", 2)
+        ..worker_note("w2", 2)
     };
-    rig.take(Input::Workers(vec![far]));
+    rig.handle(Input::Workers(vec![far]));
     let domain = Domain {
         dc: OTHER,
         shard: 0,
     };
-    rig.take(Input::Acquire(domain, Fence(5 << 5)));
-    let look = rig.last(is_look);
+    rig.handle(Input::Acquire(domain, Fence(5 << 5)));
+    let look = rig.last_call(is_look);
     assert_eq!(look.worker, "w2");
     rig.answer(&look, lists(Vec::new(), Vec::new()));
     rig
@@ -32,7 +34,7 @@
 
 fn evacuate(rig: &mut Rig, dcs: &[DataCentreId]) {
     let dcs: BTreeSet<_> = dcs.iter().copied().collect();
-    rig.take(Input::EvacuatedDataCentres(dcs));
+    rig.handle(Input::EvacuatedDataCentres(dcs));
 }
 
 /// Submits jobs of one task each that are queued if there is no room.
@@ -67,9 +69,9 @@
     let mut rig = two_dcs();
     evacuate(&mut rig, case.evacuated);
     submit(&mut rig, 1..7);
-    rig.wait(50);
+    rig.advance(50);
     assert_eq!(started_at(&rig), case.workers.iter().copied().collect());
-    assert_eq!(rig.count(is_start), case.starts);
+    assert_eq!(rig.count_calls(is_start), case.starts);
     let free: u32 = [DC, OTHER]
         .map(|dc| rig.pool.load(rig.now, Domain { dc, shard: 0 }).free)
         .iter()
@@ -82,22 +84,26 @@
 fn evacuation_leaves_running_tasks_alone() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     evacuate(&mut rig, &[DC]);
     for _ in 0..5 {
-        let look = rig.last(is_look);
-        rig.answer(&look, lists(vec![row(1)], Vec::new()));
-        rig.wait(50);
+        let look = rig.last_call(is_look);
+        rig.answer(&look, lists(vec![running_row(1)], Vec::new()));
+        rig.advance(50);
     }
-    assert_eq!(rig.count(is_stop), 0);
-    let look = rig.last(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, How::Done)]));
-    assert_eq!(rig.told.last().map(|(_, end)| *end), Some(TaskEnd::Done));
+    assert_eq!(rig.count_calls(is_stop), 0);
+    let look = rig.last_call(is_look);
+    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, How::Done)]));
+    assert_eq!(rig.ends.last().map(|(_, end)| *end), Some(TaskEnd::Done));
     submit(&mut rig, 1..2);
-    assert_eq!(rig.count(is_start), 1, "not started while evacuated");
+    assert_eq!(rig.count_calls(is_start), 1, "not started while evacuated");
     evacuate(&mut rig, &[]);
-    assert_eq!(rig.count(is_start), 2, "started at once after the end");
+    assert_eq!(
+        rig.count_calls(is_start),
+        2,
+        "started at once after the end"
+    );
 }
 
 /// Guards against callers waiting until their deadline while all data centres are evacuated, where their job may have run
@@ -115,9 +121,9 @@
     if evacuated {
         evacuate(&mut rig, &[DC]);
     }
-    rig.wait(10);
+    rig.advance(10);
     let told: Vec<_> = rig
-        .told
+        .ends
         .iter()
         .map(|(task, end)| (task.job, *end))
         .collect();
@@ -146,10 +152,10 @@
     waiting.target = 5_000;
     rig.submit(waiting);
     if !new {
-        assert!(rig.told.is_empty(), "queued behind the first job");
+        assert!(rig.ends.is_empty(), "queued behind the first job");
         evacuate(&mut rig, &[DC]);
-        rig.wait(10);
+        rig.advance(10);
     }
-    let refused = rig.told.last().map(|(_, end)| *end);
+    let refused = rig.ends.last().map(|(_, end)| *end);
     assert_eq!(refused, Some(TaskEnd::Refused(1_000)));
 }
--- a/crates/celerywinch_pool/tests/grants.rs
+++ b/crates/celerywinch_pool/tests/grants.rs
@@ -6,7 +6,7 @@
 
 use celerywinch_pool::{Answer, Grant, How, Input, Order, Reject};
 use celerywinch_types::{Doubt, Incarnation, InstanceId, JobId, Session, TaskEnd, WorkMsg};
-use rig::{ORIGIN, Rig, clock, ended, is_look, is_start, is_stop, lists, row, step};
+use rig::{ORIGIN, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step};
 use rstest::rstest;
 
 const REMOTE: InstanceId = InstanceId(5);
@@ -33,7 +33,7 @@
             session: Session(session),
             until,
         };
-        self.rig.take(Input::Granted(REMOTE, grant));
+        self.rig.handle(Input::Granted(REMOTE, grant));
     }
 
     fn hand_in(&mut self, session: u32, doubt: Doubt) {
@@ -41,16 +41,16 @@
         order.session = Session(session);
         // Else it would be refused while it waits.
         order.fresh = false;
-        self.rig.take(Input::Work(REMOTE, WorkMsg::Submit(order)));
+        self.rig.handle(Input::Work(REMOTE, WorkMsg::Submit(order)));
     }
 
     fn starts(&self) -> usize {
-        self.rig.count(is_start)
+        self.rig.count_calls(is_start)
     }
 
     /// Whether the last look extends the lease.
     fn extends(&self) -> bool {
-        let look = self.rig.last(is_look);
+        let look = self.rig.last_call(is_look);
         matches!(
             look.order,
             Order::Look {
@@ -104,12 +104,12 @@
     }
     remote.hand_in(0, Doubt::None);
     assert_eq!(remote.starts(), 2);
-    remote.rig.wait(400);
+    remote.rig.advance(400);
     if let Some(session) = renewed {
         remote.grant(session, 500);
     }
-    remote.rig.wait(150);
-    let first = remote.rig.last(is_start);
+    remote.rig.advance(150);
+    let first = remote.rig.last_call(is_start);
     let rejected = Answer::Rejected(Reject::Malformed, Some(clock()));
     remote.rig.answer(&first, rejected);
     assert_eq!(remote.starts(), 2 + starts);
@@ -122,18 +122,22 @@
 fn lease_is_not_extended_beside_a_task_without_a_grant() {
     let mut remote = Remote::new();
     remote.hand_in(0, Doubt::None);
-    let start = remote.rig.last(is_start);
+    let start = remote.rig.last_call(is_start);
     remote.rig.answer(&start, Answer::Taken(clock()));
-    let look = remote.rig.last(is_look);
-    remote.rig.answer(&look, lists(vec![row(1)], Vec::new()));
+    let look = remote.rig.last_call(is_look);
+    remote
+        .rig
+        .answer(&look, lists(vec![running_row(1)], Vec::new()));
     assert!(remote.extends());
-    remote.rig.wait(510);
-    let look = remote.rig.last(is_look);
-    remote.rig.answer(&look, lists(vec![row(1)], Vec::new()));
+    remote.rig.advance(510);
+    let look = remote.rig.last_call(is_look);
+    remote
+        .rig
+        .answer(&look, lists(vec![running_row(1)], Vec::new()));
     assert!(!remote.extends());
-    assert_eq!(remote.rig.count(is_stop), 0);
-    remote.rig.wait(300);
-    assert_eq!(remote.rig.count(is_stop), 1);
+    assert_eq!(remote.rig.count_calls(is_stop), 0);
+    remote.rig.advance(300);
+    assert_eq!(remote.rig.count_calls(is_stop), 1);
 }
 
 /// How a task is taken back from a dispatcher.
@@ -156,23 +160,25 @@
 fn lease_is_not_extended_beside_a_run_that_is_not_stopped_yet(#[case] how: TakenBack) {
     let mut remote = Remote::new();
     remote.hand_in(0, Doubt::None);
-    let start = remote.rig.last(is_start);
+    let start = remote.rig.last_call(is_start);
     remote.rig.answer(&start, Answer::Taken(clock()));
-    let look = remote.rig.last(is_look);
-    remote.rig.answer(&look, lists(vec![row(1)], Vec::new()));
+    let look = remote.rig.last_call(is_look);
+    remote
+        .rig
+        .answer(&look, lists(vec![running_row(1)], Vec::new()));
     let last = 1;
     match how {
         TakenBack::Cancelled => {
             let job = rig::JOB;
             let cancel = WorkMsg::Cancel { job, last };
-            remote.rig.take(Input::Work(REMOTE, cancel));
+            remote.rig.handle(Input::Work(REMOTE, cancel));
         }
         TakenBack::Dropped => {
             let tasks = vec![rig::task(0)];
             let drop = WorkMsg::Drop { tasks, last };
-            remote.rig.take(Input::Work(REMOTE, drop));
+            remote.rig.handle(Input::Work(REMOTE, drop));
         }
-        TakenBack::WithoutGrant => remote.rig.wait(810),
+        TakenBack::WithoutGrant => remote.rig.advance(810),
     }
     let before = remote.rig.calls.len();
     let mut answered = Vec::new();
@@ -183,12 +189,12 @@
         for call in open {
             answered.push(call.key);
             let answer = match call.order {
-                Order::Look { .. } => lists(vec![row(1)], Vec::new()),
+                Order::Look { .. } => lists(vec![running_row(1)], Vec::new()),
                 Order::Start { .. } | Order::Stop { .. } => Answer::Silent,
             };
             remote.rig.answer(&call, answer);
         }
-        remote.rig.wait(10);
+        remote.rig.advance(10);
     }
     let calls = &remote.rig.calls[before..];
     let extends = |order: &Order| {
@@ -212,21 +218,21 @@
 fn worker_is_used_again_once_a_stop_is_taken(#[case] stop: Option<Answer>, #[case] more: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let cancel = WorkMsg::Cancel {
         job: rig::JOB,
         last: 1,
     };
-    rig.take(Input::Work(ORIGIN, cancel));
+    rig.handle(Input::Work(ORIGIN, cancel));
     if let Some(answer) = stop {
-        let call = rig.last(is_stop);
+        let call = rig.last_call(is_stop);
         rig.answer(&call, answer);
     }
     let mut other = step(Doubt::None, 0);
     other.job = JobId(78);
     rig.submit(other);
-    assert_eq!(rig.count(is_start), 1 + more);
+    assert_eq!(rig.count_calls(is_start), 1 + more);
 }
 
 /// A caller waits until its deadline: it sent its job to another entry, and the first one, which has it
@@ -245,15 +251,19 @@
     for (from, age) in [(ORIGIN, first_age), (REMOTE, second_age)] {
         let mut order = step(Doubt::None, 0);
         order.age = age;
-        remote.rig.take(Input::Work(from, WorkMsg::Submit(order)));
+        remote.rig.handle(Input::Work(from, WorkMsg::Submit(order)));
     }
-    let start = remote.rig.last(is_start);
+    let start = remote.rig.last_call(is_start);
     remote.rig.answer(&start, Answer::Taken(clock()));
-    let look = remote.rig.last(is_look);
+    let look = remote.rig.last_call(is_look);
     remote
         .rig
-        .answer(&look, lists(Vec::new(), vec![ended(1, How::Done)]));
-    let news = remote.rig.news.iter().map(|(to, end)| (*to, *end));
+        .answer(&look, lists(Vec::new(), vec![ended_row(1, How::Done)]));
+    let news = remote
+        .rig
+        .ends_by_origin
+        .iter()
+        .map(|(to, end)| (*to, *end));
     let news: Vec<_> = news.collect();
     assert_eq!(
         news,
@@ -272,9 +282,12 @@
 fn message_that_was_held_up_takes_nothing_back(#[case] msg: WorkMsg, #[case] stops: usize) {
     let mut remote = Remote::new();
     remote.hand_in(0, Doubt::None);
-    remote.rig.take(Input::Work(REMOTE, msg));
-    remote.rig.take(Input::Tick);
-    assert_eq!((remote.starts(), remote.rig.count(is_stop)), (1, stops));
+    remote.rig.handle(Input::Work(REMOTE, msg));
+    remote.rig.handle(Input::Tick);
+    assert_eq!(
+        (remote.starts(), remote.rig.count_calls(is_stop)),
+        (1, stops)
+    );
 }
 
 /// Guards against two runs of one task at once: a caller sends its job again to another entry before the worker has carried out
@@ -285,30 +298,30 @@
 fn task_waits_for_the_end_of_a_run_that_is_being_stopped(#[case] how: How) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let cancel = WorkMsg::Cancel {
         job: rig::JOB,
         last: 1,
     };
-    rig.take(Input::Work(ORIGIN, cancel));
-    let stop = rig.last(is_stop);
+    rig.handle(Input::Work(ORIGIN, cancel));
+    let stop = rig.last_call(is_stop);
     rig.submit(step(Doubt::None, 0));
-    assert_eq!(rig.count(is_start), 1, "the first run is there yet");
+    assert_eq!(rig.count_calls(is_start), 1, "the first run is there yet");
     rig.answer(&stop, Answer::Taken(clock()));
-    let look = rig.last(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, how)]));
+    let look = rig.last_call(is_look);
+    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, how)]));
     let told: &[_] = if how == How::Done {
         &[TaskEnd::Done]
     } else {
         &[]
     };
     assert_eq!(
-        rig.told.iter().map(|(_, end)| *end).collect::<Vec<_>>(),
+        rig.ends.iter().map(|(_, end)| *end).collect::<Vec<_>>(),
         told
     );
     let starts = 1 + usize::from(how == How::Cut);
-    assert_eq!(rig.count(is_start), starts);
+    assert_eq!(rig.count_calls(is_start), starts);
 }
 
 struct SentAgain {
@@ -331,31 +344,33 @@
     full.need = rig::ROOM;
     full.job = JobId(1);
     rig.submit(full);
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let mut passed = step(Doubt::None, 0);
     passed.pass = true;
     rig.submit(passed);
-    assert_eq!(rig.told.last().map(|(_, end)| *end), Some(TaskEnd::Full));
+    assert_eq!(rig.ends.last().map(|(_, end)| *end), Some(TaskEnd::Full));
     let cancel = WorkMsg::Cancel {
         job: JobId(1),
         last: 1,
     };
-    rig.take(Input::Work(ORIGIN, cancel));
-    let stop = rig.last(is_stop);
+    rig.handle(Input::Work(ORIGIN, cancel));
+    let stop = rig.last_call(is_stop);
     rig.answer(&stop, Answer::Taken(clock()));
-    let look = rig.last(is_look);
-    let mut over = ended(1, How::Cut);
+    let look = rig.last_call(is_look);
+    let mut over = ended_row(1, How::Cut);
     over.task.job = JobId(1);
     rig.answer(&look, lists(Vec::new(), vec![over]));
-    rig.wait(case.after);
+    rig.advance(case.after);
     let mut remote = Remote { rig };
     remote.grant(0, 500);
     let mut again = step(Doubt::None, 0);
     again.tasks[0].hand = 2;
     again.tasks[0].first = 2;
     let origin = if case.other { REMOTE } else { ORIGIN };
-    remote.rig.take(Input::Work(origin, WorkMsg::Submit(again)));
+    remote
+        .rig
+        .handle(Input::Work(origin, WorkMsg::Submit(again)));
     assert_eq!(remote.starts(), case.starts);
 }
 
@@ -365,18 +380,18 @@
 fn task_in_doubt_waits_beyond_the_end_of_a_run_that_is_being_stopped() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let cancel = WorkMsg::Cancel {
         job: rig::JOB,
         last: 1,
     };
-    rig.take(Input::Work(ORIGIN, cancel));
-    let stop = rig.last(is_stop);
+    rig.handle(Input::Work(ORIGIN, cancel));
+    let stop = rig.last_call(is_stop);
     rig.submit(step(Doubt::Open, 0));
     rig.answer(&stop, Answer::Taken(clock()));
-    let look = rig.last(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, How::Cut)]));
-    rig.wait(100);
-    assert_eq!(rig.count(is_start), 1, "it may run elsewhere");
+    let look = rig.last_call(is_look);
+    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, How::Cut)]));
+    rig.advance(100);
+    assert_eq!(rig.count_calls(is_start), 1, "it may run elsewhere");
 }
--- a/crates/celerywinch_pool/tests/leaving.rs
+++ b/crates/celerywinch_pool/tests/leaving.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_pool::{Answer, How, Input};
 use celerywinch_types::{Doubt, WorkerNote, WorkerStage};
-use rig::{Rig, clock, ended, is_look, is_start, lists, note, row, step};
+use rig::{Rig, clock, ended_row, is_look, is_start, lists, running_row, step, worker_note};
 use rstest::rstest;
 
 /// What a worker does after it has said that it leaves.
@@ -21,9 +21,9 @@
 impl Then {
     fn answer(self) -> Answer {
         match self {
-            Self::Works => lists(vec![row(1)], Vec::new()),
+            Self::Works => lists(vec![running_row(1)], Vec::new()),
             Self::Silent => Answer::Silent,
-            Self::Ends => lists(Vec::new(), vec![ended(1, How::Cut)]),
+            Self::Ends => lists(Vec::new(), vec![ended_row(1, How::Cut)]),
         }
     }
 }
@@ -37,7 +37,7 @@
 fn gone(id: &str, port: u16) -> WorkerNote {
     WorkerNote {
         stage: WorkerStage::Gone,
-        ..note(id, port)
+        ..worker_note(id, port)
     }
 }
 
@@ -54,7 +54,7 @@
                 rig.answer(&look, then.answer());
             }
         }
-        rig.wait(20);
+        rig.advance(20);
     }
 }
 
@@ -68,16 +68,16 @@
 fn task_of_a_worker_that_leaves_waits_for_its_end(#[case] case: Case) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
-    rig.take(Input::Workers(vec![note("w2", 2)]));
-    let other = rig.last(is_look);
+    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
+    let other = rig.last_call(is_look);
     rig.answer(&other, lists(Vec::new(), Vec::new()));
-    rig.take(Input::Workers(vec![gone("w1", 1)]));
+    rig.handle(Input::Workers(vec![gone("w1", 1)]));
     pass(&mut rig, case.then, 400);
-    let early = rig.count(is_start);
+    let early = rig.count_calls(is_start);
     pass(&mut rig, case.then, 500);
-    assert_eq!([early, rig.count(is_start)], case.starts);
+    assert_eq!([early, rig.count_calls(is_start)], case.starts);
 }
 
 /// A worker that has left stays in the list for ever, and counts among those that are divided.
@@ -88,10 +88,10 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     if busy {
         rig.submit(step(Doubt::None, 0));
-        let start = rig.last(is_start);
+        let start = rig.last_call(is_start);
         rig.answer(&start, Answer::Taken(clock()));
     }
-    rig.take(Input::Workers(vec![gone("w1", 1)]));
+    rig.handle(Input::Workers(vec![gone("w1", 1)]));
     pass(&mut rig, Then::Silent, 900);
     assert_eq!(rig.pool.known_workers(), 0);
 }
@@ -105,12 +105,12 @@
 fn worker_that_has_left_is_not_brought_back(#[case] known: bool) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     if known {
-        rig.take(Input::Workers(vec![note("w2", 2)]));
-        let look = rig.last(is_look);
+        rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
+        let look = rig.last_call(is_look);
         rig.answer(&look, lists(Vec::new(), Vec::new()));
     }
-    rig.take(Input::Workers(vec![gone("w2", 2)]));
-    rig.wait(15_000);
-    rig.take(Input::Workers(vec![note("w2", 2)]));
+    rig.handle(Input::Workers(vec![gone("w2", 2)]));
+    rig.advance(15_000);
+    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
     assert_eq!(rig.pool.known_workers(), 1, "w1 alone");
 }
--- a/crates/celerywinch_pool/tests/lives.rs
+++ b/crates/celerywinch_pool/tests/lives.rs
@@ -7,7 +7,8 @@
     Doubt, Incarnation, JobId, Said, TaskEnd, TaskId, WorkerNote, WorkerStage,
 };
 use rig::{
-    LATER_FENCE, Rig, clock, ended, is_look, is_start, lists, lists_of, note, row, step, task,
+    LATER_FENCE, Rig, clock, ended_row, is_look, is_start, lists, lists_of, running_row, step,
+    task, worker_note,
 };
 use rstest::rstest;
 
@@ -20,7 +21,7 @@
             incarnation: Incarnation(2),
             sequence: 1,
         },
-        ..note("w1", 1)
+        ..worker_note("w1", 1)
     }
 }
 
@@ -31,18 +32,18 @@
 fn ends_of_a_later_life_are_counted_anew() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
-    let look = rig.last(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, How::Done)]));
-    assert_eq!(rig.told, [(task(0), TaskEnd::Done)]);
-    rig.take(Input::Workers(vec![second_life()]));
-    let look = rig.last(is_look);
+    let look = rig.last_call(is_look);
+    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, How::Done)]));
+    assert_eq!(rig.ends, [(task(0), TaskEnd::Done)]);
+    rig.handle(Input::Workers(vec![second_life()]));
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists(Vec::new(), Vec::new()));
     let mut order = step(Doubt::None, 0);
     order.job = LATER_JOB;
     rig.submit(order);
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let later = TaskId {
         job: LATER_JOB,
@@ -50,16 +51,16 @@
     };
     let first_end = EndedRow {
         task: later,
-        ..ended(1, How::Done)
+        ..ended_row(1, How::Done)
     };
-    let starts = rig.count(is_start);
+    let starts = rig.count_calls(is_start);
     for _ in 0..10 {
-        let look = rig.last(is_look);
+        let look = rig.last_call(is_look);
         rig.answer(&look, lists(Vec::new(), vec![first_end]));
-        rig.wait(20);
+        rig.advance(20);
     }
-    assert_eq!(rig.told.last(), Some(&(later, TaskEnd::Done)));
-    assert_eq!(rig.count(is_start), starts, "it is not started again");
+    assert_eq!(rig.ends.last(), Some(&(later, TaskEnd::Done)));
+    assert_eq!(rig.count_calls(is_start), starts, "it is not started again");
 }
 
 /// A caller's task waits for 0.9 s though its worker has ended and is back: what was at work in the earlier life is over as soon
@@ -68,15 +69,15 @@
 fn runs_of_an_earlier_life_are_over_with_it() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
-    let look = rig.last(is_look);
-    rig.answer(&look, lists(vec![row(1)], Vec::new()));
-    rig.take(Input::Workers(vec![second_life()]));
-    let look = rig.last(is_look);
+    let look = rig.last_call(is_look);
+    rig.answer(&look, lists(vec![running_row(1)], Vec::new()));
+    rig.handle(Input::Workers(vec![second_life()]));
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists(Vec::new(), Vec::new()));
-    rig.wait(20);
-    assert_eq!(rig.count(is_start), 2, "started again at once");
+    rig.advance(20);
+    assert_eq!(rig.count_calls(is_start), 2, "started again at once");
 }
 
 /// An announcement and what the dispatcher heard before it.
@@ -96,7 +97,7 @@
             sequence,
         },
         stage,
-        ..note("w1", 1)
+        ..worker_note("w1", 1)
     }
 }
 
@@ -111,31 +112,31 @@
 #[case::later_life_has_left(Case { first: (1, 20), then: (2, 3, WorkerStage::Gone), works: false })]
 fn words_of_lives_are_told_apart(#[case] case: Case) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Workers(vec![said(
+    rig.handle(Input::Workers(vec![said(
         case.first.0,
         case.first.1,
         WorkerStage::Ready,
     )]));
     let (incarnation, sequence, stage) = case.then;
-    rig.take(Input::Workers(vec![said(incarnation, sequence, stage)]));
-    let look = rig.last(is_look);
+    rig.handle(Input::Workers(vec![said(incarnation, sequence, stage)]));
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists(Vec::new(), Vec::new()));
     rig.submit(step(Doubt::None, 0));
-    assert_eq!(rig.count(is_start) == 1, case.works);
+    assert_eq!(rig.count_calls(is_start) == 1, case.works);
 }
 
 /// A worker that has left and starts again gets no work for 30 s, though it serves and callers are refused.
 #[test]
 fn worker_that_has_left_may_come_back() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Workers(vec![said(1, 9, WorkerStage::Gone)]));
-    rig.take(Input::Workers(vec![said(1, 8, WorkerStage::Ready)]));
+    rig.handle(Input::Workers(vec![said(1, 9, WorkerStage::Gone)]));
+    rig.handle(Input::Workers(vec![said(1, 8, WorkerStage::Ready)]));
     assert_eq!(
         rig.pool.known_workers(),
         0,
         "late word of the life that has left"
     );
-    rig.take(Input::Workers(vec![second_life()]));
+    rig.handle(Input::Workers(vec![second_life()]));
     assert_eq!(rig.pool.known_workers(), 1);
 }
 
@@ -144,20 +145,20 @@
 /// once it is asked under that life's own key.
 #[rstest]
 #[case::over(Vec::new(), 2)]
-#[case::order_reached_the_later_life(vec![row(1)], 1)]
+#[case::order_reached_the_later_life(vec![running_row(1)], 1)]
 fn answer_tells_of_a_later_life(#[case] running: Vec<RunningRow>, #[case] starts: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
-    let looks = rig.count(is_look);
-    let look = rig.last(is_look);
+    let looks = rig.count_calls(is_look);
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists_of(2, running.clone(), Vec::new()));
-    assert_eq!(rig.count(is_look), looks + 1, "asked anew");
-    let look = rig.last(is_look);
+    assert_eq!(rig.count_calls(is_look), looks + 1, "asked anew");
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists_of(2, running, Vec::new()));
-    rig.wait(20);
-    assert_eq!(rig.count(is_start), starts);
+    rig.advance(20);
+    assert_eq!(rig.count_calls(is_start), starts);
 }
 
 /// A caller's task reaches a worker that has said that it leaves, as the worker's clock was set back between two starts: the life
@@ -167,22 +168,22 @@
 #[case::held_up_on_its_way(2, 1)]
 fn worker_shows_which_life_is_there(#[case] answers: u64, #[case] starts: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Workers(vec![said(2, 20, WorkerStage::Ready)]));
-    let look = rig.last(is_look);
+    rig.handle(Input::Workers(vec![said(2, 20, WorkerStage::Ready)]));
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists_of(2, Vec::new(), Vec::new()));
-    rig.take(Input::Workers(vec![said(1, 3, WorkerStage::Draining)]));
+    rig.handle(Input::Workers(vec![said(1, 3, WorkerStage::Draining)]));
     for _ in 0..2 {
-        let look = rig.last(is_look);
+        let look = rig.last_call(is_look);
         rig.answer(&look, lists_of(answers, Vec::new(), Vec::new()));
     }
     // Another keeper tells of all that it knows.
-    rig.take(Input::Workers(vec![said(2, 19, WorkerStage::Ready)]));
+    rig.handle(Input::Workers(vec![said(2, 19, WorkerStage::Ready)]));
     for _ in 0..2 {
-        let look = rig.last(is_look);
+        let look = rig.last_call(is_look);
         rig.answer(&look, lists_of(answers, Vec::new(), Vec::new()));
     }
     rig.submit(step(Doubt::None, 0));
-    assert_eq!(rig.count(is_start), starts);
+    assert_eq!(rig.count_calls(is_start), starts);
 }
 
 /// A caller's task runs twice: an answer to an order of the earlier life comes late, and its clock counts as the later one's.
@@ -190,19 +191,19 @@
 fn answers_of_an_earlier_life_count_for_nothing() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
-    rig.take(Input::Workers(vec![second_life()]));
+    let start = rig.last_call(is_start);
+    rig.handle(Input::Workers(vec![second_life()]));
     rig.answer(&start, Answer::Rejected(Reject::Fence, None));
-    assert_eq!(rig.outbid, 0, "nobody has taken the domain over");
+    assert_eq!(rig.fenced, 0, "nobody has taken the domain over");
     assert_eq!(
-        rig.count(is_start),
+        rig.count_calls(is_start),
         1,
         "not before the later life has shown its list"
     );
-    let look = rig.last(is_look);
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists_of(2, Vec::new(), Vec::new()));
-    rig.wait(20);
-    assert_eq!(rig.count(is_start), 2);
+    rig.advance(20);
+    assert_eq!(rig.count_calls(is_start), 2);
 }
 
 /// A caller's task runs twice: an order gets no answer, its worker crashes and starts again, the task is started elsewhere, and
@@ -212,14 +213,14 @@
 fn orders_of_an_earlier_life_are_fenced_off() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let mut highest = rig.last(is_start).fence;
+    let mut highest = rig.last_call(is_start).fence;
     for life in 2..8 {
-        rig.take(Input::Workers(vec![said(life, 1, WorkerStage::Ready)]));
-        let look = rig.last(is_look);
+        rig.handle(Input::Workers(vec![said(life, 1, WorkerStage::Ready)]));
+        let look = rig.last_call(is_look);
         assert!(look.fence > highest, "life {life}");
         rig.answer(&look, lists_of(life, Vec::new(), Vec::new()));
-        rig.wait(20);
-        highest = rig.last(is_start).fence;
+        rig.advance(20);
+        highest = rig.last_call(is_start).fence;
     }
     assert!(
         highest < LATER_FENCE.of_life(0),
@@ -232,16 +233,16 @@
 #[test]
 fn words_of_several_lives_are_kept_apart() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Workers(vec![said(9, 20, WorkerStage::Ready)]));
-    rig.take(Input::Workers(vec![said(2, 3, WorkerStage::Draining)]));
-    rig.take(Input::Workers(vec![said(5, 30, WorkerStage::Ready)]));
+    rig.handle(Input::Workers(vec![said(9, 20, WorkerStage::Ready)]));
+    rig.handle(Input::Workers(vec![said(2, 3, WorkerStage::Draining)]));
+    rig.handle(Input::Workers(vec![said(5, 30, WorkerStage::Ready)]));
     // Each list is of another life than the one that is known by then.
     for life in [5, 9, 2, 2] {
-        let look = rig.last(is_look);
+        let look = rig.last_call(is_look);
         rig.answer(&look, lists_of(life, Vec::new(), Vec::new()));
     }
     rig.submit(step(Doubt::None, 0));
-    assert_eq!(rig.count(is_start), 0);
+    assert_eq!(rig.count_calls(is_start), 0);
 }
 
 /// A caller's task runs twice, or a worker is overloaded: a worker leaves with an order on its way that got no answer, and starts again
@@ -251,12 +252,12 @@
 fn orders_of_a_life_that_has_left_are_fenced_off() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
-    let look = rig.last(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, How::Done)]));
-    rig.take(Input::Workers(vec![said(1, 9, WorkerStage::Gone)]));
+    let look = rig.last_call(is_look);
+    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, How::Done)]));
+    rig.handle(Input::Workers(vec![said(1, 9, WorkerStage::Gone)]));
     assert_eq!(rig.pool.known_workers(), 0);
-    rig.take(Input::Workers(vec![second_life()]));
-    assert!(rig.last(is_look).fence > start.fence);
+    rig.handle(Input::Workers(vec![second_life()]));
+    assert!(rig.last_call(is_look).fence > start.fence);
 }
--- a/crates/celerywinch_pool/tests/locality.rs
+++ b/crates/celerywinch_pool/tests/locality.rs
@@ -6,7 +6,7 @@
 use celerywinch_types::{
     DataCentreId, Domain, Doubt, Fence, JobId, Mechanism, Room, Without, WorkerNote,
 };
-use rig::{DC, ROOM, Rig, is_look, is_start, lists, note, step};
+use rig::{DC, ROOM, Rig, is_look, is_start, lists, step, worker_note};
 use rstest::rstest;
 
 const OTHER: DataCentreId = DataCentreId(1);
@@ -26,16 +26,16 @@
             cpu: 16_000,
             ..ROOM
         },
-        ..note(id, port)
+        ..worker_note(id, port)
     };
-    rig.take(Input::Workers(vec![
-        note("near", 1),
+    rig.handle(Input::Workers(vec![
+        worker_note("near", 1),
         far("far-1", 2),
         far("far-2", 3),
     ]));
     for dc in [DC, OTHER] {
         for shard in 0..shards {
-            rig.take(Input::Acquire(Domain { dc, shard }, Fence(5 << 5)));
+            rig.handle(Input::Acquire(Domain { dc, shard }, Fence(5 << 5)));
         }
     }
     for look in rig.calls.clone().iter().filter(|call| is_look(&call.order)) {
--- a/crates/celerywinch_pool/tests/asked.rs
+++ b/crates/celerywinch_pool/tests/reachability.rs
@@ -6,7 +6,7 @@
 
 use celerywinch_pool::{Answer, CallKey, Input};
 use celerywinch_types::Time;
-use rig::{DOMAIN, Rig, lists, note};
+use rig::{DOMAIN, Rig, lists, worker_note};
 use rstest::rstest;
 
 /// A call without an answer is given up after so many ms: the time of a look that waits for nothing, and what an
@@ -40,13 +40,13 @@
         self.calls = later;
         let due: Vec<_> = due;
         for (_, key) in due {
-            rig.take(Input::Answered(key, Answer::Silent));
+            rig.handle(Input::Answered(key, Answer::Silent));
         }
     }
 
     fn pass(&mut self, rig: &mut Rig, ms: u64, others: bool) {
         for _ in 0..ms / 10 {
-            rig.wait(10);
+            rig.advance(10);
             self.answer(rig, others);
         }
     }
@@ -65,7 +65,7 @@
     let mut open = Open::default();
     open.answer(&mut rig, true);
     for port in 2..2 + dead {
-        rig.take(Input::Workers(vec![note(&format!("w{port}"), port)]));
+        rig.handle(Input::Workers(vec![worker_note(&format!("w{port}"), port)]));
         open.answer(&mut rig, true);
         open.pass(&mut rig, 30, true);
     }
@@ -74,7 +74,7 @@
     open.pass(&mut rig, 5_000, false);
     let mut unreached = 0;
     for _ in 0..2_000 / COMPARE {
-        rig.take(Input::CheckReachable(DOMAIN));
+        rig.handle(Input::CheckReachable(DOMAIN));
         open.answer(&mut rig, false);
         open.pass(&mut rig, COMPARE, false);
         unreached += u64::from(!rig.pool.is_reachable(rig.now, DOMAIN, REACHED));
--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -34,7 +34,7 @@
     }
 }
 
-pub(crate) fn note(id: &str, port: u16) -> WorkerNote {
+pub(crate) fn worker_note(id: &str, port: u16) -> WorkerNote {
     WorkerNote {
         id: id.to_owned(),
         service: "s".to_owned(),
@@ -91,20 +91,20 @@
     pub(crate) pool: Pool,
     pub(crate) now: Time,
     pub(crate) calls: Vec<Call>,
-    pub(crate) told: Vec<(TaskId, TaskEnd)>,
+    pub(crate) ends: Vec<(TaskId, TaskEnd)>,
     /// The same with whom it was told.
-    pub(crate) news: Vec<(InstanceId, TaskEnd)>,
+    pub(crate) ends_by_origin: Vec<(InstanceId, TaskEnd)>,
     /// How often a worker was found to obey another dispatcher.
-    pub(crate) outbid: usize,
+    pub(crate) fenced: usize,
 }
 
 impl Rig {
     /// With one worker that was taken over with these lists.
     pub(crate) fn new(running: Vec<RunningRow>, ended: Vec<EndedRow>) -> Self {
         let mut rig = Self::empty(PoolConfig::default());
-        rig.take(Input::Workers(vec![note("w1", 1)]));
-        rig.take(Input::Acquire(DOMAIN, Fence(5 << 5)));
-        let look = rig.last(|order| matches!(order, Order::Look { .. }));
+        rig.handle(Input::Workers(vec![worker_note("w1", 1)]));
+        rig.handle(Input::Acquire(DOMAIN, Fence(5 << 5)));
+        let look = rig.last_call(|order| matches!(order, Order::Look { .. }));
         rig.answer(&look, lists(running, ended));
         rig
     }
@@ -115,26 +115,27 @@
             pool: Pool::new(config),
             now: Time(1_000_000),
             calls: Vec::new(),
-            told: Vec::new(),
-            news: Vec::new(),
-            outbid: 0,
+            ends: Vec::new(),
+            ends_by_origin: Vec::new(),
+            fenced: 0,
         };
         rig.pool.trust(ORIGIN, Grant::without_end(Incarnation(1)));
         rig
     }
 
-    pub(crate) fn take(&mut self, input: Input) {
+    pub(crate) fn handle(&mut self, input: Input) {
         let mut out = Vec::new();
         self.pool.handle(self.now, input, &mut out);
         for output in out {
             match output {
                 Output::Call(call) => self.calls.push(call),
                 Output::Send(to, WorkMsg::Ended(news)) => {
-                    self.news.extend(news.iter().map(|news| (to, news.end)));
-                    self.told
+                    self.ends_by_origin
+                        .extend(news.iter().map(|news| (to, news.end)));
+                    self.ends
                         .extend(news.iter().map(|news| (news.task, news.end)));
                 }
-                Output::Fenced(_) => self.outbid += 1,
+                Output::Fenced(_) => self.fenced += 1,
                 Output::Send(..)
                 | Output::TokenExhausted(_)
                 | Output::Crashed(..)
@@ -144,29 +145,29 @@
         }
     }
 
-    pub(crate) fn wait(&mut self, ms: u64) {
+    pub(crate) fn advance(&mut self, ms: u64) {
         for _ in 0..ms / 10 {
             self.now = self.now + Duration::from_millis(10);
-            self.take(Input::Tick);
+            self.handle(Input::Tick);
         }
     }
 
-    pub(crate) fn last(&self, wanted: impl Fn(&Order) -> bool) -> Call {
+    pub(crate) fn last_call(&self, wanted: impl Fn(&Order) -> bool) -> Call {
         let calls = self.calls.iter().rev();
         let mut fitting = calls.filter(|call| wanted(&call.order));
         fitting.next().expect("a call").clone()
     }
 
-    pub(crate) fn count(&self, wanted: impl Fn(&Order) -> bool) -> usize {
+    pub(crate) fn count_calls(&self, wanted: impl Fn(&Order) -> bool) -> usize {
         self.calls.iter().filter(|call| wanted(&call.order)).count()
     }
 
     pub(crate) fn answer(&mut self, call: &Call, answer: Answer) {
-        self.take(Input::Answered(call.key, answer));
+        self.handle(Input::Answered(call.key, answer));
     }
 
     pub(crate) fn submit(&mut self, order: StepOrder) {
-        self.take(Input::Work(ORIGIN, WorkMsg::Submit(order)));
+        self.handle(Input::Work(ORIGIN, WorkMsg::Submit(order)));
     }
 }
 
@@ -206,7 +207,7 @@
 }
 
 /// A run of the task that is at work.
-pub(crate) fn row(run: u64) -> RunningRow {
+pub(crate) fn running_row(run: u64) -> RunningRow {
     RunningRow {
         task: task(0),
         run: RunNumber(run),
@@ -215,7 +216,7 @@
 }
 
 /// The first end that a worker lists.
-pub(crate) fn ended(run: u64, how: How) -> EndedRow {
+pub(crate) fn ended_row(run: u64, how: How) -> EndedRow {
     EndedRow {
         serial: 1,
         task: task(0),
--- a/crates/celerywinch_pool/tests/runs.rs
+++ b/crates/celerywinch_pool/tests/runs.rs
@@ -5,7 +5,8 @@
 use celerywinch_pool::{Answer, EndedRow, How, Input, Order, Reject, RunningRow};
 use celerywinch_types::{Doubt, JobId, RunNumber, TaskEnd, WorkMsg};
 use rig::{
-    JOB, ORIGIN, Rig, clock, ended, is_look, is_start, is_stop, lists, note, row, step, task,
+    JOB, ORIGIN, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step, task,
+    worker_note,
 };
 use rstest::rstest;
 
@@ -47,23 +48,23 @@
 fn answer_to_a_start(#[case] case: Case) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
-    let before = rig.count(is_check);
+    let start = rig.last_call(is_start);
+    let before = rig.count_calls(is_check);
     rig.answer(&start, case.answer);
-    assert_eq!(rig.count(is_check) > before, case.stops);
+    assert_eq!(rig.count_calls(is_check) > before, case.stops);
     if case.stops {
-        let check = rig.last(is_check);
+        let check = rig.last_call(is_check);
         rig.answer(&check, lists(Vec::new(), Vec::new()));
     }
-    rig.take(Input::Tick);
-    assert_eq!(rig.count(is_stop) > 0, case.stops);
-    assert_eq!(rig.count(is_start) > 1, case.again);
+    rig.handle(Input::Tick);
+    assert_eq!(rig.count_calls(is_stop) > 0, case.stops);
+    assert_eq!(rig.count_calls(is_start) > 1, case.again);
 }
 
 /// Work is thrown away of which only the answer to its order was lost: the worker lists it, and it goes on. Where the
 /// worker does not answer that either, the run is stopped.
 #[rstest]
-#[case::at_work(lists(vec![row(1)], Vec::new()), 0)]
+#[case::at_work(lists(vec![running_row(1)], Vec::new()), 0)]
 #[case::no_answer(Answer::Silent, 1)]
 fn order_without_an_answer_is_settled_by_what_the_worker_has(
     #[case] answer: Answer,
@@ -71,12 +72,15 @@
 ) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Silent);
-    let check = rig.last(is_check);
+    let check = rig.last_call(is_check);
     rig.answer(&check, answer);
-    rig.take(Input::Tick);
-    assert_eq!((rig.count(is_stop), rig.count(is_start)), (stops, 1));
+    rig.handle(Input::Tick);
+    assert_eq!(
+        (rig.count_calls(is_stop), rig.count_calls(is_start)),
+        (stops, 1)
+    );
 }
 
 /// A worker is taken for busy for ever: a caller leaves, the stop of its task is answered before the
@@ -85,14 +89,14 @@
 fn stop_that_was_taken_settles_a_start_without_an_answer() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
-    rig.take(Input::Work(ORIGIN, WorkMsg::Cancel { job: JOB, last: 1 }));
-    let stop = rig.last(is_stop);
+    let start = rig.last_call(is_start);
+    rig.handle(Input::Work(ORIGIN, WorkMsg::Cancel { job: JOB, last: 1 }));
+    let stop = rig.last_call(is_stop);
     rig.answer(&stop, Answer::Taken(clock()));
     rig.answer(&start, Answer::Silent);
     for _ in 0..6 {
-        rig.wait(60);
-        let look = rig.last(is_look);
+        rig.advance(60);
+        let look = rig.last_call(is_look);
         rig.answer(&look, lists(Vec::new(), Vec::new()));
     }
     assert_eq!(rig.pool.counts().1, 0, "no run is left");
@@ -147,16 +151,16 @@
     let (running, ended) = (running.into_iter().collect(), ended.into_iter().collect());
     let mut rig = Rig::new(running, ended);
     rig.submit(step(case.doubt, 7));
-    rig.take(Input::Tick);
-    assert_eq!(rig.count(is_start) > 0, case.starts);
-    let told = rig.told.iter().map(|(_, end)| *end).next();
+    rig.handle(Input::Tick);
+    assert_eq!(rig.count_calls(is_start) > 0, case.starts);
+    let told = rig.ends.iter().map(|(_, end)| *end).next();
     assert_eq!(told, case.told);
     // Whatever was in doubt is started once no lease can last, and not before.
     if !case.starts && case.told.is_none() && case.running.is_none() {
-        rig.wait(1_430);
-        assert_eq!(rig.count(is_start), 0, "a lease may last");
-        rig.wait(100);
-        assert_eq!(rig.count(is_start), 1);
+        rig.advance(1_430);
+        assert_eq!(rig.count_calls(is_start), 0, "a lease may last");
+        rig.advance(100);
+        assert_eq!(rig.count_calls(is_start), 1);
     }
 }
 
@@ -166,10 +170,10 @@
 fn task_of_a_silent_worker_waits_for_the_end_of_its_lease() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
-    rig.take(Input::Workers(vec![note("w2", 2)]));
-    let other = rig.last(is_look);
+    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
+    let other = rig.last_call(is_look);
     assert_eq!(other.worker, "w2");
     rig.answer(&other, lists(Vec::new(), Vec::new()));
     for _ in 0..20 {
@@ -182,12 +186,12 @@
         for look in looks {
             rig.answer(&look, Answer::Silent);
         }
-        rig.wait(20);
+        rig.advance(20);
     }
-    assert_eq!(rig.count(is_start), 1, "400 ms: its lease may last");
-    rig.wait(500);
-    assert_eq!(rig.count(is_start), 2);
-    assert_eq!(rig.last(is_start).worker, "w2");
+    assert_eq!(rig.count_calls(is_start), 1, "400 ms: its lease may last");
+    rig.advance(500);
+    assert_eq!(rig.count_calls(is_start), 2);
+    assert_eq!(rig.last_call(is_start).worker, "w2");
 }
 
 /// A job whose objective cannot be kept behind the work that is queued is refused at once, and told
@@ -200,12 +204,12 @@
         order.job = JobId(job);
         rig.submit(order);
     }
-    let refused = rig.told.iter().filter_map(|(id, end)| match end {
+    let refused = rig.ends.iter().filter_map(|(id, end)| match end {
         TaskEnd::Refused(later) => Some((id.job.0, *later)),
         _ => None,
     });
     let refused: Vec<_> = refused.collect();
-    assert_eq!(rig.count(is_start), 2, "two fit on the worker");
+    assert_eq!(rig.count_calls(is_start), 2, "two fit on the worker");
     assert!(
         refused
             .iter()
@@ -221,8 +225,8 @@
 fn run_after_limbo_has_a_number_of_its_own() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::Open, 7));
-    rig.wait(1_600);
-    let start = rig.last(is_start);
+    rig.advance(1_600);
+    let start = rig.last_call(is_start);
     let Order::Start { run, .. } = start.order else {
         panic!("{start:?}");
     };
@@ -242,19 +246,19 @@
     let mut rig = Rig::new(vec![row(0), row(1)], Vec::new());
     rig.submit(step(Doubt::Open, 7));
     for _ in 0..10 {
-        rig.wait(20);
-        let look = rig.last(is_look);
+        rig.advance(20);
+        let look = rig.last_call(is_look);
         let Order::Look { deadline, .. } = look.order else {
             panic!("{look:?}");
         };
         assert_eq!(deadline, None, "run 1 belongs to somebody else");
         rig.answer(&look, lists(vec![row(0), row(1)], Vec::new()));
     }
-    assert_eq!(rig.count(is_stop), 1, "nobody wants run 1");
-    rig.wait(60);
-    let look = rig.last(is_look);
+    assert_eq!(rig.count_calls(is_stop), 1, "nobody wants run 1");
+    rig.advance(60);
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists(vec![row(0)], Vec::new()));
-    let Order::Look { deadline, .. } = rig.last(is_look).order else {
+    let Order::Look { deadline, .. } = rig.last_call(is_look).order else {
         panic!("a look");
     };
     assert!(deadline.is_some());
@@ -272,8 +276,8 @@
         percent: 20,
     };
     let mut rig = Rig::new(vec![row(0), row(1)], Vec::new());
-    rig.take(Input::Workers(vec![note("w2", 2)]));
-    let other = rig.last(is_look);
+    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
+    let other = rig.last_call(is_look);
     rig.answer(&other, lists(Vec::new(), Vec::new()));
     rig.submit(step(Doubt::Open, 7));
     let mut looks = rig
@@ -282,10 +286,10 @@
         .filter(|call| call.worker == "w1" && is_look(&call.order));
     let look = looks.next_back().expect("a look").clone();
     rig.answer(&look, Answer::Silent);
-    rig.wait(930);
-    assert_eq!(rig.count(is_start), 0, "its lease may last");
-    rig.wait(100);
-    assert_eq!(rig.count(is_start), 1);
+    rig.advance(930);
+    assert_eq!(rig.count_calls(is_start), 0, "its lease may last");
+    rig.advance(100);
+    assert_eq!(rig.count_calls(is_start), 1);
 }
 
 /// Where a task was since a dispatcher gave it back.
@@ -313,15 +317,16 @@
     let mut order = step(Doubt::None, 10);
     order.pass = true;
     rig.submit(order);
-    assert_eq!(rig.told, [(task(0), TaskEnd::Full)]);
-    rig.told.clear();
+    assert_eq!(rig.ends, [(task(0), TaskEnd::Full)]);
+    rig.ends.clear();
     let mut again = step(Doubt::Open, 10);
     again.tasks[0].first = case.first;
     again.tasks[0].hand = 4;
     rig.submit(again);
-    let told = rig.told.first().map(|(_, end)| *end);
+    let told = rig.ends.first().map(|(_, end)| *end);
     assert_eq!(told, case.told);
-    let starts = rig.count(|order| matches!(order, Order::Start { task, .. } if task.job == JOB));
+    let starts =
+        rig.count_calls(|order| matches!(order, Order::Start { task, .. } if task.job == JOB));
     assert_eq!(starts, 0);
 }
 
@@ -348,17 +353,17 @@
 fn what_its_origin_does_not_name_is_stopped(#[case] case: Named) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 10));
-    rig.take(Input::ResyncOrigin(ORIGIN));
+    rig.handle(Input::ResyncOrigin(ORIGIN));
     if !case.last {
-        rig.take(Input::ResyncOrigin(ORIGIN));
+        rig.handle(Input::ResyncOrigin(ORIGIN));
     }
     if case.again {
         rig.submit(step(Doubt::Open, 10));
     }
     let unsure = case.unsure.then_some(task(0)).into_iter().collect();
     let named = WorkMsg::Named { ask: 1, unsure };
-    rig.take(Input::Work(ORIGIN, named));
-    let stops = rig.count(|order| matches!(order, Order::Stop { .. }));
+    rig.handle(Input::Work(ORIGIN, named));
+    let stops = rig.count_calls(|order| matches!(order, Order::Stop { .. }));
     assert_eq!(stops, usize::from(case.stopped));
 }
 
@@ -368,18 +373,18 @@
 #[case::of_an_earlier_run(6, 0)]
 #[case::of_the_run_itself(7, 1)]
 fn end_on_another_worker_leaves_a_run_at_work(#[case] run: u64, #[case] serial: u64) {
-    let mut rig = Rig::new(vec![row(7)], Vec::new());
-    rig.take(Input::Workers(vec![note("w2", 2)]));
-    let look = rig.last(is_look);
+    let mut rig = Rig::new(vec![running_row(7)], Vec::new());
+    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
+    let look = rig.last_call(is_look);
     assert_eq!(look.worker, "w2");
     let end = EndedRow {
         serial: serial + 1,
-        ..ended(run, How::Cut)
+        ..ended_row(run, How::Cut)
     };
     rig.answer(&look, lists(Vec::new(), vec![end]));
     rig.submit(step(Doubt::Open, 7));
-    rig.wait(1_700);
-    assert_eq!(rig.count(is_start), 0, "it is at work on w1");
+    rig.advance(1_700);
+    assert_eq!(rig.count_calls(is_start), 0, "it is at work on w1");
 }
 
 /// Work runs for nobody: a worker carries an order out seconds after it was given up, when its job is
@@ -387,12 +392,12 @@
 #[test]
 fn run_that_nobody_knows_is_stopped() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.wait(500);
-    rig.take(Input::CheckReachable(rig::DOMAIN));
-    let look = rig.last(is_look);
-    rig.answer(&look, lists(vec![row(3)], Vec::new()));
-    rig.wait(200);
-    let stop = rig.last(is_stop);
+    rig.advance(500);
+    rig.handle(Input::CheckReachable(rig::DOMAIN));
+    let look = rig.last_call(is_look);
+    rig.answer(&look, lists(vec![running_row(3)], Vec::new()));
+    rig.advance(200);
+    let stop = rig.last_call(is_stop);
     let wanted = Order::Stop {
         task: task(0),
         run: RunNumber(3),
@@ -406,16 +411,16 @@
 fn answer_of_a_worker_that_was_given_up_is_not_taken() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
-    let late = rig.last(is_look);
-    rig.take(Input::Resign(rig::DOMAIN));
-    rig.take(Input::Acquire(rig::DOMAIN, rig::LATER_FENCE));
-    let look = rig.last(is_look);
+    let late = rig.last_call(is_look);
+    rig.handle(Input::Resign(rig::DOMAIN));
+    rig.handle(Input::Acquire(rig::DOMAIN, rig::LATER_FENCE));
+    let look = rig.last_call(is_look);
     assert_ne!(look.key, late.key);
-    rig.answer(&late, lists(Vec::new(), vec![ended(1, How::Done)]));
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, How::Done)]));
+    rig.answer(&late, lists(Vec::new(), vec![ended_row(1, How::Done)]));
+    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, How::Done)]));
     rig.submit(step(Doubt::Last, 1));
-    let last = rig.told.last().map(|(_, end)| *end);
+    let last = rig.ends.last().map(|(_, end)| *end);
     assert_eq!(last, Some(TaskEnd::Done));
 }
--- a/crates/celerywinch_pool/tests/silence.rs
+++ b/crates/celerywinch_pool/tests/silence.rs
@@ -6,7 +6,7 @@
 
 use celerywinch_pool::{Answer, Input};
 use celerywinch_types::{Doubt, Fence};
-use rig::{DOMAIN, Rig, is_look, is_start, lists, note, step};
+use rig::{DOMAIN, Rig, is_look, is_start, lists, step, worker_note};
 use rstest::rstest;
 
 /// What a lease of 800 ms lasts at most on a worker that was asked lately, in ms, and 20 ms for the tick.
@@ -18,8 +18,8 @@
 /// A dispatcher with two workers.
 fn two_workers() -> Rig {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Workers(vec![note("w2", 2)]));
-    let look = rig.last(is_look);
+    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists(Vec::new(), Vec::new()));
     rig
 }
@@ -39,7 +39,7 @@
 /// Lets time pass in which a worker gives no answers.
 fn pass(rig: &mut Rig, ms: u64, silent: &str) {
     for _ in 0..ms / 10 {
-        rig.wait(10);
+        rig.advance(10);
         answer_all(rig, silent);
     }
 }
@@ -48,8 +48,8 @@
 fn start_and_miss(rig: &mut Rig, idle_ms: u64, missed_ms: u64) {
     pass(rig, idle_ms, NOBODY);
     rig.submit(step(Doubt::None, 0));
-    let worker = rig.last(is_start).worker;
-    rig.wait(60);
+    let worker = rig.last_call(is_start).worker;
+    rig.advance(60);
     pass(rig, missed_ms - 60, &worker);
 }
 
@@ -65,7 +65,7 @@
 fn run_of_a_worker_that_misses_an_answer_goes_on_until_its_lease_is_over(#[case] idle_ms: u64) {
     let mut rig = two_workers();
     start_and_miss(&mut rig, idle_ms, 760);
-    assert_eq!(rig.count(is_start), 1, "the first run may be at work");
+    assert_eq!(rig.count_calls(is_start), 1, "the first run may be at work");
 }
 
 /// A caller waits for seconds: its task's worker was idle for minutes and dies. Since the dispatcher read the
@@ -79,7 +79,7 @@
 fn lease_of_a_worker_that_was_idle_is_over_as_soon_as_others(#[case] idle_ms: u64) {
     let mut rig = two_workers();
     start_and_miss(&mut rig, idle_ms, LEASE_OVER);
-    assert_eq!(rig.count(is_start), 2, "its lease is over");
+    assert_eq!(rig.count_calls(is_start), 2, "its lease is over");
 }
 
 /// Callers are refused though workers are idle: a dispatcher takes workers over that it has known for long and
@@ -90,13 +90,13 @@
 #[case::known_for_long(25_000)]
 fn worker_whose_first_answer_is_missed_is_asked_again(#[case] known_ms: u64) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Resign(DOMAIN));
-    rig.wait(known_ms);
-    rig.take(Input::Acquire(DOMAIN, Fence(7 << 5)));
+    rig.handle(Input::Resign(DOMAIN));
+    rig.advance(known_ms);
+    rig.handle(Input::Acquire(DOMAIN, Fence(7 << 5)));
     pass(&mut rig, 100, "w1");
     pass(&mut rig, 400, NOBODY);
     rig.submit(step(Doubt::None, 0));
-    assert_eq!(rig.count(is_start), 1);
+    assert_eq!(rig.count_calls(is_start), 1);
 }
 
 /// Callers are refused though all workers are free: they were taken over at one moment, and each is looked at again
@@ -105,19 +105,22 @@
 #[test]
 fn idle_workers_are_not_looked_at_all_at_once() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Resign(DOMAIN));
-    let others = (2..=40).map(|port| note(&format!("w{port}"), port));
-    rig.take(Input::Workers(others.collect()));
-    rig.take(Input::Acquire(DOMAIN, Fence(7 << 5)));
+    rig.handle(Input::Resign(DOMAIN));
+    let others = (2..=40).map(|port| worker_note(&format!("w{port}"), port));
+    rig.handle(Input::Workers(others.collect()));
+    rig.handle(Input::Acquire(DOMAIN, Fence(7 << 5)));
     pass(&mut rig, 1_000, NOBODY);
     let mut most = 0;
     for _ in 0..90 {
-        let before = rig.count(is_look);
+        let before = rig.count_calls(is_look);
         pass(&mut rig, 100, NOBODY);
-        most = most.max(rig.count(is_look) - before);
+        most = most.max(rig.count_calls(is_look) - before);
     }
     assert!(most <= 10, "{most} of 40 within 100 ms");
-    assert!(rig.count(is_look) >= 80 + 40, "each is looked at twice");
+    assert!(
+        rig.count_calls(is_look) >= 80 + 40,
+        "each is looked at twice"
+    );
 }
 
 /// A list of workers would grow for as long as the dispatcher lives: a worker that never answers again, and
@@ -145,7 +148,7 @@
     // Else it would be refused for want of workers.
     order.fresh = false;
     rig.submit(order);
-    assert_eq!(rig.count(is_start), starts);
+    assert_eq!(rig.count_calls(is_start), starts);
     pass(&mut rig, 100, NOBODY);
-    assert_eq!(rig.count(is_start), 1);
+    assert_eq!(rig.count_calls(is_start), 1);
 }
--- a/crates/celerywinch_pool/tests/takeover.rs
+++ b/crates/celerywinch_pool/tests/takeover.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_pool::{Answer, Input};
 use celerywinch_types::{Doubt, Fence};
-use rig::{DOMAIN, Rig, is_look, is_start, lists, note, step};
+use rig::{DOMAIN, Rig, is_look, is_start, lists, step, worker_note};
 use rstest::rstest;
 
 /// After a restart of all processes, jobs are refused although all workers are idle, if workers that have not
@@ -14,13 +14,13 @@
 #[case::worker_does_not_answer(Answer::Silent, 0)]
 fn job_waits_for_workers_being_taken_over(#[case] answer: Answer, #[case] starts: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Resign(DOMAIN));
-    rig.take(Input::Workers(vec![note("w1", 1)]));
-    rig.take(Input::Acquire(DOMAIN, Fence(7 << 5)));
+    rig.handle(Input::Resign(DOMAIN));
+    rig.handle(Input::Workers(vec![worker_note("w1", 1)]));
+    rig.handle(Input::Acquire(DOMAIN, Fence(7 << 5)));
     rig.submit(step(Doubt::None, 0));
-    assert_eq!(rig.told, [], "job ended before the worker answered");
-    let look = rig.last(is_look);
+    assert_eq!(rig.ends, [], "job ended before the worker answered");
+    let look = rig.last_call(is_look);
     rig.answer(&look, answer);
-    rig.wait(20);
-    assert_eq!(rig.count(is_start), starts);
+    rig.advance(20);
+    assert_eq!(rig.count_calls(is_start), starts);
 }
