--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -5,7 +5,9 @@
 
 use celerywinch_domains::{Change, Domains, LocalEntry, PeerView, Peers};
 use celerywinch_origin::{CallerId, Input as OriginInput, JobEvent, NewJob, Origin};
-use celerywinch_pool::{Answer, Call, CallKey, Grant, Input as PoolInput, Note, Pool, PoolConfig};
+use celerywinch_pool::{
+    Answer, Call, CallKey, Grant, Input as PoolInput, Pool, PoolConfig, PoolEvent,
+};
 use celerywinch_types::{
     Crashes, DataCentreId, Evacuations, FleetHeartbeat, FleetMsg, InstanceId, JobEnd, Learned,
     Mechanism, OwnedDomain, Process, ProcessKind, Stage, TaskId, Time, WallMs, WorkMsg,
@@ -119,7 +121,7 @@
     /// For the logs: of the member, the dispatcher, the origin.
     Member(MemberEvent),
     /// A decision of the dispatcher.
-    Dispatch(Note),
+    Dispatch(PoolEvent),
     /// A decision of the origin.
     Origin(JobEvent),
 }
@@ -192,7 +194,7 @@
             lost: BTreeSet::new(),
             domains: Domains::new(now, wall, me, config.dcs.clone()),
             pool,
-            origin: Origin::new(config.dc, config.pool.without),
+            origin: Origin::new(config.dc, config.pool.disabled),
             stage,
             version: 0,
             evacuations: Evacuations::default(),
@@ -300,7 +302,7 @@
                 // What it has handed in since it names by itself, as its own link has broken. Asking also without
                 // having any of it would be six messages for each two processes of a deployment as they start.
                 if self.pool.has_work_of(peer) {
-                    self.pool_input(now, PoolInput::AskOrigin(peer), out);
+                    self.pool_input(now, PoolInput::ResyncOrigin(peer), out);
                 }
                 self.origin_input(now, OriginInput::LinkReset(peer), out);
             }
@@ -308,7 +310,7 @@
             Input::Workers(notes) => self.pool_input(now, PoolInput::Workers(notes), out),
             Input::Learned(learned) => self.pool.learn_from(learned),
             Input::Crashes(told) => self.pool_input(now, PoolInput::Crashes(told), out),
-            Input::ProbeQueues(queues) => self.pool_input(now, PoolInput::Careful(queues), out),
+            Input::ProbeQueues(queues) => self.pool_input(now, PoolInput::ProbeQueues(queues), out),
             Input::Submit(caller, job) => self.arrivals.push((caller, job)),
             Input::CallerGone(caller) => self.caller_gone(now, caller, out),
             Input::Flush => self.flush(now, out),
@@ -417,7 +419,11 @@
 
     /// Becomes ready once it knows the configuration and had time to hear the others.
     fn join(&mut self, now: Time, out: &mut Vec<Output>) {
-        let short = !self.config.pool.without.contains(Mechanism::ShortListening);
+        let short = !self
+            .config
+            .pool
+            .disabled
+            .contains(Mechanism::ShortListening);
         let wait = if short && self.is_undivided() && self.peers.all_just_started(now) {
             JOIN_ANEW
         } else {
@@ -540,7 +546,7 @@
         self.send_beat(now, peer, out);
         // What it handed in while it was taken for lost was not taken.
         if self.lost.remove(&peer) {
-            self.pool_input(now, PoolInput::AskOrigin(peer), out);
+            self.pool_input(now, PoolInput::ResyncOrigin(peer), out);
         }
     }
 
@@ -565,17 +571,21 @@
         // Idle workers are not called. Without asking them, a data centre whose processes are all
         // silent would be given up as soon as there is nothing to do, and tried again and again.
         for domain in self.domains.silent_domains(now, &self.peers) {
-            self.pool_input(now, PoolInput::Ask(domain), out);
+            self.pool_input(now, PoolInput::CheckReachable(domain), out);
         }
         let mut changes = Vec::new();
         self.divide(now, &mut changes, out);
-        let short = !self.config.pool.without.contains(Mechanism::ShortListening);
+        let short = !self
+            .config
+            .pool
+            .disabled
+            .contains(Mechanism::ShortListening);
         self.domains
             .set_single_dispatcher(short && self.is_undivided());
         self.domains
             .set_resharding(self.uneven.is_some() && self.domains.shards() == 1);
         let held = self.domains.owned().keys().copied();
-        let reached = held.filter(|domain| self.pool.reaches(now, *domain, WORKERS_HEARD));
+        let reached = held.filter(|domain| self.pool.is_reachable(now, *domain, WORKERS_HEARD));
         self.domains
             .tick(now, &self.peers, &reached.collect(), &mut changes);
         self.change_domains(now, changes, out);
@@ -676,12 +686,12 @@
             match output {
                 celerywinch_pool::Output::Call(call) => out.push(Output::Call(call)),
                 celerywinch_pool::Output::Send(to, msg) => self.send_work(to, msg, out),
-                celerywinch_pool::Output::Outbid(domain) => {
+                celerywinch_pool::Output::Fenced(domain) => {
                     let mut changes = Vec::new();
                     self.domains.fenced(now, domain, &mut changes);
                     self.change_domains(now, changes, out);
                 }
-                celerywinch_pool::Output::UsedUp(domain) => {
+                celerywinch_pool::Output::TokenExhausted(domain) => {
                     let mut changes = Vec::new();
                     self.domains.renew(domain, &mut changes);
                     self.change_domains(now, changes, out);
@@ -689,10 +699,10 @@
                 celerywinch_pool::Output::Crashed(task, crashes) => {
                     self.crashes.insert(task, crashes);
                 }
-                celerywinch_pool::Output::Careful(queue) => {
+                celerywinch_pool::Output::ProbeQueue(queue) => {
                     self.careful.insert(queue);
                 }
-                celerywinch_pool::Output::Note(note) => out.push(Output::Dispatch(note)),
+                celerywinch_pool::Output::Event(note) => out.push(Output::Dispatch(note)),
             }
         }
     }
--- a/crates/celerywinch_pool/src/admission.rs
+++ b/crates/celerywinch_pool/src/admission.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_types::{Domain, Load, Mechanism, TaskEnd, TaskReport, Time};
 
-use crate::Note;
+use crate::PoolEvent;
 use crate::job::{Batch, BatchKey, TaskState};
 use crate::pool::{Output, Pool};
 
@@ -28,7 +28,8 @@
     /// that jobs are not refused before the first of them has answered.
     fn capacity(&self, now: Time) -> f64 {
         let workers = self.workers.values();
-        let sound = workers.filter(|w| self.takes(now, w) || self.takes_after_takeover(w));
+        let sound =
+            workers.filter(|w| self.accepts_tasks(now, w) || self.accepts_after_takeover(w));
         let speed = |w: &crate::worker::Worker| f64::from(w.note.capacity.cpu) / w.pace.max(1.0);
         sound.map(speed).sum::<f64>() * PACKING
     }
@@ -42,7 +43,7 @@
         own: f64,
         coming: f64,
     ) -> u32 {
-        let ahead: f64 = ahead.map(|key| self.batches[key].work_waiting()).sum();
+        let ahead: f64 = ahead.map(|key| self.batches[key].waiting_work()).sum();
         let whole = self.capacity(now);
         let capacity = (whole - coming).max(whole * LEFT_FOR_LOW);
         if ahead + own <= 0.0 {
@@ -66,7 +67,10 @@
 
     /// How many tasks could start at once.
     fn places(&self, now: Time, batch: &Batch) -> usize {
-        let workers = self.workers.iter().filter(|(_, w)| self.takes(now, w));
+        let workers = self
+            .workers
+            .iter()
+            .filter(|(_, w)| self.accepts_tasks(now, w));
         let fitting = workers.filter(|(key, worker)| self.suits(batch, *key, worker));
         let cpu = batch.order.need.cpu.max(1);
         fitting.map(|(_, w)| (w.free().cpu / cpu) as usize).sum()
@@ -81,7 +85,7 @@
         tasks: usize,
         out: &mut Vec<Output>,
     ) -> bool {
-        let without = self.config.without;
+        let without = self.config.disabled;
         let room = self.queue.is_empty() && self.places(now, batch) >= tasks;
         if room || without.contains(Mechanism::Admission) {
             return false;
@@ -99,7 +103,7 @@
         let own = batch.work_of(tasks);
         let wait = self.wait_ms(now, self.queue.ahead(rank), own, coming);
         if fits(now, batch, wait) {
-            out.push(Output::Note(Note::Queued {
+            out.push(Output::Event(PoolEvent::Queued {
                 job: batch.order.job,
                 origin: batch.origin,
                 tasks,
@@ -112,19 +116,19 @@
     }
 
     fn refuse(&mut self, now: Time, batch: &Batch, wait: u32, out: &mut Vec<Output>) {
-        let later = if self.config.without.contains(Mechanism::RetryTime) {
+        let later = if self.config.disabled.contains(Mechanism::RetryTime) {
             LEAST_RETRY_MS
         } else {
             wait.max(LEAST_RETRY_MS)
         };
-        out.push(Output::Note(Note::Refused {
+        out.push(Output::Event(PoolEvent::Refused {
             job: batch.order.job,
             wait,
             expected: batch.expected.as_millis() as u32,
             left: batch.due.since(now).as_millis() as u32,
         }));
         let news = TaskReport {
-            task: batch.id(0),
+            task: batch.task_id(0),
             submission: 0,
             end: TaskEnd::Refused(later),
         };
@@ -138,7 +142,7 @@
     /// told at once, and the room goes to those that can. While all workers of a service are in evacuated data
     /// centres, its waiting jobs that may have run are given up as well, as unsure.
     pub(crate) fn shed(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.config.without.contains(Mechanism::Shedding) {
+        if self.config.disabled.contains(Mechanism::Shedding) {
             return;
         }
         for key in self.queue.keys() {
@@ -148,7 +152,7 @@
                 continue;
             }
             let evacuated = self.all_evacuated(&batch.order.service);
-            if batch.begun {
+            if batch.started {
                 if evacuated {
                     self.give_up_unplaced(now, key);
                 }
@@ -169,10 +173,10 @@
 
     /// Gives up the waiting tasks of a job that may have run.
     fn give_up_unplaced(&mut self, now: Time, key: BatchKey) {
-        self.unqueue(key);
+        self.dequeue(key);
         let indices: Vec<u16> = self.batches[key].tasks.keys().copied().collect();
         for index in indices {
-            self.finish(now, key, index, TaskEnd::Unplaced);
+            self.finish_task(now, key, index, TaskEnd::Unplaced);
         }
     }
 
@@ -182,7 +186,7 @@
         let cpu = self.usual_cpu();
         let workers = self.workers.values().filter(|w| w.domain == domain);
         let free = workers
-            .filter(|worker| self.takes(now, worker))
+            .filter(|worker| self.accepts_tasks(now, worker))
             .map(|worker| worker.free().cpu / cpu)
             .sum();
         let mut wait = [0; PRIORITIES as usize];
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -8,7 +8,7 @@
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, RunKey};
 use crate::worker::{Grip, WorkerKey};
-use crate::{Departure, Note};
+use crate::{Departure, PoolEvent};
 
 /// A run is late when it takes this much longer than expected, ...
 const LATE_FACTOR: f64 = 2.5;
@@ -84,7 +84,7 @@
         }
         let cursor = worker.cursor;
         worker.look_at = Time::NEVER;
-        let input = self.inputs;
+        let input = self.input_count;
         let kind = LookKind { input, cursor };
         let wait = if waits { self.look_wait(now, key) } else { 0 };
         let order = Order::Look {
@@ -102,7 +102,7 @@
         let runs = self.workers[key].runs.iter().map(|run| &self.runs[*run]);
         let left = runs.map(|run| (run.started + run.expected.mul_f64(PAST_EXPECTED)).since(now));
         let first = left.min().unwrap_or_default();
-        let wait = first.max(self.config.least_wait).min(self.config.look_wait);
+        let wait = first.max(self.config.min_wait).min(self.config.poll_wait);
         wait.as_millis() as u32
     }
 
@@ -112,7 +112,7 @@
     /// sake would throw away what is at work; to wait for the next look costs up to 150 ms, when
     /// the task may have less to spare, and the worker takes nothing meanwhile. It is asked at once.
     pub(crate) fn check(&mut self, key: WorkerKey, out: &mut Vec<Output>) {
-        let input = self.inputs;
+        let input = self.input_count;
         let Some(worker) = self.workers.get(key) else {
             return;
         };
@@ -138,9 +138,9 @@
             if worker.silent > 0 && worker.lease <= now && !worker.runs.is_empty() {
                 self.lapse(now, key, out);
             }
-            if self.workers[key].is_lost(now, self.config.forget) {
+            if self.workers[key].is_lost(now, self.config.remove_after) {
                 self.forget_worker(now, key, Departure::Silent, out);
-            } else if !self.forget_if_left(now, key, out) {
+            } else if !self.remove_if_left(now, key, out) {
                 self.look(now, key, out);
             }
         }
@@ -149,7 +149,7 @@
     /// Asks one worker of a domain for a sign of life: the one that was heard last. One after the other
     /// where they do not answer, until the domain counts as out of reach.
     pub(crate) fn ask(&mut self, now: Time, domain: Domain, out: &mut Vec<Output>) {
-        if self.reaches(now, domain, self.config.quiet) {
+        if self.is_reachable(now, domain, self.config.reach_window) {
             return;
         }
         let there = self.workers.iter().filter(|(_, w)| w.domain == domain);
@@ -176,10 +176,10 @@
     }
 
     pub(crate) fn lose_run(&mut self, now: Time, key: RunKey, loss: Loss, out: &mut Vec<Output>) {
-        let Some(run) = self.release(key) else {
+        let Some(run) = self.remove_run(key) else {
             return;
         };
-        out.push(Output::Note(Note::RunEnded {
+        out.push(Output::Event(PoolEvent::RunEnded {
             task: run.task,
             run: run.number,
             worker: self.workers[run.worker].note.id.clone(),
@@ -194,7 +194,7 @@
         if let Some(batch) = run.batch
             && !self.give_up(now, batch, run.task.index, out)
         {
-            self.back_to_queue(batch, run.task.index, run.number);
+            self.requeue_task(batch, run.task.index, run.number);
         }
     }
 
@@ -213,27 +213,27 @@
         let addr = worker.note.addr;
         let runs = worker.runs.clone();
         let stage = worker.note.stage;
-        out.push(Output::Note(Note::WorkerGone {
+        out.push(Output::Event(PoolEvent::WorkerGone {
             worker: id.clone(),
             why,
             silent: now.since(worker.heard).as_millis() as u32,
             runs: runs.len(),
         }));
         let loss = match why {
-            Departure::OtherLife if stage == WorkerStage::Ready => Loss::Crashed,
-            Departure::OtherLife | Departure::Left | Departure::Silent => Loss::Left,
+            Departure::OtherIncarnation if stage == WorkerStage::Ready => Loss::Crashed,
+            Departure::OtherIncarnation | Departure::Left | Departure::Silent => Loss::Left,
         };
         for run in runs {
             self.lose_run(now, run, loss, out);
         }
         if let Some(worker) = self.workers.remove(key) {
-            self.forgotten.insert(id.clone(), (worker.lives, now));
-            if why == Departure::OtherLife {
+            self.removed.insert(id.clone(), (worker.lives, now));
+            if why == Departure::OtherIncarnation {
                 self.life_ended(now, &worker, out);
             }
         }
-        self.names.remove(&id);
-        self.forget_addr(addr);
+        self.worker_ids.remove(&id);
+        self.remove_addr(addr);
         self.takeover.forget(key);
     }
 
@@ -262,7 +262,7 @@
         let run = self.runs[key];
         let took = now.since(run.started);
         let late = run.expected.mul_f64(LATE_FACTOR) + LATE_MARGIN;
-        let stays = self.config.without.contains(Mechanism::Moving);
+        let stays = self.config.disabled.contains(Mechanism::Moving);
         if run.stopping || took < late || stays {
             return;
         }
@@ -280,15 +280,15 @@
         }
         let usual = usual.as_secs_f64().max(1e-3);
         let worker = &mut self.workers[run.worker];
-        if !self.config.without.contains(Mechanism::Pace) {
+        if !self.config.disabled.contains(Mechanism::Pace) {
             worker.learn_pace(took.as_secs_f64() / done / usual);
         }
-        let set_aside = !self.config.without.contains(Mechanism::Probation);
+        let set_aside = !self.config.disabled.contains(Mechanism::Probation);
         if set_aside && (worker.pace > SLOW_PACE || percent == 0) {
-            worker.aside = now + self.config.aside;
+            worker.aside = now + self.config.quarantine;
             worker.probation = true;
         }
-        out.push(Output::Note(Note::Moved {
+        out.push(Output::Event(PoolEvent::Moved {
             task: run.task,
             worker: worker.note.id.clone(),
             took: took.as_millis() as u32,
--- a/crates/celerywinch_pool/src/lives.rs
+++ b/crates/celerywinch_pool/src/lives.rs
@@ -14,7 +14,7 @@
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, Run, RunKey};
 use crate::worker::WorkerKey;
-use crate::{Departure, Note};
+use crate::{Departure, PoolEvent};
 
 /// So many lives of a worker are remembered beside the one that is known.
 const MOST_OTHERS: usize = 4;
@@ -57,10 +57,10 @@
             return;
         };
         self.takeover.forget(key);
-        self.forget_addr(earlier.note.addr);
-        out.push(Output::Note(Note::WorkerGone {
+        self.remove_addr(earlier.note.addr);
+        out.push(Output::Event(PoolEvent::WorkerGone {
             worker: note.id.clone(),
-            why: Departure::OtherLife,
+            why: Departure::OtherIncarnation,
             silent: now.since(earlier.heard).as_millis() as u32,
             runs: earlier.runs.len(),
         }));
@@ -83,7 +83,7 @@
         }
         self.life_ended(now, &earlier, out);
         if lives > MAX_INCARNATIONS {
-            out.push(Output::UsedUp(self.workers[later].domain));
+            out.push(Output::TokenExhausted(self.workers[later].domain));
         }
     }
 
@@ -95,11 +95,11 @@
         note: WorkerAnnouncement,
         out: &mut Vec<Output>,
     ) {
-        let forgotten = self.forgotten.remove(&note.id);
+        let forgotten = self.removed.remove(&note.id);
         let lives = forgotten.map_or(0, |(lives, _)| lives + 1);
         let key = self.add_worker(now, note, lives, out);
         if lives > MAX_INCARNATIONS {
-            out.push(Output::UsedUp(self.workers[key].domain));
+            out.push(Output::TokenExhausted(self.workers[key].domain));
         }
     }
 
@@ -149,7 +149,7 @@
         moved: bool,
         out: &mut Vec<Output>,
     ) {
-        let longest = now + self.config.limbo;
+        let longest = now + self.config.doubt_timeout;
         let Some(run) = self.runs.get_mut(key) else {
             return;
         };
@@ -195,7 +195,7 @@
                 self.lose_inherited(now, run, out);
                 continue;
             }
-            self.set_phase(run, Phase::Running(self.inputs));
+            self.set_phase(run, Phase::Running(self.input_count));
             if batch.is_none() {
                 self.stop_run(now, run, out);
             }
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -9,7 +9,7 @@
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, Run, RunKey};
 use crate::worker::{Grip, WorkerKey};
-use crate::{Departure, Note};
+use crate::{Departure, PoolEvent};
 
 /// Added to a run number that a worker calls old: past any that an earlier origin can have used.
 const RUN_LEAP: u64 = 1 << 20;
@@ -64,13 +64,15 @@
             if let Some(worker) = self.workers.get_mut(run.worker) {
                 worker.patience.learn(now.since(run.started));
             }
-            self.answers.learn(now.since(run.started));
+            self.answer_times.learn(now.since(run.started));
         }
-        let heard = Phase::Running(self.inputs);
+        let heard = Phase::Running(self.input_count);
         match answer {
             Answer::Taken(_) | Answer::Lists { .. } => self.set_phase(key, heard),
             Answer::Rejected(reject, _) => self.start_rejected(now, key, run, reject, out),
-            Answer::OtherLife => self.forget_worker(now, run.worker, Departure::OtherLife, out),
+            Answer::OtherLife => {
+                self.forget_worker(now, run.worker, Departure::OtherIncarnation, out)
+            }
             Answer::Refused => {
                 self.not_started(now, key, out);
                 self.missed(now, run.worker, out);
@@ -100,44 +102,44 @@
         let worker = &mut self.workers[run.worker];
         match reject {
             Reject::Fence => {
-                out.push(Output::Outbid(worker.domain));
+                out.push(Output::Fenced(worker.domain));
                 // Left as it is: the data centre is resigned, and the task goes to its holder.
                 return;
             }
             Reject::Unwell => {
-                worker.aside = now + self.config.aside;
+                worker.aside = now + self.config.quarantine;
                 worker.probation = true;
                 let why = "it says that it is not well";
                 let worker = worker.note.id.clone();
-                out.push(Output::Note(Note::WorkerAside { worker, why }));
+                out.push(Output::Event(PoolEvent::WorkerAside { worker, why }));
             }
             Reject::Room => {
                 // It has more to do than is known here; the next look tells.
-                worker.aside = now + self.config.stop;
+                worker.aside = now + self.config.stop_delay;
                 worker.look_at = now;
             }
             Reject::Malformed => {
                 if let Some(batch) = run.batch {
-                    self.release(key);
-                    self.finish(now, batch, run.task.index, TaskEnd::Failed);
+                    self.remove_run(key);
+                    self.finish_task(now, batch, run.task.index, TaskEnd::Failed);
                 }
                 return;
             }
             Reject::Old | Reject::Late => {}
         }
         let leap = if reject == Reject::Old { RUN_LEAP } else { 0 };
-        self.release(key);
+        self.remove_run(key);
         if let Some(batch) = run.batch {
-            self.back_to_queue(batch, run.task.index, RunNumber(run.number.0 + leap));
+            self.requeue_task(batch, run.task.index, RunNumber(run.number.0 + leap));
         }
     }
 
     /// The order surely had no effect.
     fn not_started(&mut self, _now: Time, key: RunKey, _out: &mut Vec<Output>) {
-        if let Some(run) = self.release(key)
+        if let Some(run) = self.remove_run(key)
             && let Some(batch) = run.batch
         {
-            self.back_to_queue(batch, run.task.index, run.number);
+            self.requeue_task(batch, run.task.index, run.number);
         }
     }
 
@@ -153,7 +155,7 @@
         match answer {
             Answer::Taken(_) | Answer::Lists { .. } => {
                 // Refused from now on if it was not there; else its end is listed soon.
-                let heard = Phase::Running(self.inputs);
+                let heard = Phase::Running(self.input_count);
                 let mut doubtful = false;
                 if let Some(run) = self.runs.get_mut(key) {
                     run.stopping = true;
@@ -166,13 +168,13 @@
                 if doubtful {
                     self.check(worker, out);
                 }
-                self.workers[worker].look_at = now + self.config.stop;
+                self.workers[worker].look_at = now + self.config.stop_delay;
                 self.look(now, worker, out);
             }
-            Answer::OtherLife => self.forget_worker(now, worker, Departure::OtherLife, out),
+            Answer::OtherLife => self.forget_worker(now, worker, Departure::OtherIncarnation, out),
             Answer::Rejected(Reject::Fence, _) => {
                 let domain = self.workers[worker].domain;
-                out.push(Output::Outbid(domain));
+                out.push(Output::Fenced(domain));
             }
             // Tried again with the next tick, until the lease is over.
             Answer::Rejected(..) | Answer::Refused | Answer::Silent => {
@@ -217,8 +219,8 @@
                     self.tend_runs(now, out);
                 }
             }
-            Answer::Rejected(Reject::Fence, _) => out.push(Output::Outbid(worker.domain)),
-            Answer::OtherLife => self.forget_worker(now, key, Departure::OtherLife, out),
+            Answer::Rejected(Reject::Fence, _) => out.push(Output::Fenced(worker.domain)),
+            Answer::OtherLife => self.forget_worker(now, key, Departure::OtherIncarnation, out),
             Answer::Taken(_) | Answer::Rejected(..) | Answer::Refused | Answer::Silent => {
                 self.missed(now, key, out);
             }
@@ -235,13 +237,13 @@
         let retry = if worker.silent <= 2 && !worker.runs.is_empty() {
             std::time::Duration::ZERO
         } else {
-            self.config.retry
+            self.config.retry_delay
         };
         worker.look_at = now + retry;
         if worker.silent == SILENT_LOOKS {
             let looks = worker.silent;
             let worker = worker.note.id.clone();
-            out.push(Output::Note(Note::WorkerSilent { worker, looks }));
+            out.push(Output::Event(PoolEvent::WorkerSilent { worker, looks }));
             self.suspect_runs(now, key, out);
         }
     }
@@ -273,9 +275,9 @@
         let worker = &mut self.workers[key];
         let idle = worker.runs.is_empty() && worker.aliens == 0;
         worker.look_at = if idle && worker.cursor > worker.acknowledged {
-            now + self.config.tidy
+            now + self.config.ack_delay
         } else if idle {
-            now + worker.idle_wait(self.config.idle)
+            now + worker.idle_wait(self.config.idle_interval)
         } else {
             now
         };
@@ -298,7 +300,7 @@
     }
 
     fn run_ended(&mut self, now: Time, key: RunKey, how: How, out: &mut Vec<Output>) {
-        let Some(run) = self.release(key) else {
+        let Some(run) = self.remove_run(key) else {
             return;
         };
         self.note_end(now, &run, how, out);
@@ -309,10 +311,10 @@
             How::Done => {
                 self.prove_batch(Some(batch));
                 self.learn(now, &run, batch);
-                self.finish(now, batch, run.task.index, TaskEnd::Done);
+                self.finish_task(now, batch, run.task.index, TaskEnd::Done);
             }
             How::Failed => self.run_failed(now, &run, batch, out),
-            How::Cut => self.back_to_queue(batch, run.task.index, run.number),
+            How::Cut => self.requeue_task(batch, run.task.index, run.number),
         }
     }
 
@@ -322,7 +324,7 @@
             How::Failed => "failed",
             How::Cut => "cut",
         };
-        out.push(Output::Note(Note::RunEnded {
+        out.push(Output::Event(PoolEvent::RunEnded {
             task: run.task,
             run: run.number,
             worker: self.workers[run.worker].note.id.clone(),
@@ -340,9 +342,9 @@
             return;
         }
         let usual = run.expected.as_secs_f64() / worker.pace.max(f64::EPSILON);
-        let without = self.config.without;
+        let without = self.config.disabled;
         if !without.contains(Mechanism::Learning) {
-            self.times
+            self.run_times
                 .learn(&order.queue, order.estimate, took.div_f64(worker.pace));
         }
         if !without.contains(Mechanism::Pace) {
@@ -358,7 +360,7 @@
             return;
         };
         task.failures += 1;
-        let earlier = task.avoid.replace(run.worker);
+        let earlier = task.failed_on.replace(run.worker);
         let failures = task.failures;
         match earlier {
             Some(other) if other != run.worker => {
@@ -369,22 +371,22 @@
             _ => self.blame(now, run.worker, out),
         }
         if failures >= self.batches[batch].order.attempts {
-            self.finish(now, batch, index, TaskEnd::Failed);
+            self.finish_task(now, batch, index, TaskEnd::Failed);
         } else {
-            self.back_to_queue(batch, index, run.number);
+            self.requeue_task(batch, index, run.number);
         }
     }
 
     fn blame(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let worker = &mut self.workers[key];
         worker.failed();
-        let set_aside = !self.config.without.contains(Mechanism::Probation);
+        let set_aside = !self.config.disabled.contains(Mechanism::Probation);
         if set_aside && worker.failing >= FAILING && worker.note.stage == WorkerStage::Ready {
-            worker.aside = now + self.config.aside;
+            worker.aside = now + self.config.quarantine;
             worker.probation = true;
             let worker = worker.note.id.clone();
             let why = "it fails tasks";
-            out.push(Output::Note(Note::WorkerAside { worker, why }));
+            out.push(Output::Event(PoolEvent::WorkerAside { worker, why }));
         }
     }
 
@@ -410,7 +412,7 @@
             }
             (Some(_), Phase::Starting | Phase::Doubtful) => {
                 self.seen_at_work(now, &run);
-                self.set_phase(key, Phase::Running(self.inputs));
+                self.set_phase(key, Phase::Running(self.input_count));
             }
             // Confirmed before the look was sent, and neither at work nor ended: it is gone.
             (None, Phase::Running(heard)) if heard <= kind.input => {
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_types::{Domain, Fence, Mechanism, PriorRuns, RunNumber, TaskEnd, TaskId, Time};
 
-use crate::Note;
+use crate::PoolEvent;
 use crate::call::{EndedRow, How, Order, Pending, RunningRow};
 use crate::job::{BatchKey, TaskState};
 use crate::pool::{Output, Pool};
@@ -44,11 +44,11 @@
         fence: Fence,
         out: &mut Vec<Output>,
     ) {
-        self.held.insert(domain, fence);
+        self.owned.insert(domain, fence);
         let here = |worker: &Worker| worker.domain == domain;
         let workers = self.workers.iter().filter(|(_, w)| here(w));
         let keys: Vec<_> = workers.map(|(key, _)| key).collect();
-        out.push(Output::Note(Note::Acquired {
+        out.push(Output::Event(PoolEvent::Acquired {
             domain,
             workers: keys.len(),
         }));
@@ -105,14 +105,14 @@
             worker.lease = worker.lease.max(Worker::longest(now, self.config.lease));
         }
         worker.aliens = running.len();
-        worker.look_at = now + self.config.tidy;
-        out.push(Output::Note(Note::WorkerHeld {
+        worker.look_at = now + self.config.ack_delay;
+        out.push(Output::Event(PoolEvent::WorkerHeld {
             worker: worker.note.id.clone(),
             found: running.len(),
         }));
         // Origins that were faster than this look wait for what it shows.
         for row in &running {
-            if let Some(batch) = self.jobs.get(&(row.task.job, row.task.step)).copied() {
+            if let Some(batch) = self.batch_keys.get(&(row.task.job, row.task.step)).copied() {
                 self.settle(now, batch, row.task.index);
             }
         }
@@ -121,7 +121,7 @@
     /// A task in doubt: found at work, found ended, or in limbo until it must have ended.
     pub(crate) fn settle(&mut self, now: Time, key: BatchKey, index: u16) {
         let batch = &self.batches[key];
-        let id = batch.id(index);
+        let id = batch.task_id(index);
         let Some(task) = batch.tasks.get(&index).copied() else {
             return;
         };
@@ -139,12 +139,16 @@
             Some(alien)
                 if !alien.stopped
                     && (open || alien.run == task.run)
-                    && !self.config.without.contains(Mechanism::Adoption) =>
+                    && !self.config.disabled.contains(Mechanism::Adoption) =>
             {
                 self.takeover.aliens.remove(&id);
                 self.adopt_run(now, key, index, alien);
             }
-            _ => self.set_task(key, index, TaskState::Limbo(now + self.config.limbo)),
+            _ => self.set_task(
+                key,
+                index,
+                TaskState::MaybeRunning(now + self.config.doubt_timeout),
+            ),
         }
     }
 
@@ -158,16 +162,16 @@
         how: How,
         run: RunNumber,
     ) -> bool {
-        let long_way = self.config.without.contains(Mechanism::Shortcuts);
+        let long_way = self.config.disabled.contains(Mechanism::Shortcuts);
         let Some(task) = self.batches[key].tasks.get_mut(&index) else {
             return false;
         };
         let last = task.doubt == PriorRuns::Last && run == task.run && !long_way;
         match how {
-            How::Done => self.finish(now, key, index, TaskEnd::Done),
+            How::Done => self.finish_task(now, key, index, TaskEnd::Done),
             How::Failed | How::Cut if last => {
                 task.failures += u32::from(how == How::Failed);
-                self.back_to_queue(key, index, run);
+                self.requeue_task(key, index, run);
             }
             How::Failed | How::Cut => return false,
         }
@@ -177,22 +181,22 @@
     fn adopt_run(&mut self, now: Time, key: BatchKey, index: u16, alien: Alien) {
         let batch = &self.batches[key];
         let run = Run {
-            task: batch.id(index),
+            task: batch.task_id(index),
             batch: Some(key),
             worker: alien.worker,
             number: alien.run,
             need: batch.order.need,
             started: now,
             expected: batch.expected,
-            phase: Phase::Running(self.inputs),
+            phase: Phase::Running(self.input_count),
             suspect: batch.tasks[&index].crashes.is_suspect(),
             probe: false,
             adopted: true,
             stopping: false,
             stopped: false,
         };
-        let run_key = self.occupy(run);
-        self.batches[key].begun = true;
+        let run_key = self.add_run(run);
+        self.batches[key].started = true;
         self.set_task(key, index, TaskState::Running(run_key));
         if let Some(task) = self.batches[key].tasks.get_mut(&index) {
             task.run = task.run.max(alien.run);
@@ -203,7 +207,7 @@
     }
 
     pub(crate) fn set_task(&mut self, key: BatchKey, index: u16, state: TaskState) {
-        self.unqueue(key);
+        self.dequeue(key);
         if let Some(task) = self.batches[key].tasks.get_mut(&index) {
             task.state = state;
         }
@@ -218,10 +222,10 @@
             let worker = &mut self.workers[key];
             worker.aliens = worker.aliens.saturating_sub(1);
         }
-        let batch = self.jobs.get(&(row.task.job, row.task.step)).copied();
+        let batch = self.batch_keys.get(&(row.task.job, row.task.step)).copied();
         let limbo = batch.is_some_and(|batch| {
             let task = self.batches[batch].tasks.get(&row.task.index);
-            task.is_some_and(|task| matches!(task.state, TaskState::Limbo(_)))
+            task.is_some_and(|task| matches!(task.state, TaskState::MaybeRunning(_)))
         });
         let settled = match batch {
             Some(batch) if limbo => {
@@ -267,7 +271,7 @@
     }
 
     fn stop_aliens(&mut self, now: Time, out: &mut Vec<Output>) {
-        let adopt = self.config.adopt;
+        let adopt = self.config.adopt_timeout;
         let mut unwanted = Vec::new();
         for (task, alien) in &mut self.takeover.aliens {
             if !alien.stopped && now.since(alien.found) >= adopt {
@@ -287,7 +291,7 @@
     fn leave_limbo(&mut self, now: Time) {
         let keys: Vec<_> = self.batches.keys().collect();
         for key in keys {
-            let over = |state: &TaskState| matches!(state, TaskState::Limbo(t) if *t <= now);
+            let over = |state: &TaskState| matches!(state, TaskState::MaybeRunning(t) if *t <= now);
             let batch = &self.batches[key];
             let tasks = batch.tasks.iter().filter(|(_, task)| over(&task.state));
             let due: Vec<u16> = tasks.map(|(index, _)| *index).collect();
@@ -303,7 +307,7 @@
     /// Gives a domain up: all that may run there goes back to its origins as unsure, and what
     /// waits goes back if nothing is held any more.
     pub(crate) fn resign(&mut self, now: Time, domain: Domain, out: &mut Vec<Output>) {
-        self.held.remove(&domain);
+        self.owned.remove(&domain);
         let here = |worker: &Worker| worker.domain == domain;
         let workers = self.workers.iter().filter(|(_, w)| here(w));
         let keys: Vec<_> = workers.map(|(key, _)| key).collect();
@@ -320,10 +324,10 @@
             self.takeover.forget(key);
             self.workers[key].let_go();
         }
-        if self.held.is_empty() {
+        if self.owned.is_empty() {
             given += self.return_queue(now);
         }
-        out.push(Output::Note(Note::Resigned {
+        out.push(Output::Event(PoolEvent::Resigned {
             domain,
             tasks: given,
         }));
@@ -339,11 +343,11 @@
             failures: task.failures,
             run: task.run,
         };
-        self.finish(now, key, index, end);
+        self.finish_task(now, key, index, end);
     }
 
     fn return_doubtful(&mut self, now: Time, key: BatchKey, index: u16) {
-        self.finish(now, key, index, TaskEnd::Undetermined);
+        self.finish_task(now, key, index, TaskEnd::Undetermined);
     }
 
     fn return_queue(&mut self, now: Time) -> usize {
@@ -360,7 +364,7 @@
                 match state {
                     TaskState::Waiting => self.return_task(now, key, index, None),
                     // As doubtful as it came; its origin knows since when.
-                    TaskState::Limbo(_) | TaskState::Running(_) => {
+                    TaskState::MaybeRunning(_) | TaskState::Running(_) => {
                         self.return_doubtful(now, key, index);
                     }
                 }
