--- a/crates/celerywinch_bench/src/members/evacuations.rs
+++ b/crates/celerywinch_bench/src/members/evacuations.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_member::Input;
-use celerywinch_pool::{Call, Order};
+use celerywinch_pool::{Call, Request};
 use celerywinch_types::{DataCentreId, Evacuations, Time};
 use rand::Rng;
 
@@ -78,7 +78,7 @@
 
     /// Records a violation if the call starts a task in a data centre after the permitted delay.
     pub(crate) fn judge_evacuated_start(&mut self, index: usize, call: &Call) {
-        let Order::Start { task, .. } = call.order else {
+        let Request::Start { task, .. } = call.request else {
             return;
         };
         let plan = self.options.faults.unwrap_or_default();
--- a/crates/celerywinch_bench/src/members/history.rs
+++ b/crates/celerywinch_bench/src/members/history.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use celerywinch_pool::How;
+use celerywinch_pool::RunEnd;
 use celerywinch_standin::Ran;
 use celerywinch_types::{JobId, TaskId, Time};
 
@@ -49,5 +49,5 @@
 /// Whether a task has a run that was done.
 pub(crate) fn done(runs: &[Ran], task: TaskId) -> bool {
     runs.iter()
-        .any(|ran| ran.task == task && ran.how == How::Done)
+        .any(|ran| ran.task == task && ran.how == RunEnd::Done)
 }
--- a/crates/celerywinch_bench/src/members/judge.rs
+++ b/crates/celerywinch_bench/src/members/judge.rs
@@ -26,7 +26,7 @@
         };
         report.violations.extend(std::mem::take(&mut self.broken));
         report.violations.extend(self.restarted());
-        let cut = |ran: &&Ran| ran.how == celerywinch_pool::How::Cut;
+        let cut = |ran: &&Ran| ran.how == celerywinch_pool::RunEnd::Interrupted;
         report.runs = (self.history.len(), self.history.iter().filter(cut).count());
         report.control = self.members.iter().map(|host| host.control).collect();
         for job in &self.jobs {
--- a/crates/celerywinch_bench/src/members/lives.rs
+++ b/crates/celerywinch_bench/src/members/lives.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_pool::{Call, Order};
+use celerywinch_pool::{Call, Request};
 use celerywinch_standin::LeasedWorker;
 use celerywinch_types::{FleetMsg, Incarnation, Room, Said, TaskId, Time, WorkerNote, WorkerStage};
 use rand::Rng;
@@ -210,7 +210,7 @@
     /// Nothing at a dispatcher can keep that life from obeying it.
     pub(crate) fn beats_the_first_call(&self, index: usize, call: &Call) -> bool {
         let host = &self.workers[index];
-        self.keeps_names() && !host.called && matches!(call.order, Order::Start { .. })
+        self.keeps_names() && !host.called && matches!(call.request, Request::Start { .. })
     }
 
     /// A start was carried out: whether it should have been, and what it does to the worker.
--- a/crates/celerywinch_bench/src/members/wire.rs
+++ b/crates/celerywinch_bench/src/members/wire.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_pool::{Answer, Order};
+use celerywinch_pool::{Answer, Request};
 use celerywinch_types::{FleetMsg, Time};
 
 /// Headers of a message between members, by TCP, HTTP/2 and its frame.
@@ -60,10 +60,10 @@
     FRAME + spec + encoded.expect("plain data encodes").len()
 }
 
-pub(crate) fn size_of_order(order: &Order) -> usize {
+pub(crate) fn size_of_order(order: &Request) -> usize {
     match order {
-        Order::Start { .. } => CALL + SPEC,
-        Order::Stop { .. } | Order::Look { .. } => CALL,
+        Request::Start { .. } => CALL + SPEC,
+        Request::Stop { .. } | Request::Poll { .. } => CALL,
     }
 }
 
--- a/crates/celerywinch_bench/src/members/workers.rs
+++ b/crates/celerywinch_bench/src/members/workers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_pool::{Answer, Call, Order};
+use celerywinch_pool::{Answer, Call, Request};
 use celerywinch_standin::{Health, LeasedWorker, Ran};
 use celerywinch_types::{Room, TaskId, Time};
 use rand::Rng;
@@ -89,12 +89,12 @@
 impl World {
     pub(crate) fn call(&mut self, from: usize, call: Call) {
         let life = self.members[from].life();
-        let timeout = Event::Answer(from, life, call.key, Answer::Silent);
+        let timeout = Event::Answer(from, life, call.key, Answer::NoAnswer);
         self.at(self.now + call.timeout, timeout);
         let index = usize::from(call.addr.port()) - 1;
         self.judge_evacuated_start(index, &call);
         let delay = self.delay(self.members[from].dc, self.workers[index].dc);
-        let sent = self.leave(from, size_of_order(&call.order));
+        let sent = self.leave(from, size_of_order(&call.request));
         let way = OnWay {
             from,
             life,
@@ -113,17 +113,20 @@
             return;
         }
         if self.is_refused(index) {
-            self.reply(index, &way, Answer::Refused);
+            self.reply(index, &way, Answer::ConnectionRefused);
             return;
         }
         if !host.up {
             return;
         }
         if host.worker.id != way.call.worker {
-            self.reply(index, &way, Answer::OtherLife);
+            self.reply(index, &way, Answer::OtherIncarnation);
             return;
         }
-        let order = matches!(way.call.order, Order::Start { .. } | Order::Stop { .. });
+        let order = matches!(
+            way.call.request,
+            Request::Start { .. } | Request::Stop { .. }
+        );
         let delay = self.delay(self.members[way.from].dc, self.workers[index].dc);
         let arrives = self.now <= way.sent + delay;
         if (order && self.is_late(index)) || (arrives && self.is_unanswered()) {
@@ -131,7 +134,7 @@
             self.at(self.now + late, Event::LateOrder(index, way));
             return;
         }
-        if let Order::Look { cursor, wait, .. } = way.call.order {
+        if let Request::Poll { cursor, wait, .. } = way.call.request {
             let local = self.workers[index].local(self.now);
             self.workers[index].worker.advance(local);
             let until = way.sent + Duration::from_millis(wait.into());
@@ -162,7 +165,7 @@
     /// The lease counts from the arrival of a look that then waits.
     fn extend(&mut self, index: usize, way: &OnWay) {
         let mut call = way.call.clone();
-        if let Order::Look { cursor, .. } = &mut call.order {
+        if let Request::Poll { cursor, .. } = &mut call.request {
             *cursor = 0;
         }
         let way = OnWay {
@@ -173,18 +176,18 @@
     }
 
     pub(crate) fn carry_out(&mut self, index: usize, call: &Call) -> Answer {
-        let (need, takes) = match &call.order {
-            Order::Start { task, .. } => self.work_of(*task),
-            Order::Stop { .. } | Order::Look { .. } => (Room::default(), Duration::ZERO),
+        let (need, takes) = match &call.request {
+            Request::Start { task, .. } => self.work_of(*task),
+            Request::Stop { .. } | Request::Poll { .. } => (Room::default(), Duration::ZERO),
         };
         let now = self.workers[index].local(self.now);
         let worker = &mut self.workers[index].worker;
         if worker.id != call.worker {
-            return Answer::OtherLife;
+            return Answer::OtherIncarnation;
         }
         let before = worker.started;
-        let answer = worker.order(now, call.fence, &call.order, need, takes);
-        if let Order::Start { task, .. } = &call.order
+        let answer = worker.order(now, call.fence, &call.request, need, takes);
+        if let Request::Start { task, .. } = &call.request
             && worker.started > before
         {
             self.started(index, *task);
@@ -218,7 +221,9 @@
         let late = due.since(way.since + way.call.timeout);
         self.at(due, event);
         if !late.is_zero() && late <= LISTENED {
-            let took = due.since(way.since).saturating_sub(way.call.order.waits());
+            let took = due
+                .since(way.since)
+                .saturating_sub(way.call.request.max_wait());
             self.at(due, Event::LateAnswer(way.from, way.life, took));
         }
     }
--- a/crates/celerywinch_fleet/src/core/work.rs
+++ b/crates/celerywinch_fleet/src/core/work.rs
@@ -91,8 +91,8 @@
         let core = self.sender.clone();
         let key = call.key;
         let limit = call.timeout;
-        let waits = call.order.waits();
-        self.metrics.calls(&call.order);
+        let waits = call.request.max_wait();
+        self.metrics.calls(&call.request);
         let answer = self.port.call(call);
         ntex::rt::spawn(async move {
             let began = Instant::now();
@@ -103,12 +103,12 @@
                 got = tokio::time::timeout(UNREAD, &mut answer).await;
             }
             let silent = got.is_err();
-            let answer_in_time = got.unwrap_or(Answer::Silent);
+            let answer_in_time = got.unwrap_or(Answer::NoAnswer);
             // The core ends before its calls only when the process does.
             let _ = core.send(CoreMsg::Answered(key, answer_in_time));
             if silent
                 && let Ok(late) = tokio::time::timeout(LATE, &mut answer).await
-                && late != Answer::Silent
+                && late != Answer::NoAnswer
             {
                 let took = began.elapsed().saturating_sub(waits);
                 let _ = core.send(CoreMsg::AnsweredLate(took));
--- a/crates/celerywinch_fleet/src/metrics.rs
+++ b/crates/celerywinch_fleet/src/metrics.rs
@@ -5,7 +5,7 @@
 
 use celerywinch_metrics::Meter;
 use celerywinch_origin::JobNote;
-use celerywinch_pool::{Note, Order};
+use celerywinch_pool::{Note, Request};
 use celerywinch_types::{FleetMsg, JobEnd, SpreadMsg};
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
@@ -216,11 +216,11 @@
     }
 
     /// A worker is called.
-    pub(crate) fn calls(&self, order: &Order) {
+    pub(crate) fn calls(&self, order: &Request) {
         let kind = match order {
-            Order::Start { .. } => "start",
-            Order::Stop { .. } => "stop",
-            Order::Look { .. } => "look",
+            Request::Start { .. } => "start",
+            Request::Stop { .. } => "stop",
+            Request::Poll { .. } => "look",
         };
         self.worker_calls.with_label_values(&[kind]).inc();
     }
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -184,7 +184,7 @@
             dc: Some(config.dc),
             ..config.pool
         });
-        pool.trust(me.instance, Grant::without_end(config.me.incarnation));
+        pool.set_permanent_grant(me.instance, Grant::unlimited(config.me.incarnation));
         Self {
             peers: Peers::default(),
             alive: BTreeSet::new(),
--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -91,7 +91,7 @@
                             ended: Vec::new(),
                         };
                         let lost = cut && (0..dead).any(|index| call.worker == format!("w{index}"));
-                        let answer = if lost { Answer::Silent } else { lists };
+                        let answer = if lost { Answer::NoAnswer } else { lists };
                         inputs.push(Input::Answered(call.key, answer));
                     }
                     Output::Dispatch(Note::Resigned { .. }) => given_up += 1,
--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_member::{Input, Member, MemberConfig, Output};
-use celerywinch_pool::{Answer, Call, EndedRow, How, Order, PoolConfig};
+use celerywinch_pool::{Answer, Call, EndedRow, PoolConfig, Request, RunEnd};
 use celerywinch_types::{
     Beat, Crashes, DataCentreId, Doubt, Echo, Evacuations, Fence, FleetMsg, Incarnation,
     InstanceId, JobId, Part, Process, Room, RunNumber, Said, Session, Stage, StepOrder, TaskOrder,
@@ -298,18 +298,18 @@
         member.handle(now, Input::Work(process(2, 1), msg), &mut out);
     }
     let sent = calls(&out);
-    let start = sent.iter().find_map(|call| match &call.order {
-        Order::Start { task, run, .. } => Some((call.key, *task, *run)),
-        Order::Stop { .. } | Order::Look { .. } => None,
+    let start = sent.iter().find_map(|call| match &call.request {
+        Request::Start { task, run, .. } => Some((call.key, *task, *run)),
+        Request::Stop { .. } | Request::Poll { .. } => None,
     });
     let (key, task, run) = start.expect("the first is started");
-    let taken = Input::Answered(key, Answer::Taken(WorkerClock(5_000)));
+    let taken = Input::Answered(key, Answer::Accepted(WorkerClock(5_000)));
     member.handle(now, taken, &mut out);
     let looks = calls(&out);
     let look = looks
         .iter()
         .rev()
-        .find(|call| matches!(call.order, Order::Look { .. }));
+        .find(|call| matches!(call.request, Request::Poll { .. }));
     let look = look.expect("a look").key;
     now = now + Duration::from_millis(silent);
     out.clear();
@@ -317,11 +317,11 @@
         serial: 1,
         task,
         run,
-        how: How::Done,
+        end: RunEnd::Done,
     };
     member.handle(now, Input::Answered(look, lists(vec![ended])), &mut out);
     let started = calls(&out)
         .iter()
-        .any(|call| matches!(call.order, Order::Start { .. }));
+        .any(|call| matches!(call.request, Request::Start { .. }));
     assert_eq!(started, starts);
 }
--- a/crates/celerywinch_pool/src/call.rs
+++ b/crates/celerywinch_pool/src/call.rs
@@ -13,7 +13,7 @@
 
 /// What a worker is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Request {
     /// Start a task.
     Start {
         /// The task.
@@ -33,7 +33,7 @@
         run: RunNumber,
     },
     /// Tell what runs and what ended.
-    Look {
+    Poll {
         /// Extends the lease of all that runs; none to leave it as it is.
         deadline: Option<WorkerClock>,
         /// Ends up to this one are known here and can be forgotten.
@@ -43,12 +43,12 @@
     },
 }
 
-impl Order {
+impl Request {
     /// How long the worker waits before it answers, at most.
     #[must_use]
-    pub fn waits(&self) -> Duration {
+    pub fn max_wait(&self) -> Duration {
         match self {
-            Self::Look { wait, .. } => Duration::from_millis((*wait).into()),
+            Self::Poll { wait, .. } => Duration::from_millis((*wait).into()),
             Self::Start { .. } | Self::Stop { .. } => Duration::ZERO,
         }
     }
@@ -66,24 +66,24 @@
     /// The fencing token.
     pub fence: Fence,
     /// What it is told.
-    pub order: Order,
+    pub request: Request,
     /// Without an answer within this time it counts as silent.
     pub timeout: Duration,
 }
 
 /// Why a worker refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reject {
+pub enum Rejection {
     /// It has seen a higher fencing token.
-    Fence,
+    StaleFence,
     /// It has seen this run, or a higher one, end.
-    Old,
+    StaleRun,
     /// The lease had ended when the order arrived.
-    Late,
+    LeaseExpired,
     /// It has no room.
-    Room,
+    NoCapacity,
     /// It is not well, and did nothing.
-    Unwell,
+    Unhealthy,
     /// The order cannot be read.
     Malformed,
 }
@@ -101,13 +101,13 @@
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum RunEnd {
     /// Done.
     Done,
     /// Failed, by its own fault or the worker's.
     Failed,
     /// Ended without a result: stopped, or its lease was over.
-    Cut,
+    Interrupted,
 }
 
 /// A run that ended.
@@ -120,16 +120,16 @@
     /// The run.
     pub run: RunNumber,
     /// How it ended.
-    pub how: How,
+    pub end: RunEnd,
 }
 
 /// What came of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// Done as told.
-    Taken(WorkerClock),
+    Accepted(WorkerClock),
     /// Refused; nothing was done.
-    Rejected(Reject, Option<WorkerClock>),
+    Rejected(Rejection, Option<WorkerClock>),
     /// The lists.
     Lists {
         /// Which life of the worker answers; none where it does not say.
@@ -142,11 +142,11 @@
         ended: Vec<EndedRow>,
     },
     /// Another life of the worker is there; the one that was meant is gone.
-    OtherLife,
+    OtherIncarnation,
     /// The connection was refused: nothing was done, and no worker is there at present.
-    Refused,
+    ConnectionRefused,
     /// No answer: it may be done, or be done later.
-    Silent,
+    NoAnswer,
 }
 
 /// What is remembered of a call.
@@ -164,16 +164,16 @@
     Start(crate::run::RunKey),
     Stop(crate::run::RunKey),
     StopAlien(crate::worker::WorkerKey),
-    Look(crate::worker::WorkerKey, Question, LookKind),
+    Look(crate::worker::WorkerKey, PollKind, LookKind),
 }
 
 /// Why a worker is looked at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Question {
+pub(crate) enum PollKind {
     /// For ends; one after the other.
-    Ends,
+    Long,
     /// Beside that, and answered at once: what became of an order without an answer.
-    Order,
+    Short,
 }
 
 /// A look that is under way.
--- a/crates/celerywinch_pool/src/grants.rs
+++ b/crates/celerywinch_pool/src/grants.rs
@@ -35,7 +35,7 @@
 impl Grant {
     /// For the origin of the same process, which cannot take the dispatcher for lost.
     #[must_use]
-    pub fn without_end(life: Incarnation) -> Self {
+    pub fn unlimited(life: Incarnation) -> Self {
         Self {
             life,
             session: Session::default(),
@@ -103,7 +103,7 @@
 
 impl Pool {
     /// Takes a grant for good, of the origin in the same process.
-    pub fn trust(&mut self, origin: InstanceId, grant: Grant) {
+    pub fn set_permanent_grant(&mut self, origin: InstanceId, grant: Grant) {
         self.grants.grants.insert(origin, grant);
     }
 
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_types::{Domain, Mechanism, Time, WorkerClock, WorkerStage};
 
-use crate::call::{LookKind, Order, Pending, Question};
+use crate::call::{LookKind, Pending, PollKind, Request};
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, RunKey};
 use crate::worker::{Grip, WorkerKey};
@@ -87,12 +87,12 @@
         let input = self.inputs;
         let kind = LookKind { input, cursor };
         let wait = if waits { self.look_wait(now, key) } else { 0 };
-        let order = Order::Look {
+        let request = Request::Poll {
             deadline,
             cursor,
             wait,
         };
-        let call = self.call(key, Pending::Look(key, Question::Ends, kind), order, out);
+        let call = self.call(key, Pending::Look(key, PollKind::Long, kind), request, out);
         self.workers[key].look = call;
     }
 
@@ -121,12 +121,12 @@
         }
         let cursor = worker.cursor;
         let kind = LookKind { input, cursor };
-        let order = Order::Look {
+        let request = Request::Poll {
             deadline: None,
             cursor,
             wait: 0,
         };
-        let call = self.call(key, Pending::Look(key, Question::Order, kind), order, out);
+        let call = self.call(key, Pending::Look(key, PollKind::Short, kind), request, out);
         self.workers[key].check = call;
     }
 
--- a/crates/celerywinch_pool/src/lib.rs
+++ b/crates/celerywinch_pool/src/lib.rs
@@ -33,7 +33,7 @@
 mod told;
 mod worker;
 
-pub use call::{Answer, Call, CallKey, EndedRow, How, Order, Reject, RunningRow};
+pub use call::{Answer, Call, CallKey, EndedRow, Rejection, Request, RunEnd, RunningRow};
 pub use config::{CLOCK_ERROR, PoolConfig};
 pub use grants::Grant;
 pub use note::{Departure, Note};
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -3,7 +3,7 @@
 use celerywinch_types::{Mechanism, RunNumber, Time};
 
 use crate::Note;
-use crate::call::{Order, Pending};
+use crate::call::{Pending, Request};
 use crate::job::{Batch, BatchKey, Task, TaskState};
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, Run};
@@ -174,7 +174,7 @@
             stopping: false,
             stopped: false,
         };
-        let order = Order::Start {
+        let request = Request::Start {
             task: run.task,
             run: run.number,
             spec: batch.order.spec.clone(),
@@ -194,7 +194,7 @@
             task.state = TaskState::Running(run_key);
             task.run = number;
         }
-        self.call(worker_key, Pending::Start(run_key), order, out);
+        self.call(worker_key, Pending::Start(run_key), request, out);
         self.look(now, worker_key, out);
         true
     }
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -11,7 +11,7 @@
 };
 use slotmap::SlotMap;
 
-use crate::call::{Answer, Call, CallKey, Order, Pending, Question, Sent};
+use crate::call::{Answer, Call, CallKey, Pending, PollKind, Request, Sent};
 use crate::crashes::CrashLog;
 use crate::grants::{Grant, Grants};
 use crate::inflow::Inflow;
@@ -230,10 +230,10 @@
     /// Whether a call only asks an idle worker for a sign of life.
     fn is_routine(&self, call: Pending) -> bool {
         match call {
-            Pending::Look(worker, Question::Ends, _) => {
+            Pending::Look(worker, PollKind::Long, _) => {
                 self.workers.get(worker).is_some_and(Worker::is_settled)
             }
-            Pending::Look(_, Question::Order, _)
+            Pending::Look(_, PollKind::Short, _)
             | Pending::Start(_)
             | Pending::Stop(_)
             | Pending::StopAlien(_) => false,
@@ -511,20 +511,20 @@
         &mut self,
         worker: WorkerKey,
         pending: Pending,
-        order: Order,
+        request: Request,
         out: &mut Vec<Output>,
     ) -> Option<CallKey> {
         let callee = &self.workers[worker];
         let fence = self.held.get(&callee.domain)?.of_life(callee.lives);
         let slow = self.answers.wait(self.config.slow);
-        let wait = match order {
-            Order::Look { .. } => order.waits() + self.config.answer.max(slow),
-            Order::Start { .. } | Order::Stop { .. }
+        let wait = match request {
+            Request::Poll { .. } => request.max_wait() + self.config.answer.max(slow),
+            Request::Start { .. } | Request::Stop { .. }
                 if self.config.without.lacks(Mechanism::Patience) =>
             {
                 self.config.order
             }
-            Order::Start { .. } | Order::Stop { .. } => {
+            Request::Start { .. } | Request::Stop { .. } => {
                 let wait = self.workers[worker].patience.wait(self.config.order);
                 wait.max(slow)
             }
@@ -536,7 +536,7 @@
             worker: callee.id.clone(),
             addr: callee.addr,
             fence,
-            order,
+            request,
             timeout: wait,
         }));
         Some(key)
@@ -551,12 +551,12 @@
             return;
         }
         run.stopping = true;
-        let order = Order::Stop {
+        let request = Request::Stop {
             task: run.task,
             run: run.number,
         };
         let worker = run.worker;
-        self.call(worker, Pending::Stop(key), order, out);
+        self.call(worker, Pending::Stop(key), request, out);
     }
 
     /// A run is over, or surely never was: its room is free.
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -3,7 +3,7 @@
 use celerywinch_types::{Mechanism, RunNumber, TaskEnd, Time, WorkerClock, WorkerStage};
 
 use crate::call::{
-    Answer, CallKey, EndedRow, How, LookKind, Pending, Question, Reject, RunningRow,
+    Answer, CallKey, EndedRow, LookKind, Pending, PollKind, Rejection, RunEnd, RunningRow,
 };
 use crate::job::BatchKey;
 use crate::pool::{Output, Pool};
@@ -68,14 +68,16 @@
         }
         let heard = Phase::Running(self.inputs);
         match answer {
-            Answer::Taken(_) | Answer::Lists { .. } => self.set_phase(key, heard),
+            Answer::Accepted(_) | Answer::Lists { .. } => self.set_phase(key, heard),
             Answer::Rejected(reject, _) => self.start_rejected(now, key, run, reject, out),
-            Answer::OtherLife => self.forget_worker(now, run.worker, Departure::OtherLife, out),
-            Answer::Refused => {
+            Answer::OtherIncarnation => {
+                self.forget_worker(now, run.worker, Departure::OtherLife, out)
+            }
+            Answer::ConnectionRefused => {
                 self.not_started(now, key, out);
                 self.missed(now, run.worker, out);
             }
-            Answer::Silent => {
+            Answer::NoAnswer => {
                 self.missed(now, run.worker, out);
                 if run.stopped {
                     // Whether it runs or not, it is not started after that; the next look shows it.
@@ -94,38 +96,42 @@
         now: Time,
         key: RunKey,
         run: Run,
-        reject: Reject,
+        reject: Rejection,
         out: &mut Vec<Output>,
     ) {
         let worker = &mut self.workers[run.worker];
         match reject {
-            Reject::Fence => {
+            Rejection::StaleFence => {
                 out.push(Output::Outbid(worker.domain));
                 // Left as it is: the data centre is resigned, and the task goes to its holder.
                 return;
             }
-            Reject::Unwell => {
+            Rejection::Unhealthy => {
                 worker.aside = now + self.config.aside;
                 worker.probation = true;
                 let why = "it says that it is not well";
                 let worker = worker.note.id.clone();
                 out.push(Output::Note(Note::WorkerAside { worker, why }));
             }
-            Reject::Room => {
+            Rejection::NoCapacity => {
                 // It has more to do than is known here; the next look tells.
                 worker.aside = now + self.config.stop;
                 worker.look_at = now;
             }
-            Reject::Malformed => {
+            Rejection::Malformed => {
                 if let Some(batch) = run.batch {
                     self.release(key);
                     self.finish(now, batch, run.task.index, TaskEnd::Failed);
                 }
                 return;
             }
-            Reject::Old | Reject::Late => {}
+            Rejection::StaleRun | Rejection::LeaseExpired => {}
         }
-        let leap = if reject == Reject::Old { RUN_LEAP } else { 0 };
+        let leap = if reject == Rejection::StaleRun {
+            RUN_LEAP
+        } else {
+            0
+        };
         self.release(key);
         if let Some(batch) = run.batch {
             self.back_to_queue(batch, run.task.index, RunNumber(run.number.0 + leap));
@@ -151,7 +157,7 @@
             self.read_clock(now, worker, clock);
         }
         match answer {
-            Answer::Taken(_) | Answer::Lists { .. } => {
+            Answer::Accepted(_) | Answer::Lists { .. } => {
                 // Refused from now on if it was not there; else its end is listed soon.
                 let heard = Phase::Running(self.inputs);
                 let mut doubtful = false;
@@ -169,13 +175,13 @@
                 self.workers[worker].look_at = now + self.config.stop;
                 self.look(now, worker, out);
             }
-            Answer::OtherLife => self.forget_worker(now, worker, Departure::OtherLife, out),
-            Answer::Rejected(Reject::Fence, _) => {
+            Answer::OtherIncarnation => self.forget_worker(now, worker, Departure::OtherLife, out),
+            Answer::Rejected(Rejection::StaleFence, _) => {
                 let domain = self.workers[worker].domain;
                 out.push(Output::Outbid(domain));
             }
             // Tried again with the next tick, until the lease is over.
-            Answer::Rejected(..) | Answer::Refused | Answer::Silent => {
+            Answer::Rejected(..) | Answer::ConnectionRefused | Answer::NoAnswer => {
                 self.set_phase(key, Phase::Doubtful);
                 self.missed(now, worker, out);
             }
@@ -186,7 +192,7 @@
         &mut self,
         now: Time,
         key: WorkerKey,
-        question: Question,
+        question: PollKind,
         kind: LookKind,
         answer: Answer,
         out: &mut Vec<Output>,
@@ -212,14 +218,17 @@
                 worker.read_clock(now, clock);
                 worker.acknowledged = worker.acknowledged.max(kind.cursor);
                 self.take_lists(now, key, kind, &running, &ended, out);
-                if question == Question::Order {
+                if question == PollKind::Short {
                     // What is still in doubt was not there: a stop keeps it from starting later.
                     self.tend_runs(now, out);
                 }
             }
-            Answer::Rejected(Reject::Fence, _) => out.push(Output::Outbid(worker.domain)),
-            Answer::OtherLife => self.forget_worker(now, key, Departure::OtherLife, out),
-            Answer::Taken(_) | Answer::Rejected(..) | Answer::Refused | Answer::Silent => {
+            Answer::Rejected(Rejection::StaleFence, _) => out.push(Output::Outbid(worker.domain)),
+            Answer::OtherIncarnation => self.forget_worker(now, key, Departure::OtherLife, out),
+            Answer::Accepted(_)
+            | Answer::Rejected(..)
+            | Answer::ConnectionRefused
+            | Answer::NoAnswer => {
                 self.missed(now, key, out);
             }
         }
@@ -292,12 +301,12 @@
             run.task == row.task && run.number == row.run
         });
         match known {
-            Some(run) => self.run_ended(now, run, row.how, out),
+            Some(run) => self.run_ended(now, run, row.end, out),
             None => self.alien_ended(now, key, row),
         }
     }
 
-    fn run_ended(&mut self, now: Time, key: RunKey, how: How, out: &mut Vec<Output>) {
+    fn run_ended(&mut self, now: Time, key: RunKey, how: RunEnd, out: &mut Vec<Output>) {
         let Some(run) = self.release(key) else {
             return;
         };
@@ -306,21 +315,21 @@
             return;
         };
         match how {
-            How::Done => {
+            RunEnd::Done => {
                 self.prove_batch(Some(batch));
                 self.learn(now, &run, batch);
                 self.finish(now, batch, run.task.index, TaskEnd::Done);
             }
-            How::Failed => self.run_failed(now, &run, batch, out),
-            How::Cut => self.back_to_queue(batch, run.task.index, run.number),
+            RunEnd::Failed => self.run_failed(now, &run, batch, out),
+            RunEnd::Interrupted => self.back_to_queue(batch, run.task.index, run.number),
         }
     }
 
-    fn note_end(&self, now: Time, run: &Run, how: How, out: &mut Vec<Output>) {
+    fn note_end(&self, now: Time, run: &Run, how: RunEnd, out: &mut Vec<Output>) {
         let how = match how {
-            How::Done => "done",
-            How::Failed => "failed",
-            How::Cut => "cut",
+            RunEnd::Done => "done",
+            RunEnd::Failed => "failed",
+            RunEnd::Interrupted => "cut",
         };
         out.push(Output::Note(Note::RunEnded {
             task: run.task,
@@ -414,7 +423,7 @@
             }
             // Confirmed before the look was sent, and neither at work nor ended: it is gone.
             (None, Phase::Running(heard)) if heard <= kind.input => {
-                self.run_ended(now, key, How::Cut, out);
+                self.run_ended(now, key, RunEnd::Interrupted, out);
             }
             (None, _) => {}
         }
@@ -423,8 +432,8 @@
 
 fn clock_of(answer: &Answer) -> Option<WorkerClock> {
     match answer {
-        Answer::Taken(clock) | Answer::Lists { clock, .. } => Some(*clock),
+        Answer::Accepted(clock) | Answer::Lists { clock, .. } => Some(*clock),
         Answer::Rejected(_, clock) => *clock,
-        Answer::OtherLife | Answer::Refused | Answer::Silent => None,
+        Answer::OtherIncarnation | Answer::ConnectionRefused | Answer::NoAnswer => None,
     }
 }
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -5,7 +5,7 @@
 use celerywinch_types::{Domain, Doubt, Fence, Mechanism, RunNumber, TaskEnd, TaskId, Time};
 
 use crate::Note;
-use crate::call::{EndedRow, How, Order, Pending, RunningRow};
+use crate::call::{EndedRow, Pending, Request, RunEnd, RunningRow};
 use crate::job::{BatchKey, TaskState};
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, Run};
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Takeover {
     aliens: BTreeMap<TaskId, Alien>,
-    ends: BTreeMap<TaskId, (Time, How, RunNumber)>,
+    ends: BTreeMap<TaskId, (Time, RunEnd, RunNumber)>,
 }
 
 impl Takeover {
@@ -155,7 +155,7 @@
         now: Time,
         key: BatchKey,
         index: u16,
-        how: How,
+        how: RunEnd,
         run: RunNumber,
     ) -> bool {
         let long_way = self.config.without.lacks(Mechanism::Shortcuts);
@@ -164,12 +164,12 @@
         };
         let last = task.doubt == Doubt::Last && run == task.run && !long_way;
         match how {
-            How::Done => self.finish(now, key, index, TaskEnd::Done),
-            How::Failed | How::Cut if last => {
-                task.failures += u32::from(how == How::Failed);
+            RunEnd::Done => self.finish(now, key, index, TaskEnd::Done),
+            RunEnd::Failed | RunEnd::Interrupted if last => {
+                task.failures += u32::from(how == RunEnd::Failed);
                 self.back_to_queue(key, index, run);
             }
-            How::Failed | How::Cut => return false,
+            RunEnd::Failed | RunEnd::Interrupted => return false,
         }
         true
     }
@@ -225,7 +225,7 @@
         });
         let settled = match batch {
             Some(batch) if limbo => {
-                self.settle_by_end(now, batch, row.task.index, row.how, row.run)
+                self.settle_by_end(now, batch, row.task.index, row.end, row.run)
             }
             _ => false,
         };
@@ -233,7 +233,7 @@
             let ends = &mut self.takeover.ends;
             let known = ends.get(&row.task).map(|(_, _, run)| *run);
             if known.is_none_or(|known| known <= row.run) {
-                ends.insert(row.task, (now, row.how, row.run));
+                ends.insert(row.task, (now, row.end, row.run));
             }
         }
     }
@@ -276,11 +276,11 @@
             }
         }
         for (task, alien) in unwanted {
-            let order = Order::Stop {
+            let request = Request::Stop {
                 task,
                 run: alien.run,
             };
-            self.call(alien.worker, Pending::StopAlien(alien.worker), order, out);
+            self.call(alien.worker, Pending::StopAlien(alien.worker), request, out);
         }
     }
 
--- a/crates/celerywinch_pool/src/worker.rs
+++ b/crates/celerywinch_pool/src/worker.rs
@@ -7,7 +7,7 @@
 };
 use slotmap::new_key_type;
 
-use crate::call::{CallKey, Question};
+use crate::call::{CallKey, PollKind};
 use crate::config::{CLOCK_ERROR, LEASE_MARGIN, OLDEST_READING};
 use crate::leases::Loss;
 use crate::lives::OtherLives;
@@ -161,10 +161,10 @@
     }
 
     /// The look of a kind that is under way.
-    pub(crate) fn asked(&mut self, question: Question) -> &mut Option<CallKey> {
+    pub(crate) fn asked(&mut self, question: PollKind) -> &mut Option<CallKey> {
         match question {
-            Question::Ends => &mut self.look,
-            Question::Order => &mut self.check,
+            PollKind::Long => &mut self.look,
+            PollKind::Short => &mut self.check,
         }
     }
 
--- a/crates/celerywinch_pool/tests/asked.rs
+++ b/crates/celerywinch_pool/tests/asked.rs
@@ -40,7 +40,7 @@
         self.calls = later;
         let due: Vec<_> = due;
         for (_, key) in due {
-            rig.take(Input::Answered(key, Answer::Silent));
+            rig.take(Input::Answered(key, Answer::NoAnswer));
         }
     }
 
--- a/crates/celerywinch_pool/tests/capacity.rs
+++ b/crates/celerywinch_pool/tests/capacity.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use celerywinch_pool::{Answer, How, Input};
+use celerywinch_pool::{Answer, Input, RunEnd};
 use celerywinch_types::{Doubt, JobId, Room, Said, WorkerNote};
 use rig::{DOMAIN, Rig, clock, ended, is_look, is_start, is_stop, lists, note, row, step};
 use rstest::rstest;
@@ -62,7 +62,7 @@
     if busy {
         submit(&mut rig, 77..78);
         let start = rig.last(is_start);
-        rig.answer(&start, Answer::Taken(clock()));
+        rig.answer(&start, Answer::Accepted(clock()));
     }
     for (room, number) in case.rooms.iter().zip(1..) {
         says(&mut rig, number, *room);
@@ -90,7 +90,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     says(&mut rig, 1, ONE);
     let look = rig.last(is_look);
     let cancel = celerywinch_types::WorkMsg::Cancel {
@@ -101,13 +101,16 @@
     assert_eq!(rig.count(is_stop), 1);
     // From here on only its room keeps others away.
     let stop = rig.last(is_stop);
-    rig.answer(&stop, Answer::Taken(clock()));
+    rig.answer(&stop, Answer::Accepted(clock()));
     submit(&mut rig, 80..81);
     assert_eq!(rig.count(is_start), 1, "the first one is still there");
     rig.answer(&look, lists(vec![row(1)], Vec::new()));
     assert_eq!(rig.count(is_start), 1);
     let look = rig.last(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, How::Cut)]));
+    rig.answer(
+        &look,
+        lists(Vec::new(), vec![ended(1, RunEnd::Interrupted)]),
+    );
     assert_eq!(rig.count(is_start), 2);
     submit(&mut rig, 81..82);
     assert_eq!(rig.count(is_start), 2, "one fits, and one is there");
--- a/crates/celerywinch_pool/tests/crashes.rs
+++ b/crates/celerywinch_pool/tests/crashes.rs
@@ -62,15 +62,18 @@
 /// Ends the worker that the task was started on last.
 fn end(rig: &mut Rig, lives: &mut Lives, ends: Ends) {
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let worker = start.worker.clone();
     match ends {
         Ends::Silent => {
             for _ in 0..130 {
                 let calls = rig.calls.iter().filter(|call| call.worker == worker);
-                let calls: Vec<_> = calls.filter(|call| is_look(&call.order)).cloned().collect();
+                let calls: Vec<_> = calls
+                    .filter(|call| is_look(&call.request))
+                    .cloned()
+                    .collect();
                 for call in calls {
-                    rig.answer(&call, Answer::Silent);
+                    rig.answer(&call, Answer::NoAnswer);
                 }
                 rig.wait(10);
             }
@@ -152,7 +155,7 @@
         };
         rig.take(Input::Work(ORIGIN, cancel));
         let stop = rig.last(rig::is_stop);
-        rig.answer(&stop, Answer::Silent);
+        rig.answer(&stop, Answer::NoAnswer);
         end(&mut rig, &mut lives, Ends::Returns);
     }
     let starts = rig.count(is_start);
@@ -190,7 +193,7 @@
     rig.submit(wide(500));
     assert_eq!(rig.count(is_start), before + 1, "one first");
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     rig.wait(60);
     let look = rig.last(is_look);
     let mut at_work = row(1);
@@ -219,8 +222,10 @@
     let workers: BTreeMap<_, _> = rig
         .calls
         .iter()
-        .filter_map(|call| match &call.order {
-            celerywinch_pool::Order::Start { task, .. } => Some((task.index, call.worker.clone())),
+        .filter_map(|call| match &call.request {
+            celerywinch_pool::Request::Start { task, .. } => {
+                Some((task.index, call.worker.clone()))
+            }
             _ => None,
         })
         .collect();
@@ -229,11 +234,11 @@
     let starts: Vec<_> = rig
         .calls
         .iter()
-        .filter(|c| is_start(&c.order))
+        .filter(|c| is_start(&c.request))
         .cloned()
         .collect();
     for start in starts {
-        rig.answer(&start, Answer::Taken(clock()));
+        rig.answer(&start, Answer::Accepted(clock()));
     }
     rig.take(Input::Workers(vec![life(&worker, 2, WorkerStage::Ready)]));
     let look = rig.last(is_look);
@@ -241,7 +246,7 @@
     let again: Vec<_> = rig
         .calls
         .iter()
-        .filter(|c| is_start(&c.order))
+        .filter(|c| is_start(&c.request))
         .skip(2)
         .cloned()
         .collect();
@@ -274,17 +279,17 @@
 /// No call to these workers gets an answer for so long; all others find their tasks at work.
 fn silence(rig: &mut Rig, silent: &BTreeSet<String>, ms: u64) {
     for _ in 0..ms / 10 {
-        let looks = rig.calls.iter().filter(|call| is_look(&call.order));
+        let looks = rig.calls.iter().filter(|call| is_look(&call.request));
         let looks: Vec<_> = looks.cloned().collect();
         for look in looks.iter().filter(|look| silent.contains(&look.worker)) {
-            rig.answer(look, Answer::Silent);
+            rig.answer(look, Answer::NoAnswer);
         }
         rig.wait(10);
     }
 }
 
 fn started(rig: &Rig) -> BTreeSet<String> {
-    let starts = rig.calls.iter().filter(|call| is_start(&call.order));
+    let starts = rig.calls.iter().filter(|call| is_start(&call.request));
     starts.map(|call| call.worker.clone()).collect()
 }
 
@@ -330,10 +335,10 @@
     rig.take(Input::Careful(vec!["q".to_owned()]));
     rig.submit(wide(500));
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let looks = |rig: &Rig| {
         let here = rig.calls.iter().filter(|call| call.worker == start.worker);
-        here.filter(|call| is_look(&call.order)).count()
+        here.filter(|call| is_look(&call.request)).count()
     };
     let before = looks(&rig);
     rig.wait(40);
--- a/crates/celerywinch_pool/tests/evacuated.rs
+++ b/crates/celerywinch_pool/tests/evacuated.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use celerywinch_pool::{Answer, How, Input};
+use celerywinch_pool::{Answer, Input, RunEnd};
 use celerywinch_types::{DataCentreId, Domain, Doubt, Fence, JobId, TaskEnd, WorkerNote};
 use rig::{DC, Rig, clock, ended, is_look, is_start, is_stop, lists, note, row, step};
 use rstest::rstest;
@@ -46,7 +46,7 @@
 }
 
 fn started_at(rig: &Rig) -> BTreeSet<&str> {
-    let starts = rig.calls.iter().filter(|call| is_start(&call.order));
+    let starts = rig.calls.iter().filter(|call| is_start(&call.request));
     starts.map(|call| call.worker.as_str()).collect()
 }
 
@@ -83,7 +83,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     evacuate(&mut rig, &[DC]);
     for _ in 0..5 {
         let look = rig.last(is_look);
@@ -92,7 +92,7 @@
     }
     assert_eq!(rig.count(is_stop), 0);
     let look = rig.last(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, How::Done)]));
+    rig.answer(&look, lists(Vec::new(), vec![ended(1, RunEnd::Done)]));
     assert_eq!(rig.told.last().map(|(_, end)| *end), Some(TaskEnd::Done));
     submit(&mut rig, 1..2);
     assert_eq!(rig.count(is_start), 1, "not started while evacuated");
--- a/crates/celerywinch_pool/tests/grants.rs
+++ b/crates/celerywinch_pool/tests/grants.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use celerywinch_pool::{Answer, Grant, How, Input, Order, Reject};
+use celerywinch_pool::{Answer, Grant, Input, Rejection, Request, RunEnd};
 use celerywinch_types::{Doubt, Incarnation, InstanceId, JobId, Session, TaskEnd, WorkMsg};
 use rig::{ORIGIN, Rig, clock, ended, is_look, is_start, is_stop, lists, row, step};
 use rstest::rstest;
@@ -52,8 +52,8 @@
     fn extends(&self) -> bool {
         let look = self.rig.last(is_look);
         matches!(
-            look.order,
-            Order::Look {
+            look.request,
+            Request::Poll {
                 deadline: Some(_),
                 ..
             }
@@ -110,7 +110,7 @@
     }
     remote.rig.wait(150);
     let first = remote.rig.last(is_start);
-    let rejected = Answer::Rejected(Reject::Malformed, Some(clock()));
+    let rejected = Answer::Rejected(Rejection::Malformed, Some(clock()));
     remote.rig.answer(&first, rejected);
     assert_eq!(remote.starts(), 2 + starts);
 }
@@ -123,7 +123,7 @@
     let mut remote = Remote::new();
     remote.hand_in(0, Doubt::None);
     let start = remote.rig.last(is_start);
-    remote.rig.answer(&start, Answer::Taken(clock()));
+    remote.rig.answer(&start, Answer::Accepted(clock()));
     let look = remote.rig.last(is_look);
     remote.rig.answer(&look, lists(vec![row(1)], Vec::new()));
     assert!(remote.extends());
@@ -157,7 +157,7 @@
     let mut remote = Remote::new();
     remote.hand_in(0, Doubt::None);
     let start = remote.rig.last(is_start);
-    remote.rig.answer(&start, Answer::Taken(clock()));
+    remote.rig.answer(&start, Answer::Accepted(clock()));
     let look = remote.rig.last(is_look);
     remote.rig.answer(&look, lists(vec![row(1)], Vec::new()));
     let last = 1;
@@ -182,25 +182,25 @@
         let open: Vec<_> = open.cloned().collect();
         for call in open {
             answered.push(call.key);
-            let answer = match call.order {
-                Order::Look { .. } => lists(vec![row(1)], Vec::new()),
-                Order::Start { .. } | Order::Stop { .. } => Answer::Silent,
+            let answer = match call.request {
+                Request::Poll { .. } => lists(vec![row(1)], Vec::new()),
+                Request::Start { .. } | Request::Stop { .. } => Answer::NoAnswer,
             };
             remote.rig.answer(&call, answer);
         }
         remote.rig.wait(10);
     }
     let calls = &remote.rig.calls[before..];
-    let extends = |order: &Order| {
+    let extends = |order: &Request| {
         matches!(
             order,
-            Order::Look {
+            Request::Poll {
                 deadline: Some(_),
                 ..
             }
         )
     };
-    let extended = calls.iter().filter(|call| extends(&call.order)).count();
+    let extended = calls.iter().filter(|call| extends(&call.request)).count();
     assert_eq!(extended, 0, "of {} calls", calls.len());
 }
 
@@ -208,12 +208,12 @@
 /// extend the lease of all that runs there. After that it does.
 #[rstest]
 #[case::not_taken(None, 0)]
-#[case::taken(Some(Answer::Taken(clock())), 1)]
+#[case::taken(Some(Answer::Accepted(clock())), 1)]
 fn worker_is_used_again_once_a_stop_is_taken(#[case] stop: Option<Answer>, #[case] more: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let cancel = WorkMsg::Cancel {
         job: rig::JOB,
         last: 1,
@@ -248,11 +248,11 @@
         remote.rig.take(Input::Work(from, WorkMsg::Submit(order)));
     }
     let start = remote.rig.last(is_start);
-    remote.rig.answer(&start, Answer::Taken(clock()));
+    remote.rig.answer(&start, Answer::Accepted(clock()));
     let look = remote.rig.last(is_look);
     remote
         .rig
-        .answer(&look, lists(Vec::new(), vec![ended(1, How::Done)]));
+        .answer(&look, lists(Vec::new(), vec![ended(1, RunEnd::Done)]));
     let news = remote.rig.news.iter().map(|(to, end)| (*to, *end));
     let news: Vec<_> = news.collect();
     assert_eq!(
@@ -280,13 +280,13 @@
 /// Guards against two runs of one task at once: a caller sends its job again to another entry before the worker has carried out
 /// the stop of the first run.
 #[rstest]
-#[case::cut(How::Cut)]
-#[case::done(How::Done)]
-fn task_waits_for_the_end_of_a_run_that_is_being_stopped(#[case] how: How) {
+#[case::cut(RunEnd::Interrupted)]
+#[case::done(RunEnd::Done)]
+fn task_waits_for_the_end_of_a_run_that_is_being_stopped(#[case] how: RunEnd) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let cancel = WorkMsg::Cancel {
         job: rig::JOB,
         last: 1,
@@ -295,10 +295,10 @@
     let stop = rig.last(is_stop);
     rig.submit(step(Doubt::None, 0));
     assert_eq!(rig.count(is_start), 1, "the first run is there yet");
-    rig.answer(&stop, Answer::Taken(clock()));
+    rig.answer(&stop, Answer::Accepted(clock()));
     let look = rig.last(is_look);
     rig.answer(&look, lists(Vec::new(), vec![ended(1, how)]));
-    let told: &[_] = if how == How::Done {
+    let told: &[_] = if how == RunEnd::Done {
         &[TaskEnd::Done]
     } else {
         &[]
@@ -307,7 +307,7 @@
         rig.told.iter().map(|(_, end)| *end).collect::<Vec<_>>(),
         told
     );
-    let starts = 1 + usize::from(how == How::Cut);
+    let starts = 1 + usize::from(how == RunEnd::Interrupted);
     assert_eq!(rig.count(is_start), starts);
 }
 
@@ -332,7 +332,7 @@
     full.job = JobId(1);
     rig.submit(full);
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let mut passed = step(Doubt::None, 0);
     passed.pass = true;
     rig.submit(passed);
@@ -343,9 +343,9 @@
     };
     rig.take(Input::Work(ORIGIN, cancel));
     let stop = rig.last(is_stop);
-    rig.answer(&stop, Answer::Taken(clock()));
+    rig.answer(&stop, Answer::Accepted(clock()));
     let look = rig.last(is_look);
-    let mut over = ended(1, How::Cut);
+    let mut over = ended(1, RunEnd::Interrupted);
     over.task.job = JobId(1);
     rig.answer(&look, lists(Vec::new(), vec![over]));
     rig.wait(case.after);
@@ -366,7 +366,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let cancel = WorkMsg::Cancel {
         job: rig::JOB,
         last: 1,
@@ -374,9 +374,12 @@
     rig.take(Input::Work(ORIGIN, cancel));
     let stop = rig.last(is_stop);
     rig.submit(step(Doubt::Open, 0));
-    rig.answer(&stop, Answer::Taken(clock()));
+    rig.answer(&stop, Answer::Accepted(clock()));
     let look = rig.last(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, How::Cut)]));
+    rig.answer(
+        &look,
+        lists(Vec::new(), vec![ended(1, RunEnd::Interrupted)]),
+    );
     rig.wait(100);
     assert_eq!(rig.count(is_start), 1, "it may run elsewhere");
 }
--- a/crates/celerywinch_pool/tests/leaving.rs
+++ b/crates/celerywinch_pool/tests/leaving.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use celerywinch_pool::{Answer, How, Input};
+use celerywinch_pool::{Answer, Input, RunEnd};
 use celerywinch_types::{Doubt, WorkerNote, WorkerStage};
 use rig::{Rig, clock, ended, is_look, is_start, lists, note, row, step};
 use rstest::rstest;
@@ -22,8 +22,8 @@
     fn answer(self) -> Answer {
         match self {
             Self::Works => lists(vec![row(1)], Vec::new()),
-            Self::Silent => Answer::Silent,
-            Self::Ends => lists(Vec::new(), vec![ended(1, How::Cut)]),
+            Self::Silent => Answer::NoAnswer,
+            Self::Ends => lists(Vec::new(), vec![ended(1, RunEnd::Interrupted)]),
         }
     }
 }
@@ -46,7 +46,7 @@
     let mut answered = Vec::new();
     for _ in 0..ms / 20 {
         let looks = rig.calls.iter();
-        let open = looks.filter(|call| call.worker == "w1" && is_look(&call.order));
+        let open = looks.filter(|call| call.worker == "w1" && is_look(&call.request));
         let open: Vec<_> = open.cloned().collect();
         for look in open {
             if !answered.contains(&look.key) {
@@ -69,7 +69,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     rig.take(Input::Workers(vec![note("w2", 2)]));
     let other = rig.last(is_look);
     rig.answer(&other, lists(Vec::new(), Vec::new()));
@@ -89,7 +89,7 @@
     if busy {
         rig.submit(step(Doubt::None, 0));
         let start = rig.last(is_start);
-        rig.answer(&start, Answer::Taken(clock()));
+        rig.answer(&start, Answer::Accepted(clock()));
     }
     rig.take(Input::Workers(vec![gone("w1", 1)]));
     pass(&mut rig, Then::Silent, 900);
--- a/crates/celerywinch_pool/tests/limbo.rs
+++ b/crates/celerywinch_pool/tests/limbo.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use celerywinch_pool::{Grant, Input, Order};
+use celerywinch_pool::{Grant, Input, Request};
 use celerywinch_types::{Doubt, Incarnation, InstanceId, Session, WorkMsg};
 use rig::{Rig, clock, is_start, step};
 use rstest::rstest;
@@ -44,7 +44,7 @@
     let mut order = step(Doubt::None, 0);
     order.fresh = false;
     rig.take(Input::Work(REMOTE, WorkMsg::Submit(order)));
-    let Order::Start { deadline, .. } = rig.last(is_start).order else {
+    let Request::Start { deadline, .. } = rig.last(is_start).request else {
         panic!("a start");
     };
     let passed = rig.now.since(read).as_secs_f64() * 1e3;
--- a/crates/celerywinch_pool/tests/lives.rs
+++ b/crates/celerywinch_pool/tests/lives.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use celerywinch_pool::{Answer, EndedRow, How, Input, Reject, RunningRow};
+use celerywinch_pool::{Answer, EndedRow, Input, Rejection, RunEnd, RunningRow};
 use celerywinch_types::{
     Doubt, Incarnation, JobId, Said, TaskEnd, TaskId, WorkerNote, WorkerStage,
 };
@@ -32,9 +32,9 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let look = rig.last(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, How::Done)]));
+    rig.answer(&look, lists(Vec::new(), vec![ended(1, RunEnd::Done)]));
     assert_eq!(rig.told, [(task(0), TaskEnd::Done)]);
     rig.take(Input::Workers(vec![second_life()]));
     let look = rig.last(is_look);
@@ -43,14 +43,14 @@
     order.job = LATER_JOB;
     rig.submit(order);
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let later = TaskId {
         job: LATER_JOB,
         ..task(0)
     };
     let first_end = EndedRow {
         task: later,
-        ..ended(1, How::Done)
+        ..ended(1, RunEnd::Done)
     };
     let starts = rig.count(is_start);
     for _ in 0..10 {
@@ -69,7 +69,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let look = rig.last(is_look);
     rig.answer(&look, lists(vec![row(1)], Vec::new()));
     rig.take(Input::Workers(vec![second_life()]));
@@ -149,7 +149,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let looks = rig.count(is_look);
     let look = rig.last(is_look);
     rig.answer(&look, lists_of(2, running.clone(), Vec::new()));
@@ -192,7 +192,7 @@
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
     rig.take(Input::Workers(vec![second_life()]));
-    rig.answer(&start, Answer::Rejected(Reject::Fence, None));
+    rig.answer(&start, Answer::Rejected(Rejection::StaleFence, None));
     assert_eq!(rig.outbid, 0, "nobody has taken the domain over");
     assert_eq!(
         rig.count(is_start),
@@ -252,9 +252,9 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let look = rig.last(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, How::Done)]));
+    rig.answer(&look, lists(Vec::new(), vec![ended(1, RunEnd::Done)]));
     rig.take(Input::Workers(vec![said(1, 9, WorkerStage::Gone)]));
     assert_eq!(rig.pool.known_workers(), 0);
     rig.take(Input::Workers(vec![second_life()]));
--- a/crates/celerywinch_pool/tests/locality.rs
+++ b/crates/celerywinch_pool/tests/locality.rs
@@ -38,7 +38,12 @@
             rig.take(Input::Acquire(Domain { dc, shard }, Fence(5 << 5)));
         }
     }
-    for look in rig.calls.clone().iter().filter(|call| is_look(&call.order)) {
+    for look in rig
+        .calls
+        .clone()
+        .iter()
+        .filter(|call| is_look(&call.request))
+    {
         rig.answer(look, lists(Vec::new(), Vec::new()));
     }
     rig
@@ -66,7 +71,7 @@
         order.job = JobId(job);
         rig.submit(order);
     }
-    let starts = rig.calls.iter().filter(|call| is_start(&call.order));
+    let starts = rig.calls.iter().filter(|call| is_start(&call.request));
     let workers: Vec<_> = starts.map(|call| call.worker.as_str()).collect();
     assert_eq!(workers.len() as u64, case.jobs, "{workers:?}");
     let near = workers.iter().filter(|worker| **worker == "near");
--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use celerywinch_pool::{
-    Answer, Call, EndedRow, Grant, How, Input, Order, Output, Pool, PoolConfig, RunningRow,
+    Answer, Call, EndedRow, Grant, Input, Output, Pool, PoolConfig, Request, RunEnd, RunningRow,
 };
 use celerywinch_types::{
     Crashes, DataCentreId, Domain, Doubt, Fence, Incarnation, InstanceId, JobId, Room, RunNumber,
@@ -104,7 +104,7 @@
         let mut rig = Self::empty(PoolConfig::default());
         rig.take(Input::Workers(vec![note("w1", 1)]));
         rig.take(Input::Acquire(DOMAIN, Fence(5 << 5)));
-        let look = rig.last(|order| matches!(order, Order::Look { .. }));
+        let look = rig.last(|order| matches!(order, Request::Poll { .. }));
         rig.answer(&look, lists(running, ended));
         rig
     }
@@ -119,7 +119,8 @@
             news: Vec::new(),
             outbid: 0,
         };
-        rig.pool.trust(ORIGIN, Grant::without_end(Incarnation(1)));
+        rig.pool
+            .set_permanent_grant(ORIGIN, Grant::unlimited(Incarnation(1)));
         rig
     }
 
@@ -151,14 +152,17 @@
         }
     }
 
-    pub(crate) fn last(&self, wanted: impl Fn(&Order) -> bool) -> Call {
+    pub(crate) fn last(&self, wanted: impl Fn(&Request) -> bool) -> Call {
         let calls = self.calls.iter().rev();
-        let mut fitting = calls.filter(|call| wanted(&call.order));
+        let mut fitting = calls.filter(|call| wanted(&call.request));
         fitting.next().expect("a call").clone()
     }
 
-    pub(crate) fn count(&self, wanted: impl Fn(&Order) -> bool) -> usize {
-        self.calls.iter().filter(|call| wanted(&call.order)).count()
+    pub(crate) fn count(&self, wanted: impl Fn(&Request) -> bool) -> usize {
+        self.calls
+            .iter()
+            .filter(|call| wanted(&call.request))
+            .count()
     }
 
     pub(crate) fn answer(&mut self, call: &Call, answer: Answer) {
@@ -193,16 +197,16 @@
     }
 }
 
-pub(crate) fn is_start(order: &Order) -> bool {
-    matches!(order, Order::Start { .. })
+pub(crate) fn is_start(order: &Request) -> bool {
+    matches!(order, Request::Start { .. })
 }
 
-pub(crate) fn is_stop(order: &Order) -> bool {
-    matches!(order, Order::Stop { .. })
+pub(crate) fn is_stop(order: &Request) -> bool {
+    matches!(order, Request::Stop { .. })
 }
 
-pub(crate) fn is_look(order: &Order) -> bool {
-    matches!(order, Order::Look { .. })
+pub(crate) fn is_look(order: &Request) -> bool {
+    matches!(order, Request::Poll { .. })
 }
 
 /// A run of the task that is at work.
@@ -215,11 +219,11 @@
 }
 
 /// The first end that a worker lists.
-pub(crate) fn ended(run: u64, how: How) -> EndedRow {
+pub(crate) fn ended(run: u64, end: RunEnd) -> EndedRow {
     EndedRow {
         serial: 1,
         task: task(0),
         run: RunNumber(run),
-        how,
+        end,
     }
 }
--- a/crates/celerywinch_pool/tests/runs.rs
+++ b/crates/celerywinch_pool/tests/runs.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use celerywinch_pool::{Answer, EndedRow, How, Input, Order, Reject, RunningRow};
+use celerywinch_pool::{Answer, EndedRow, Input, Rejection, Request, RunEnd, RunningRow};
 use celerywinch_types::{Doubt, JobId, RunNumber, TaskEnd, WorkMsg};
 use rig::{
     JOB, ORIGIN, Rig, clock, ended, is_look, is_start, is_stop, lists, note, row, step, task,
@@ -18,10 +18,10 @@
     again: bool,
 }
 
-fn is_check(order: &Order) -> bool {
+fn is_check(order: &Request) -> bool {
     matches!(
         order,
-        Order::Look {
+        Request::Poll {
             deadline: None,
             wait: 0,
             ..
@@ -33,16 +33,16 @@
 /// be carried out, or be later; only a refusal is certain. The worker is asked, and what it does not list is
 /// stopped, before the task is started again.
 #[rstest]
-#[case::taken(Case { answer: Answer::Taken(clock()), stops: false, again: false })]
-#[case::silent(Case { answer: Answer::Silent, stops: true, again: false })]
+#[case::taken(Case { answer: Answer::Accepted(clock()), stops: false, again: false })]
+#[case::silent(Case { answer: Answer::NoAnswer, stops: true, again: false })]
 #[case::late(Case {
-    answer: Answer::Rejected(Reject::Late, Some(clock())), stops: false, again: true,
+    answer: Answer::Rejected(Rejection::LeaseExpired, Some(clock())), stops: false, again: true,
 })]
 #[case::old(Case {
-    answer: Answer::Rejected(Reject::Old, Some(clock())), stops: false, again: true,
+    answer: Answer::Rejected(Rejection::StaleRun, Some(clock())), stops: false, again: true,
 })]
 #[case::unwell(Case {
-    answer: Answer::Rejected(Reject::Unwell, None), stops: false, again: false,
+    answer: Answer::Rejected(Rejection::Unhealthy, None), stops: false, again: false,
 })]
 fn answer_to_a_start(#[case] case: Case) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
@@ -64,7 +64,7 @@
 /// worker does not answer that either, the run is stopped.
 #[rstest]
 #[case::at_work(lists(vec![row(1)], Vec::new()), 0)]
-#[case::no_answer(Answer::Silent, 1)]
+#[case::no_answer(Answer::NoAnswer, 1)]
 fn order_without_an_answer_is_settled_by_what_the_worker_has(
     #[case] answer: Answer,
     #[case] stops: usize,
@@ -72,7 +72,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Silent);
+    rig.answer(&start, Answer::NoAnswer);
     let check = rig.last(is_check);
     rig.answer(&check, answer);
     rig.take(Input::Tick);
@@ -88,8 +88,8 @@
     let start = rig.last(is_start);
     rig.take(Input::Work(ORIGIN, WorkMsg::Cancel { job: JOB, last: 1 }));
     let stop = rig.last(is_stop);
-    rig.answer(&stop, Answer::Taken(clock()));
-    rig.answer(&start, Answer::Silent);
+    rig.answer(&stop, Answer::Accepted(clock()));
+    rig.answer(&start, Answer::NoAnswer);
     for _ in 0..6 {
         rig.wait(60);
         let look = rig.last(is_look);
@@ -102,7 +102,7 @@
 struct Found {
     doubt: Doubt,
     running: Option<u64>,
-    ended: Option<(u64, How)>,
+    ended: Option<(u64, RunEnd)>,
     /// Whether it is started anew at once.
     starts: bool,
     /// What the origin is told.
@@ -117,17 +117,17 @@
     doubt: Doubt::Open, running: Some(7), ended: None, starts: false, told: None,
 })]
 #[case::done(Found {
-    doubt: Doubt::Open, running: None, ended: Some((7, How::Done)), starts: false,
+    doubt: Doubt::Open, running: None, ended: Some((7, RunEnd::Done)), starts: false,
     told: Some(TaskEnd::Done),
 })]
 #[case::cut_and_no_later_run(Found {
-    doubt: Doubt::Last, running: None, ended: Some((7, How::Cut)), starts: true, told: None,
+    doubt: Doubt::Last, running: None, ended: Some((7, RunEnd::Interrupted)), starts: true, told: None,
 })]
 #[case::cut_and_a_later_run(Found {
-    doubt: Doubt::Last, running: None, ended: Some((6, How::Cut)), starts: false, told: None,
+    doubt: Doubt::Last, running: None, ended: Some((6, RunEnd::Interrupted)), starts: false, told: None,
 })]
 #[case::cut_and_perhaps_a_later_run(Found {
-    doubt: Doubt::Open, running: None, ended: Some((7, How::Cut)), starts: false, told: None,
+    doubt: Doubt::Open, running: None, ended: Some((7, RunEnd::Interrupted)), starts: false, told: None,
 })]
 #[case::nothing(Found {
     doubt: Doubt::Open, running: None, ended: None, starts: false, told: None,
@@ -142,7 +142,7 @@
         serial: 1,
         task: task(0),
         run: RunNumber(run),
-        how,
+        end: how,
     });
     let (running, ended) = (running.into_iter().collect(), ended.into_iter().collect());
     let mut rig = Rig::new(running, ended);
@@ -167,7 +167,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     rig.take(Input::Workers(vec![note("w2", 2)]));
     let other = rig.last(is_look);
     assert_eq!(other.worker, "w2");
@@ -176,11 +176,11 @@
         let looks: Vec<_> = rig
             .calls
             .iter()
-            .filter(|c| c.worker == "w1" && is_look(&c.order))
+            .filter(|c| c.worker == "w1" && is_look(&c.request))
             .cloned()
             .collect();
         for look in looks {
-            rig.answer(&look, Answer::Silent);
+            rig.answer(&look, Answer::NoAnswer);
         }
         rig.wait(20);
     }
@@ -223,7 +223,7 @@
     rig.submit(step(Doubt::Open, 7));
     rig.wait(1_600);
     let start = rig.last(is_start);
-    let Order::Start { run, .. } = start.order else {
+    let Request::Start { run, .. } = start.request else {
         panic!("{start:?}");
     };
     assert!(run > RunNumber(100), "{run:?}");
@@ -244,7 +244,7 @@
     for _ in 0..10 {
         rig.wait(20);
         let look = rig.last(is_look);
-        let Order::Look { deadline, .. } = look.order else {
+        let Request::Poll { deadline, .. } = look.request else {
             panic!("{look:?}");
         };
         assert_eq!(deadline, None, "run 1 belongs to somebody else");
@@ -254,7 +254,7 @@
     rig.wait(60);
     let look = rig.last(is_look);
     rig.answer(&look, lists(vec![row(0)], Vec::new()));
-    let Order::Look { deadline, .. } = rig.last(is_look).order else {
+    let Request::Poll { deadline, .. } = rig.last(is_look).request else {
         panic!("a look");
     };
     assert!(deadline.is_some());
@@ -279,9 +279,9 @@
     let mut looks = rig
         .calls
         .iter()
-        .filter(|call| call.worker == "w1" && is_look(&call.order));
+        .filter(|call| call.worker == "w1" && is_look(&call.request));
     let look = looks.next_back().expect("a look").clone();
-    rig.answer(&look, Answer::Silent);
+    rig.answer(&look, Answer::NoAnswer);
     rig.wait(930);
     assert_eq!(rig.count(is_start), 0, "its lease may last");
     rig.wait(100);
@@ -321,7 +321,7 @@
     rig.submit(again);
     let told = rig.told.first().map(|(_, end)| *end);
     assert_eq!(told, case.told);
-    let starts = rig.count(|order| matches!(order, Order::Start { task, .. } if task.job == JOB));
+    let starts = rig.count(|order| matches!(order, Request::Start { task, .. } if task.job == JOB));
     assert_eq!(starts, 0);
 }
 
@@ -358,7 +358,7 @@
     let unsure = case.unsure.then_some(task(0)).into_iter().collect();
     let named = WorkMsg::Named { ask: 1, unsure };
     rig.take(Input::Work(ORIGIN, named));
-    let stops = rig.count(|order| matches!(order, Order::Stop { .. }));
+    let stops = rig.count(|order| matches!(order, Request::Stop { .. }));
     assert_eq!(stops, usize::from(case.stopped));
 }
 
@@ -374,7 +374,7 @@
     assert_eq!(look.worker, "w2");
     let end = EndedRow {
         serial: serial + 1,
-        ..ended(run, How::Cut)
+        ..ended(run, RunEnd::Interrupted)
     };
     rig.answer(&look, lists(Vec::new(), vec![end]));
     rig.submit(step(Doubt::Open, 7));
@@ -393,11 +393,11 @@
     rig.answer(&look, lists(vec![row(3)], Vec::new()));
     rig.wait(200);
     let stop = rig.last(is_stop);
-    let wanted = Order::Stop {
+    let wanted = Request::Stop {
         task: task(0),
         run: RunNumber(3),
     };
-    assert_eq!(stop.order, wanted);
+    assert_eq!(stop.request, wanted);
 }
 
 /// A result is lost: a worker is given up while a look at it is under way, and taken over again. The late answer
@@ -407,14 +407,14 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let late = rig.last(is_look);
     rig.take(Input::Resign(rig::DOMAIN));
     rig.take(Input::Acquire(rig::DOMAIN, rig::LATER_FENCE));
     let look = rig.last(is_look);
     assert_ne!(look.key, late.key);
-    rig.answer(&late, lists(Vec::new(), vec![ended(1, How::Done)]));
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, How::Done)]));
+    rig.answer(&late, lists(Vec::new(), vec![ended(1, RunEnd::Done)]));
+    rig.answer(&look, lists(Vec::new(), vec![ended(1, RunEnd::Done)]));
     rig.submit(step(Doubt::Last, 1));
     let last = rig.told.last().map(|(_, end)| *end);
     assert_eq!(last, Some(TaskEnd::Done));
--- a/crates/celerywinch_pool/tests/silence.rs
+++ b/crates/celerywinch_pool/tests/silence.rs
@@ -29,8 +29,8 @@
 fn answer_all(rig: &mut Rig, silent: &str) {
     for call in rig.calls.clone() {
         if call.worker == silent {
-            rig.answer(&call, Answer::Silent);
-        } else if is_look(&call.order) {
+            rig.answer(&call, Answer::NoAnswer);
+        } else if is_look(&call.request) {
             rig.answer(&call, lists(Vec::new(), Vec::new()));
         }
     }
--- a/crates/celerywinch_pool/tests/takeover.rs
+++ b/crates/celerywinch_pool/tests/takeover.rs
@@ -11,7 +11,7 @@
 /// answered the new dispatcher yet do not count as capacity.
 #[rstest]
 #[case::worker_answers(lists(Vec::new(), Vec::new()), 1)]
-#[case::worker_does_not_answer(Answer::Silent, 0)]
+#[case::worker_does_not_answer(Answer::NoAnswer, 0)]
 fn job_waits_for_workers_being_taken_over(#[case] answer: Answer, #[case] starts: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.take(Input::Resign(DOMAIN));
--- a/crates/celerywinch_standin/src/leased.rs
+++ b/crates/celerywinch_standin/src/leased.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use celerywinch_pool::{Answer, EndedRow, How, Order, Reject, RunningRow};
+use celerywinch_pool::{Answer, EndedRow, Rejection, Request, RunEnd, RunningRow};
 use celerywinch_types::{Fence, Incarnation, Room, RunNumber, TaskId, Time, WorkerClock};
 
 /// How long a stop takes.
@@ -45,7 +45,7 @@
     /// When it ended.
     pub to: Time,
     /// How.
-    pub how: How,
+    pub how: RunEnd,
 }
 
 /// A worker.
@@ -153,15 +153,15 @@
         let from = start.max(work.started);
         let done = slower.map(|slower| from + work.left.mul_f64(slower));
         let ends = [
-            done.map(|at| (at, How::Done)),
-            work.stops.map(|at| (at, How::Cut)),
-            Some((self.deadline, How::Cut)),
+            done.map(|at| (at, RunEnd::Done)),
+            work.stops.map(|at| (at, RunEnd::Interrupted)),
+            Some((self.deadline, RunEnd::Interrupted)),
         ];
         let first = ends.into_iter().flatten().min_by_key(|(at, _)| *at);
         match first {
             Some((at, how)) if at <= now => {
-                let fails = self.health == Health::Fails && how == How::Done;
-                let how = if fails { How::Failed } else { how };
+                let fails = self.health == Health::Fails && how == RunEnd::Done;
+                let how = if fails { RunEnd::Failed } else { how };
                 self.end(task, at, how);
             }
             _ => {
@@ -173,7 +173,7 @@
         }
     }
 
-    fn end(&mut self, task: TaskId, at: Time, how: How) {
+    fn end(&mut self, task: TaskId, at: Time, how: RunEnd) {
         let work = self.work.remove(&task).expect("a task at work");
         self.serial += 1;
         let over = self.over.entry(task).or_insert(work.run);
@@ -182,7 +182,7 @@
             serial: self.serial,
             task,
             run: work.run,
-            how,
+            end: how,
         });
         self.history.push(Ran {
             task,
@@ -197,7 +197,7 @@
     pub fn crash(&mut self, now: Time) {
         self.advance(now);
         for task in self.work.keys().copied().collect::<Vec<_>>() {
-            self.end(task, now, How::Cut);
+            self.end(task, now, RunEnd::Interrupted);
         }
     }
 
@@ -212,24 +212,24 @@
         &mut self,
         now: Time,
         fence: Fence,
-        order: &Order,
+        order: &Request,
         need: Room,
         takes: Duration,
     ) -> Answer {
         self.advance(now);
         let clock = self.clock(now);
         if fence < self.fence {
-            return Answer::Rejected(Reject::Fence, Some(clock));
+            return Answer::Rejected(Rejection::StaleFence, Some(clock));
         }
         self.fence = fence;
         match order {
-            Order::Start {
+            Request::Start {
                 task,
                 run,
                 deadline,
                 ..
             } => self.start(now, (*task, *run), *deadline, need, takes),
-            Order::Stop { task, run } => {
+            Request::Stop { task, run } => {
                 let over = self.over.entry(*task).or_insert(*run);
                 *over = (*over).max(*run);
                 if let Some(work) = self.work.get_mut(task)
@@ -237,9 +237,9 @@
                 {
                     work.stops = work.stops.or(Some(now + STOP));
                 }
-                Answer::Taken(clock)
+                Answer::Accepted(clock)
             }
-            Order::Look {
+            Request::Poll {
                 deadline, cursor, ..
             } => {
                 if let Some(deadline) = deadline {
@@ -279,17 +279,17 @@
         let (task, run) = run;
         let clock = self.clock(now);
         if self.work.get(&task).is_some_and(|work| work.run == run) {
-            return Answer::Taken(clock);
+            return Answer::Accepted(clock);
         }
         if self.at(deadline) <= now {
-            return Answer::Rejected(Reject::Late, Some(clock));
+            return Answer::Rejected(Rejection::LeaseExpired, Some(clock));
         }
         self.deadline = self.deadline.max(self.at(deadline));
         if self.over.get(&task).is_some_and(|over| *over >= run) || self.work.contains_key(&task) {
-            return Answer::Rejected(Reject::Old, Some(clock));
+            return Answer::Rejected(Rejection::StaleRun, Some(clock));
         }
         if self.guards && !self.free().fits(need) {
-            return Answer::Rejected(Reject::Room, Some(clock));
+            return Answer::Rejected(Rejection::NoCapacity, Some(clock));
         }
         let work = Work {
             run,
@@ -301,6 +301,6 @@
         };
         self.work.insert(task, work);
         self.started += 1;
-        Answer::Taken(clock)
+        Answer::Accepted(clock)
     }
 }
