--- a/crates/celerywinch_member/src/beats.rs
+++ b/crates/celerywinch_member/src/beats.rs
@@ -249,7 +249,7 @@
         let own = |echo: &Echo| echo.life == self.config.me.incarnation;
         if let Some(echo) = echo.filter(own) {
             let grant = Grant {
-                life: from.incarnation,
+                incarnation: from.incarnation,
                 session: echo.session,
                 until: (echo.sent + GRANT).min(now + ALIVE),
             };
--- a/crates/celerywinch_pool/src/patience.rs
+++ b/crates/celerywinch_pool/src/answer_times.rs
@@ -21,25 +21,25 @@
 /// The least wait. A call that is given up too early costs its connection, and the worker gets nothing until
 /// it has answered a look. With 20 ms (and 5 for what is not read yet) processes with an eighth of a
 /// core gave up so many that their peak memory rose from 9 to 17 MB.
-const LEAST: Duration = Duration::from_millis(40);
+const MIN_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// What the answers of a worker took, or of all.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Patience {
+pub(crate) struct AnswerTimes {
     /// Mean and mean deviation, in seconds; none before the first answer.
     known: Option<(f64, f64)>,
 }
 
-impl Patience {
+impl AnswerTimes {
     /// One that counts on quick answers before anything is known.
-    pub(crate) fn quick() -> Self {
+    pub(crate) fn zeroed() -> Self {
         Self {
             known: Some((0.0, 0.0)),
         }
     }
 
     /// An answer took so long.
-    pub(crate) fn learn(&mut self, took: Duration) {
+    pub(crate) fn record(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         let (mean, deviation) = match self.known {
             None => (took, took / 2.0),
@@ -53,11 +53,11 @@
     }
 
     /// How long to wait for the next one, `most` at the most and before anything is known.
-    pub(crate) fn wait(&self, most: Duration) -> Duration {
+    pub(crate) fn timeout(&self, most: Duration) -> Duration {
         let Some((mean, deviation)) = self.known else {
             return most;
         };
         let wait = Duration::from_secs_f64(mean + DEVIATIONS * deviation);
-        wait.max(LEAST).min(most)
+        wait.max(MIN_TIMEOUT).min(most)
     }
 }
--- a/crates/celerywinch_pool/src/call.rs
+++ b/crates/celerywinch_pool/src/call.rs
@@ -151,20 +151,20 @@
 
 /// What is remembered of a call.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sent {
+pub(crate) struct PendingCall {
     /// The life that was called. Once another one is known no answer counts: it would tell of the clock, the runs and the fencing
     /// token of one life as if they were those of the other.
     pub(crate) worker: crate::worker::WorkerKey,
-    pub(crate) pending: Pending,
+    pub(crate) purpose: CallPurpose,
 }
 
 /// What a call was for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Pending {
+pub(crate) enum CallPurpose {
     Start(crate::run::RunKey),
     Stop(crate::run::RunKey),
-    StopAlien(crate::worker::WorkerKey),
-    Look(crate::worker::WorkerKey, PollKind, LookKind),
+    StopForeign(crate::worker::WorkerKey),
+    Poll(crate::worker::WorkerKey, PollKind, PollContext),
 }
 
 /// Why a worker is looked at.
@@ -178,7 +178,7 @@
 
 /// A look that is under way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct LookKind {
+pub(crate) struct PollContext {
     /// The input during which it was sent.
     pub(crate) input: u64,
     pub(crate) cursor: u64,
--- a/crates/celerywinch_pool/src/crashes.rs
+++ b/crates/celerywinch_pool/src/crashes.rs
@@ -15,7 +15,7 @@
 use crate::Note;
 use crate::job::{Batch, BatchKey, TaskState};
 use crate::pool::{Output, Pool};
-use crate::results::SILENT_LOOKS;
+use crate::results::SILENT_AFTER;
 use crate::run::Run;
 use crate::worker::{Worker, WorkerKey};
 
@@ -39,14 +39,14 @@
 
 /// What is remembered of workers that ended under tasks.
 #[derive(Debug, Default)]
-pub(crate) struct CrashLog {
+pub(crate) struct CrashHistory {
     tasks: BTreeMap<TaskId, (Crashes, Time)>,
     silenced: BTreeMap<String, Silenced>,
     /// Queues that are started with care, and until when.
     careful: BTreeMap<String, Time>,
 }
 
-impl CrashLog {
+impl CrashHistory {
     pub(crate) fn of(&self, task: TaskId) -> Crashes {
         let known = self.tasks.get(&task);
         known.map_or_else(Crashes::default, |(crashes, _)| *crashes)
@@ -60,14 +60,14 @@
 }
 
 impl Pool {
-    pub(crate) fn tend_crashes(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(crate) fn tick_crashes(&mut self, now: Time, out: &mut Vec<Output>) {
         self.crashes.forget(now);
-        self.check_probes(now, out);
+        self.poll_probes(now, out);
     }
 
     /// Asks whether first tasks are at work, as soon as that shows something: the others of their steps wait for it, and the look
     /// that is under way may wait for an end.
-    fn check_probes(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn poll_probes(&mut self, now: Time, out: &mut Vec<Output>) {
         let due = |run: &&Run| run.probe && now.since(run.started) >= AT_WORK;
         let unproved = |run: &&Run| {
             let batch = run.batch.and_then(|key| self.batches.get(key));
@@ -76,12 +76,12 @@
         let runs = self.runs.values().filter(due).filter(unproved);
         let workers: BTreeSet<_> = runs.map(|run| run.worker).collect();
         for worker in workers {
-            self.check(worker, out);
+            self.short_poll(worker, out);
         }
     }
 
     /// A worker fell silent until its lease was over, with this run.
-    pub(crate) fn silenced(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
+    pub(crate) fn lease_expired_with(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
         let note = &self.workers[run.worker].note;
         let life = note.said.incarnation;
         let silenced = self.crashes.silenced.entry(note.id.clone());
@@ -100,7 +100,7 @@
     }
 
     /// A life of a worker has ended: the tasks that were there when it fell silent may have ended it.
-    pub(crate) fn life_ended(&mut self, now: Time, worker: &Worker, out: &mut Vec<Output>) {
+    pub(crate) fn incarnation_ended(&mut self, now: Time, worker: &Worker, out: &mut Vec<Output>) {
         let Some(silenced) = self.crashes.silenced.remove(&worker.note.id) else {
             return;
         };
@@ -113,14 +113,14 @@
     }
 
     /// A run was there as the life of its worker ended.
-    pub(crate) fn ended_with(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
-        if !run.stopped {
+    pub(crate) fn crashed_with(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
+        if !run.stop_accepted {
             self.count_crash(now, run.task, out, |crashes| crashes.prove(false));
         }
     }
 
     /// Another dispatcher knows of workers that ended under a task.
-    pub(crate) fn learn_crashes(
+    pub(crate) fn merge_crashes(
         &mut self,
         now: Time,
         told: Vec<(TaskId, Crashes)>,
@@ -130,7 +130,7 @@
             let known = self.crashes.tasks.entry(task).or_default();
             let together = known.0.with(crashes);
             *known = (together, now);
-            self.take_crashes(now, task, together, out);
+            self.apply_crashes(now, task, together, out);
         }
     }
 
@@ -147,11 +147,11 @@
         let crashes = known.0;
         out.push(Output::Note(Note::Crashed { task, crashes }));
         out.push(Output::Crashed(task, crashes));
-        self.take_crashes(now, task, crashes, out);
+        self.apply_crashes(now, task, crashes, out);
     }
 
     /// Acts on what is known of a task by now.
-    fn take_crashes(&mut self, now: Time, task: TaskId, crashes: Crashes, out: &mut Vec<Output>) {
+    fn apply_crashes(&mut self, now: Time, task: TaskId, crashes: Crashes, out: &mut Vec<Output>) {
         let batch = self.jobs.get(&(task.job, task.step)).copied();
         let Some(key) = batch else {
             return;
@@ -165,7 +165,7 @@
         let queue = batch.order.queue.clone();
         let origin = batch.origin;
         if crashes.are_many() {
-            self.be_careful(now, queue, out);
+            self.require_probe(now, queue, out);
         }
         out.push(Output::Send(origin, WorkMsg::Crashed(task, crashes)));
         if waits {
@@ -180,7 +180,7 @@
         let batches: BTreeSet<_> = runs.filter_map(|run| self.runs[*run].batch).collect();
         for batch in batches {
             if self.is_suspect(batch) {
-                self.condemn_batch(now, batch, out);
+                self.give_up_suspect_batch(now, batch, out);
             }
         }
     }
@@ -195,30 +195,30 @@
             TaskState::Running(run) => Some(&self.runs[run]),
             TaskState::Waiting | TaskState::Limbo(_) => None,
         });
-        let silent = |run: &Run| self.workers[run.worker].silent >= SILENT_LOOKS;
+        let silent = |run: &Run| self.workers[run.worker].missed_calls >= SILENT_AFTER;
         let (silent, others): (Vec<&Run>, Vec<&Run>) = runs.partition(|run| silent(run));
         let workers: BTreeSet<_> = silent.iter().map(|run| run.worker).collect();
         let probe = silent.iter().any(|run| run.probe);
         probe || (others.is_empty() && workers.len() >= SEVERAL)
     }
 
-    fn condemn_batch(&mut self, now: Time, key: BatchKey, out: &mut Vec<Output>) {
+    fn give_up_suspect_batch(&mut self, now: Time, key: BatchKey, out: &mut Vec<Output>) {
         let batch = &self.batches[key];
         let queue = batch.order.queue.clone();
         let tasks: Vec<_> = batch.tasks.keys().map(|index| batch.id(*index)).collect();
-        self.be_careful(now, queue, out);
+        self.require_probe(now, queue, out);
         for task in tasks {
             self.count_crash(now, task, out, Crashes::condemn);
         }
         self.give_up_batch(now, key, out);
     }
 
-    fn be_careful(&mut self, now: Time, queue: String, out: &mut Vec<Output>) {
+    fn require_probe(&mut self, now: Time, queue: String, out: &mut Vec<Output>) {
         out.push(Output::Careful(queue.clone()));
         self.crashes.careful.insert(queue, now + CAREFUL);
     }
 
-    pub(crate) fn learn_careful(&mut self, now: Time, queues: Vec<String>) {
+    pub(crate) fn merge_careful(&mut self, now: Time, queues: Vec<String>) {
         let queues = queues.into_iter().map(|queue| (queue, now + CAREFUL));
         self.crashes.careful.extend(queues);
     }
@@ -267,32 +267,32 @@
     }
 
     /// Whether the tasks of a batch are to be started one first.
-    pub(crate) fn is_careful(&self, batch: &Batch) -> bool {
+    pub(crate) fn needs_probe(&self, batch: &Batch) -> bool {
         !batch.proved && self.crashes.careful.contains_key(&batch.order.queue)
     }
 
     /// Whether a task that may have ended a worker would share one with another such task.
-    pub(crate) fn meets_suspect(&self, crashes: Crashes, worker: &Worker) -> bool {
+    pub(crate) fn shares_with_suspect(&self, crashes: Crashes, worker: &Worker) -> bool {
         let mut runs = worker.runs.iter().map(|run| &self.runs[*run]);
         crashes.is_suspect() && runs.any(|run| run.suspect)
     }
 
     /// A run is listed as at work.
-    pub(crate) fn seen_at_work(&mut self, now: Time, run: &Run) {
+    pub(crate) fn seen_running(&mut self, now: Time, run: &Run) {
         if now.since(run.started) >= AT_WORK {
-            self.prove_batch(run.batch);
+            self.mark_probe_passed(run.batch);
         }
     }
 
     /// A task of a batch is done, or goes on: the others may follow.
-    pub(crate) fn prove_batch(&mut self, batch: Option<BatchKey>) {
+    pub(crate) fn mark_probe_passed(&mut self, batch: Option<BatchKey>) {
         let Some(key) = batch else {
             return;
         };
         let careful = self
             .batches
             .get(key)
-            .is_some_and(|batch| self.is_careful(batch));
+            .is_some_and(|batch| self.needs_probe(batch));
         if let Some(batch) = self.batches.get_mut(key) {
             batch.proved = true;
             let passes = careful && batch.order.pass;
--- a/crates/celerywinch_pool/src/grants.rs
+++ b/crates/celerywinch_pool/src/grants.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// The life of the origin.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Tasks that were handed in under another session may be elsewhere.
     pub session: Session,
     /// When it ends, by this process's clock.
@@ -35,9 +35,9 @@
 impl Grant {
     /// For the origin of the same process, which cannot take the dispatcher for lost.
     #[must_use]
-    pub fn unlimited(life: Incarnation) -> Self {
+    pub fn unlimited(incarnation: Incarnation) -> Self {
         Self {
-            life,
+            incarnation,
             session: Session::default(),
             until: Time::NEVER,
         }
@@ -65,7 +65,7 @@
             self.grants.insert(origin, grant);
             return Change::New;
         };
-        if known.life != grant.life || known.session < grant.session {
+        if known.incarnation != grant.incarnation || known.session < grant.session {
             *known = grant;
             return Change::New;
         }
@@ -118,7 +118,7 @@
     ) {
         let change = self.grants.renew(now, origin, grant);
         if change == Change::New && grant.until > now && !self.held.is_empty() {
-            self.ask_origin(origin, out);
+            self.request_resync(origin, out);
         }
     }
 
@@ -155,7 +155,7 @@
         worker.runs.iter().any(|key| {
             let run = &self.runs[*key];
             let Some(batch) = run.batch.and_then(|batch| self.batches.get(batch)) else {
-                return !run.stopped;
+                return !run.stop_accepted;
             };
             let task = batch.tasks.get(&run.task.index);
             task.is_some_and(|task| !self.may_start(now, batch.origin, task))
@@ -163,7 +163,7 @@
     }
 
     /// Drops what origins have here whose grants are over for good.
-    pub(crate) fn tend_grants(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(crate) fn tick_grants(&mut self, now: Time, out: &mut Vec<Output>) {
         let origins = self.batches.values().map(|batch| batch.origin);
         for origin in self.grants.lapsed(now, origins) {
             out.push(Output::Note(Note::GrantOver { origin }));
--- a/crates/celerywinch_pool/src/lives.rs
+++ b/crates/celerywinch_pool/src/incarnations.rs
@@ -19,9 +19,9 @@
 
 /// The last words of lives of a worker, other than the one that is known.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct OtherLives(BTreeMap<Incarnation, WorkerNote>);
+pub(crate) struct OtherIncarnations(BTreeMap<Incarnation, WorkerNote>);
 
-impl OtherLives {
+impl OtherIncarnations {
     fn keep(&mut self, note: WorkerNote) {
         let life = note.said.incarnation;
         let known = self.0.get(&life);
@@ -54,12 +54,12 @@
         let Some(mut earlier) = self.workers.remove(key) else {
             return;
         };
-        self.takeover.forget(key);
+        self.takeover.remove_worker(key);
         self.forget_addr(earlier.note.addr);
         out.push(Output::Note(Note::WorkerGone {
             worker: note.id.clone(),
             why: Departure::OtherLife,
-            silent: now.since(earlier.heard).as_millis() as u32,
+            silent: now.since(earlier.last_contact).as_millis() as u32,
             runs: earlier.runs.len(),
         }));
         let loss = match earlier.note.stage {
@@ -68,18 +68,18 @@
         };
         let moved = earlier.note.addr != note.addr;
         let runs = std::mem::take(&mut earlier.runs);
-        let lives = earlier.lives + 1;
+        let lives = earlier.restarts + 1;
         let later = self.add_worker(now, note, lives, out);
         let worker = &mut self.workers[later];
         worker.pace = earlier.pace;
-        worker.before = Some(loss);
-        worker.others = std::mem::take(&mut earlier.others);
+        worker.previous_loss = Some(loss);
+        worker.other_incarnations = std::mem::take(&mut earlier.other_incarnations);
         // It counts again if it turns out to be the one that is there after all.
-        worker.others.keep(earlier.note.clone());
+        worker.other_incarnations.keep(earlier.note.clone());
         for run in runs {
             self.inherit(now, later, run, moved, out);
         }
-        self.life_ended(now, &earlier, out);
+        self.incarnation_ended(now, &earlier, out);
         if lives > MOST_LIVES {
             out.push(Output::UsedUp(self.workers[later].domain));
         }
@@ -97,7 +97,7 @@
     }
 
     /// A list is of another life than the one that is known: that is the one that is there now, whatever was heard in which order.
-    pub(crate) fn other_life_answers(
+    pub(crate) fn other_incarnation_answered(
         &mut self,
         now: Time,
         key: WorkerKey,
@@ -105,28 +105,31 @@
         out: &mut Vec<Output>,
     ) {
         let worker = &self.workers[key];
-        let note = worker.others.of(life).unwrap_or_else(|| WorkerNote {
-            stage: WorkerStage::Ready,
-            said: Said {
-                incarnation: life,
-                sequence: 0,
-            },
-            ..worker.note.clone()
-        });
+        let note = worker
+            .other_incarnations
+            .of(life)
+            .unwrap_or_else(|| WorkerNote {
+                stage: WorkerStage::Ready,
+                said: Said {
+                    incarnation: life,
+                    sequence: 0,
+                },
+                ..worker.note.clone()
+            });
         self.replace_worker(now, key, note, out);
     }
 
     /// A life speaks that counts as an earlier one. Mostly that is a message that was held up; but where the clock of the worker
     /// was set back between two starts it is the life that is there, and if it says that it leaves nothing may be started
     /// there. The worker is asked which one it is.
-    pub(crate) fn other_life_speaks(
+    pub(crate) fn earlier_incarnation_announced(
         &mut self,
         key: WorkerKey,
         note: WorkerNote,
         out: &mut Vec<Output>,
     ) {
-        self.workers[key].others.keep(note);
-        self.check(key, out);
+        self.workers[key].other_incarnations.keep(note);
+        self.short_poll(key, out);
     }
 
     /// Leaves a run of an earlier life to the later one to settle. One that has moved can have got no order that was sent to where
@@ -144,8 +147,8 @@
             return;
         };
         run.worker = later;
-        run.phase = Phase::Starting;
-        (run.stopping, run.stopped) = (false, false);
+        run.phase = Phase::Sent;
+        (run.stopping, run.stop_accepted) = (false, false);
         let need = run.need;
         let worker = &mut self.workers[later];
         worker.runs.push(key);
@@ -158,13 +161,13 @@
 
     fn lose_inherited(&mut self, now: Time, key: RunKey, out: &mut Vec<Output>) {
         let worker = &self.workers[self.runs[key].worker];
-        let loss = worker.before.unwrap_or(Loss::Left);
+        let loss = worker.previous_loss.unwrap_or(Loss::Left);
         self.lose_run(now, key, loss, out);
     }
 
     /// The first list of a life shows which of the runs that were left to it are at work there; the others are over, and no order
     /// for them is obeyed any more.
-    pub(crate) fn settle_inherited(
+    pub(crate) fn settle_inherited_runs(
         &mut self,
         now: Time,
         key: WorkerKey,
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -4,10 +4,10 @@
 
 use celerywinch_types::{Domain, Mechanism, Time, WorkerClock, WorkerStage};
 
-use crate::call::{LookKind, Pending, PollKind, Request};
+use crate::call::{CallPurpose, PollContext, PollKind, Request};
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, RunKey};
-use crate::worker::{Grip, WorkerKey};
+use crate::worker::{Ownership, WorkerKey};
 use crate::{Departure, Note};
 
 /// A run is late when it takes this much longer than expected, ...
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Loss {
     /// Its worker fell silent until its lease was over: it has crashed, or is cut off.
-    Silenced,
+    LeaseExpired,
     /// The life of its worker has ended without a word.
     Crashed,
     /// Its worker has left as planned.
@@ -36,7 +36,7 @@
 impl Loss {
     fn label(self) -> &'static str {
         match self {
-            Self::Silenced => "lost",
+            Self::LeaseExpired => "lost",
             Self::Crashed | Self::Left => "gone",
         }
     }
@@ -44,17 +44,19 @@
 
 impl Pool {
     /// Looks at a worker if that is due and none is under way.
-    pub(crate) fn look(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
+    pub(crate) fn poll(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let Some(worker) = self.workers.get(key) else {
             return;
         };
-        let busy = !worker.runs.is_empty() || worker.aliens > 0;
-        let due = worker.look_at <= now || (busy && worker.silent == 0);
-        if worker.grip == Grip::None || worker.look.is_some() || !due {
+        let busy = !worker.runs.is_empty() || worker.foreign_runs > 0;
+        let due = worker.next_poll <= now || (busy && worker.missed_calls == 0);
+        if worker.ownership == Ownership::None || worker.long_poll.is_some() || !due {
             return;
         }
-        let own = worker.grip == Grip::Held && !worker.runs.is_empty();
-        let sure = worker.silent == 0 && worker.aliens == 0 && !self.has_suspended(now, worker);
+        let own = worker.ownership == Ownership::Owned && !worker.runs.is_empty();
+        let sure = worker.missed_calls == 0
+            && worker.foreign_runs == 0
+            && !self.has_suspended(now, worker);
         // A look that may get no answer extends no lease: the work of a silent worker could not be
         // started elsewhere as long as it is looked at. And as a lease holds for all that runs on a
         // worker, none is extended while something runs there that its own dispatcher, on the other
@@ -65,11 +67,11 @@
         } else {
             None
         };
-        let waits = own && worker.silent == 0;
-        self.send_look(now, key, deadline, waits, out);
+        let waits = own && worker.missed_calls == 0;
+        self.send_poll(now, key, deadline, waits, out);
     }
 
-    fn send_look(
+    fn send_poll(
         &mut self,
         now: Time,
         key: WorkerKey,
@@ -80,20 +82,25 @@
         let lease = self.config.lease;
         let worker = &mut self.workers[key];
         if deadline.is_some() {
-            worker.lease = worker.lease.max(worker.bound(now, lease));
+            worker.lease = worker.lease.max(worker.lease_bound(now, lease));
         }
         let cursor = worker.cursor;
-        worker.look_at = Time::NEVER;
+        worker.next_poll = Time::NEVER;
         let input = self.inputs;
-        let kind = LookKind { input, cursor };
+        let context = PollContext { input, cursor };
         let wait = if waits { self.look_wait(now, key) } else { 0 };
         let request = Request::Poll {
             deadline,
             cursor,
             wait,
         };
-        let call = self.call(key, Pending::Look(key, PollKind::Long, kind), request, out);
-        self.workers[key].look = call;
+        let call = self.call(
+            key,
+            CallPurpose::Poll(key, PollKind::Long, context),
+            request,
+            out,
+        );
+        self.workers[key].long_poll = call;
     }
 
     /// How long a look waits for an end, in ms: until somewhat after the first one is expected. That a look is
@@ -111,67 +118,75 @@
     /// An order without an answer was carried out, or will be later, or never. To stop it for safety's
     /// sake would throw away what is at work; to wait for the next look costs up to 150 ms, when
     /// the task may have less to spare, and the worker takes nothing meanwhile. It is asked at once.
-    pub(crate) fn check(&mut self, key: WorkerKey, out: &mut Vec<Output>) {
+    pub(crate) fn short_poll(&mut self, key: WorkerKey, out: &mut Vec<Output>) {
         let input = self.inputs;
         let Some(worker) = self.workers.get(key) else {
             return;
         };
-        if worker.grip != Grip::Held || worker.check.is_some() {
+        if worker.ownership != Ownership::Owned || worker.short_poll.is_some() {
             return;
         }
         let cursor = worker.cursor;
-        let kind = LookKind { input, cursor };
+        let context = PollContext { input, cursor };
         let request = Request::Poll {
             deadline: None,
             cursor,
             wait: 0,
         };
-        let call = self.call(key, Pending::Look(key, PollKind::Short, kind), request, out);
-        self.workers[key].check = call;
+        let call = self.call(
+            key,
+            CallPurpose::Poll(key, PollKind::Short, context),
+            request,
+            out,
+        );
+        self.workers[key].short_poll = call;
     }
 
     /// Looks that are due, workers that are gone, and leases that are over.
-    pub(crate) fn tend_workers(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(crate) fn tick_workers(&mut self, now: Time, out: &mut Vec<Output>) {
         let keys: Vec<_> = self.workers.keys().collect();
         for key in keys {
             let worker = &self.workers[key];
-            if worker.silent > 0 && worker.lease <= now && !worker.runs.is_empty() {
-                self.lapse(now, key, out);
+            if worker.missed_calls > 0 && worker.lease <= now && !worker.runs.is_empty() {
+                self.expire_lease(now, key, out);
             }
             if self.workers[key].is_lost(now, self.config.forget) {
-                self.forget_worker(now, key, Departure::Silent, out);
+                self.remove_worker(now, key, Departure::Silent, out);
             } else if !self.forget_if_left(now, key, out) {
-                self.look(now, key, out);
+                self.poll(now, key, out);
             }
         }
     }
 
     /// Asks one worker of a domain for a sign of life: the one that was heard last. One after the other
     /// where they do not answer, until the domain counts as out of reach.
-    pub(crate) fn ask(&mut self, now: Time, domain: Domain, out: &mut Vec<Output>) {
+    pub(crate) fn check_reachable(&mut self, now: Time, domain: Domain, out: &mut Vec<Output>) {
         if self.reaches(now, domain, self.config.quiet) {
             return;
         }
         let there = self.workers.iter().filter(|(_, w)| w.domain == domain);
-        let mut held = there.filter(|(_, w)| w.grip == Grip::Held);
+        let mut held = there.filter(|(_, w)| w.ownership == Ownership::Owned);
         // Those that have missed a call are looked at again by themselves. That one of them is being asked is no
         // reason to wait: beside a few dead ones there always is, and a domain whose other workers would
         // answer would be given up.
-        if held.clone().any(|(_, w)| w.look.is_some() && w.silent == 0) {
+        if held
+            .clone()
+            .any(|(_, w)| w.long_poll.is_some() && w.missed_calls == 0)
+        {
             return;
         }
-        let sound = held.by_ref().filter(|(_, w)| w.silent == 0);
-        let Some((key, _)) = sound.max_by_key(|(_, w)| w.heard) else {
+        let sound = held.by_ref().filter(|(_, w)| w.missed_calls == 0);
+        let Some((key, _)) = sound.max_by_key(|(_, w)| w.last_contact) else {
             return;
         };
-        self.workers[key].look_at = now;
-        self.look(now, key, out);
+        self.workers[key].next_poll = now;
+        self.poll(now, key, out);
     }
 
     /// The lease of a silent worker is over: nothing runs there any more.
-    fn lapse(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
+    fn expire_lease(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         for run in self.workers[key].runs.clone() {
-            self.lose_run(now, run, Loss::Silenced, out);
+            self.lose_run(now, run, Loss::LeaseExpired, out);
         }
     }
 
@@ -187,8 +202,8 @@
             took: now.since(run.started).as_millis() as u32,
         }));
         match loss {
-            Loss::Silenced => self.silenced(now, &run, out),
-            Loss::Crashed => self.ended_with(now, &run, out),
+            Loss::LeaseExpired => self.lease_expired_with(now, &run, out),
+            Loss::Crashed => self.crashed_with(now, &run, out),
             Loss::Left => {}
         }
         if let Some(batch) = run.batch
@@ -199,7 +214,7 @@
     }
 
     /// Forgets a worker of which nothing can run any more, or which is another life by now.
-    pub(crate) fn forget_worker(
+    pub(crate) fn remove_worker(
         &mut self,
         now: Time,
         key: WorkerKey,
@@ -216,7 +231,7 @@
         out.push(Output::Note(Note::WorkerGone {
             worker: id.clone(),
             why,
-            silent: now.since(worker.heard).as_millis() as u32,
+            silent: now.since(worker.last_contact).as_millis() as u32,
             runs: runs.len(),
         }));
         let loss = match why {
@@ -227,23 +242,23 @@
             self.lose_run(now, run, loss, out);
         }
         if let Some(worker) = self.workers.remove(key) {
-            self.forgotten.insert(id.clone(), (worker.lives, now));
+            self.forgotten.insert(id.clone(), (worker.restarts, now));
             if why == Departure::OtherLife {
-                self.life_ended(now, &worker, out);
+                self.incarnation_ended(now, &worker, out);
             }
         }
         self.names.remove(&id);
         self.forget_addr(addr);
-        self.takeover.forget(key);
+        self.takeover.remove_worker(key);
     }
 
     /// Orders and stops without an answer are stopped, unless the worker is being asked what it has.
-    pub(crate) fn tend_runs(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(crate) fn stop_unconfirmed_runs(&mut self, now: Time, out: &mut Vec<Output>) {
         let doubtful: Vec<RunKey> = self
             .runs
             .iter()
-            .filter(|(_, run)| run.phase == Phase::Doubtful && !run.stopping)
-            .filter(|(_, run)| self.workers[run.worker].check.is_none())
+            .filter(|(_, run)| run.phase == Phase::Unconfirmed && !run.stopping)
+            .filter(|(_, run)| self.workers[run.worker].short_poll.is_none())
             .map(|(key, _)| key)
             .collect();
         for key in doubtful {
@@ -252,7 +267,7 @@
     }
 
     /// Moves a run that would take much longer here than from the start elsewhere.
-    pub(crate) fn watch_progress(
+    pub(crate) fn check_progress(
         &mut self,
         now: Time,
         key: RunKey,
@@ -285,7 +300,7 @@
         }
         let set_aside = !self.config.without.lacks(Mechanism::Probation);
         if set_aside && (worker.pace > SLOW_PACE || percent == 0) {
-            worker.aside = now + self.config.aside;
+            worker.quarantined_until = now + self.config.aside;
             worker.probation = true;
         }
         out.push(Output::Note(Note::Moved {
--- a/crates/celerywinch_pool/src/lib.rs
+++ b/crates/celerywinch_pool/src/lib.rs
@@ -11,26 +11,26 @@
 //! still be at work, as long as a worker's clock is at most [`CLOCK_ERROR`] slow.
 
 mod admission;
+mod answer_times;
 mod call;
 mod config;
 mod crashes;
 mod grants;
+mod incarnations;
 mod inflow;
 mod job;
 mod leases;
-mod lives;
 mod note;
 mod origins;
-mod patience;
 mod place;
 mod pool;
 mod queue;
 mod results;
 mod run;
+mod sent_ends;
 mod submit;
 mod takeover;
 mod times;
-mod told;
 mod worker;
 
 pub use call::{Answer, Call, CallKey, EndedRow, Rejection, Request, RunEnd, RunningRow};
--- a/crates/celerywinch_pool/src/origins.rs
+++ b/crates/celerywinch_pool/src/origins.rs
@@ -6,7 +6,7 @@
 
 use crate::job::{Batch, BatchKey, TaskState};
 use crate::pool::{Output, Pool};
-use crate::told::Told;
+use crate::sent_ends::SentEnd;
 
 impl Pool {
     /// Asks an origin what it wants done here.
@@ -14,7 +14,7 @@
     /// A link that broke may have swallowed the message that a caller has left. Its tasks would go on,
     /// and run a second time beside them when the caller sends the job again elsewhere. So each time
     /// that messages may be lost the origin names what it wants, and all else is stopped.
-    pub(crate) fn ask_origin(&mut self, origin: InstanceId, out: &mut Vec<Output>) {
+    pub(crate) fn request_resync(&mut self, origin: InstanceId, out: &mut Vec<Output>) {
         self.asks += 1;
         self.asked.insert(origin, self.asks);
         let batches = self.batches.values_mut();
@@ -31,7 +31,7 @@
     }
 
     /// An origin has named all that it wants, or may want yet.
-    pub(crate) fn sweep(
+    pub(crate) fn drop_unnamed(
         &mut self,
         now: Time,
         origin: InstanceId,
@@ -108,7 +108,7 @@
 
     pub(crate) fn drop_origin(&mut self, now: Time, origin: InstanceId, out: &mut Vec<Output>) {
         // Its next life counts from the beginning.
-        let gives_back = |told: &Told| told.origin == origin && told.news.gives_back();
+        let gives_back = |told: &SentEnd| told.origin == origin && told.news.gives_back();
         self.told.retain(|_, told| !gives_back(told));
         let keys: Vec<_> = self
             .batches
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -3,7 +3,7 @@
 use celerywinch_types::{Mechanism, RunNumber, Time};
 
 use crate::Note;
-use crate::call::{Pending, Request};
+use crate::call::{CallPurpose, Request};
 use crate::job::{Batch, BatchKey, Task, TaskState};
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, Run};
@@ -54,7 +54,7 @@
         let tasks = batch.tasks.iter().filter(|(_, task)| ready(task));
         let mut waiting: Vec<u16> = tasks.map(|(index, _)| *index).collect();
         let mut all = true;
-        if self.is_careful(batch) {
+        if self.needs_probe(batch) {
             let running = |task: &Task| matches!(task.state, TaskState::Running(_));
             let first = !batch.tasks.values().any(running);
             waiting.truncate(usize::from(first));
@@ -80,10 +80,10 @@
             self.takes(now, worker)
                 && self.suits(batch, *key, worker)
                 && !self.has_suspended(now, worker)
-                && !self.meets_suspect(task.crashes, worker)
+                && !self.shares_with_suspect(task.crashes, worker)
         });
         let packs = !self.config.without.lacks(Mechanism::Packing);
-        let careful = self.is_careful(batch);
+        let careful = self.needs_probe(batch);
         let cost = |key: WorkerKey, worker: &Worker| {
             let shared = PROBE_COST * self.shared_with_probes(worker, careful) as f64;
             cost(batch, task, key, worker, packs) + shared + self.away(worker, careful)
@@ -155,7 +155,7 @@
         let Some(deadline) = worker.deadline(now, lease) else {
             return false;
         };
-        worker.lease = worker.lease.max(worker.bound(now, lease));
+        worker.lease = worker.lease.max(worker.lease_bound(now, lease));
         let pace = worker.pace * distance(&self.batches[key], worker);
         let batch = &self.batches[key];
         let task = batch.tasks[&index];
@@ -167,12 +167,12 @@
             need: batch.order.need,
             started: now,
             expected: batch.expected.mul_f64(pace),
-            phase: Phase::Starting,
+            phase: Phase::Sent,
             suspect: task.crashes.is_suspect(),
-            probe: self.is_careful(batch),
+            probe: self.needs_probe(batch),
             adopted: false,
             stopping: false,
-            stopped: false,
+            stop_accepted: false,
         };
         let request = Request::Start {
             task: run.task,
@@ -194,15 +194,15 @@
             task.state = TaskState::Running(run_key);
             task.run = number;
         }
-        self.call(worker_key, Pending::Start(run_key), request, out);
-        self.look(now, worker_key, out);
+        self.call(worker_key, CallPurpose::Start(run_key), request, out);
+        self.poll(now, worker_key, out);
         true
     }
 }
 
 fn distance(batch: &Batch, worker: &Worker) -> f64 {
     match &batch.order.rack {
-        Some(rack) if !worker.rack_is(rack) => REMOTE_FACTOR,
+        Some(rack) if !worker.is_in_rack(rack) => REMOTE_FACTOR,
         _ => 1.0,
     }
 }
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -11,18 +11,18 @@
 };
 use slotmap::SlotMap;
 
-use crate::call::{Answer, Call, CallKey, Pending, PollKind, Request, Sent};
-use crate::crashes::CrashLog;
+use crate::answer_times::AnswerTimes;
+use crate::call::{Answer, Call, CallKey, CallPurpose, PendingCall, PollKind, Request};
+use crate::crashes::CrashHistory;
 use crate::grants::{Grant, Grants};
 use crate::inflow::Inflow;
 use crate::job::{Batch, BatchKey, TaskState};
-use crate::patience::Patience;
 use crate::queue::{Queue, Rank};
 use crate::run::{Phase, Run, RunKey};
+use crate::sent_ends::SentEnd;
 use crate::takeover::Takeover;
 use crate::times::Times;
-use crate::told::Told;
-use crate::worker::{Grip, Worker, WorkerKey, domain_of};
+use crate::worker::{Ownership, Worker, WorkerKey, domain_of};
 use crate::{Departure, Note, PoolConfig};
 
 /// A worker that has left is remembered for so long: a keeper that did not hear of it may tell of it as ready for
@@ -109,18 +109,18 @@
     pub(crate) batches: SlotMap<BatchKey, Batch>,
     pub(crate) jobs: BTreeMap<(JobId, u16), BatchKey>,
     pub(crate) runs: SlotMap<RunKey, Run>,
-    pub(crate) calls: SlotMap<CallKey, Sent>,
+    pub(crate) calls: SlotMap<CallKey, PendingCall>,
     pub(crate) queue: Queue,
     pub(crate) times: Times,
     /// What the answers of all workers took.
-    pub(crate) answers: Patience,
+    pub(crate) answers: AnswerTimes,
     pub(crate) inflow: Inflow,
     /// Workers that ended under tasks.
-    pub(crate) crashes: CrashLog,
+    pub(crate) crashes: CrashHistory,
     pub(crate) takeover: Takeover,
     pub(crate) grants: Grants,
     /// What origins were told of tasks that are here no more.
-    pub(crate) told: BTreeMap<TaskId, Told>,
+    pub(crate) told: BTreeMap<TaskId, SentEnd>,
     pub(crate) news: BTreeMap<InstanceId, Vec<TaskNews>>,
     /// Batches that lost a task during the current input; the empty ones are dropped after it.
     pub(crate) touched: Vec<BatchKey>,
@@ -153,9 +153,9 @@
             calls: SlotMap::with_key(),
             queue: Queue::default(),
             times: Times::default(),
-            answers: Patience::quick(),
+            answers: AnswerTimes::zeroed(),
             inflow: Inflow::default(),
-            crashes: CrashLog::default(),
+            crashes: CrashHistory::default(),
             takeover: Takeover::default(),
             grants: Grants::default(),
             told: BTreeMap::new(),
@@ -186,14 +186,21 @@
     #[must_use]
     pub fn reaches(&self, now: Time, domain: Domain, span: Duration) -> bool {
         let mut there = self.workers.values().filter(|w| w.domain == domain);
-        there.any(|w| w.grip == Grip::Held && w.silent == 0 && now.since(w.heard) <= span)
+        there.any(|w| {
+            w.ownership == Ownership::Owned
+                && w.missed_calls == 0
+                && now.since(w.last_contact) <= span
+        })
     }
 
     /// What was learned of run times, and of the paces of the workers that obey, for a successor. Those of others are
     /// as old as the last change of hands.
     #[must_use]
     pub fn learned(&self) -> Learned {
-        let held = self.workers.values().filter(|w| w.grip == Grip::Held);
+        let held = self
+            .workers
+            .values()
+            .filter(|w| w.ownership == Ownership::Owned);
         let paces = held.map(|w| (w.note.id.clone(), w.pace as f32));
         Learned {
             queues: self.times.learned(),
@@ -209,7 +216,7 @@
         }
         for (id, pace) in learned.paces {
             if let Some(key) = self.names.get(&id)
-                && self.workers[*key].grip == Grip::None
+                && self.workers[*key].ownership == Ownership::None
             {
                 self.workers[*key].pace = pace.into();
             }
@@ -224,26 +231,29 @@
             && self
                 .calls
                 .values()
-                .all(|call| self.is_routine(call.pending))
+                .all(|call| self.is_routine(call.purpose))
     }
 
     /// Whether a call only asks an idle worker for a sign of life.
-    fn is_routine(&self, call: Pending) -> bool {
+    fn is_routine(&self, call: CallPurpose) -> bool {
         match call {
-            Pending::Look(worker, PollKind::Long, _) => {
+            CallPurpose::Poll(worker, PollKind::Long, _) => {
                 self.workers.get(worker).is_some_and(Worker::is_settled)
             }
-            Pending::Look(_, PollKind::Short, _)
-            | Pending::Start(_)
-            | Pending::Stop(_)
-            | Pending::StopAlien(_) => false,
+            CallPurpose::Poll(_, PollKind::Short, _)
+            | CallPurpose::Start(_)
+            | CallPurpose::Stop(_)
+            | CallPurpose::StopForeign(_) => false,
         }
     }
 
     /// How many steps of jobs and runs are open, and how many workers obey.
     #[must_use]
     pub fn counts(&self) -> (usize, usize, usize) {
-        let held = self.workers.values().filter(|w| w.grip == Grip::Held);
+        let held = self
+            .workers
+            .values()
+            .filter(|w| w.ownership == Ownership::Owned);
         (self.batches.len(), self.runs.len(), held.count())
     }
 
@@ -287,13 +297,13 @@
             Input::EvacuatedDataCentres(dcs) => self.evacuated = dcs,
             Input::Work(from, msg) => self.work(now, from, msg, out),
             Input::Granted(origin, grant) => self.granted(now, origin, grant, out),
-            Input::AskOrigin(origin) => self.ask_origin(origin, out),
+            Input::AskOrigin(origin) => self.request_resync(origin, out),
             Input::OriginLost(origin) => self.drop_origin(now, origin, out),
             Input::Answered(key, answer) => self.answered(now, key, answer, out),
-            Input::AnsweredLate(took) => self.answers.learn(took),
-            Input::Crashes(told) => self.learn_crashes(now, told, out),
-            Input::Careful(queues) => self.learn_careful(now, queues),
-            Input::Ask(domain) => self.ask(now, domain, out),
+            Input::AnsweredLate(took) => self.answers.record(took),
+            Input::Crashes(told) => self.merge_crashes(now, told, out),
+            Input::Careful(queues) => self.merge_careful(now, queues),
+            Input::Ask(domain) => self.check_reachable(now, domain, out),
             Input::Tick => self.tick(now, out),
         }
         self.drop_empty();
@@ -305,13 +315,13 @@
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.tend_workers(now, out);
-        self.tend_grants(now, out);
-        self.tend_takeover(now, out);
-        self.tend_runs(now, out);
+        self.tick_workers(now, out);
+        self.tick_grants(now, out);
+        self.tick_takeover(now, out);
+        self.stop_unconfirmed_runs(now, out);
         self.shed(now, out);
-        self.tend_crashes(now, out);
-        self.told.retain(|_, told| told.is_kept(now));
+        self.tick_crashes(now, out);
+        self.told.retain(|_, told| told.is_retained(now));
         self.left
             .retain(|_, left| now.since(left.heard) <= REMEMBER_LEFT);
         self.forgotten
@@ -323,7 +333,7 @@
             WorkMsg::Submit(order) => self.submit(now, from, order, out),
             WorkMsg::Cancel { job, last } => self.cancel(now, from, job, last, out),
             WorkMsg::Drop { tasks, last } => self.drop_tasks(now, from, &tasks, last, out),
-            WorkMsg::Named { ask, unsure } => self.sweep(now, from, ask, &unsure, out),
+            WorkMsg::Named { ask, unsure } => self.drop_unnamed(now, from, ask, &unsure, out),
             // For origins, not for dispatchers.
             WorkMsg::Ended(_) | WorkMsg::Crashed(..) | WorkMsg::Resync(_) => {}
         }
@@ -345,7 +355,7 @@
         let known = self.workers[key].note.said;
         match note.said.incarnation.cmp(&known.incarnation) {
             Ordering::Less if gone => {}
-            Ordering::Less => self.other_life_speaks(key, note, out),
+            Ordering::Less => self.earlier_incarnation_announced(key, note, out),
             Ordering::Equal if gone => self.worker_leaves(now, key, out),
             // A late announcement must not bring an earlier state back.
             Ordering::Equal if note.said <= known => {}
@@ -356,13 +366,13 @@
 
     /// Whether a worker takes new tasks and its data centre is not evacuated.
     pub(crate) fn takes(&self, now: Time, worker: &Worker) -> bool {
-        worker.takes(now) && !self.evacuated.contains(&worker.note.dc)
+        worker.accepts_tasks(now) && !self.evacuated.contains(&worker.note.dc)
     }
 
     /// Whether a worker is being taken over and is expected to take new tasks once it has answered the first
     /// look. False once a look has timed out.
     pub(crate) fn takes_after_takeover(&self, worker: &Worker) -> bool {
-        let sound = worker.grip == Grip::Taking && worker.silent == 0;
+        let sound = worker.ownership == Ownership::Acquiring && worker.missed_calls == 0;
         sound
             && worker.note.stage == WorkerStage::Ready
             && !self.evacuated.contains(&worker.note.dc)
@@ -406,7 +416,7 @@
         let worker = &self.workers[key];
         let over = worker.note.stage == WorkerStage::Gone && worker.runs.is_empty();
         if over {
-            self.forget_worker(now, key, Departure::Left, out);
+            self.remove_worker(now, key, Departure::Left, out);
         }
         over
     }
@@ -430,12 +440,12 @@
         let id = note.id.clone();
         *self.addrs.entry(note.addr).or_default() += 1;
         let mut worker = Worker::new(now, note, self.shards);
-        worker.lives = lives;
+        worker.restarts = lives;
         let domain = worker.domain;
         let key = self.workers.insert(worker);
         self.names.insert(id, key);
         if self.held.contains_key(&domain) {
-            self.take_worker(now, key, out);
+            self.take_over_worker(now, key, out);
         }
         key
     }
@@ -484,8 +494,8 @@
             hand: task.map_or(0, |task| task.hand),
             end,
         };
-        let told = Told {
-            at: now,
+        let told = SentEnd {
+            sent_at: now,
             origin: batch.origin,
             news,
         };
@@ -510,13 +520,13 @@
     pub(crate) fn call(
         &mut self,
         worker: WorkerKey,
-        pending: Pending,
+        purpose: CallPurpose,
         request: Request,
         out: &mut Vec<Output>,
     ) -> Option<CallKey> {
         let callee = &self.workers[worker];
-        let fence = self.held.get(&callee.domain)?.of_life(callee.lives);
-        let slow = self.answers.wait(self.config.slow);
+        let fence = self.held.get(&callee.domain)?.of_life(callee.restarts);
+        let slow = self.answers.timeout(self.config.slow);
         let wait = match request {
             Request::Poll { .. } => request.max_wait() + self.config.answer.max(slow),
             Request::Start { .. } | Request::Stop { .. }
@@ -525,12 +535,12 @@
                 self.config.order
             }
             Request::Start { .. } | Request::Stop { .. } => {
-                let wait = self.workers[worker].patience.wait(self.config.order);
+                let wait = self.workers[worker].answer_times.timeout(self.config.order);
                 wait.max(slow)
             }
         };
         let callee = &self.workers[worker].note;
-        let key = self.calls.insert(Sent { worker, pending });
+        let key = self.calls.insert(PendingCall { worker, purpose });
         out.push(Output::Call(Call {
             key,
             worker: callee.id.clone(),
@@ -556,7 +566,7 @@
             run: run.number,
         };
         let worker = run.worker;
-        self.call(worker, Pending::Stop(key), request, out);
+        self.call(worker, CallPurpose::Stop(key), request, out);
     }
 
     /// A run is over, or surely never was: its room is free.
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -3,18 +3,18 @@
 use celerywinch_types::{Mechanism, RunNumber, TaskEnd, Time, WorkerClock, WorkerStage};
 
 use crate::call::{
-    Answer, CallKey, EndedRow, LookKind, Pending, PollKind, Rejection, RunEnd, RunningRow,
+    Answer, CallKey, CallPurpose, EndedRow, PollContext, PollKind, Rejection, RunEnd, RunningRow,
 };
 use crate::job::BatchKey;
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, Run, RunKey};
-use crate::worker::{Grip, WorkerKey};
+use crate::worker::{Ownership, WorkerKey};
 use crate::{Departure, Note};
 
 /// Added to a run number that a worker calls old: past any that an earlier origin can have used.
 const RUN_LEAP: u64 = 1 << 20;
 /// A worker that missed so many calls in a row may be gone.
-pub(crate) const SILENT_LOOKS: u32 = 2;
+pub(crate) const SILENT_AFTER: u32 = 2;
 /// A worker that failed this share of its last tasks gets none for a while.
 const FAILING: f64 = 0.5;
 
@@ -30,20 +30,20 @@
         let Some(sent) = sent.filter(|sent| self.workers.contains_key(sent.worker)) else {
             return;
         };
-        match sent.pending {
-            Pending::Start(run) => self.start_answered(now, run, answer, out),
-            Pending::Stop(run) => self.stop_answered(now, run, &answer, out),
-            Pending::StopAlien(worker) => {
+        match sent.purpose {
+            CallPurpose::Start(run) => self.start_answered(now, run, answer, out),
+            CallPurpose::Stop(run) => self.stop_answered(now, run, &answer, out),
+            CallPurpose::StopForeign(worker) => {
                 if let Some(clock) = clock_of(&answer) {
                     self.read_clock(now, worker, clock);
                 }
             }
             // Of a worker that was given up meanwhile the lists tell of another dispatcher's work, and to
             // take note of ends would hide them when the worker is taken over again.
-            Pending::Look(worker, question, kind) => {
+            CallPurpose::Poll(worker, kind, context) => {
                 let looked = self.workers.get_mut(worker);
-                if looked.is_some_and(|worker| *worker.asked(question) == Some(key)) {
-                    self.look_answered(now, worker, question, kind, answer, out);
+                if looked.is_some_and(|worker| *worker.outstanding_poll(kind) == Some(key)) {
+                    self.poll_answered(now, worker, kind, context, answer, out);
                 }
             }
         }
@@ -62,16 +62,16 @@
         if let Some(clock) = clock_of(&answer) {
             self.read_clock(now, run.worker, clock);
             if let Some(worker) = self.workers.get_mut(run.worker) {
-                worker.patience.learn(now.since(run.started));
+                worker.answer_times.record(now.since(run.started));
             }
-            self.answers.learn(now.since(run.started));
+            self.answers.record(now.since(run.started));
         }
-        let heard = Phase::Running(self.inputs);
+        let confirmed = Phase::Running(self.inputs);
         match answer {
-            Answer::Accepted(_) | Answer::Lists { .. } => self.set_phase(key, heard),
+            Answer::Accepted(_) | Answer::Lists { .. } => self.set_phase(key, confirmed),
             Answer::Rejected(reject, _) => self.start_rejected(now, key, run, reject, out),
             Answer::OtherIncarnation => {
-                self.forget_worker(now, run.worker, Departure::OtherLife, out)
+                self.remove_worker(now, run.worker, Departure::OtherLife, out)
             }
             Answer::ConnectionRefused => {
                 self.not_started(now, key, out);
@@ -79,13 +79,13 @@
             }
             Answer::NoAnswer => {
                 self.missed(now, run.worker, out);
-                if run.stopped {
+                if run.stop_accepted {
                     // Whether it runs or not, it is not started after that; the next look shows it.
-                    self.set_phase(key, heard);
+                    self.set_phase(key, confirmed);
                 } else {
                     // It may have started, or start later.
-                    self.set_phase(key, Phase::Doubtful);
-                    self.check(run.worker, out);
+                    self.set_phase(key, Phase::Unconfirmed);
+                    self.short_poll(run.worker, out);
                 }
             }
         }
@@ -107,7 +107,7 @@
                 return;
             }
             Rejection::Unhealthy => {
-                worker.aside = now + self.config.aside;
+                worker.quarantined_until = now + self.config.aside;
                 worker.probation = true;
                 let why = "it says that it is not well";
                 let worker = worker.note.id.clone();
@@ -115,8 +115,8 @@
             }
             Rejection::NoCapacity => {
                 // It has more to do than is known here; the next look tells.
-                worker.aside = now + self.config.stop;
-                worker.look_at = now;
+                worker.quarantined_until = now + self.config.stop;
+                worker.next_poll = now;
             }
             Rejection::Malformed => {
                 if let Some(batch) = run.batch {
@@ -159,54 +159,54 @@
         match answer {
             Answer::Accepted(_) | Answer::Lists { .. } => {
                 // Refused from now on if it was not there; else its end is listed soon.
-                let heard = Phase::Running(self.inputs);
+                let confirmed = Phase::Running(self.inputs);
                 let mut doubtful = false;
                 if let Some(run) = self.runs.get_mut(key) {
                     run.stopping = true;
-                    run.stopped = true;
-                    doubtful = run.phase == Phase::Doubtful;
+                    run.stop_accepted = true;
+                    doubtful = run.phase == Phase::Unconfirmed;
                     if doubtful {
-                        run.phase = heard;
+                        run.phase = confirmed;
                     }
                 }
                 if doubtful {
-                    self.check(worker, out);
+                    self.short_poll(worker, out);
                 }
-                self.workers[worker].look_at = now + self.config.stop;
-                self.look(now, worker, out);
+                self.workers[worker].next_poll = now + self.config.stop;
+                self.poll(now, worker, out);
             }
-            Answer::OtherIncarnation => self.forget_worker(now, worker, Departure::OtherLife, out),
+            Answer::OtherIncarnation => self.remove_worker(now, worker, Departure::OtherLife, out),
             Answer::Rejected(Rejection::StaleFence, _) => {
                 let domain = self.workers[worker].domain;
                 out.push(Output::Outbid(domain));
             }
             // Tried again with the next tick, until the lease is over.
             Answer::Rejected(..) | Answer::ConnectionRefused | Answer::NoAnswer => {
-                self.set_phase(key, Phase::Doubtful);
+                self.set_phase(key, Phase::Unconfirmed);
                 self.missed(now, worker, out);
             }
         }
     }
 
-    fn look_answered(
+    fn poll_answered(
         &mut self,
         now: Time,
         key: WorkerKey,
-        question: PollKind,
-        kind: LookKind,
+        kind: PollKind,
+        context: PollContext,
         answer: Answer,
         out: &mut Vec<Output>,
     ) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
-        *worker.asked(question) = None;
+        *worker.outstanding_poll(kind) = None;
         match answer {
             Answer::Lists {
                 incarnation: Some(life),
                 ..
-            } if worker.is_other(life) => {
-                self.other_life_answers(now, key, life, out);
+            } if worker.is_other_incarnation(life) => {
+                self.other_incarnation_answered(now, key, life, out);
                 return;
             }
             Answer::Lists {
@@ -216,15 +216,15 @@
                 ..
             } => {
                 worker.read_clock(now, clock);
-                worker.acknowledged = worker.acknowledged.max(kind.cursor);
-                self.take_lists(now, key, kind, &running, &ended, out);
-                if question == PollKind::Short {
+                worker.acked_cursor = worker.acked_cursor.max(context.cursor);
+                self.take_lists(now, key, context, &running, &ended, out);
+                if kind == PollKind::Short {
                     // What is still in doubt was not there: a stop keeps it from starting later.
-                    self.tend_runs(now, out);
+                    self.stop_unconfirmed_runs(now, out);
                 }
             }
             Answer::Rejected(Rejection::StaleFence, _) => out.push(Output::Outbid(worker.domain)),
-            Answer::OtherIncarnation => self.forget_worker(now, key, Departure::OtherLife, out),
+            Answer::OtherIncarnation => self.remove_worker(now, key, Departure::OtherLife, out),
             Answer::Accepted(_)
             | Answer::Rejected(..)
             | Answer::ConnectionRefused
@@ -232,7 +232,7 @@
                 self.missed(now, key, out);
             }
         }
-        self.look(now, key, out);
+        self.poll(now, key, out);
     }
 
     /// A call had no answer.
@@ -240,15 +240,15 @@
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
-        worker.miss(now);
-        let retry = if worker.silent <= 2 && !worker.runs.is_empty() {
+        worker.record_miss(now);
+        let retry = if worker.missed_calls <= 2 && !worker.runs.is_empty() {
             std::time::Duration::ZERO
         } else {
             self.config.retry
         };
-        worker.look_at = now + retry;
-        if worker.silent == SILENT_LOOKS {
-            let looks = worker.silent;
+        worker.next_poll = now + retry;
+        if worker.missed_calls == SILENT_AFTER {
+            let looks = worker.missed_calls;
             let worker = worker.note.id.clone();
             out.push(Output::Note(Note::WorkerSilent { worker, looks }));
             self.suspect_runs(now, key, out);
@@ -259,7 +259,7 @@
         &mut self,
         now: Time,
         key: WorkerKey,
-        kind: LookKind,
+        context: PollContext,
         running: &[RunningRow],
         ended: &[EndedRow],
         out: &mut Vec<Output>,
@@ -267,24 +267,24 @@
         for row in ended {
             self.take_end(now, key, row, out);
         }
-        if self.workers[key].grip == Grip::Taking {
-            self.taken_over(now, key, running, out);
+        if self.workers[key].ownership == Ownership::Acquiring {
+            self.worker_taken_over(now, key, running, out);
             return;
         }
         // A list that was asked for before one that was read already may show what is over.
-        if self.workers[key].listed <= kind.input {
-            self.workers[key].listed = kind.input;
-            self.check_aliens(now, key, running);
+        if self.workers[key].list_input <= context.input {
+            self.workers[key].list_input = context.input;
+            self.update_foreign_runs(now, key, running);
         }
         for run in self.workers[key].runs.clone() {
-            self.compare(now, run, kind, running, out);
+            self.compare(now, run, context, running, out);
         }
         let worker = &mut self.workers[key];
-        let idle = worker.runs.is_empty() && worker.aliens == 0;
-        worker.look_at = if idle && worker.cursor > worker.acknowledged {
+        let idle = worker.runs.is_empty() && worker.foreign_runs == 0;
+        worker.next_poll = if idle && worker.cursor > worker.acked_cursor {
             now + self.config.tidy
         } else if idle {
-            now + worker.idle_wait(self.config.idle)
+            now + worker.idle_interval(self.config.idle)
         } else {
             now
         };
@@ -302,7 +302,7 @@
         });
         match known {
             Some(run) => self.run_ended(now, run, row.end, out),
-            None => self.alien_ended(now, key, row),
+            None => self.foreign_run_ended(now, key, row),
         }
     }
 
@@ -316,7 +316,7 @@
         };
         match how {
             RunEnd::Done => {
-                self.prove_batch(Some(batch));
+                self.mark_probe_passed(Some(batch));
                 self.learn(now, &run, batch);
                 self.finish(now, batch, run.task.index, TaskEnd::Done);
             }
@@ -344,7 +344,7 @@
         let took = now.since(run.started);
         let order = &self.batches[batch].order;
         let worker = &mut self.workers[run.worker];
-        worker.succeeded();
+        worker.record_success();
         if run.adopted {
             return;
         }
@@ -372,7 +372,7 @@
         match earlier {
             Some(other) if other != run.worker => {
                 if let Some(other) = self.workers.get_mut(other) {
-                    other.forgive();
+                    other.retract_failure();
                 }
             }
             _ => self.blame(now, run.worker, out),
@@ -386,10 +386,10 @@
 
     fn blame(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let worker = &mut self.workers[key];
-        worker.failed();
+        worker.record_failure();
         let set_aside = !self.config.without.lacks(Mechanism::Probation);
-        if set_aside && worker.failing >= FAILING && worker.note.stage == WorkerStage::Ready {
-            worker.aside = now + self.config.aside;
+        if set_aside && worker.failure_rate >= FAILING && worker.note.stage == WorkerStage::Ready {
+            worker.quarantined_until = now + self.config.aside;
             worker.probation = true;
             let worker = worker.note.id.clone();
             let why = "it fails tasks";
@@ -402,7 +402,7 @@
         &mut self,
         now: Time,
         key: RunKey,
-        kind: LookKind,
+        context: PollContext,
         running: &[RunningRow],
         out: &mut Vec<Output>,
     ) {
@@ -414,15 +414,15 @@
             .find(|row| row.task == run.task && row.run == run.number);
         match (row, run.phase) {
             (Some(row), Phase::Running(_)) => {
-                self.seen_at_work(now, &run);
-                self.watch_progress(now, key, row.percent, out);
+                self.seen_running(now, &run);
+                self.check_progress(now, key, row.percent, out);
             }
-            (Some(_), Phase::Starting | Phase::Doubtful) => {
-                self.seen_at_work(now, &run);
+            (Some(_), Phase::Sent | Phase::Unconfirmed) => {
+                self.seen_running(now, &run);
                 self.set_phase(key, Phase::Running(self.inputs));
             }
             // Confirmed before the look was sent, and neither at work nor ended: it is gone.
-            (None, Phase::Running(heard)) if heard <= kind.input => {
+            (None, Phase::Running(confirmed)) if confirmed <= context.input => {
                 self.run_ended(now, key, RunEnd::Interrupted, out);
             }
             (None, _) => {}
--- a/crates/celerywinch_pool/src/run.rs
+++ b/crates/celerywinch_pool/src/run.rs
@@ -17,12 +17,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// The order is under way.
-    Starting,
+    Sent,
     /// The worker has confirmed it, or will not start it any more; heard in this input. A look sent then or
     /// later that does not list it shows that it is gone.
     Running(u64),
     /// The order got no answer: it may run, or start late, until it is settled.
-    Doubtful,
+    Unconfirmed,
 }
 
 /// A run.
@@ -47,5 +47,5 @@
     /// A stop is on its way, or was taken.
     pub(crate) stopping: bool,
     /// The worker has taken the stop: the run ends soon, or never starts.
-    pub(crate) stopped: bool,
+    pub(crate) stop_accepted: bool,
 }
--- a/crates/celerywinch_pool/src/told.rs
+++ b/crates/celerywinch_pool/src/sent_ends.rs
@@ -5,27 +5,27 @@
 use celerywinch_types::{Doubt, InstanceId, TaskEnd, TaskNews, TaskOrder, Time};
 
 /// Ends are kept for this long, for origins that did not hear of them.
-const REMEMBER: Duration = Duration::from_secs(3);
+const RETENTION: Duration = Duration::from_secs(3);
 
 /// What an origin was told of a task.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Told {
-    pub(crate) at: Time,
+pub(crate) struct SentEnd {
+    pub(crate) sent_at: Time,
     pub(crate) origin: InstanceId,
     pub(crate) news: TaskNews,
 }
 
-impl Told {
+impl SentEnd {
     /// Whether its origin may yet name the task again.
-    pub(crate) fn is_kept(&self, now: Time) -> bool {
-        now.since(self.at) <= REMEMBER
+    pub(crate) fn is_retained(&self, now: Time) -> bool {
+        now.since(self.sent_at) <= RETENTION
     }
 
     /// Whether it answers a task that is handed in again, since the message may be lost.
     ///
     /// A result does always. That there was no room does if the task was with this dispatcher all
     /// the while: it has not been started since. If another had it meanwhile, it may run there.
-    pub(crate) fn settles(&self, origin: InstanceId, order: &TaskOrder) -> bool {
+    pub(crate) fn answers_resubmission(&self, origin: InstanceId, order: &TaskOrder) -> bool {
         match self.news.end {
             TaskEnd::Done | TaskEnd::Failed | TaskEnd::GivenUp => order.doubt != Doubt::None,
             TaskEnd::Full => self.origin == origin && self.news.hand >= order.first,
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -122,7 +122,7 @@
         let waiting = tasks.filter(|(_, task)| task.state == TaskState::Waiting);
         let waiting: Vec<u16> = waiting.map(|(index, _)| *index).collect();
         let started = batch.tasks.len() - waiting.len();
-        if started > 0 && self.is_careful(batch) {
+        if started > 0 && self.needs_probe(batch) {
             // The others wait for the first, and not for room.
             return;
         }
@@ -206,7 +206,7 @@
             return;
         }
         if let Some(told) = self.told.get(&id)
-            && told.settles(batch.origin, &order)
+            && told.answers_resubmission(batch.origin, &order)
         {
             let news = TaskNews {
                 hand: order.hand,
@@ -265,7 +265,7 @@
     fn may_be_elsewhere(&self, now: Time, key: BatchKey, id: TaskId) -> bool {
         let origin = self.batches[key].origin;
         self.told.get(&id).is_some_and(|told| {
-            let lately = now.since(told.at) <= SENT_AGAIN;
+            let lately = now.since(told.sent_at) <= SENT_AGAIN;
             lately && told.origin != origin && told.news.gives_back()
         })
     }
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -5,18 +5,18 @@
 use celerywinch_types::{Domain, Doubt, Fence, Mechanism, RunNumber, TaskEnd, TaskId, Time};
 
 use crate::Note;
-use crate::call::{EndedRow, Pending, Request, RunEnd, RunningRow};
+use crate::call::{CallPurpose, EndedRow, Request, RunEnd, RunningRow};
 use crate::job::{BatchKey, TaskState};
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, Run};
-use crate::worker::{Grip, Worker, WorkerKey};
+use crate::worker::{Ownership, Worker, WorkerKey};
 
 /// How long ends found at a takeover wait for their origins.
 const KEEP_ENDS: std::time::Duration = std::time::Duration::from_secs(3);
 
 /// A run that another dispatcher started.
 #[derive(Clone, Copy, Debug)]
-struct Alien {
+struct ForeignRun {
     worker: WorkerKey,
     run: RunNumber,
     found: Time,
@@ -26,13 +26,14 @@
 /// Runs and ends that were found and belong to no batch yet.
 #[derive(Debug, Default)]
 pub(crate) struct Takeover {
-    aliens: BTreeMap<TaskId, Alien>,
+    foreign_runs: BTreeMap<TaskId, ForeignRun>,
     ends: BTreeMap<TaskId, (Time, RunEnd, RunNumber)>,
 }
 
 impl Takeover {
-    pub(crate) fn forget(&mut self, worker: WorkerKey) {
-        self.aliens.retain(|_, alien| alien.worker != worker);
+    pub(crate) fn remove_worker(&mut self, worker: WorkerKey) {
+        self.foreign_runs
+            .retain(|_, foreign| foreign.worker != worker);
     }
 }
 
@@ -53,28 +54,28 @@
             workers: keys.len(),
         }));
         for key in keys {
-            self.workers[key].lives = 0;
-            self.take_worker(now, key, out);
+            self.workers[key].restarts = 0;
+            self.take_over_worker(now, key, out);
         }
     }
 
     /// The first look shows the fencing token, and extends no lease: what runs there may be wanted
     /// by nobody.
-    pub(crate) fn take_worker(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
+    pub(crate) fn take_over_worker(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let worker = &mut self.workers[key];
-        worker.grip = Grip::Taking;
-        worker.look_at = now;
-        self.look(now, key, out);
+        worker.ownership = Ownership::Acquiring;
+        worker.next_poll = now;
+        self.poll(now, key, out);
     }
 
-    pub(crate) fn taken_over(
+    pub(crate) fn worker_taken_over(
         &mut self,
         now: Time,
         key: WorkerKey,
         running: &[RunningRow],
         out: &mut Vec<Output>,
     ) {
-        self.settle_inherited(now, key, running, out);
+        self.settle_inherited_runs(now, key, running, out);
         let own: BTreeSet<_> = self.workers[key]
             .runs
             .iter()
@@ -86,26 +87,28 @@
             .copied()
             .collect();
         for row in &running {
-            let alien = Alien {
+            let foreign = ForeignRun {
                 worker: key,
                 run: row.run,
                 found: now,
                 stopped: false,
             };
-            let known = self.takeover.aliens.get(&row.task);
+            let known = self.takeover.foreign_runs.get(&row.task);
             if known.is_none_or(|known| known.run <= row.run) {
-                self.takeover.aliens.insert(row.task, alien);
+                self.takeover.foreign_runs.insert(row.task, foreign);
             }
         }
         let worker = &mut self.workers[key];
-        worker.grip = Grip::Held;
+        worker.ownership = Ownership::Owned;
         // The dispatcher before may have extended the lease just now. Without that, runs that are
         // adopted would be taken for ended as soon as the worker misses a call.
         if !running.is_empty() || !own.is_empty() {
-            worker.lease = worker.lease.max(Worker::longest(now, self.config.lease));
+            worker.lease = worker
+                .lease
+                .max(Worker::foreign_lease_bound(now, self.config.lease));
         }
-        worker.aliens = running.len();
-        worker.look_at = now + self.config.tidy;
+        worker.foreign_runs = running.len();
+        worker.next_poll = now + self.config.tidy;
         out.push(Output::Note(Note::WorkerHeld {
             worker: worker.note.id.clone(),
             found: running.len(),
@@ -135,14 +138,14 @@
             return;
         }
         let open = task.doubt == Doubt::Open;
-        match self.takeover.aliens.get(&id).copied() {
-            Some(alien)
-                if !alien.stopped
-                    && (open || alien.run == task.run)
+        match self.takeover.foreign_runs.get(&id).copied() {
+            Some(foreign)
+                if !foreign.stopped
+                    && (open || foreign.run == task.run)
                     && !self.config.without.lacks(Mechanism::Adoption) =>
             {
-                self.takeover.aliens.remove(&id);
-                self.adopt_run(now, key, index, alien);
+                self.takeover.foreign_runs.remove(&id);
+                self.adopt_run(now, key, index, foreign);
             }
             _ => self.set_task(key, index, TaskState::Limbo(now + self.config.limbo)),
         }
@@ -174,13 +177,13 @@
         true
     }
 
-    fn adopt_run(&mut self, now: Time, key: BatchKey, index: u16, alien: Alien) {
+    fn adopt_run(&mut self, now: Time, key: BatchKey, index: u16, foreign: ForeignRun) {
         let batch = &self.batches[key];
         let run = Run {
             task: batch.id(index),
             batch: Some(key),
-            worker: alien.worker,
-            number: alien.run,
+            worker: foreign.worker,
+            number: foreign.run,
             need: batch.order.need,
             started: now,
             expected: batch.expected,
@@ -189,17 +192,17 @@
             probe: false,
             adopted: true,
             stopping: false,
-            stopped: false,
+            stop_accepted: false,
         };
         let run_key = self.occupy(run);
         self.batches[key].begun = true;
         self.set_task(key, index, TaskState::Running(run_key));
         if let Some(task) = self.batches[key].tasks.get_mut(&index) {
-            task.run = task.run.max(alien.run);
+            task.run = task.run.max(foreign.run);
         }
-        let worker = &mut self.workers[alien.worker];
-        worker.aliens = worker.aliens.saturating_sub(1);
-        worker.look_at = now;
+        let worker = &mut self.workers[foreign.worker];
+        worker.foreign_runs = worker.foreign_runs.saturating_sub(1);
+        worker.next_poll = now;
     }
 
     pub(crate) fn set_task(&mut self, key: BatchKey, index: u16, state: TaskState) {
@@ -210,13 +213,13 @@
         self.requeue(key);
     }
 
-    pub(crate) fn alien_ended(&mut self, now: Time, key: WorkerKey, row: &EndedRow) {
+    pub(crate) fn foreign_run_ended(&mut self, now: Time, key: WorkerKey, row: &EndedRow) {
         // An earlier run of the task may have ended on another worker: this one goes on.
-        let this = |alien: &Alien| alien.worker == key && alien.run == row.run;
-        if self.takeover.aliens.get(&row.task).is_some_and(this) {
-            self.takeover.aliens.remove(&row.task);
+        let this = |foreign: &ForeignRun| foreign.worker == key && foreign.run == row.run;
+        if self.takeover.foreign_runs.get(&row.task).is_some_and(this) {
+            self.takeover.foreign_runs.remove(&row.task);
             let worker = &mut self.workers[key];
-            worker.aliens = worker.aliens.saturating_sub(1);
+            worker.foreign_runs = worker.foreign_runs.saturating_sub(1);
         }
         let batch = self.jobs.get(&(row.task.job, row.task.step)).copied();
         let limbo = batch.is_some_and(|batch| {
@@ -240,51 +243,64 @@
 
     /// Runs that are listed no more have ended, or belong to another list by now. What is listed and is
     /// not known was started late, or by another dispatcher, and nobody waits for it: it is stopped.
-    pub(crate) fn check_aliens(&mut self, now: Time, key: WorkerKey, running: &[RunningRow]) {
+    pub(crate) fn update_foreign_runs(
+        &mut self,
+        now: Time,
+        key: WorkerKey,
+        running: &[RunningRow],
+    ) {
         let listed = |task: &TaskId| running.iter().any(|row| row.task == *task);
-        let aliens = &mut self.takeover.aliens;
-        aliens.retain(|task, alien| alien.worker != key || listed(task));
+        let aliens = &mut self.takeover.foreign_runs;
+        aliens.retain(|task, foreign| foreign.worker != key || listed(task));
         let own = self.workers[key].runs.iter();
         let own: BTreeSet<_> = own.map(|run| self.runs[*run].task).collect();
         for row in running.iter().filter(|row| !own.contains(&row.task)) {
-            aliens.entry(row.task).or_insert(Alien {
+            aliens.entry(row.task).or_insert(ForeignRun {
                 worker: key,
                 run: row.run,
                 found: now,
                 stopped: false,
             });
         }
-        let left = aliens.values().filter(|alien| alien.worker == key).count();
-        self.workers[key].aliens = left;
+        let left = aliens
+            .values()
+            .filter(|foreign| foreign.worker == key)
+            .count();
+        self.workers[key].foreign_runs = left;
     }
 
     /// Stops what nobody wants, and starts what must have ended by now.
-    pub(crate) fn tend_takeover(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(crate) fn tick_takeover(&mut self, now: Time, out: &mut Vec<Output>) {
         let ends = &mut self.takeover.ends;
         ends.retain(|_, (at, _, _)| now.since(*at) <= KEEP_ENDS);
-        self.stop_aliens(now, out);
-        self.leave_limbo(now);
+        self.stop_foreign_runs(now, out);
+        self.release_doubtful(now);
     }
 
-    fn stop_aliens(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn stop_foreign_runs(&mut self, now: Time, out: &mut Vec<Output>) {
         let adopt = self.config.adopt;
         let mut unwanted = Vec::new();
-        for (task, alien) in &mut self.takeover.aliens {
-            if !alien.stopped && now.since(alien.found) >= adopt {
-                alien.stopped = true;
-                unwanted.push((*task, *alien));
+        for (task, foreign) in &mut self.takeover.foreign_runs {
+            if !foreign.stopped && now.since(foreign.found) >= adopt {
+                foreign.stopped = true;
+                unwanted.push((*task, *foreign));
             }
         }
-        for (task, alien) in unwanted {
+        for (task, foreign) in unwanted {
             let request = Request::Stop {
                 task,
-                run: alien.run,
+                run: foreign.run,
             };
-            self.call(alien.worker, Pending::StopAlien(alien.worker), request, out);
+            self.call(
+                foreign.worker,
+                CallPurpose::StopForeign(foreign.worker),
+                request,
+                out,
+            );
         }
     }
 
-    fn leave_limbo(&mut self, now: Time) {
+    fn release_doubtful(&mut self, now: Time) {
         let keys: Vec<_> = self.batches.keys().collect();
         for key in keys {
             let over = |state: &TaskState| matches!(state, TaskState::Limbo(t) if *t <= now);
@@ -317,8 +333,8 @@
                     self.return_task(now, batch, run.task.index, Some(domain));
                 }
             }
-            self.takeover.forget(key);
-            self.workers[key].let_go();
+            self.takeover.remove_worker(key);
+            self.workers[key].reset();
         }
         if self.held.is_empty() {
             given += self.return_queue(now);
@@ -342,7 +358,7 @@
         self.finish(now, key, index, end);
     }
 
-    fn return_doubtful(&mut self, now: Time, key: BatchKey, index: u16) {
+    fn return_unknown_run(&mut self, now: Time, key: BatchKey, index: u16) {
         self.finish(now, key, index, TaskEnd::Doubtful);
     }
 
@@ -361,7 +377,7 @@
                     TaskState::Waiting => self.return_task(now, key, index, None),
                     // As doubtful as it came; its origin knows since when.
                     TaskState::Limbo(_) | TaskState::Running(_) => {
-                        self.return_doubtful(now, key, index);
+                        self.return_unknown_run(now, key, index);
                     }
                 }
             }
--- a/crates/celerywinch_pool/src/worker.rs
+++ b/crates/celerywinch_pool/src/worker.rs
@@ -7,11 +7,11 @@
 };
 use slotmap::new_key_type;
 
+use crate::answer_times::AnswerTimes;
 use crate::call::{CallKey, PollKind};
 use crate::config::{CLOCK_ERROR, LEASE_MARGIN, OLDEST_READING};
+use crate::incarnations::OtherIncarnations;
 use crate::leases::Loss;
-use crate::lives::OtherLives;
-use crate::patience::Patience;
 use crate::run::RunKey;
 
 new_key_type! {
@@ -21,13 +21,13 @@
 
 /// Whether a worker obeys this dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Grip {
+pub(crate) enum Ownership {
     /// Another process dispatches for its data centre, or nobody does.
     None,
     /// The first look under this dispatcher's fencing token is not answered yet.
-    Taking,
+    Acquiring,
     /// It obeys.
-    Held,
+    Owned,
 }
 
 /// How much a new measurement of the pace counts.
@@ -42,47 +42,47 @@
 pub(crate) struct Worker {
     pub(crate) note: WorkerNote,
     /// The last words of other lives. One of them may be the life that is there.
-    pub(crate) others: OtherLives,
+    pub(crate) other_incarnations: OtherIncarnations,
     /// How the life before this one ended, if there was one here.
-    pub(crate) before: Option<Loss>,
+    pub(crate) previous_loss: Option<Loss>,
     /// Whose dispatcher it obeys.
     pub(crate) domain: Domain,
-    pub(crate) grip: Grip,
+    pub(crate) ownership: Ownership,
     /// How often it has started again since this dispatcher took it over.
-    pub(crate) lives: u64,
+    pub(crate) restarts: u64,
     pub(crate) runs: Vec<RunKey>,
     /// What its runs need, those too whose end is not listed yet.
     pub(crate) used: Room,
     /// Runs of another dispatcher that were neither adopted nor seen to end.
-    pub(crate) aliens: usize,
+    pub(crate) foreign_runs: usize,
     /// The last end that was taken note of, and the last that the worker was told of.
     pub(crate) cursor: u64,
-    pub(crate) acknowledged: u64,
+    pub(crate) acked_cursor: u64,
     /// A reading of its clock, and when it arrived.
     clock: Option<(Time, WorkerClock)>,
     /// Nothing runs there later than this, unless the lease is extended.
     pub(crate) lease: Time,
     /// The look that is under way.
-    pub(crate) look: Option<CallKey>,
+    pub(crate) long_poll: Option<CallKey>,
     /// A look beside that which answers at once, to settle an order without an answer.
-    pub(crate) check: Option<CallKey>,
+    pub(crate) short_poll: Option<CallKey>,
     /// The input during which the newest list that was read was asked for.
-    pub(crate) listed: u64,
+    pub(crate) list_input: u64,
     /// What its answers to orders took.
-    pub(crate) patience: Patience,
+    pub(crate) answer_times: AnswerTimes,
     /// When to look again though nothing runs.
-    pub(crate) look_at: Time,
+    pub(crate) next_poll: Time,
     /// Looks and orders in a row without an answer, and when the first of them was noticed.
-    pub(crate) silent: u32,
-    missed: Time,
+    pub(crate) missed_calls: u32,
+    first_miss: Time,
     /// When it answered last; an idle one is not asked.
-    pub(crate) heard: Time,
+    pub(crate) last_contact: Time,
     /// How much longer than usual work takes there.
     pub(crate) pace: f64,
     /// The share of failures among its last results.
-    pub(crate) failing: f64,
+    pub(crate) failure_rate: f64,
     /// It gets no work until then.
-    pub(crate) aside: Time,
+    pub(crate) quarantined_until: Time,
     /// After that, one task at a time until one succeeds.
     pub(crate) probation: bool,
 }
@@ -93,87 +93,89 @@
             domain: domain_of(&note, shards),
             used: Room::default(),
             note,
-            others: OtherLives::default(),
-            before: None,
-            grip: Grip::None,
-            lives: 0,
+            other_incarnations: OtherIncarnations::default(),
+            previous_loss: None,
+            ownership: Ownership::None,
+            restarts: 0,
             runs: Vec::new(),
-            aliens: 0,
+            foreign_runs: 0,
             cursor: 0,
-            acknowledged: 0,
+            acked_cursor: 0,
             clock: None,
             lease: Time::default(),
-            look: None,
-            check: None,
-            listed: 0,
-            patience: Patience::default(),
-            look_at: Time::NEVER,
-            silent: 0,
-            missed: now,
-            heard: now,
+            long_poll: None,
+            short_poll: None,
+            list_input: 0,
+            answer_times: AnswerTimes::default(),
+            next_poll: Time::NEVER,
+            missed_calls: 0,
+            first_miss: now,
+            last_contact: now,
             pace: 1.0,
-            failing: 0.0,
-            aside: Time::default(),
+            failure_rate: 0.0,
+            quarantined_until: Time::default(),
             probation: false,
         }
     }
 
     /// Forgets all that another dispatcher may have changed.
-    pub(crate) fn let_go(&mut self) {
-        self.grip = Grip::None;
-        self.lives = 0;
+    pub(crate) fn reset(&mut self) {
+        self.ownership = Ownership::None;
+        self.restarts = 0;
         self.runs.clear();
         self.used = Room::default();
-        self.aliens = 0;
+        self.foreign_runs = 0;
         self.cursor = 0;
-        self.acknowledged = 0;
-        self.look = None;
-        self.check = None;
-        self.look_at = Time::NEVER;
-        self.silent = 0;
+        self.acked_cursor = 0;
+        self.long_poll = None;
+        self.short_poll = None;
+        self.next_poll = Time::NEVER;
+        self.missed_calls = 0;
     }
 
     pub(crate) fn read_clock(&mut self, now: Time, clock: WorkerClock) {
         self.clock = Some((now, clock));
-        self.heard = now;
-        self.silent = 0;
+        self.last_contact = now;
+        self.missed_calls = 0;
     }
 
     /// Whether an answer is of another life of the worker than the one that is known.
-    pub(crate) fn is_other(&self, life: Incarnation) -> bool {
+    pub(crate) fn is_other_incarnation(&self, life: Incarnation) -> bool {
         let known = self.note.said.incarnation;
         known != Incarnation::default() && life != known
     }
 
     /// Whether it obeys and answers, has nothing to do, and was told of all ends that were read.
     pub(crate) fn is_settled(&self) -> bool {
-        let idle = self.runs.is_empty() && self.aliens == 0;
-        idle && self.grip == Grip::Held && self.silent == 0 && self.cursor == self.acknowledged
+        let idle = self.runs.is_empty() && self.foreign_runs == 0;
+        idle && self.ownership == Ownership::Owned
+            && self.missed_calls == 0
+            && self.cursor == self.acked_cursor
     }
 
     /// How long after a look an idle one is looked at again: up to a quarter less than `most`, by its name. Workers that
     /// were taken over together would else be looked at together for ever, and a process that stands still for
     /// 100 ms right then would take all of them for silent, and refuse callers.
-    pub(crate) fn idle_wait(&self, most: Duration) -> Duration {
+    pub(crate) fn idle_interval(&self, most: Duration) -> Duration {
         let spread = u64::from(u32::MAX);
         let share = stable_hash(self.note.id.as_bytes()) % spread;
         most - most.mul_f64(share as f64 / spread as f64 / 4.0)
     }
 
     /// The look of a kind that is under way.
-    pub(crate) fn asked(&mut self, question: PollKind) -> &mut Option<CallKey> {
-        match question {
-            PollKind::Long => &mut self.look,
-            PollKind::Short => &mut self.check,
+    pub(crate) fn outstanding_poll(&mut self, kind: PollKind) -> &mut Option<CallKey> {
+        match kind {
+            PollKind::Long => &mut self.long_poll,
+            PollKind::Short => &mut self.short_poll,
         }
     }
 
     /// An order or a look had no answer.
-    pub(crate) fn miss(&mut self, now: Time) {
-        if self.silent == 0 {
-            self.missed = now;
+    pub(crate) fn record_miss(&mut self, now: Time) {
+        if self.missed_calls == 0 {
+            self.first_miss = now;
         }
-        self.silent += 1;
+        self.missed_calls += 1;
     }
 
     /// Whether it was asked in vain for so long, and nothing of this dispatcher can be at work there any more.
@@ -182,7 +184,7 @@
     /// from the last answer forgot such a worker, and its run with it, when the answer to the first order was
     /// late, and the caller's task ran a second time elsewhere. Runs are given up with their lease alone.
     pub(crate) fn is_lost(&self, now: Time, forget: Duration) -> bool {
-        self.silent > 0 && self.runs.is_empty() && now.since(self.missed) > forget
+        self.missed_calls > 0 && self.runs.is_empty() && now.since(self.first_miss) > forget
     }
 
     /// Whether a lease can be counted from the last reading of its clock. From one of minutes ago it might last
@@ -200,7 +202,7 @@
     }
 
     /// The latest moment at which a lease that is asked for now can end, in the pool's time.
-    pub(crate) fn bound(&self, now: Time, lease: Duration) -> Time {
+    pub(crate) fn lease_bound(&self, now: Time, lease: Duration) -> Time {
         let read = self.clock.map_or(now, |(read, _)| read);
         // The reading may be older than the lease: its clock may have run slow since.
         let drift = (now.since(read) + lease).mul_f64(CLOCK_ERROR);
@@ -208,7 +210,7 @@
     }
 
     /// The latest moment at which a lease that another dispatcher has asked for by now can end.
-    pub(crate) fn longest(now: Time, lease: Duration) -> Time {
+    pub(crate) fn foreign_lease_bound(now: Time, lease: Duration) -> Time {
         let drift = (OLDEST_READING + lease).mul_f64(CLOCK_ERROR);
         now + lease + drift + LEASE_MARGIN
     }
@@ -220,17 +222,18 @@
     }
 
     /// Whether a new task may be sent there.
-    pub(crate) fn takes(&self, now: Time) -> bool {
-        let sound = self.grip == Grip::Held && self.silent == 0 && self.aliens == 0;
+    pub(crate) fn accepts_tasks(&self, now: Time) -> bool {
+        let sound =
+            self.ownership == Ownership::Owned && self.missed_calls == 0 && self.foreign_runs == 0;
         let idle = !self.probation || self.runs.is_empty();
         sound
             && idle
             && self.has_clock(now)
             && self.note.stage == WorkerStage::Ready
-            && self.aside <= now
+            && self.quarantined_until <= now
     }
 
-    pub(crate) fn rack_is(&self, rack: &str) -> bool {
+    pub(crate) fn is_in_rack(&self, rack: &str) -> bool {
         self.note.labels.iter().any(|label| label == rack)
     }
 
@@ -240,18 +243,18 @@
         self.pace = (self.pace.ln() * (1.0 - PACE_WEIGHT) + ratio.ln() * PACE_WEIGHT).exp();
     }
 
-    pub(crate) fn succeeded(&mut self) {
-        self.failing *= 1.0 - FAILURE_WEIGHT;
+    pub(crate) fn record_success(&mut self) {
+        self.failure_rate *= 1.0 - FAILURE_WEIGHT;
         self.probation = false;
     }
 
-    pub(crate) fn failed(&mut self) {
-        self.failing = self.failing * (1.0 - FAILURE_WEIGHT) + FAILURE_WEIGHT;
+    pub(crate) fn record_failure(&mut self) {
+        self.failure_rate = self.failure_rate * (1.0 - FAILURE_WEIGHT) + FAILURE_WEIGHT;
     }
 
     /// A failure turned out to be the task's own fault.
-    pub(crate) fn forgive(&mut self) {
-        self.failing = (self.failing - FAILURE_WEIGHT).max(0.0);
+    pub(crate) fn retract_failure(&mut self) {
+        self.failure_rate = (self.failure_rate - FAILURE_WEIGHT).max(0.0);
     }
 }
 
--- a/crates/celerywinch_pool/tests/grants.rs
+++ b/crates/celerywinch_pool/tests/grants.rs
@@ -29,7 +29,7 @@
     fn grant(&mut self, session: u32, ms: u64) {
         let until = self.rig.now + Duration::from_millis(ms);
         let grant = Grant {
-            life: Incarnation(1),
+            incarnation: Incarnation(1),
             session: Session(session),
             until,
         };
--- a/crates/celerywinch_pool/tests/limbo.rs
+++ b/crates/celerywinch_pool/tests/limbo.rs
@@ -34,7 +34,7 @@
     rig.wait(idle);
     let until = rig.now + Duration::from_millis(GRANT);
     let grant = Grant {
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
         session: Session(0),
         until,
     };
