--- a/crates/celerywinch_fleet/src/metrics.rs
+++ b/crates/celerywinch_fleet/src/metrics.rs
@@ -5,7 +5,7 @@
 
 use celerywinch_metrics::Meter;
 use celerywinch_origin::JobEvent;
-use celerywinch_pool::{Order, PoolEvent};
+use celerywinch_pool::{PoolEvent, Request};
 use celerywinch_types::{ConfigMsg, FleetMsg, JobEnd};
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
@@ -216,11 +216,11 @@
     }
 
     /// A worker is called.
-    pub(crate) fn calls(&self, order: &Order) {
+    pub(crate) fn calls(&self, order: &Request) {
         let kind = match order {
-            Order::Start { .. } => "start",
-            Order::Stop { .. } => "stop",
-            Order::Look { .. } => "look",
+            Request::Start { .. } => "start",
+            Request::Stop { .. } => "stop",
+            Request::Poll { .. } => "look",
         };
         self.worker_calls.with_label_values(&[kind]).inc();
     }
--- a/crates/celerywinch_pool/src/lib.rs
+++ b/crates/celerywinch_pool/src/lib.rs
@@ -11,29 +11,29 @@
 //! still be at work, as long as a worker's clock is at most [`MAX_CLOCK_DRIFT`] slow.
 
 mod admission;
+mod answer_times;
 mod call;
 mod config;
 mod crashes;
 mod event;
 mod grants;
+mod incarnations;
 mod inflow;
 mod job;
 mod leases;
-mod lives;
 mod origins;
-mod patience;
 mod place;
 mod pool;
 mod queue;
 mod results;
 mod run;
 mod run_times;
+mod sent_ends;
 mod submit;
 mod takeover;
-mod told;
 mod worker;
 
-pub use call::{Answer, Call, CallKey, EndedRow, How, Order, Reject, RunningRow};
+pub use call::{Answer, Call, CallKey, EndedRow, Rejection, Request, RunEnd, RunningRow};
 pub use config::{MAX_CLOCK_DRIFT, PoolConfig};
 pub use event::{Departure, PoolEvent};
 pub use grants::Grant;
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -11,18 +11,18 @@
 };
 use slotmap::SlotMap;
 
-use crate::call::{Answer, Call, CallKey, Order, Pending, Question, Sent};
-use crate::crashes::CrashLog;
+use crate::answer_times::AnswerTimes;
+use crate::call::{Answer, Call, CallKey, CallPurpose, PendingCall, PollKind, Request};
+use crate::crashes::CrashHistory;
 use crate::grants::{Grant, Grants};
 use crate::inflow::Inflow;
 use crate::job::{Batch, BatchKey, TaskState};
-use crate::patience::Patience;
 use crate::queue::{Queue, Rank};
 use crate::run::{Phase, Run, RunKey};
 use crate::run_times::RunTimes;
+use crate::sent_ends::SentEnd;
 use crate::takeover::Takeover;
-use crate::told::Told;
-use crate::worker::{Grip, Worker, WorkerKey, domain_of};
+use crate::worker::{Ownership, Worker, WorkerKey, domain_of};
 use crate::{Departure, PoolConfig, PoolEvent};
 
 /// A worker that has left is remembered for so long: a keeper that did not hear of it may tell of it as ready for
@@ -109,18 +109,18 @@
     pub(crate) batches: SlotMap<BatchKey, Batch>,
     pub(crate) batch_keys: BTreeMap<(JobId, u16), BatchKey>,
     pub(crate) runs: SlotMap<RunKey, Run>,
-    pub(crate) calls: SlotMap<CallKey, Sent>,
+    pub(crate) calls: SlotMap<CallKey, PendingCall>,
     pub(crate) queue: Queue,
     pub(crate) run_times: RunTimes,
     /// What the answers of all workers took.
-    pub(crate) answer_times: Patience,
+    pub(crate) answer_times: AnswerTimes,
     pub(crate) inflow: Inflow,
     /// Workers that ended under tasks.
-    pub(crate) crashes: CrashLog,
+    pub(crate) crashes: CrashHistory,
     pub(crate) takeover: Takeover,
     pub(crate) grants: Grants,
     /// What origins were told of tasks that are here no more.
-    pub(crate) sent_ends: BTreeMap<TaskId, Told>,
+    pub(crate) sent_ends: BTreeMap<TaskId, SentEnd>,
     pub(crate) unsent_ends: BTreeMap<InstanceId, Vec<TaskReport>>,
     /// Batches that lost a task during the current input; the empty ones are dropped after it.
     pub(crate) shrunk: Vec<BatchKey>,
@@ -153,9 +153,9 @@
             calls: SlotMap::with_key(),
             queue: Queue::default(),
             run_times: RunTimes::default(),
-            answer_times: Patience::quick(),
+            answer_times: AnswerTimes::zeroed(),
             inflow: Inflow::default(),
-            crashes: CrashLog::default(),
+            crashes: CrashHistory::default(),
             takeover: Takeover::default(),
             grants: Grants::default(),
             sent_ends: BTreeMap::new(),
@@ -186,14 +186,21 @@
     #[must_use]
     pub fn is_reachable(&self, now: Time, domain: Domain, span: Duration) -> bool {
         let mut there = self.workers.values().filter(|w| w.domain == domain);
-        there.any(|w| w.grip == Grip::Held && w.silent == 0 && now.since(w.heard) <= span)
+        there.any(|w| {
+            w.ownership == Ownership::Owned
+                && w.missed_calls == 0
+                && now.since(w.last_contact) <= span
+        })
     }
 
     /// What was learned of run times, and of the paces of the workers that obey, for a successor. Those of others are
     /// as old as the last change of hands.
     #[must_use]
     pub fn learned(&self) -> Learned {
-        let held = self.workers.values().filter(|w| w.grip == Grip::Held);
+        let held = self
+            .workers
+            .values()
+            .filter(|w| w.ownership == Ownership::Owned);
         let paces = held.map(|w| (w.note.id.clone(), w.pace as f32));
         Learned {
             queues: self.run_times.learned(),
@@ -209,7 +216,7 @@
         }
         for (id, pace) in learned.slowdowns {
             if let Some(key) = self.worker_ids.get(&id)
-                && self.workers[*key].grip == Grip::None
+                && self.workers[*key].ownership == Ownership::None
             {
                 self.workers[*key].pace = pace.into();
             }
@@ -224,26 +231,29 @@
             && self
                 .calls
                 .values()
-                .all(|call| self.is_routine(call.pending))
+                .all(|call| self.is_routine(call.purpose))
     }
 
     /// Whether a call only asks an idle worker for a sign of life.
-    fn is_routine(&self, call: Pending) -> bool {
+    fn is_routine(&self, call: CallPurpose) -> bool {
         match call {
-            Pending::Look(worker, Question::Ends, _) => {
+            CallPurpose::Poll(worker, PollKind::Long, _) => {
                 self.workers.get(worker).is_some_and(Worker::is_settled)
             }
-            Pending::Look(_, Question::Order, _)
-            | Pending::Start(_)
-            | Pending::Stop(_)
-            | Pending::StopAlien(_) => false,
+            CallPurpose::Poll(_, PollKind::Short, _)
+            | CallPurpose::Start(_)
+            | CallPurpose::Stop(_)
+            | CallPurpose::StopForeign(_) => false,
         }
     }
 
     /// How many steps of jobs and runs are open, and how many workers obey.
     #[must_use]
     pub fn counts(&self) -> (usize, usize, usize) {
-        let held = self.workers.values().filter(|w| w.grip == Grip::Held);
+        let held = self
+            .workers
+            .values()
+            .filter(|w| w.ownership == Ownership::Owned);
         (self.batches.len(), self.runs.len(), held.count())
     }
 
@@ -287,13 +297,13 @@
             Input::EvacuatedDataCentres(dcs) => self.evacuated = dcs,
             Input::Work(from, msg) => self.handle_message(now, from, msg, out),
             Input::Granted(origin, grant) => self.granted(now, origin, grant, out),
-            Input::ResyncOrigin(origin) => self.ask_origin(origin, out),
+            Input::ResyncOrigin(origin) => self.request_resync(origin, out),
             Input::OriginLost(origin) => self.drop_origin(now, origin, out),
             Input::Answered(key, answer) => self.answered(now, key, answer, out),
-            Input::AnsweredLate(took) => self.answer_times.learn(took),
-            Input::Crashes(told) => self.learn_crashes(now, told, out),
-            Input::ProbeQueues(queues) => self.learn_careful(now, queues),
-            Input::CheckReachable(domain) => self.ask(now, domain, out),
+            Input::AnsweredLate(took) => self.answer_times.record(took),
+            Input::Crashes(told) => self.merge_crashes(now, told, out),
+            Input::ProbeQueues(queues) => self.merge_careful(now, queues),
+            Input::CheckReachable(domain) => self.check_reachable(now, domain, out),
             Input::Tick => self.tick(now, out),
         }
         self.remove_empty();
@@ -305,13 +315,13 @@
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.tend_workers(now, out);
-        self.tend_grants(now, out);
-        self.tend_takeover(now, out);
-        self.tend_runs(now, out);
+        self.tick_workers(now, out);
+        self.tick_grants(now, out);
+        self.tick_takeover(now, out);
+        self.stop_unconfirmed_runs(now, out);
         self.shed(now, out);
-        self.tend_crashes(now, out);
-        self.sent_ends.retain(|_, told| told.is_kept(now));
+        self.tick_crashes(now, out);
+        self.sent_ends.retain(|_, told| told.is_retained(now));
         self.departed
             .retain(|_, left| now.since(left.heard) <= REMEMBER_LEFT);
         self.removed
@@ -332,7 +342,7 @@
             WorkMsg::ResyncDone {
                 request: ask,
                 unsure,
-            } => self.sweep(now, from, ask, &unsure, out),
+            } => self.drop_unnamed(now, from, ask, &unsure, out),
             // For origins, not for dispatchers.
             WorkMsg::Ended(_) | WorkMsg::Crashed(..) | WorkMsg::Resync(_) => {}
         }
@@ -354,7 +364,7 @@
         let known = self.workers[key].note.version;
         match note.version.incarnation.cmp(&known.incarnation) {
             Ordering::Less if gone => {}
-            Ordering::Less => self.other_life_speaks(key, note, out),
+            Ordering::Less => self.earlier_incarnation_announced(key, note, out),
             Ordering::Equal if gone => self.worker_left(now, key, out),
             // A late announcement must not bring an earlier state back.
             Ordering::Equal if note.version <= known => {}
@@ -365,13 +375,13 @@
 
     /// Whether a worker takes new tasks and its data centre is not evacuated.
     pub(crate) fn accepts_tasks(&self, now: Time, worker: &Worker) -> bool {
-        worker.takes(now) && !self.evacuated.contains(&worker.note.dc)
+        worker.accepts_tasks(now) && !self.evacuated.contains(&worker.note.dc)
     }
 
     /// Whether a worker is being taken over and is expected to take new tasks once it has answered the first
     /// look. False once a look has timed out.
     pub(crate) fn accepts_after_takeover(&self, worker: &Worker) -> bool {
-        let sound = worker.grip == Grip::Taking && worker.silent == 0;
+        let sound = worker.ownership == Ownership::Acquiring && worker.missed_calls == 0;
         sound
             && worker.note.stage == WorkerStage::Ready
             && !self.evacuated.contains(&worker.note.dc)
@@ -415,7 +425,7 @@
         let worker = &self.workers[key];
         let over = worker.note.stage == WorkerStage::Gone && worker.runs.is_empty();
         if over {
-            self.forget_worker(now, key, Departure::Left, out);
+            self.remove_worker(now, key, Departure::Left, out);
         }
         over
     }
@@ -439,12 +449,12 @@
         let id = note.id.clone();
         *self.addr_counts.entry(note.addr).or_default() += 1;
         let mut worker = Worker::new(now, note, self.shards);
-        worker.lives = lives;
+        worker.restarts = lives;
         let domain = worker.domain;
         let key = self.workers.insert(worker);
         self.worker_ids.insert(id, key);
         if self.owned.contains_key(&domain) {
-            self.take_worker(now, key, out);
+            self.take_over_worker(now, key, out);
         }
         key
     }
@@ -493,8 +503,8 @@
             submission: task.map_or(0, |task| task.submission),
             end,
         };
-        let told = Told {
-            at: now,
+        let told = SentEnd {
+            sent_at: now,
             origin: batch.origin,
             news,
         };
@@ -519,38 +529,38 @@
     pub(crate) fn call(
         &mut self,
         worker: WorkerKey,
-        pending: Pending,
-        order: Order,
+        purpose: CallPurpose,
+        request: Request,
         out: &mut Vec<Output>,
     ) -> Option<CallKey> {
         let callee = &self.workers[worker];
         let fence = self
             .owned
             .get(&callee.domain)?
-            .for_incarnation(callee.lives);
-        let slow = self.answer_times.wait(self.config.max_timeout);
-        let wait = match order {
-            Order::Look { .. } => order.waits() + self.config.answer_timeout.max(slow),
-            Order::Start { .. } | Order::Stop { .. }
+            .for_incarnation(callee.restarts);
+        let slow = self.answer_times.timeout(self.config.max_timeout);
+        let wait = match request {
+            Request::Poll { .. } => request.max_wait() + self.config.answer_timeout.max(slow),
+            Request::Start { .. } | Request::Stop { .. }
                 if self.config.disabled.contains(Mechanism::Patience) =>
             {
                 self.config.order_timeout
             }
-            Order::Start { .. } | Order::Stop { .. } => {
+            Request::Start { .. } | Request::Stop { .. } => {
                 let wait = self.workers[worker]
-                    .patience
-                    .wait(self.config.order_timeout);
+                    .answer_times
+                    .timeout(self.config.order_timeout);
                 wait.max(slow)
             }
         };
         let callee = &self.workers[worker].note;
-        let key = self.calls.insert(Sent { worker, pending });
+        let key = self.calls.insert(PendingCall { worker, purpose });
         out.push(Output::Call(Call {
             key,
             worker: callee.id.clone(),
             addr: callee.addr,
             fence,
-            order,
+            request,
             timeout: wait,
         }));
         Some(key)
@@ -565,12 +575,12 @@
             return;
         }
         run.stopping = true;
-        let order = Order::Stop {
+        let request = Request::Stop {
             task: run.task,
             run: run.number,
         };
         let worker = run.worker;
-        self.call(worker, Pending::Stop(key), order, out);
+        self.call(worker, CallPurpose::Stop(key), request, out);
     }
 
     /// A run is over, or surely never was: its room is free.
--- a/crates/celerywinch_pool/tests/capacity.rs
+++ b/crates/celerywinch_pool/tests/capacity.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use celerywinch_pool::{Answer, How, Input};
+use celerywinch_pool::{Answer, Input, RunEnd};
 use celerywinch_types::{AnnouncementVersion, JobId, PriorRuns, Resources, WorkerAnnouncement};
 use rig::{
     DOMAIN, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step,
@@ -65,7 +65,7 @@
     if busy {
         submit(&mut rig, 77..78);
         let start = rig.last_call(is_start);
-        rig.answer(&start, Answer::Taken(clock()));
+        rig.answer(&start, Answer::Accepted(clock()));
     }
     for (room, number) in case.rooms.iter().zip(1..) {
         says(&mut rig, number, *room);
@@ -93,7 +93,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     says(&mut rig, 1, ONE);
     let look = rig.last_call(is_look);
     let cancel = celerywinch_types::WorkMsg::Cancel {
@@ -104,13 +104,16 @@
     assert_eq!(rig.count_calls(is_stop), 1);
     // From here on only its room keeps others away.
     let stop = rig.last_call(is_stop);
-    rig.answer(&stop, Answer::Taken(clock()));
+    rig.answer(&stop, Answer::Accepted(clock()));
     submit(&mut rig, 80..81);
     assert_eq!(rig.count_calls(is_start), 1, "the first one is still there");
     rig.answer(&look, lists(vec![running_row(1)], Vec::new()));
     assert_eq!(rig.count_calls(is_start), 1);
     let look = rig.last_call(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, How::Cut)]));
+    rig.answer(
+        &look,
+        lists(Vec::new(), vec![ended_row(1, RunEnd::Interrupted)]),
+    );
     assert_eq!(rig.count_calls(is_start), 2);
     submit(&mut rig, 81..82);
     assert_eq!(rig.count_calls(is_start), 2, "one fits, and one is there");
--- a/crates/celerywinch_pool/tests/doubt_timeout.rs
+++ b/crates/celerywinch_pool/tests/doubt_timeout.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use celerywinch_pool::{Grant, Input, Order};
+use celerywinch_pool::{Grant, Input, Request};
 use celerywinch_types::{Incarnation, InstanceId, PriorRuns, Session, WorkMsg};
 use rig::{Rig, clock, is_start, step};
 use rstest::rstest;
@@ -34,7 +34,7 @@
     rig.advance(idle);
     let until = rig.now + Duration::from_millis(GRANT);
     let grant = Grant {
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
         session: Session(0),
         until,
     };
@@ -44,7 +44,7 @@
     let mut order = step(PriorRuns::None, 0);
     order.refusable = false;
     rig.handle(Input::Work(REMOTE, WorkMsg::Submit(order)));
-    let Order::Start { deadline, .. } = rig.last_call(is_start).order else {
+    let Request::Start { deadline, .. } = rig.last_call(is_start).request else {
         panic!("a start");
     };
     let passed = rig.now.since(read).as_secs_f64() * 1e3;
--- a/crates/celerywinch_pool/tests/grants.rs
+++ b/crates/celerywinch_pool/tests/grants.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use celerywinch_pool::{Answer, Grant, How, Input, Order, Reject};
+use celerywinch_pool::{Answer, Grant, Input, Rejection, Request, RunEnd};
 use celerywinch_types::{Incarnation, InstanceId, JobId, PriorRuns, Session, TaskEnd, WorkMsg};
 use rig::{ORIGIN, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step};
 use rstest::rstest;
@@ -29,7 +29,7 @@
     fn grant(&mut self, session: u32, ms: u64) {
         let until = self.rig.now + Duration::from_millis(ms);
         let grant = Grant {
-            life: Incarnation(1),
+            incarnation: Incarnation(1),
             session: Session(session),
             until,
         };
@@ -52,8 +52,8 @@
     fn extends(&self) -> bool {
         let look = self.rig.last_call(is_look);
         matches!(
-            look.order,
-            Order::Look {
+            look.request,
+            Request::Poll {
                 deadline: Some(_),
                 ..
             }
@@ -110,7 +110,7 @@
     }
     remote.rig.advance(150);
     let first = remote.rig.last_call(is_start);
-    let rejected = Answer::Rejected(Reject::Malformed, Some(clock()));
+    let rejected = Answer::Rejected(Rejection::Malformed, Some(clock()));
     remote.rig.answer(&first, rejected);
     assert_eq!(remote.starts(), 2 + starts);
 }
@@ -123,7 +123,7 @@
     let mut remote = Remote::new();
     remote.hand_in(0, PriorRuns::None);
     let start = remote.rig.last_call(is_start);
-    remote.rig.answer(&start, Answer::Taken(clock()));
+    remote.rig.answer(&start, Answer::Accepted(clock()));
     let look = remote.rig.last_call(is_look);
     remote
         .rig
@@ -161,7 +161,7 @@
     let mut remote = Remote::new();
     remote.hand_in(0, PriorRuns::None);
     let start = remote.rig.last_call(is_start);
-    remote.rig.answer(&start, Answer::Taken(clock()));
+    remote.rig.answer(&start, Answer::Accepted(clock()));
     let look = remote.rig.last_call(is_look);
     remote
         .rig
@@ -194,25 +194,25 @@
         let open: Vec<_> = open.cloned().collect();
         for call in open {
             answered.push(call.key);
-            let answer = match call.order {
-                Order::Look { .. } => lists(vec![running_row(1)], Vec::new()),
-                Order::Start { .. } | Order::Stop { .. } => Answer::Silent,
+            let answer = match call.request {
+                Request::Poll { .. } => lists(vec![running_row(1)], Vec::new()),
+                Request::Start { .. } | Request::Stop { .. } => Answer::NoAnswer,
             };
             remote.rig.answer(&call, answer);
         }
         remote.rig.advance(10);
     }
     let calls = &remote.rig.calls[before..];
-    let extends = |order: &Order| {
+    let extends = |order: &Request| {
         matches!(
             order,
-            Order::Look {
+            Request::Poll {
                 deadline: Some(_),
                 ..
             }
         )
     };
-    let extended = calls.iter().filter(|call| extends(&call.order)).count();
+    let extended = calls.iter().filter(|call| extends(&call.request)).count();
     assert_eq!(extended, 0, "of {} calls", calls.len());
 }
 
@@ -220,12 +220,12 @@
 /// extend the lease of all that runs there. After that it does.
 #[rstest]
 #[case::not_taken(None, 0)]
-#[case::taken(Some(Answer::Taken(clock())), 1)]
+#[case::taken(Some(Answer::Accepted(clock())), 1)]
 fn worker_is_used_again_once_a_stop_is_taken(#[case] stop: Option<Answer>, #[case] more: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let cancel = WorkMsg::Cancel {
         job: rig::JOB,
         last_submission: 1,
@@ -260,11 +260,11 @@
         remote.rig.handle(Input::Work(from, WorkMsg::Submit(order)));
     }
     let start = remote.rig.last_call(is_start);
-    remote.rig.answer(&start, Answer::Taken(clock()));
+    remote.rig.answer(&start, Answer::Accepted(clock()));
     let look = remote.rig.last_call(is_look);
     remote
         .rig
-        .answer(&look, lists(Vec::new(), vec![ended_row(1, How::Done)]));
+        .answer(&look, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
     let news = remote
         .rig
         .ends_by_origin
@@ -299,13 +299,13 @@
 /// Guards against two runs of one task at once: a caller sends its job again to another entry before the worker has carried out
 /// the stop of the first run.
 #[rstest]
-#[case::cut(How::Cut)]
-#[case::done(How::Done)]
-fn task_waits_for_the_end_of_a_run_that_is_being_stopped(#[case] how: How) {
+#[case::cut(RunEnd::Interrupted)]
+#[case::done(RunEnd::Done)]
+fn task_waits_for_the_end_of_a_run_that_is_being_stopped(#[case] how: RunEnd) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let cancel = WorkMsg::Cancel {
         job: rig::JOB,
         last_submission: 1,
@@ -314,10 +314,10 @@
     let stop = rig.last_call(is_stop);
     rig.submit(step(PriorRuns::None, 0));
     assert_eq!(rig.count_calls(is_start), 1, "the first run is there yet");
-    rig.answer(&stop, Answer::Taken(clock()));
+    rig.answer(&stop, Answer::Accepted(clock()));
     let look = rig.last_call(is_look);
     rig.answer(&look, lists(Vec::new(), vec![ended_row(1, how)]));
-    let told: &[_] = if how == How::Done {
+    let told: &[_] = if how == RunEnd::Done {
         &[TaskEnd::Done]
     } else {
         &[]
@@ -326,7 +326,7 @@
         rig.ends.iter().map(|(_, end)| *end).collect::<Vec<_>>(),
         told
     );
-    let starts = 1 + usize::from(how == How::Cut);
+    let starts = 1 + usize::from(how == RunEnd::Interrupted);
     assert_eq!(rig.count_calls(is_start), starts);
 }
 
@@ -351,7 +351,7 @@
     full.job = JobId(1);
     rig.submit(full);
     let start = rig.last_call(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let mut passed = step(PriorRuns::None, 0);
     passed.no_wait = true;
     rig.submit(passed);
@@ -362,9 +362,9 @@
     };
     rig.handle(Input::Work(ORIGIN, cancel));
     let stop = rig.last_call(is_stop);
-    rig.answer(&stop, Answer::Taken(clock()));
+    rig.answer(&stop, Answer::Accepted(clock()));
     let look = rig.last_call(is_look);
-    let mut over = ended_row(1, How::Cut);
+    let mut over = ended_row(1, RunEnd::Interrupted);
     over.task.job = JobId(1);
     rig.answer(&look, lists(Vec::new(), vec![over]));
     rig.advance(case.after);
@@ -387,7 +387,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let cancel = WorkMsg::Cancel {
         job: rig::JOB,
         last_submission: 1,
@@ -395,9 +395,12 @@
     rig.handle(Input::Work(ORIGIN, cancel));
     let stop = rig.last_call(is_stop);
     rig.submit(step(PriorRuns::Unknown, 0));
-    rig.answer(&stop, Answer::Taken(clock()));
+    rig.answer(&stop, Answer::Accepted(clock()));
     let look = rig.last_call(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, How::Cut)]));
+    rig.answer(
+        &look,
+        lists(Vec::new(), vec![ended_row(1, RunEnd::Interrupted)]),
+    );
     rig.advance(100);
     assert_eq!(rig.count_calls(is_start), 1, "it may run elsewhere");
 }
--- a/crates/celerywinch_pool/tests/lives.rs
+++ b/crates/celerywinch_pool/tests/worker_incarnations.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use celerywinch_pool::{Answer, EndedRow, How, Input, Reject, RunningRow};
+use celerywinch_pool::{Answer, EndedRow, Input, Rejection, RunEnd, RunningRow};
 use celerywinch_types::{
     AnnouncementVersion, Incarnation, JobId, PriorRuns, TaskEnd, TaskId, WorkerAnnouncement,
     WorkerStage,
@@ -34,9 +34,9 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let look = rig.last_call(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, How::Done)]));
+    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
     assert_eq!(rig.ends, [(task(0), TaskEnd::Done)]);
     rig.handle(Input::Workers(vec![second_life()]));
     let look = rig.last_call(is_look);
@@ -45,14 +45,14 @@
     order.job = LATER_JOB;
     rig.submit(order);
     let start = rig.last_call(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let later = TaskId {
         job: LATER_JOB,
         ..task(0)
     };
     let first_end = EndedRow {
         task: later,
-        ..ended_row(1, How::Done)
+        ..ended_row(1, RunEnd::Done)
     };
     let starts = rig.count_calls(is_start);
     for _ in 0..10 {
@@ -71,7 +71,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let look = rig.last_call(is_look);
     rig.answer(&look, lists(vec![running_row(1)], Vec::new()));
     rig.handle(Input::Workers(vec![second_life()]));
@@ -151,7 +151,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let looks = rig.count_calls(is_look);
     let look = rig.last_call(is_look);
     rig.answer(&look, lists_of(2, running.clone(), Vec::new()));
@@ -194,7 +194,7 @@
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.handle(Input::Workers(vec![second_life()]));
-    rig.answer(&start, Answer::Rejected(Reject::Fence, None));
+    rig.answer(&start, Answer::Rejected(Rejection::StaleFence, None));
     assert_eq!(rig.fenced, 0, "nobody has taken the domain over");
     assert_eq!(
         rig.count_calls(is_start),
@@ -254,9 +254,9 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let look = rig.last_call(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, How::Done)]));
+    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
     rig.handle(Input::Workers(vec![said(1, 9, WorkerStage::Gone)]));
     assert_eq!(rig.pool.known_workers(), 0);
     rig.handle(Input::Workers(vec![second_life()]));
