--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_member::{Input, Member, MemberConfig, Output};
-use celerywinch_pool::{Answer, Note, PoolConfig};
+use celerywinch_pool::{Answer, PoolConfig, PoolEvent};
 use celerywinch_types::{
     AnnouncementVersion, DataCentreId, Evacuations, Fence, FleetHeartbeat, Incarnation, InstanceId,
     Process, ProcessKind, Resources, Stage, Time, WallMs, WorkerAnnouncement, WorkerClock,
@@ -92,10 +92,10 @@
                             ended: Vec::new(),
                         };
                         let lost = cut && (0..dead).any(|index| call.worker == format!("w{index}"));
-                        let answer = if lost { Answer::Silent } else { lists };
+                        let answer = if lost { Answer::NoAnswer } else { lists };
                         inputs.push(Input::Answered(call.key, answer));
                     }
-                    Output::Dispatch(Note::Resigned { .. }) => given_up += 1,
+                    Output::Dispatch(PoolEvent::Resigned { .. }) => given_up += 1,
                     _ => {}
                 }
             }
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -2,8 +2,8 @@
 
 use celerywinch_types::{Mechanism, RunNumber, Time};
 
-use crate::Note;
-use crate::call::{Order, Pending};
+use crate::PoolEvent;
+use crate::call::{CallPurpose, Request};
 use crate::job::{Batch, BatchKey, Task, TaskState};
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, Run};
@@ -26,7 +26,7 @@
 impl Pool {
     /// Starts what fits, in the order of the queue. A batch that finds no room does not hold up
     /// smaller ones behind it.
-    pub(crate) fn place(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(crate) fn place_tasks(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.queue.is_empty() {
             return;
         }
@@ -46,7 +46,7 @@
 
     /// Starts the waiting tasks of a batch; false if there was no room for one.
     fn place_batch(&mut self, now: Time, key: BatchKey, out: &mut Vec<Output>) -> bool {
-        self.unqueue(key);
+        self.dequeue(key);
         let batch = &self.batches[key];
         let ready = |task: &Task| {
             task.state == TaskState::Waiting && self.may_start(now, batch.origin, task)
@@ -54,7 +54,7 @@
         let tasks = batch.tasks.iter().filter(|(_, task)| ready(task));
         let mut waiting: Vec<u16> = tasks.map(|(index, _)| *index).collect();
         let mut all = true;
-        if self.is_careful(batch) {
+        if self.needs_probe(batch) {
             let running = |task: &Task| matches!(task.state, TaskState::Running(_));
             let first = !batch.tasks.values().any(running);
             waiting.truncate(usize::from(first));
@@ -77,13 +77,13 @@
         let task = &batch.tasks[&index];
         let workers = self.workers.iter();
         let fitting = workers.filter(|(key, worker)| {
-            self.takes(now, worker)
+            self.accepts_tasks(now, worker)
                 && self.suits(batch, *key, worker)
                 && !self.has_suspended(now, worker)
-                && !self.meets_suspect(task.crashes, worker)
+                && !self.shares_with_suspect(task.crashes, worker)
         });
-        let packs = !self.config.without.contains(Mechanism::Packing);
-        let careful = self.is_careful(batch);
+        let packs = !self.config.disabled.contains(Mechanism::Packing);
+        let careful = self.needs_probe(batch);
         let cost = |key: WorkerKey, worker: &Worker| {
             let shared = PROBE_COST * self.shared_with_probes(worker, careful) as f64;
             cost(batch, task, key, worker, packs) + shared + self.away(worker, careful)
@@ -98,7 +98,7 @@
     /// is better kept away from the rest.
     fn away(&self, worker: &Worker, careful: bool) -> f64 {
         let stays =
-            self.shards > 1 && !careful && !self.config.without.contains(Mechanism::Locality);
+            self.shards > 1 && !careful && !self.config.disabled.contains(Mechanism::Locality);
         let elsewhere = self.config.dc.is_some_and(|dc| dc != worker.note.dc);
         if stays && elsewhere { AWAY_COST } else { 0.0 }
     }
@@ -111,7 +111,7 @@
         }
         let unproved = |run: &&Run| {
             let batch = run.batch.and_then(|key| self.batches.get(key));
-            run.probe && batch.is_none_or(|batch| !batch.proved)
+            run.probe && batch.is_none_or(|batch| !batch.probe_passed)
         };
         runs.by_ref().filter(unproved).count()
     }
@@ -156,54 +156,54 @@
         let Some(deadline) = worker.deadline(now, lease) else {
             return false;
         };
-        worker.lease = worker.lease.max(worker.bound(now, lease));
+        worker.lease = worker.lease.max(worker.lease_bound(now, lease));
         let pace = worker.pace * distance(&self.batches[key], worker);
         let batch = &self.batches[key];
         let task = batch.tasks[&index];
         let run = Run {
-            task: batch.id(index),
+            task: batch.task_id(index),
             batch: Some(key),
             worker: worker_key,
             number: RunNumber(task.run.0 + 1),
             need: batch.order.need,
             started: now,
             expected: batch.expected.mul_f64(pace),
-            phase: Phase::Starting,
+            phase: Phase::Sent,
             suspect: task.crashes.is_suspect(),
-            probe: self.is_careful(batch),
+            probe: self.needs_probe(batch),
             adopted: false,
             stopping: false,
-            stopped: false,
+            stop_accepted: false,
         };
-        let order = Order::Start {
+        let request = Request::Start {
             task: run.task,
             run: run.number,
             spec: batch.order.spec.clone(),
             deadline,
         };
-        out.push(Output::Note(Note::Started {
+        out.push(Output::Event(PoolEvent::Started {
             task: run.task,
             run: run.number,
             worker: self.workers[worker_key].note.id.clone(),
             expected: run.expected.as_millis() as u32,
         }));
         let number = run.number;
-        let run_key = self.occupy(run);
+        let run_key = self.add_run(run);
         let batch = &mut self.batches[key];
-        batch.begun = true;
+        batch.started = true;
         if let Some(task) = batch.tasks.get_mut(&index) {
             task.state = TaskState::Running(run_key);
             task.run = number;
         }
-        self.call(worker_key, Pending::Start(run_key), order, out);
-        self.look(now, worker_key, out);
+        self.call(worker_key, CallPurpose::Start(run_key), request, out);
+        self.poll(now, worker_key, out);
         true
     }
 }
 
 fn distance(batch: &Batch, worker: &Worker) -> f64 {
     match &batch.order.rack {
-        Some(rack) if !worker.rack_is(rack) => REMOTE_FACTOR,
+        Some(rack) if !worker.is_in_rack(rack) => REMOTE_FACTOR,
         _ => 1.0,
     }
 }
@@ -217,7 +217,7 @@
         0.0
     };
     let pace = worker.pace * distance(batch, worker);
-    let avoid = if task.avoid == Some(key) {
+    let avoid = if task.failed_on == Some(key) {
         AVOID_COST
     } else {
         0.0
--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use celerywinch_pool::{
-    Answer, Call, EndedRow, Grant, How, Input, Order, Output, Pool, PoolConfig, RunningRow,
+    Answer, Call, EndedRow, Grant, Input, Output, Pool, PoolConfig, Request, RunEnd, RunningRow,
 };
 use celerywinch_types::{
     AnnouncementVersion, Crashes, DataCentreId, Domain, Fence, Incarnation, InstanceId, JobId,
@@ -34,7 +34,7 @@
     }
 }
 
-pub(crate) fn note(id: &str, port: u16) -> WorkerAnnouncement {
+pub(crate) fn worker_note(id: &str, port: u16) -> WorkerAnnouncement {
     WorkerAnnouncement {
         id: id.to_owned(),
         service: "s".to_owned(),
@@ -91,20 +91,20 @@
     pub(crate) pool: Pool,
     pub(crate) now: Time,
     pub(crate) calls: Vec<Call>,
-    pub(crate) told: Vec<(TaskId, TaskEnd)>,
+    pub(crate) ends: Vec<(TaskId, TaskEnd)>,
     /// The same with whom it was told.
-    pub(crate) news: Vec<(InstanceId, TaskEnd)>,
+    pub(crate) ends_by_origin: Vec<(InstanceId, TaskEnd)>,
     /// How often a worker was found to obey another dispatcher.
-    pub(crate) outbid: usize,
+    pub(crate) fenced: usize,
 }
 
 impl Rig {
     /// With one worker that was taken over with these lists.
     pub(crate) fn new(running: Vec<RunningRow>, ended: Vec<EndedRow>) -> Self {
         let mut rig = Self::empty(PoolConfig::default());
-        rig.take(Input::Workers(vec![note("w1", 1)]));
-        rig.take(Input::Acquire(DOMAIN, Fence(5 << 5)));
-        let look = rig.last(|order| matches!(order, Order::Look { .. }));
+        rig.handle(Input::Workers(vec![worker_note("w1", 1)]));
+        rig.handle(Input::Acquire(DOMAIN, Fence(5 << 5)));
+        let look = rig.last_call(|order| matches!(order, Request::Poll { .. }));
         rig.answer(&look, lists(running, ended));
         rig
     }
@@ -115,58 +115,63 @@
             pool: Pool::new(config),
             now: Time(1_000_000),
             calls: Vec::new(),
-            told: Vec::new(),
-            news: Vec::new(),
-            outbid: 0,
+            ends: Vec::new(),
+            ends_by_origin: Vec::new(),
+            fenced: 0,
         };
-        rig.pool.trust(ORIGIN, Grant::without_end(Incarnation(1)));
+        rig.pool
+            .set_permanent_grant(ORIGIN, Grant::unlimited(Incarnation(1)));
         rig
     }
 
-    pub(crate) fn take(&mut self, input: Input) {
+    pub(crate) fn handle(&mut self, input: Input) {
         let mut out = Vec::new();
         self.pool.handle(self.now, input, &mut out);
         for output in out {
             match output {
                 Output::Call(call) => self.calls.push(call),
                 Output::Send(to, WorkMsg::Ended(news)) => {
-                    self.news.extend(news.iter().map(|news| (to, news.end)));
-                    self.told
+                    self.ends_by_origin
+                        .extend(news.iter().map(|news| (to, news.end)));
+                    self.ends
                         .extend(news.iter().map(|news| (news.task, news.end)));
                 }
-                Output::Outbid(_) => self.outbid += 1,
+                Output::Fenced(_) => self.fenced += 1,
                 Output::Send(..)
-                | Output::UsedUp(_)
+                | Output::TokenExhausted(_)
                 | Output::Crashed(..)
-                | Output::Careful(_)
-                | Output::Note(_) => {}
+                | Output::ProbeQueue(_)
+                | Output::Event(_) => {}
             }
         }
     }
 
-    pub(crate) fn wait(&mut self, ms: u64) {
+    pub(crate) fn advance(&mut self, ms: u64) {
         for _ in 0..ms / 10 {
             self.now = self.now + Duration::from_millis(10);
-            self.take(Input::Tick);
+            self.handle(Input::Tick);
         }
     }
 
-    pub(crate) fn last(&self, wanted: impl Fn(&Order) -> bool) -> Call {
+    pub(crate) fn last_call(&self, wanted: impl Fn(&Request) -> bool) -> Call {
         let calls = self.calls.iter().rev();
-        let mut fitting = calls.filter(|call| wanted(&call.order));
+        let mut fitting = calls.filter(|call| wanted(&call.request));
         fitting.next().expect("a call").clone()
     }
 
-    pub(crate) fn count(&self, wanted: impl Fn(&Order) -> bool) -> usize {
-        self.calls.iter().filter(|call| wanted(&call.order)).count()
+    pub(crate) fn count_calls(&self, wanted: impl Fn(&Request) -> bool) -> usize {
+        self.calls
+            .iter()
+            .filter(|call| wanted(&call.request))
+            .count()
     }
 
     pub(crate) fn answer(&mut self, call: &Call, answer: Answer) {
-        self.take(Input::Answered(call.key, answer));
+        self.handle(Input::Answered(call.key, answer));
     }
 
     pub(crate) fn submit(&mut self, order: StepOrder) {
-        self.take(Input::Work(ORIGIN, WorkMsg::Submit(order)));
+        self.handle(Input::Work(ORIGIN, WorkMsg::Submit(order)));
     }
 }
 
@@ -193,20 +198,20 @@
     }
 }
 
-pub(crate) fn is_start(order: &Order) -> bool {
-    matches!(order, Order::Start { .. })
+pub(crate) fn is_start(order: &Request) -> bool {
+    matches!(order, Request::Start { .. })
 }
 
-pub(crate) fn is_stop(order: &Order) -> bool {
-    matches!(order, Order::Stop { .. })
+pub(crate) fn is_stop(order: &Request) -> bool {
+    matches!(order, Request::Stop { .. })
 }
 
-pub(crate) fn is_look(order: &Order) -> bool {
-    matches!(order, Order::Look { .. })
+pub(crate) fn is_look(order: &Request) -> bool {
+    matches!(order, Request::Poll { .. })
 }
 
 /// A run of the task that is at work.
-pub(crate) fn row(run: u64) -> RunningRow {
+pub(crate) fn running_row(run: u64) -> RunningRow {
     RunningRow {
         task: task(0),
         run: RunNumber(run),
@@ -215,11 +220,11 @@
 }
 
 /// The first end that a worker lists.
-pub(crate) fn ended(run: u64, how: How) -> EndedRow {
+pub(crate) fn ended_row(run: u64, end: RunEnd) -> EndedRow {
     EndedRow {
         serial: 1,
         task: task(0),
         run: RunNumber(run),
-        how,
+        end,
     }
 }
