--- a/crates/celerywinch_dispatch/src/lib.rs
+++ b/crates/celerywinch_dispatch/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Dispatch`] is a state machine without clock or socket. It owns a share of the slots of every
 //! endpoint of the data centre, so that entries stay within an endpoint's slots without a message
-//! per task ([`shares`]). Each of its modules decides one thing:
+//! per task (module `shares`). Each of its modules decides one thing:
 //!
 //! | module | decides |
 //! |---|---|
--- a/crates/celerywinch_origin/src/job.rs
+++ b/crates/celerywinch_origin/src/job.rs
@@ -58,7 +58,7 @@
             failures: self.failures,
             crashes: self.crashes,
             run: self.run,
-            prior_runs: prior_runs,
+            prior_runs,
             submission: self.submission,
             first_submission: self.first_submission,
         }
