--- a/crates/celerywinch_origin/src/job.rs
+++ b/crates/celerywinch_origin/src/job.rs
@@ -1,4 +1,4 @@
-//! A job and where its tasks are.
+//! A job and the states of its tasks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,62 +10,62 @@
 
 use crate::CallerId;
 
-/// What is known of a run that may be at work.
+/// What is known of a run of a task that may still be going on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Trace {
-    /// The domains where it may be.
+pub(crate) struct PossibleRun {
+    /// The domains of the workers that may have it.
     pub(crate) domains: Arc<BTreeSet<Domain>>,
     /// Whether later runs may have been started.
-    pub(crate) doubt: PriorRuns,
-    /// Since when nobody extends its lease, as far as is known.
+    pub(crate) prior_runs: PriorRuns,
+    /// Since when its lease is not renewed, as far as this origin knows.
     pub(crate) since: Time,
-    /// The dispatcher that had it and was thought to be lost; it may have it still.
-    pub(crate) at: Option<InstanceId>,
+    /// The dispatcher that had the task when it was reported as lost; it may still have it.
+    pub(crate) dispatcher: Option<InstanceId>,
 }
 
-/// Where a task is.
+/// The state of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Place {
-    /// To be handed in.
-    Todo,
-    /// To be handed in to whoever dispatches where it may be running.
-    Unsure(Trace),
-    /// At a dispatcher, which got it with this doubt.
-    Out(InstanceId, Option<Trace>),
+pub(crate) enum TaskState {
+    /// To be submitted to any dispatcher.
+    Pending,
+    /// To be submitted to the owner of the domains where it may be running.
+    MaybeRunning(PossibleRun),
+    /// Submitted to a dispatcher, with the run that may have been going on at that time.
+    Submitted(InstanceId, Option<PossibleRun>),
     /// Done.
     Done,
 }
 
-/// A task.
+/// One task of a job.
 #[derive(Clone, Debug)]
 pub(crate) struct Task {
-    pub(crate) place: Place,
+    pub(crate) state: TaskState,
     pub(crate) failures: u32,
-    /// Workers that have ended under it.
+    /// Crashes of workers while they ran it.
     pub(crate) crashes: Crashes,
     pub(crate) run: RunNumber,
-    /// The last time that it was handed in.
-    pub(crate) hand: u32,
-    /// The first of those times at the dispatcher that has it.
-    pub(crate) first: u32,
+    /// Number of its last submission.
+    pub(crate) submission: u32,
+    /// Number of its first submission to its current dispatcher.
+    pub(crate) first_submission: u32,
 }
 
 impl Task {
-    /// What a dispatcher is told of it.
-    pub(crate) fn order(&self, index: u16, doubt: PriorRuns) -> TaskOrder {
+    /// Returns the part of the submission that concerns this task.
+    pub(crate) fn order(&self, index: u16, prior_runs: PriorRuns) -> TaskOrder {
         TaskOrder {
             index,
             failures: self.failures,
             crashes: self.crashes,
             run: self.run,
-            prior_runs: doubt,
-            submission: self.hand,
-            first_submission: self.first,
+            prior_runs,
+            submission: self.submission,
+            first_submission: self.first_submission,
         }
     }
 }
 
-/// A job.
+/// An open job.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub(crate) id: JobId,
@@ -74,9 +74,9 @@
     pub(crate) plan: JobPlan,
     pub(crate) arrived: Time,
     pub(crate) tasks: BTreeMap<(u16, u16), Task>,
-    /// Whether a task came back that may have run.
-    pub(crate) doubtful: bool,
-    /// Dispatchers that had no room for its tasks.
+    /// Whether one of its tasks was returned or lost and may have run.
+    pub(crate) maybe_ran: bool,
+    /// Dispatchers that returned its tasks because they had no room.
     pub(crate) full: Vec<InstanceId>,
 }
 
@@ -93,12 +93,12 @@
         for (step, number) in plan.steps.iter().zip(0u16..) {
             for index in 0..step.count {
                 let task = Task {
-                    place: Place::Todo,
+                    state: TaskState::Pending,
                     failures: 0,
                     crashes: Crashes::default(),
                     run: first_run,
-                    hand: 0,
-                    first: 0,
+                    submission: 0,
+                    first_submission: 0,
                 };
                 tasks.insert((number, index), task);
             }
@@ -110,40 +110,48 @@
             plan,
             arrived: now,
             tasks,
-            doubtful: false,
+            maybe_ran: false,
             full: Vec::new(),
         }
     }
 
     fn step_done(&self, step: u16) -> bool {
         let mut tasks = self.tasks.range((step, 0)..=(step, u16::MAX));
-        tasks.all(|(_, task)| task.place == Place::Done)
+        tasks.all(|(_, task)| task.state == TaskState::Done)
     }
 
     pub(crate) fn done(&self) -> bool {
-        self.tasks.values().all(|task| task.place == Place::Done)
+        self.tasks
+            .values()
+            .all(|task| task.state == TaskState::Done)
     }
 
-    /// Whether anything of it may have run. What a dispatcher gave back for want of room has not.
-    pub(crate) fn begun(&self) -> bool {
-        self.doubtful || self.tasks.values().any(|task| task.place != Place::Todo)
+    /// Whether any of its tasks may have run. Tasks that a dispatcher returned for lack of room have not.
+    pub(crate) fn may_have_started(&self) -> bool {
+        self.maybe_ran
+            || self
+                .tasks
+                .values()
+                .any(|task| task.state != TaskState::Pending)
     }
 
-    /// Steps whose turn has come and which have tasks to hand in.
+    /// Returns the steps that have tasks to submit and whose preceding steps are done.
     pub(crate) fn open_steps(&self) -> Vec<u16> {
         let open = |step: &u16| {
             let plan = &self.plan.steps[usize::from(*step)];
             let mut tasks = self.tasks.range((*step, 0)..=(*step, u16::MAX));
-            let todo = |place: &Place| matches!(place, Place::Todo | Place::Unsure(_));
-            tasks.any(|(_, task)| todo(&task.place))
+            let unassigned = |state: &TaskState| {
+                matches!(state, TaskState::Pending | TaskState::MaybeRunning(_))
+            };
+            tasks.any(|(_, task)| unassigned(&task.state))
                 && plan.after.iter().all(|s| self.step_done(*s))
         };
         let count = u16::try_from(self.plan.steps.len()).unwrap_or(u16::MAX);
         (0..count).filter(open).collect()
     }
 
-    /// Ms of the longest chain of steps, by the caller's guesses.
-    fn chain(&self) -> u32 {
+    /// Returns the length of the critical path, in ms, by the caller's estimates of run times.
+    fn critical_path(&self) -> u32 {
         let mut ends: Vec<u32> = Vec::new();
         for step in &self.plan.steps {
             let before = step.after.iter().filter_map(|s| ends.get(usize::from(*s)));
@@ -173,19 +181,19 @@
             age: u32::try_from(age).unwrap_or(u32::MAX),
             slack: self.queue.slack,
             target: self.queue.target,
-            critical_path: self.chain(),
+            critical_path: self.critical_path(),
             refusable: false,
             no_wait: false,
             tasks,
         }
     }
 
-    /// Dispatchers that have tasks of the job, or may have.
+    /// Returns the dispatchers that have tasks of the job, or may have.
     pub(crate) fn dispatchers(&self) -> Vec<InstanceId> {
-        let out = self.tasks.values().filter_map(|task| match &task.place {
-            Place::Out(instance, _) => Some(*instance),
-            Place::Unsure(trace) => trace.at,
-            Place::Todo | Place::Done => None,
+        let out = self.tasks.values().filter_map(|task| match &task.state {
+            TaskState::Submitted(instance, _) => Some(*instance),
+            TaskState::MaybeRunning(run) => run.dispatcher,
+            TaskState::Pending | TaskState::Done => None,
         });
         let mut out: Vec<_> = out.collect();
         out.sort_unstable();
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -1,4 +1,4 @@
-//! The state machine.
+//! The state machine of the jobs whose callers are connected to this entry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,134 +10,135 @@
     identifier,
 };
 
-use crate::choice::{Choice, Wanted, choose};
-use crate::job::{Job, Place, Trace};
-use crate::lost::{Left, SURELY_ENDED};
+use crate::choice::{Choice, Request, choose};
+use crate::job::{Job, PossibleRun, TaskState};
+use crate::lost::{LOST_RUN_TIMEOUT, Withdrawals};
 use crate::{Holder, JobEvent};
 
-/// How long a new job waits for a dispatcher, where none is known. A change of hands takes up to
-/// 500 ms; most objectives are over by then, and the caller is told when to come back.
-const NO_DISPATCHER: Duration = Duration::from_millis(200);
-/// When it is told to come back, in ms: after a change of hands.
-pub(crate) const COME_BACK_MS: u32 = 500;
-/// A change of hands takes up to 500 ms.
-const CHANGE_OF_HANDS: Duration = Duration::from_millis(600);
-/// A job that is older is answered as unsure: no caller waits for longer.
-const OLDEST: Duration = Duration::from_secs(30);
+/// How long a new job waits while no dispatcher is known. A handoff takes up to 500 ms, by which time most latency
+/// targets have been missed, so the job is refused earlier and the caller is told when to retry.
+const DISPATCHER_TIMEOUT: Duration = Duration::from_millis(200);
+/// Retry delay given to such a caller, in ms: the longest duration of a handoff.
+pub(crate) const RETRY_AFTER_MS: u32 = 500;
+/// How long a handoff may leave this entry without a dispatcher. A handoff takes up to 500 ms.
+const HANDOFF_TIMEOUT: Duration = Duration::from_millis(600);
+/// Jobs with tasks still to be submitted at this age are answered as unsure: no caller waits longer.
+const MAX_JOB_AGE: Duration = Duration::from_secs(30);
 
 identifier! {
-    /// A caller that waits.
+    /// A caller waiting for the end of a job.
     pub struct CallerId(pub u64);
 }
 
 domain! {
-    /// A job of a caller.
+    /// A job as submitted by a caller.
     pub struct NewJob {
-        /// Its number.
+        /// The job's number.
         pub id: JobId,
-        /// Its queue.
+        /// The queue it was submitted to.
         pub queue: Queue,
-        /// What it consists of.
+        /// Its steps and what their tasks need.
         pub plan: JobPlan,
-        /// Run numbers start above this one; higher for a job that is sent again.
+        /// Run numbers start above this one; it is higher for a job that is submitted again.
         pub first_run: RunNumber,
     }
 }
 
-/// What happened outside.
+/// An event for the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A caller submits a job.
     Submit(CallerId, NewJob),
-    /// A caller waits no more.
+    /// A caller has disconnected.
     CallerGone(CallerId),
-    /// A dispatcher tells of ends.
+    /// A message from a dispatcher.
     Work(InstanceId, WorkMsg),
-    /// Who dispatches, and how much room there is.
+    /// The current dispatchers of all domains and their free capacity.
     Holders(Vec<Holder>),
-    /// The room of a dispatcher, where it dispatches for the same domains as before.
+    /// New load figures of a dispatcher whose domains have not changed.
     Loads(InstanceId, Vec<OwnedDomain>),
-    /// Messages to this dispatcher may be lost.
+    /// The link to this dispatcher was reset; messages in either direction may be lost.
     LinkReset(InstanceId),
-    /// A process is not heard any more.
+    /// The failure detector reports this process as lost.
     PeerLost(InstanceId),
-    /// This process stood still: what it knows is of the past.
+    /// This process was suspended, and its state is out of date.
     Paused,
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
-/// What the host is to do.
+/// An action for the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Tell a dispatcher.
+    /// Send a message to a dispatcher.
     Send(InstanceId, WorkMsg),
     /// Answer a caller.
     Answer(CallerId, JobEnd),
-    /// A decision for the logs.
+    /// Log an event.
     Event(JobEvent),
 }
 
-/// The jobs of the callers of one entry.
+/// The jobs of the callers connected to one entry.
 #[derive(Debug)]
 pub struct Origin {
     dc: DataCentreId,
-    without: DisabledMechanisms,
+    disabled: DisabledMechanisms,
     pub(crate) holders: Vec<Holder>,
     holders_incomplete: bool,
-    /// The domains that a process was last known to dispatch for.
-    pub(crate) held: BTreeMap<InstanceId, Arc<BTreeSet<Domain>>>,
+    /// The domains that each dispatcher was last known to own.
+    pub(crate) owned: BTreeMap<InstanceId, Arc<BTreeSet<Domain>>>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
     callers: BTreeMap<CallerId, JobId>,
-    /// Jobs with tasks to hand in.
-    pub(crate) open: BTreeSet<JobId>,
+    /// Jobs with tasks to submit.
+    pub(crate) pending: BTreeSet<JobId>,
     /// Since when no dispatcher is known.
-    alone: Option<Time>,
-    /// How often anything was handed in. A job that comes again gets numbers of its own, or what was
-    /// told of the first one would be taken for an answer.
-    pub(crate) hands: u32,
-    /// How often each dispatcher was taken for lost.
+    unserved_since: Option<Time>,
+    /// Number of the last submission. It rises over all jobs, so that a job submitted again by its caller gets numbers
+    /// of its own; else a late reply about the first one would be taken for its answer.
+    pub(crate) last_submission: u32,
+    /// How often each dispatcher was reported as lost.
     pub(crate) sessions: BTreeMap<InstanceId, Session>,
 }
 
 impl Origin {
-    /// No jobs yet.
+    /// Creates an origin without jobs, in data centre `dc`.
     #[must_use]
-    pub fn new(dc: DataCentreId, without: DisabledMechanisms) -> Self {
+    pub fn new(dc: DataCentreId, disabled: DisabledMechanisms) -> Self {
         Self {
             dc,
-            without,
+            disabled,
             holders: Vec::new(),
             holders_incomplete: false,
-            held: BTreeMap::new(),
+            owned: BTreeMap::new(),
             jobs: BTreeMap::new(),
             callers: BTreeMap::new(),
-            open: BTreeSet::new(),
-            alone: None,
-            hands: 0,
+            pending: BTreeSet::new(),
+            unserved_since: None,
+            last_submission: 0,
             sessions: BTreeMap::new(),
         }
     }
 
-    /// The session of a dispatcher: what it was handed under an earlier one may be elsewhere.
+    /// Returns the current session of a dispatcher. Tasks submitted under an earlier session may be elsewhere by now.
     #[must_use]
     pub fn session(&self, dispatcher: InstanceId) -> Session {
         self.sessions.get(&dispatcher).copied().unwrap_or_default()
     }
 
-    /// How many jobs are open.
+    /// Returns the number of open jobs.
     #[must_use]
     pub fn open_jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// One line for each open job: how many callers wait, and where its tasks are. For logs and checks.
+    /// Returns one line for each open job, with the number of waiting callers and the states of its tasks, for logs and
+    /// checks.
     #[must_use]
     pub fn describe_jobs(&self) -> Vec<String> {
         let line = |job: &Job| {
-            let places: Vec<_> = job.tasks.values().map(|task| &task.place).collect();
+            let states: Vec<_> = job.tasks.values().map(|task| &task.state).collect();
             format!(
-                "job {}: {} callers, {places:?}",
+                "job {}: {} callers, {states:?}",
                 job.id.0,
                 job.callers.len()
             )
@@ -145,14 +146,16 @@
         self.jobs.values().map(line).collect()
     }
 
-    /// Whether a dispatcher is known, or was until lately: a change of hands is over by then.
+    /// Whether a dispatcher is known, or was within the time that a handoff takes.
     #[must_use]
     pub fn has_dispatcher(&self, now: Time) -> bool {
-        let alone = self.alone.map_or(Duration::ZERO, |since| now.since(since));
-        alone < CHANGE_OF_HANDS
+        let unserved = self
+            .unserved_since
+            .map_or(Duration::ZERO, |since| now.since(since));
+        unserved < HANDOFF_TIMEOUT
     }
 
-    /// Takes an input and appends what the host is to do.
+    /// Handles an input and appends the actions for the host to `out`.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Submit(caller, new) => self.submit(now, caller, new, out),
@@ -160,24 +163,24 @@
             Input::Work(from, msg) => self.work(now, from, msg, out),
             Input::Holders(holders) => self.set_holders(holders),
             Input::Loads(dispatcher, holdings) => self.set_loads(dispatcher, &holdings),
-            Input::LinkReset(peer) => self.hand_in_again(now, peer, out),
+            Input::LinkReset(peer) => self.resubmit(now, peer, out),
             Input::PeerLost(peer) => self.peer_lost(now, peer, out),
-            Input::Paused => self.give_up_all(now, out),
+            Input::Paused => self.end_all(now, out),
             Input::Tick => self.tick(now, out),
         }
-        self.hand_in(now, out);
+        self.submit_pending(now, out);
     }
 
     fn set_holders(&mut self, holders: Vec<Holder>) {
-        let mut held: BTreeMap<InstanceId, BTreeSet<Domain>> = BTreeMap::new();
+        let mut owned: BTreeMap<InstanceId, BTreeSet<Domain>> = BTreeMap::new();
         for holder in &holders {
-            let domains = held.entry(holder.instance).or_default();
+            let domains = owned.entry(holder.instance).or_default();
             domains.insert(holder.domain);
         }
-        for (instance, domains) in held {
-            let known = self.held.get(&instance);
+        for (instance, domains) in owned {
+            let known = self.owned.get(&instance);
             if known.is_none_or(|known| **known != domains) {
-                self.held.insert(instance, Arc::new(domains));
+                self.owned.insert(instance, Arc::new(domains));
             }
         }
         self.holders = holders;
@@ -187,21 +190,21 @@
     fn set_loads(&mut self, dispatcher: InstanceId, holdings: &[OwnedDomain]) {
         let holders = self.holders.iter_mut();
         for holder in holders.filter(|holder| holder.instance == dispatcher) {
-            let told = holdings.iter().find(|h| h.domain == holder.domain);
-            if let Some(told) = told {
-                holder.load = told.load;
+            let reported = holdings.iter().find(|h| h.domain == holder.domain);
+            if let Some(reported) = reported {
+                holder.load = reported.load;
             }
         }
     }
 
-    /// Whether a dispatcher was left out since the holders were told last: it gave work back, and may dispatch on
-    /// for other domains.
+    /// Whether a dispatcher was removed since the last [`Input::Holders`] because it returned tasks. It may still own
+    /// other domains.
     #[must_use]
     pub fn holders_incomplete(&self) -> bool {
         self.holders_incomplete
     }
 
-    /// Dispatchers that have work of this origin, or may have.
+    /// Returns the dispatchers that have tasks of this origin, or may have.
     #[must_use]
     pub fn dispatchers(&self) -> BTreeSet<InstanceId> {
         self.jobs.values().flat_map(Job::dispatchers).collect()
@@ -210,7 +213,7 @@
     fn submit(&mut self, now: Time, caller: CallerId, new: NewJob, out: &mut Vec<Output>) {
         self.callers.insert(caller, new.id);
         if let Some(job) = self.jobs.get_mut(&new.id) {
-            // Sent again while the first is at work: one job, and both get its answer.
+            // Submitted again while the job is open: there is one job, and all its callers get its answer.
             job.callers.push(caller);
             return;
         }
@@ -222,7 +225,7 @@
             tasks: job.tasks.len(),
         }));
         self.jobs.insert(id, job);
-        self.open.insert(id);
+        self.pending.insert(id);
         self.finish_if_done(now, id, out);
     }
 
@@ -242,14 +245,14 @@
         self.drop_job(id, out);
     }
 
-    /// Forgets a job; what still runs of it is stopped.
+    /// Removes a job and cancels its tasks at their dispatchers.
     fn drop_job(&mut self, id: JobId, out: &mut Vec<Output>) -> Option<Job> {
-        self.open.remove(&id);
+        self.pending.remove(&id);
         let job = self.jobs.remove(&id)?;
         for dispatcher in job.dispatchers() {
             let cancel = WorkMsg::Cancel {
                 job: id,
-                last_submission: self.hands,
+                last_submission: self.last_submission,
             };
             out.push(Output::Send(dispatcher, cancel));
         }
@@ -273,9 +276,9 @@
 
     fn work(&mut self, now: Time, from: InstanceId, msg: WorkMsg, out: &mut Vec<Output>) {
         match msg {
-            WorkMsg::Ended(news) => {
-                for news in news {
-                    self.ended(now, from, news, out);
+            WorkMsg::Ended(reports) => {
+                for report in reports {
+                    self.ended(now, from, report, out);
                 }
             }
             WorkMsg::Crashed(task, crashes) => {
@@ -285,18 +288,12 @@
                     task.crashes = task.crashes.merge(crashes);
                 }
             }
-            WorkMsg::Resync(ask) => {
-                self.hand_in_again(now, from, out);
-                let unsure = self.unsure_at(from);
-                out.push(Output::Send(
-                    from,
-                    WorkMsg::ResyncDone {
-                        request: ask,
-                        unsure,
-                    },
-                ));
+            WorkMsg::Resync(request) => {
+                self.resubmit(now, from, out);
+                let unsure = self.lost_tasks(from);
+                out.push(Output::Send(from, WorkMsg::ResyncDone { request, unsure }));
             }
-            // For dispatchers, not for origins.
+            // Sent to dispatchers, never to origins.
             WorkMsg::Submit(_)
             | WorkMsg::Cancel { .. }
             | WorkMsg::Drop { .. }
@@ -304,90 +301,92 @@
         }
     }
 
-    fn ended(&mut self, now: Time, from: InstanceId, news: TaskReport, out: &mut Vec<Output>) {
+    fn ended(&mut self, now: Time, from: InstanceId, report: TaskReport, out: &mut Vec<Output>) {
         let TaskReport {
             task: id,
-            submission: hand,
+            submission,
             end,
-        } = news;
+        } = report;
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
         };
         let Some(task) = job.tasks.get_mut(&(id.step, id.index)) else {
             return;
         };
-        let Place::Out(at, trace) = task.place.clone() else {
+        let TaskState::Submitted(at, run) = task.state.clone() else {
             return;
         };
-        if at != from || (news.returns_task() && hand != task.hand) {
+        if at != from || (report.returns_task() && submission != task.submission) {
             return;
         }
         match end {
             TaskEnd::Done => {
-                task.place = Place::Done;
-                if hand != task.hand {
-                    // The result was held up, and the dispatcher may have taken the task again since: it would
-                    // run it once more, as a task that is done is named in no cancellation of its job.
+                task.state = TaskState::Done;
+                if submission != task.submission {
+                    // The result was delayed, and the dispatcher may have accepted the task again since. It would run
+                    // it once more: the cancellation of a job does not go to dispatchers of completed tasks.
                     let drop = WorkMsg::Drop {
                         tasks: vec![id],
-                        last_submission: self.hands,
+                        last_submission: self.last_submission,
                     };
                     out.push(Output::Send(from, drop));
                 }
-                self.open.insert(id.job);
+                self.pending.insert(id.job);
                 self.finish_if_done(now, id.job, out);
             }
             TaskEnd::Failed => self.answer(now, id.job, JobEnd::Failed, out),
-            // A task given up after crashes of its workers has not used up its failed runs, so its job
+            // A task given up after crashes of its workers has not reached the queue's limit of failed runs, so its job
             // is not reported as failed.
             TaskEnd::GivenUp | TaskEnd::Superseded | TaskEnd::Unplaced => {
                 self.answer(now, id.job, JobEnd::Unsure, out);
             }
-            // Refused by one that does not know all: something of the job may have run elsewhere.
-            TaskEnd::Refused(_) if job.doubtful => self.answer(now, id.job, JobEnd::Unsure, out),
+            // The dispatcher does not know that a task of the job may have run elsewhere.
+            TaskEnd::Refused(_) if job.maybe_ran => self.answer(now, id.job, JobEnd::Unsure, out),
             TaskEnd::Refused(later) => self.answer(now, id.job, JobEnd::Refused(later), out),
             TaskEnd::Full => {
-                task.place = Place::Todo;
+                task.state = TaskState::Pending;
                 if !job.full.contains(&from) {
                     job.full.push(from);
                 }
-                self.open.insert(id.job);
-                self.believe_full(from);
+                self.pending.insert(id.job);
+                self.mark_full(from);
             }
             TaskEnd::Returned { at, failures, run } => {
-                job.doubtful = true;
+                job.maybe_ran = true;
                 task.failures = failures;
                 task.run = task.run.max(run);
-                task.place = at.map_or(Place::Todo, |at| Place::Unsure(last_run(now, at)));
-                self.wait_for_holder(id.job, from);
+                task.state = at.map_or(TaskState::Pending, |at| {
+                    TaskState::MaybeRunning(run_at(now, at))
+                });
+                self.await_holder(id.job, from);
             }
             TaskEnd::Undetermined => {
-                job.doubtful = true;
-                let again = task.hand != task.first;
-                let as_it_came = trace.clone().filter(|_| !again);
-                let reach = self.held.get(&from).cloned().unwrap_or_default();
-                let trace = as_it_came.unwrap_or_else(|| {
+                job.maybe_ran = true;
+                let resubmitted = task.submission != task.first_submission;
+                let unchanged = run.clone().filter(|_| !resubmitted);
+                let owned = self.owned.get(&from).cloned().unwrap_or_default();
+                let run = unchanged.unwrap_or_else(|| {
                     task.run = task.run.past_lost();
-                    named_again(now, &reach, trace.as_ref())
+                    run_after_resubmission(now, &owned, run.as_ref())
                 });
-                task.place = Place::Unsure(trace);
-                self.wait_for_holder(id.job, from);
+                task.state = TaskState::MaybeRunning(run);
+                self.await_holder(id.job, from);
             }
         }
     }
 
-    /// Until the next heartbeat tells.
-    fn believe_full(&mut self, dispatcher: InstanceId) {
+    /// Assumes that a dispatcher has no room until its next heartbeat reports its load.
+    fn mark_full(&mut self, dispatcher: InstanceId) {
         let holders = self.holders.iter_mut();
         for holder in holders.filter(|holder| holder.instance == dispatcher) {
             holder.load.free = 0;
         }
     }
 
-    /// A dispatcher gave work back: it holds its data centre no more, and the next heartbeat tells
-    /// who does. Until then work would go back and forth.
-    fn wait_for_holder(&mut self, job: JobId, from: InstanceId) {
-        self.open.insert(job);
+    /// Removes a dispatcher that returned tasks until the next heartbeat reports the owner of its domain. It no longer
+    /// owns the domain, and until then would get the tasks again and return them again.
+    fn await_holder(&mut self, job: JobId, from: InstanceId) {
+        self.pending.insert(job);
         self.holders.retain(|holder| holder.instance != from);
         self.holders_incomplete = true;
     }
@@ -400,93 +399,106 @@
 
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.holders.is_empty() {
-            self.alone.get_or_insert(now);
+            self.unserved_since.get_or_insert(now);
         } else {
-            self.alone = None;
+            self.unserved_since = None;
         }
-        let given_up = self
-            .alone
-            .is_some_and(|since| now.since(since) >= SURELY_ENDED);
-        for id in self.open.clone() {
+        let expired = self
+            .unserved_since
+            .is_some_and(|since| now.since(since) >= LOST_RUN_TIMEOUT);
+        for id in self.pending.clone() {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
             let age = now.since(job.arrived);
-            if !job.begun() && age >= NO_DISPATCHER {
-                self.answer(now, id, JobEnd::Refused(COME_BACK_MS), out);
-            } else if age >= OLDEST || given_up {
+            if !job.may_have_started() && age >= DISPATCHER_TIMEOUT {
+                self.answer(now, id, JobEnd::Refused(RETRY_AFTER_MS), out);
+            } else if age >= MAX_JOB_AGE || expired {
                 self.answer(now, id, JobEnd::Unsure, out);
             }
         }
     }
 
-    /// Hands in what is to be handed in.
-    fn hand_in(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.open.is_empty() || self.holders.is_empty() {
+    /// Submits all pending tasks.
+    fn submit_pending(&mut self, now: Time, out: &mut Vec<Output>) {
+        if self.pending.is_empty() || self.holders.is_empty() {
             return;
         }
-        for id in std::mem::take(&mut self.open) {
-            let left = self.hand_in_job(now, id, out);
-            if left {
-                self.open.insert(id);
+        for id in std::mem::take(&mut self.pending) {
+            let remaining = self.submit_job(now, id, out);
+            if remaining {
+                self.pending.insert(id);
             }
         }
     }
 
-    /// Hands in a job's open steps; true if something is left to hand in.
-    fn hand_in_job(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) -> bool {
+    /// Submits a job's open steps; returns true if some of its tasks could not be submitted.
+    fn submit_job(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) -> bool {
         let Some(job) = self.jobs.get(&id) else {
             return false;
         };
-        let mut left = false;
+        let mut remaining = false;
         for step in job.open_steps() {
-            left |= self.hand_in_step(now, id, step, out);
+            remaining |= self.submit_step(now, id, step, out);
         }
-        left
+        remaining
     }
 
-    fn hand_in_step(&mut self, now: Time, id: JobId, step: u16, out: &mut Vec<Output>) -> bool {
-        let mut left = false;
-        self.settle_unsure(now, id, step, out);
+    /// Submits the tasks of a step; returns true if some of them could not be submitted.
+    fn submit_step(&mut self, now: Time, id: JobId, step: u16, out: &mut Vec<Output>) -> bool {
+        let mut remaining = false;
+        self.release_ended(now, id, step, out);
         for holder in self.holders.clone() {
-            let reach = self.held.get(&holder.instance).cloned().unwrap_or_default();
-            let finds =
-                |trace: &Trace| !trace.domains.is_empty() && trace.domains.is_subset(&reach);
-            let here = |place: &Place| matches!(place, Place::Unsure(trace) if finds(trace));
+            let owned = self
+                .owned
+                .get(&holder.instance)
+                .cloned()
+                .unwrap_or_default();
+            let owns_all =
+                |run: &PossibleRun| !run.domains.is_empty() && run.domains.is_subset(&owned);
+            let resumable =
+                |state: &TaskState| matches!(state, TaskState::MaybeRunning(run) if owns_all(run));
             let choice = Choice {
                 holder,
-                pass: false,
+                no_wait: false,
             };
-            self.send_tasks(now, id, step, choice, here, out);
+            self.send_tasks(now, id, step, choice, resumable, out);
         }
-        self.leave_behind(now, id, step, out);
+        self.drop_at_recovered(now, id, step, out);
         let job = &self.jobs[&id];
         let tasks = job.tasks.range((step, 0)..=(step, u16::MAX));
-        let todo = tasks
+        let pending = tasks
             .clone()
-            .filter(|(_, t)| t.place == Place::Todo)
+            .filter(|(_, t)| t.state == TaskState::Pending)
             .count();
-        left |= tasks
+        remaining |= tasks
             .clone()
-            .any(|(_, t)| matches!(t.place, Place::Unsure(..)));
-        if todo == 0 {
-            return left;
+            .any(|(_, t)| matches!(t.state, TaskState::MaybeRunning(..)));
+        if pending == 0 {
+            return remaining;
         }
-        let count = u32::try_from(todo).unwrap_or(u32::MAX);
-        let wanted = Wanted {
+        let count = u32::try_from(pending).unwrap_or(u32::MAX);
+        let request = Request {
             dc: self.dc,
             job: id,
             priority: job.queue.priority,
             tasks: count,
             full: &job.full,
         };
-        match choose(&self.holders, &wanted) {
+        match choose(&self.holders, &request) {
             Some(choice) => {
-                self.send_tasks(now, id, step, choice, |place| *place == Place::Todo, out);
+                self.send_tasks(
+                    now,
+                    id,
+                    step,
+                    choice,
+                    |state| *state == TaskState::Pending,
+                    out,
+                );
             }
-            None => left = true,
+            None => remaining = true,
         }
-        left
+        remaining
     }
 
     fn send_tasks(
@@ -495,39 +507,39 @@
         id: JobId,
         step: u16,
         choice: Choice,
-        wanted: impl Fn(&Place) -> bool,
+        wanted: impl Fn(&TaskState) -> bool,
         out: &mut Vec<Output>,
     ) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         let holder = choice.holder;
-        let fresh = !job.begun();
-        self.hands += 1;
+        let refusable = !job.may_have_started();
+        self.last_submission += 1;
         let mut orders = Vec::new();
-        let mut left = Left::default();
+        let mut withdrawals = Withdrawals::default();
         for ((_, index), task) in job.tasks.range_mut((step, 0)..=(step, u16::MAX)) {
-            if wanted(&task.place) {
-                let trace = match &mut task.place {
-                    Place::Unsure(trace) => {
-                        if trace.at != Some(holder.instance) {
-                            left.take(trace, id, step, *index);
+            if wanted(&task.state) {
+                let run = match &mut task.state {
+                    TaskState::MaybeRunning(run) => {
+                        if run.dispatcher != Some(holder.instance) {
+                            withdrawals.add(run, id, step, *index);
                         }
-                        Some(trace.clone())
+                        Some(run.clone())
                     }
-                    Place::Todo | Place::Out(..) | Place::Done => None,
+                    TaskState::Pending | TaskState::Submitted(..) | TaskState::Done => None,
                 };
-                task.hand = self.hands;
-                task.first = self.hands;
-                let doubt = trace.as_ref().map_or(PriorRuns::None, |trace| trace.doubt);
-                orders.push(task.order(*index, doubt));
-                task.place = Place::Out(holder.instance, trace);
+                task.submission = self.last_submission;
+                task.first_submission = self.last_submission;
+                let prior_runs = run.as_ref().map_or(PriorRuns::None, |run| run.prior_runs);
+                orders.push(task.order(*index, prior_runs));
+                task.state = TaskState::Submitted(holder.instance, run);
             }
         }
         if orders.is_empty() {
             return;
         }
-        left.tell(self.hands, out);
+        withdrawals.send(self.last_submission, out);
         let count = orders.len();
         out.push(Output::Event(JobEvent::HandedIn {
             job: id,
@@ -543,10 +555,10 @@
         let session = self.sessions.get(&holder.instance);
         let mut order = job.order(now, step, orders);
         order.session = session.copied().unwrap_or_default();
-        order.refusable = fresh;
-        order.no_wait = choice.pass && !self.without.contains(Mechanism::Passing);
+        order.refusable = refusable;
+        order.no_wait = choice.no_wait && !self.disabled.contains(Mechanism::Passing);
         out.push(Output::Send(holder.instance, WorkMsg::Submit(order)));
-        // Until the next heartbeat tells, the room is believed to be taken.
+        // Counts the room as taken until the next heartbeat reports the load.
         let mut taken = u32::try_from(count).unwrap_or(u32::MAX);
         let known = self.holders.iter_mut();
         for known in known.filter(|known| known.instance == holder.instance) {
@@ -557,25 +569,30 @@
     }
 }
 
-/// The last run of a task may be at work in a domain that its dispatcher gave up.
-fn last_run(now: Time, domain: Domain) -> Trace {
-    Trace {
+/// Returns the state of a task whose last run may go on in a domain that its dispatcher no longer owns.
+fn run_at(now: Time, domain: Domain) -> PossibleRun {
+    PossibleRun {
         domains: Arc::new(BTreeSet::from([domain])),
-        doubt: PriorRuns::Last,
+        prior_runs: PriorRuns::Last,
         since: now,
-        at: None,
+        dispatcher: None,
     }
 }
 
-/// A dispatcher has given a task back that was named to it again, as messages may be lost: it may have started
-/// it after the first time, and have told so in what was lost. To take it for as sure as it came
-/// would let its next dispatcher find an end before that run, and start it a second time.
-fn named_again(now: Time, reach: &BTreeSet<Domain>, came: Option<&Trace>) -> Trace {
-    let before = came.iter().flat_map(|trace| trace.domains.iter());
-    Trace {
-        domains: Arc::new(before.chain(reach).copied().collect()),
-        doubt: PriorRuns::Unknown,
+/// Returns the state of a task that a dispatcher returned in doubt after it was submitted to it again.
+///
+/// The dispatcher may have started a run after the first submission and reported it in a lost message. Were the earlier,
+/// narrower doubt kept, the next dispatcher could find the end of an earlier run and start the task a second time.
+fn run_after_resubmission(
+    now: Time,
+    owned: &BTreeSet<Domain>,
+    earlier: Option<&PossibleRun>,
+) -> PossibleRun {
+    let before = earlier.iter().flat_map(|run| run.domains.iter());
+    PossibleRun {
+        domains: Arc::new(before.chain(owned).copied().collect()),
+        prior_runs: PriorRuns::Unknown,
         since: now,
-        at: None,
+        dispatcher: None,
     }
 }
