--- a/crates/celerywinch_pool/src/call.rs
+++ b/crates/celerywinch_pool/src/call.rs
@@ -7,36 +7,36 @@
 use slotmap::new_key_type;
 
 new_key_type! {
-    /// Names a call.
+    /// Identifies a call.
     pub struct CallKey;
 }
 
-/// What a worker is told.
+/// A request to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Start a task.
+    /// Starts a task.
     Start {
         /// The task.
         task: TaskId,
-        /// Counts its starts.
+        /// The run number, which increases with each start of the task.
         run: RunNumber,
-        /// What its caller gave.
+        /// The specification that the caller submitted.
         spec: String,
-        /// When the lease ends; void after that.
+        /// The end of the lease; the worker rejects the request after that.
         deadline: WorkerClock,
     },
-    /// Stop a run; one that is not there yet is refused from then on.
+    /// Stops a run. A run that has not arrived yet is refused from then on.
     Stop {
         /// The task.
         task: TaskId,
         /// The run.
         run: RunNumber,
     },
-    /// Tell what runs and what ended.
+    /// Lists what is running and what has ended.
     Poll {
-        /// Extends the lease of all that runs; none to leave it as it is.
+        /// The new end of the lease of all runs, or none to leave it unchanged.
         deadline: Option<WorkerClock>,
-        /// Ends up to this one are known here and can be forgotten.
+        /// Acknowledges the ends up to this serial number; the worker can discard them.
         cursor: u64,
         /// How long to wait for an end, in ms.
         wait: u32,
@@ -44,7 +44,7 @@
 }
 
 impl Request {
-    /// How long the worker waits before it answers, at most.
+    /// Returns the longest time that the worker waits before it answers.
     #[must_use]
     pub fn max_wait(&self) -> Duration {
         match self {
@@ -57,45 +57,45 @@
 /// A call to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Names it.
+    /// Identifies the call.
     pub key: CallKey,
-    /// Which life of the worker is meant.
+    /// The id of the worker.
     pub worker: String,
-    /// Where it is.
+    /// The address of the worker.
     pub addr: SocketAddr,
     /// The fencing token.
     pub fence: Fence,
-    /// What it is told.
+    /// The request.
     pub request: Request,
-    /// Without an answer within this time it counts as silent.
+    /// The time after which the call counts as unanswered.
     pub timeout: Duration,
 }
 
-/// Why a worker refused.
+/// Why a worker rejected a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// It has seen a higher fencing token.
+    /// The worker has seen a higher fencing token.
     StaleFence,
-    /// It has seen this run, or a higher one, end.
+    /// The worker has seen this run, or one with a higher number, end.
     StaleRun,
-    /// The lease had ended when the order arrived.
+    /// The lease had ended when the request arrived.
     LeaseExpired,
-    /// It has no room.
+    /// The worker has no free capacity.
     NoCapacity,
-    /// It is not well, and did nothing.
+    /// The worker is unhealthy and did nothing.
     Unhealthy,
-    /// The order cannot be read.
+    /// The request cannot be decoded.
     Malformed,
 }
 
-/// A run at work.
+/// A run that is active.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunningRow {
     /// The task.
     pub task: TaskId,
     /// The run.
     pub run: RunNumber,
-    /// How much of it is done.
+    /// The progress of the run, in percent.
     pub percent: u8,
 }
 
@@ -104,16 +104,16 @@
 pub enum RunEnd {
     /// Done.
     Done,
-    /// Failed, by its own fault or the worker's.
+    /// Failed, through the fault of the task or of the worker.
     Failed,
-    /// Ended without a result: stopped, or its lease was over.
+    /// Ended without a result: the run was stopped, or its lease expired.
     Interrupted,
 }
 
 /// A run that ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedRow {
-    /// Its number in the worker's list.
+    /// The serial number of the end in the worker's list.
     pub serial: u64,
     /// The task.
     pub task: TaskId,
@@ -123,42 +123,42 @@
     pub end: RunEnd,
 }
 
-/// What came of a call.
+/// The answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Done as told.
+    /// The worker carried the request out.
     Accepted(WorkerClock),
-    /// Refused; nothing was done.
+    /// The worker rejected the request and did nothing.
     Rejected(Rejection, Option<WorkerClock>),
-    /// The lists.
+    /// The runs of the worker.
     Lists {
-        /// Which life of the worker answers; none where it does not say.
+        /// The incarnation of the worker that answers, or none if it does not say.
         incarnation: Option<Incarnation>,
         /// The worker's clock.
         clock: WorkerClock,
-        /// What runs.
+        /// The active runs.
         running: Vec<RunningRow>,
-        /// What ended and is not acknowledged.
+        /// The runs that have ended and are not acknowledged yet.
         ended: Vec<EndedRow>,
     },
-    /// Another life of the worker is there; the one that was meant is gone.
+    /// Another incarnation of the worker answered; the one that was called is gone.
     OtherIncarnation,
-    /// The connection was refused: nothing was done, and no worker is there at present.
+    /// The connection was refused: nothing was done, and no worker listens there at present.
     ConnectionRefused,
-    /// No answer: it may be done, or be done later.
+    /// No answer arrived in time: the request may have been carried out, or may be later.
     NoAnswer,
 }
 
-/// What is remembered of a call.
+/// A call that is not answered yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingCall {
-    /// The life that was called. Once another one is known no answer counts: it would tell of the clock, the runs and the fencing
-    /// token of one life as if they were those of the other.
+    /// The incarnation that was called. Once a later one is known, the answer is discarded: it would attribute the
+    /// clock, the runs and the fencing token of one incarnation to the other.
     pub(crate) worker: crate::worker::WorkerKey,
     pub(crate) purpose: CallPurpose,
 }
 
-/// What a call was for.
+/// The purpose of a call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum CallPurpose {
     Start(crate::run::RunKey),
@@ -167,19 +167,19 @@
     Poll(crate::worker::WorkerKey, PollKind, PollContext),
 }
 
-/// Why a worker is looked at.
+/// The kind of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PollKind {
-    /// For ends; one after the other.
+    /// Waits for ends; the next one is sent after the answer.
     Long,
-    /// Beside that, and answered at once: what became of an order without an answer.
+    /// Sent beside the long poll and answered at once, to learn what became of a request without an answer.
     Short,
 }
 
-/// A look that is under way.
+/// What was known when a poll was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PollContext {
-    /// The input during which it was sent.
+    /// The count of inputs when the poll was sent.
     pub(crate) input: u64,
     pub(crate) cursor: u64,
 }
--- a/crates/celerywinch_pool/src/crashes.rs
+++ b/crates/celerywinch_pool/src/crashes.rs
@@ -15,7 +15,7 @@
 use crate::Note;
 use crate::job::{Batch, BatchKey, TaskState};
 use crate::pool::{Output, Pool};
-use crate::results::SILENT_AFTER;
+use crate::results::SILENT_AFTER_MISSES;
 use crate::run::Run;
 use crate::worker::{Worker, WorkerKey};
 
@@ -195,7 +195,7 @@
             TaskState::Running(run) => Some(&self.runs[run]),
             TaskState::Waiting | TaskState::Limbo(_) => None,
         });
-        let silent = |run: &Run| self.workers[run.worker].missed_calls >= SILENT_AFTER;
+        let silent = |run: &Run| self.workers[run.worker].missed_calls >= SILENT_AFTER_MISSES;
         let (silent, others): (Vec<&Run>, Vec<&Run>) = runs.partition(|run| silent(run));
         let workers: BTreeSet<_> = silent.iter().map(|run| run.worker).collect();
         let probe = silent.iter().any(|run| run.probe);
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -1,4 +1,4 @@
-//! Looks at workers, leases, and runs that make no progress.
+//! Polls of workers, leases, and runs that make too little progress.
 
 use std::time::Duration;
 
@@ -10,26 +10,26 @@
 use crate::worker::{Ownership, WorkerKey};
 use crate::{Departure, Note};
 
-/// A run is late when it takes this much longer than expected, ...
+/// A run is late when its run time exceeds `LATE_FACTOR` times the expected run time plus `LATE_MARGIN`.
 const LATE_FACTOR: f64 = 2.5;
-/// ... and so much more: what a message and a look take, and what short tasks differ by.
+/// Covers the time for a message and a poll, and the variation of short tasks.
 const LATE_MARGIN: Duration = Duration::from_millis(100);
-/// It is moved only if what remains here takes this much longer than starting anew elsewhere.
+/// A late run is moved only if its remaining time here is this many times that of a new run elsewhere.
 const MOVE_FACTOR: f64 = 1.5;
-/// Most runs have ended when so many times the time is over that they were expected to take: run times
-/// of one kind of job differ by a quarter, and what is learned of a worker's pace by some percent.
-const PAST_EXPECTED: f64 = 1.3;
-/// A worker this much slower than usual gets no work for a while.
+/// Most runs have ended after this multiple of their expected run time: run times of one kind of job vary by a quarter,
+/// and the learned pace of a worker is off by a few percent.
+const WAIT_FACTOR: f64 = 1.3;
+/// A worker that takes this many times the usual run time gets no tasks for `PoolConfig::aside`.
 const SLOW_PACE: f64 = 3.0;
 
-/// How a run was lost.
+/// Why a run was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Loss {
-    /// Its worker fell silent until its lease was over: it has crashed, or is cut off.
+    /// Its worker did not answer until the lease expired: it has crashed or is unreachable.
     LeaseExpired,
-    /// The life of its worker has ended without a word.
+    /// The incarnation of its worker ended without announcing it.
     Crashed,
-    /// Its worker has left as planned.
+    /// Its worker announced that it was leaving.
     Left,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl Pool {
-    /// Looks at a worker if that is due and none is under way.
+    /// Polls a worker if a poll is due and none is outstanding.
     pub(crate) fn poll(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let Some(worker) = self.workers.get(key) else {
             return;
@@ -54,15 +54,14 @@
             return;
         }
         let own = worker.ownership == Ownership::Owned && !worker.runs.is_empty();
-        let sure = worker.missed_calls == 0
+        let responsive = worker.missed_calls == 0
             && worker.foreign_runs == 0
             && !self.has_suspended(now, worker);
-        // A look that may get no answer extends no lease: the work of a silent worker could not be
-        // started elsewhere as long as it is looked at. And as a lease holds for all that runs on a
-        // worker, none is extended while something runs there that its own dispatcher, on the other
-        // side of a cut, believes to end with the lease it gave; nor while a task runs there whose origin may
-        // have it done elsewhere.
-        let deadline = if own && sure {
+        // A poll that may get no answer does not extend the lease, or the tasks of an unresponsive worker could not be
+        // started elsewhere while it is polled. A lease covers all runs on a worker. So it is not extended while a
+        // foreign run is there, which its own dispatcher, on the other side of a network partition, expects to end with
+        // the lease that it gave; nor while a task runs there that its origin may have started elsewhere.
+        let deadline = if own && responsive {
             worker.deadline(now, self.config.lease)
         } else {
             None
@@ -103,21 +102,21 @@
         self.workers[key].long_poll = call;
     }
 
-    /// How long a look waits for an end, in ms: until somewhat after the first one is expected. That a look is
-    /// lost shows only when its wait is over, and until then the ends on that worker are not known.
+    /// Returns how long, in ms, a poll waits on the worker for an end: until shortly after the first one is expected. A
+    /// lost poll is detected only after its wait, and until then no ends from that worker are received.
     fn look_wait(&self, now: Time, key: WorkerKey) -> u32 {
         let runs = self.workers[key].runs.iter().map(|run| &self.runs[*run]);
-        let left = runs.map(|run| (run.started + run.expected.mul_f64(PAST_EXPECTED)).since(now));
+        let left = runs.map(|run| (run.started + run.expected.mul_f64(WAIT_FACTOR)).since(now));
         let first = left.min().unwrap_or_default();
         let wait = first.max(self.config.least_wait).min(self.config.look_wait);
         wait.as_millis() as u32
     }
 
-    /// Looks at a worker at once, beside the look that may be waiting there for an end.
+    /// Polls a worker at once, in addition to the long poll that may be waiting there for an end.
     ///
-    /// An order without an answer was carried out, or will be later, or never. To stop it for safety's
-    /// sake would throw away what is at work; to wait for the next look costs up to 150 ms, when
-    /// the task may have less to spare, and the worker takes nothing meanwhile. It is asked at once.
+    /// A request without an answer was carried out, or will be later, or never. Stopping the run to be safe would
+    /// discard its work. Waiting for the next long poll takes up to 150 ms, which the task may not have, and the worker
+    /// gets no tasks meanwhile.
     pub(crate) fn short_poll(&mut self, key: WorkerKey, out: &mut Vec<Output>) {
         let input = self.inputs;
         let Some(worker) = self.workers.get(key) else {
@@ -142,7 +141,7 @@
         self.workers[key].short_poll = call;
     }
 
-    /// Looks that are due, workers that are gone, and leases that are over.
+    /// Polls workers that are due, removes those that are lost or have left, and expires leases.
     pub(crate) fn tick_workers(&mut self, now: Time, out: &mut Vec<Output>) {
         let keys: Vec<_> = self.workers.keys().collect();
         for key in keys {
@@ -158,17 +157,17 @@
         }
     }
 
-    /// Asks one worker of a domain for a sign of life: the one that was heard last. One after the other
-    /// where they do not answer, until the domain counts as out of reach.
+    /// Polls the worker of a domain with the most recent contact, unless one has answered within `PoolConfig::quiet`.
+    /// If it does not answer, the next calls try the others in turn until the domain counts as unreachable.
     pub(crate) fn check_reachable(&mut self, now: Time, domain: Domain, out: &mut Vec<Output>) {
         if self.reaches(now, domain, self.config.quiet) {
             return;
         }
         let there = self.workers.iter().filter(|(_, w)| w.domain == domain);
         let mut held = there.filter(|(_, w)| w.ownership == Ownership::Owned);
-        // Those that have missed a call are looked at again by themselves. That one of them is being asked is no
-        // reason to wait: beside a few dead ones there always is, and a domain whose other workers would
-        // answer would be given up.
+        // Workers that have missed a call are polled again anyway. An outstanding poll to one of them is no reason to
+        // wait: with a few dead workers there always is one, and a domain whose other workers would answer would be
+        // resigned.
         if held
             .clone()
             .any(|(_, w)| w.long_poll.is_some() && w.missed_calls == 0)
@@ -183,7 +182,7 @@
         self.poll(now, key, out);
     }
 
-    /// The lease of a silent worker is over: nothing runs there any more.
+    /// The lease of an unresponsive worker has expired: nothing runs there any more.
     fn expire_lease(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         for run in self.workers[key].runs.clone() {
             self.lose_run(now, run, Loss::LeaseExpired, out);
@@ -213,7 +212,7 @@
         }
     }
 
-    /// Forgets a worker of which nothing can run any more, or which is another life by now.
+    /// Removes a worker on which nothing can run any more, or which has been replaced by another incarnation.
     pub(crate) fn remove_worker(
         &mut self,
         now: Time,
@@ -252,21 +251,21 @@
         self.takeover.remove_worker(key);
     }
 
-    /// Orders and stops without an answer are stopped, unless the worker is being asked what it has.
+    /// Stops runs whose start or stop was not answered, unless a short poll of the worker is outstanding.
     pub(crate) fn stop_unconfirmed_runs(&mut self, now: Time, out: &mut Vec<Output>) {
-        let doubtful: Vec<RunKey> = self
+        let unconfirmed: Vec<RunKey> = self
             .runs
             .iter()
             .filter(|(_, run)| run.phase == Phase::Unconfirmed && !run.stopping)
             .filter(|(_, run)| self.workers[run.worker].short_poll.is_none())
             .map(|(key, _)| key)
             .collect();
-        for key in doubtful {
+        for key in unconfirmed {
             self.stop_run(now, key, out);
         }
     }
 
-    /// Moves a run that would take much longer here than from the start elsewhere.
+    /// Moves a late run if its remaining time here is much longer than a new run elsewhere would take.
     pub(crate) fn check_progress(
         &mut self,
         now: Time,
@@ -286,8 +285,8 @@
         let Some(batch) = run.batch.and_then(|batch| self.batches.get(batch)) else {
             return;
         };
-        // The caller's guess too: run times that were learned from few tasks may be far too short,
-        // and then all workers would look slow at once.
+        // Also uses the caller's estimate: run times learned from few tasks may be far too short, and then all workers
+        // would look slow at the same time.
         let guess = Duration::from_millis(batch.order.estimate.into());
         let usual = batch.expected.max(guess);
         if left < usual.mul_f64(MOVE_FACTOR) || took < usual.mul_f64(LATE_FACTOR) {
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -1,4 +1,4 @@
-//! What came of calls.
+//! Answers to worker calls.
 
 use celerywinch_types::{Mechanism, RunNumber, TaskEnd, Time, WorkerClock, WorkerStage};
 
@@ -11,12 +11,12 @@
 use crate::worker::{Ownership, WorkerKey};
 use crate::{Departure, Note};
 
-/// Added to a run number that a worker calls old: past any that an earlier origin can have used.
-const RUN_LEAP: u64 = 1 << 20;
-/// A worker that missed so many calls in a row may be gone.
-pub(crate) const SILENT_AFTER: u32 = 2;
-/// A worker that failed this share of its last tasks gets none for a while.
-const FAILING: f64 = 0.5;
+/// Added to a run number that a worker rejects as stale: exceeds any number that an earlier origin can have used.
+const RUN_NUMBER_GAP: u64 = 1 << 20;
+/// A worker counts as silent after this many missed calls in a row.
+pub(crate) const SILENT_AFTER_MISSES: u32 = 2;
+/// A worker whose smoothed failure rate reaches this value gets no tasks for `PoolConfig::aside`.
+const FAILURE_LIMIT: f64 = 0.5;
 
 impl Pool {
     pub(crate) fn answered(
@@ -38,11 +38,11 @@
                     self.read_clock(now, worker, clock);
                 }
             }
-            // Of a worker that was given up meanwhile the lists tell of another dispatcher's work, and to
-            // take note of ends would hide them when the worker is taken over again.
+            // If the worker was given up meanwhile, its lists describe the work of another dispatcher. Advancing the
+            // cursor past its ends would hide them when the worker is taken over again.
             CallPurpose::Poll(worker, kind, context) => {
-                let looked = self.workers.get_mut(worker);
-                if looked.is_some_and(|worker| *worker.outstanding_poll(kind) == Some(key)) {
+                let polled = self.workers.get_mut(worker);
+                if polled.is_some_and(|worker| *worker.outstanding_poll(kind) == Some(key)) {
                     self.poll_answered(now, worker, kind, context, answer, out);
                 }
             }
@@ -75,15 +75,16 @@
             }
             Answer::ConnectionRefused => {
                 self.not_started(now, key, out);
-                self.missed(now, run.worker, out);
+                self.record_missed_call(now, run.worker, out);
             }
             Answer::NoAnswer => {
-                self.missed(now, run.worker, out);
+                self.record_missed_call(now, run.worker, out);
                 if run.stop_accepted {
-                    // Whether it runs or not, it is not started after that; the next look shows it.
+                    // Whether the run is active or not, it cannot start after the accepted stop; the next poll shows
+                    // which.
                     self.set_phase(key, confirmed);
                 } else {
-                    // It may have started, or start later.
+                    // The run may have started, or may start later.
                     self.set_phase(key, Phase::Unconfirmed);
                     self.short_poll(run.worker, out);
                 }
@@ -103,7 +104,7 @@
         match reject {
             Rejection::StaleFence => {
                 out.push(Output::Outbid(worker.domain));
-                // Left as it is: the data centre is resigned, and the task goes to its holder.
+                // The run is left as it is: the domain is resigned, and the task goes to its new owner.
                 return;
             }
             Rejection::Unhealthy => {
@@ -114,7 +115,7 @@
                 out.push(Output::Note(Note::WorkerAside { worker, why }));
             }
             Rejection::NoCapacity => {
-                // It has more to do than is known here; the next look tells.
+                // The worker has more runs than are known here; the next poll lists them.
                 worker.quarantined_until = now + self.config.stop;
                 worker.next_poll = now;
             }
@@ -127,18 +128,18 @@
             }
             Rejection::StaleRun | Rejection::LeaseExpired => {}
         }
-        let leap = if reject == Rejection::StaleRun {
-            RUN_LEAP
+        let gap = if reject == Rejection::StaleRun {
+            RUN_NUMBER_GAP
         } else {
             0
         };
         self.release(key);
         if let Some(batch) = run.batch {
-            self.back_to_queue(batch, run.task.index, RunNumber(run.number.0 + leap));
+            self.back_to_queue(batch, run.task.index, RunNumber(run.number.0 + gap));
         }
     }
 
-    /// The order surely had no effect.
+    /// The request was never received, so the run did not start.
     fn not_started(&mut self, _now: Time, key: RunKey, _out: &mut Vec<Output>) {
         if let Some(run) = self.release(key)
             && let Some(batch) = run.batch
@@ -158,7 +159,7 @@
         }
         match answer {
             Answer::Accepted(_) | Answer::Lists { .. } => {
-                // Refused from now on if it was not there; else its end is listed soon.
+                // If the run had not started, the worker refuses it from now on; otherwise its end is listed soon.
                 let confirmed = Phase::Running(self.inputs);
                 let mut doubtful = false;
                 if let Some(run) = self.runs.get_mut(key) {
@@ -180,10 +181,10 @@
                 let domain = self.workers[worker].domain;
                 out.push(Output::Outbid(domain));
             }
-            // Tried again with the next tick, until the lease is over.
+            // Retried on the next tick until the lease expires.
             Answer::Rejected(..) | Answer::ConnectionRefused | Answer::NoAnswer => {
                 self.set_phase(key, Phase::Unconfirmed);
-                self.missed(now, worker, out);
+                self.record_missed_call(now, worker, out);
             }
         }
     }
@@ -217,9 +218,9 @@
             } => {
                 worker.read_clock(now, clock);
                 worker.acked_cursor = worker.acked_cursor.max(context.cursor);
-                self.take_lists(now, key, context, &running, &ended, out);
+                self.apply_lists(now, key, context, &running, &ended, out);
                 if kind == PollKind::Short {
-                    // What is still in doubt was not there: a stop keeps it from starting later.
+                    // A run that is still unconfirmed had not arrived; a stop keeps it from starting later.
                     self.stop_unconfirmed_runs(now, out);
                 }
             }
@@ -229,14 +230,14 @@
             | Answer::Rejected(..)
             | Answer::ConnectionRefused
             | Answer::NoAnswer => {
-                self.missed(now, key, out);
+                self.record_missed_call(now, key, out);
             }
         }
         self.poll(now, key, out);
     }
 
-    /// A call had no answer.
-    fn missed(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
+    /// Records a call without an answer and schedules the next poll.
+    fn record_missed_call(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
@@ -247,7 +248,7 @@
             self.config.retry
         };
         worker.next_poll = now + retry;
-        if worker.missed_calls == SILENT_AFTER {
+        if worker.missed_calls == SILENT_AFTER_MISSES {
             let looks = worker.missed_calls;
             let worker = worker.note.id.clone();
             out.push(Output::Note(Note::WorkerSilent { worker, looks }));
@@ -255,7 +256,7 @@
         }
     }
 
-    fn take_lists(
+    fn apply_lists(
         &mut self,
         now: Time,
         key: WorkerKey,
@@ -265,19 +266,19 @@
         out: &mut Vec<Output>,
     ) {
         for row in ended {
-            self.take_end(now, key, row, out);
+            self.apply_end(now, key, row, out);
         }
         if self.workers[key].ownership == Ownership::Acquiring {
             self.worker_taken_over(now, key, running, out);
             return;
         }
-        // A list that was asked for before one that was read already may show what is over.
+        // A list that was requested before one that was already applied may show runs that are over.
         if self.workers[key].list_input <= context.input {
             self.workers[key].list_input = context.input;
             self.update_foreign_runs(now, key, running);
         }
         for run in self.workers[key].runs.clone() {
-            self.compare(now, run, context, running, out);
+            self.reconcile_run(now, run, context, running, out);
         }
         let worker = &mut self.workers[key];
         let idle = worker.runs.is_empty() && worker.foreign_runs == 0;
@@ -290,7 +291,7 @@
         };
     }
 
-    fn take_end(&mut self, now: Time, key: WorkerKey, row: &EndedRow, out: &mut Vec<Output>) {
+    fn apply_end(&mut self, now: Time, key: WorkerKey, row: &EndedRow, out: &mut Vec<Output>) {
         let worker = &mut self.workers[key];
         if row.serial <= worker.cursor {
             return;
@@ -317,7 +318,7 @@
         match how {
             RunEnd::Done => {
                 self.mark_probe_passed(Some(batch));
-                self.learn(now, &run, batch);
+                self.record_run_time(now, &run, batch);
                 self.finish(now, batch, run.task.index, TaskEnd::Done);
             }
             RunEnd::Failed => self.run_failed(now, &run, batch, out),
@@ -340,7 +341,7 @@
         }));
     }
 
-    fn learn(&mut self, now: Time, run: &Run, batch: BatchKey) {
+    fn record_run_time(&mut self, now: Time, run: &Run, batch: BatchKey) {
         let took = now.since(run.started);
         let order = &self.batches[batch].order;
         let worker = &mut self.workers[run.worker];
@@ -359,23 +360,23 @@
         }
     }
 
-    /// A task that fails on several workers is at fault itself; one that fails on a worker which
-    /// fails others too is not.
+    /// Handles a failed run. A task that fails on several workers is at fault itself; one that fails on a worker where
+    /// other tasks fail too is not.
     fn run_failed(&mut self, now: Time, run: &Run, batch: BatchKey, out: &mut Vec<Output>) {
         let index = run.task.index;
         let Some(task) = self.batches[batch].tasks.get_mut(&index) else {
             return;
         };
         task.failures += 1;
-        let earlier = task.avoid.replace(run.worker);
+        let previous = task.avoid.replace(run.worker);
         let failures = task.failures;
-        match earlier {
+        match previous {
             Some(other) if other != run.worker => {
                 if let Some(other) = self.workers.get_mut(other) {
                     other.retract_failure();
                 }
             }
-            _ => self.blame(now, run.worker, out),
+            _ => self.record_worker_failure(now, run.worker, out),
         }
         if failures >= self.batches[batch].order.attempts {
             self.finish(now, batch, index, TaskEnd::Failed);
@@ -384,11 +385,14 @@
         }
     }
 
-    fn blame(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
+    fn record_worker_failure(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let worker = &mut self.workers[key];
         worker.record_failure();
         let set_aside = !self.config.without.lacks(Mechanism::Probation);
-        if set_aside && worker.failure_rate >= FAILING && worker.note.stage == WorkerStage::Ready {
+        if set_aside
+            && worker.failure_rate >= FAILURE_LIMIT
+            && worker.note.stage == WorkerStage::Ready
+        {
             worker.quarantined_until = now + self.config.aside;
             worker.probation = true;
             let worker = worker.note.id.clone();
@@ -397,8 +401,8 @@
         }
     }
 
-    /// Compares what is believed of a run with what the worker lists.
-    fn compare(
+    /// Compares the known state of a run with the worker's list.
+    fn reconcile_run(
         &mut self,
         now: Time,
         key: RunKey,
@@ -421,7 +425,7 @@
                 self.seen_running(now, &run);
                 self.set_phase(key, Phase::Running(self.inputs));
             }
-            // Confirmed before the look was sent, and neither at work nor ended: it is gone.
+            // Confirmed before the poll was sent, and neither running nor ended: the run no longer exists.
             (None, Phase::Running(confirmed)) if confirmed <= context.input => {
                 self.run_ended(now, key, RunEnd::Interrupted, out);
             }
--- a/crates/celerywinch_pool/src/run.rs
+++ b/crates/celerywinch_pool/src/run.rs
@@ -9,19 +9,19 @@
 use crate::worker::WorkerKey;
 
 new_key_type! {
-    /// Names a run.
+    /// Identifies a run.
     pub(crate) struct RunKey;
 }
 
-/// How far a run is.
+/// The state of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// The order is under way.
+    /// The start request was sent and is not answered yet.
     Sent,
-    /// The worker has confirmed it, or will not start it any more; heard in this input. A look sent then or
-    /// later that does not list it shows that it is gone.
+    /// The worker has confirmed the run, or will not start it any more; the number is the count of inputs at that
+    /// confirmation. If a poll sent then or later does not list the run, it no longer exists.
     Running(u64),
-    /// The order got no answer: it may run, or start late, until it is settled.
+    /// The request got no answer: the run may be active or start late, until a poll or a stop settles it.
     Unconfirmed,
 }
 
@@ -29,23 +29,23 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Run {
     pub(crate) task: TaskId,
-    /// The batch whose task it serves; none if nobody wants its result any more.
+    /// The batch of the task, or none if no origin wants the result any more.
     pub(crate) batch: Option<BatchKey>,
     pub(crate) worker: WorkerKey,
     pub(crate) number: RunNumber,
     pub(crate) need: Room,
     pub(crate) started: Time,
-    /// How long it should take on this worker.
+    /// The expected run time on this worker.
     pub(crate) expected: Duration,
     pub(crate) phase: Phase,
-    /// Workers have ended under its task before.
+    /// Whether workers have crashed while they ran this task before.
     pub(crate) suspect: bool,
-    /// The first of a step that is started with care.
+    /// Whether the run is the probe of a step, which runs alone before the other tasks start.
     pub(crate) probe: bool,
-    /// Taken over at work: how long it took in all is not known.
+    /// Whether the run was taken over while active, so its total run time is not known.
     pub(crate) adopted: bool,
-    /// A stop is on its way, or was taken.
+    /// Whether a stop is outstanding or was accepted.
     pub(crate) stopping: bool,
-    /// The worker has taken the stop: the run ends soon, or never starts.
+    /// Whether the worker has accepted the stop: the run ends soon or never starts.
     pub(crate) stop_accepted: bool,
 }
--- a/crates/celerywinch_pool/src/sent_ends.rs
+++ b/crates/celerywinch_pool/src/sent_ends.rs
@@ -1,13 +1,13 @@
-//! What origins were told.
+//! The ends of tasks that were sent to origins.
 
 use std::time::Duration;
 
 use celerywinch_types::{Doubt, InstanceId, TaskEnd, TaskNews, TaskOrder, Time};
 
-/// Ends are kept for this long, for origins that did not hear of them.
+/// How long ends are retained, for origins that did not receive them.
 const RETENTION: Duration = Duration::from_secs(3);
 
-/// What an origin was told of a task.
+/// The end of a task that was sent to its origin.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SentEnd {
     pub(crate) sent_at: Time,
@@ -16,15 +16,15 @@
 }
 
 impl SentEnd {
-    /// Whether its origin may yet name the task again.
+    /// Returns whether the end is still retained, since its origin may submit the task again.
     pub(crate) fn is_retained(&self, now: Time) -> bool {
         now.since(self.sent_at) <= RETENTION
     }
 
-    /// Whether it answers a task that is handed in again, since the message may be lost.
+    /// Returns whether the end answers a task that is submitted again because the message may have been lost.
     ///
-    /// A result does always. That there was no room does if the task was with this dispatcher all
-    /// the while: it has not been started since. If another had it meanwhile, it may run there.
+    /// A result always does. `Full` (no capacity) does if the task was with this dispatcher all the time, so that it
+    /// cannot have started since. If another dispatcher had it in between, it may be running there.
     pub(crate) fn answers_resubmission(&self, origin: InstanceId, order: &TaskOrder) -> bool {
         match self.news.end {
             TaskEnd::Done | TaskEnd::Failed | TaskEnd::GivenUp => order.doubt != Doubt::None,
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking workers over from another dispatcher, and giving them up.
+//! Takes workers over from another dispatcher, and hands them over to a successor.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,10 +11,10 @@
 use crate::run::{Phase, Run};
 use crate::worker::{Ownership, Worker, WorkerKey};
 
-/// How long ends found at a takeover wait for their origins.
-const KEEP_ENDS: std::time::Duration = std::time::Duration::from_secs(3);
+/// How long ends found during a takeover are retained for origins that have not resubmitted their tasks yet.
+const END_RETENTION: std::time::Duration = std::time::Duration::from_secs(3);
 
-/// A run that another dispatcher started.
+/// A run that another dispatcher started, or that was started later than expected.
 #[derive(Clone, Copy, Debug)]
 struct ForeignRun {
     worker: WorkerKey,
@@ -23,7 +23,7 @@
     stopped: bool,
 }
 
-/// Runs and ends that were found and belong to no batch yet.
+/// Runs and ends that were found on workers and are not matched to a batch yet.
 #[derive(Debug, Default)]
 pub(crate) struct Takeover {
     foreign_runs: BTreeMap<TaskId, ForeignRun>,
@@ -59,8 +59,8 @@
         }
     }
 
-    /// The first look shows the fencing token, and extends no lease: what runs there may be wanted
-    /// by nobody.
+    /// Takes a worker over. The first poll presents the fencing token and does not extend the lease, since no origin
+    /// may want what runs there.
     pub(crate) fn take_over_worker(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let worker = &mut self.workers[key];
         worker.ownership = Ownership::Acquiring;
@@ -100,8 +100,8 @@
         }
         let worker = &mut self.workers[key];
         worker.ownership = Ownership::Owned;
-        // The dispatcher before may have extended the lease just now. Without that, runs that are
-        // adopted would be taken for ended as soon as the worker misses a call.
+        // The previous dispatcher may have extended the lease just before. Without this bound, adopted runs would be
+        // considered ended as soon as the worker misses a call.
         if !running.is_empty() || !own.is_empty() {
             worker.lease = worker
                 .lease
@@ -113,7 +113,7 @@
             worker: worker.note.id.clone(),
             found: running.len(),
         }));
-        // Origins that were faster than this look wait for what it shows.
+        // Tasks that origins resubmitted before this poll was answered wait for its result.
         for row in &running {
             if let Some(batch) = self.jobs.get(&(row.task.job, row.task.step)).copied() {
                 self.settle(now, batch, row.task.index);
@@ -121,7 +121,8 @@
         }
     }
 
-    /// A task in doubt: found at work, found ended, or in limbo until it must have ended.
+    /// Settles a task that may already have run: adopts its run, applies its end, or holds the task back until any
+    /// earlier run must have ended.
     pub(crate) fn settle(&mut self, now: Time, key: BatchKey, index: u16) {
         let batch = &self.batches[key];
         let id = batch.id(index);
@@ -151,8 +152,9 @@
         }
     }
 
-    /// An end that was found settles a task if it is the end of the last run there can be; a result
-    /// settles it always. An older run that was cut says nothing of a later one.
+    /// Settles a task by an end that was found, and returns whether it did. A result settles it always, any other end
+    /// only if it belongs to the last run that can exist: the interruption of an older run does not say whether a later
+    /// one exists.
     fn settle_by_end(
         &mut self,
         now: Time,
@@ -161,11 +163,11 @@
         how: RunEnd,
         run: RunNumber,
     ) -> bool {
-        let long_way = self.config.without.lacks(Mechanism::Shortcuts);
+        let no_shortcuts = self.config.without.lacks(Mechanism::Shortcuts);
         let Some(task) = self.batches[key].tasks.get_mut(&index) else {
             return false;
         };
-        let last = task.doubt == Doubt::Last && run == task.run && !long_way;
+        let last = task.doubt == Doubt::Last && run == task.run && !no_shortcuts;
         match how {
             RunEnd::Done => self.finish(now, key, index, TaskEnd::Done),
             RunEnd::Failed | RunEnd::Interrupted if last => {
@@ -214,20 +216,25 @@
     }
 
     pub(crate) fn foreign_run_ended(&mut self, now: Time, key: WorkerKey, row: &EndedRow) {
-        // An earlier run of the task may have ended on another worker: this one goes on.
-        let this = |foreign: &ForeignRun| foreign.worker == key && foreign.run == row.run;
-        if self.takeover.foreign_runs.get(&row.task).is_some_and(this) {
+        // An earlier run of the task may have ended on another worker; only the end of this run removes it.
+        let this_run = |foreign: &ForeignRun| foreign.worker == key && foreign.run == row.run;
+        if self
+            .takeover
+            .foreign_runs
+            .get(&row.task)
+            .is_some_and(this_run)
+        {
             self.takeover.foreign_runs.remove(&row.task);
             let worker = &mut self.workers[key];
             worker.foreign_runs = worker.foreign_runs.saturating_sub(1);
         }
         let batch = self.jobs.get(&(row.task.job, row.task.step)).copied();
-        let limbo = batch.is_some_and(|batch| {
+        let doubtful = batch.is_some_and(|batch| {
             let task = self.batches[batch].tasks.get(&row.task.index);
             task.is_some_and(|task| matches!(task.state, TaskState::Limbo(_)))
         });
         let settled = match batch {
-            Some(batch) if limbo => {
+            Some(batch) if doubtful => {
                 self.settle_by_end(now, batch, row.task.index, row.end, row.run)
             }
             _ => false,
@@ -241,8 +248,9 @@
         }
     }
 
-    /// Runs that are listed no more have ended, or belong to another list by now. What is listed and is
-    /// not known was started late, or by another dispatcher, and nobody waits for it: it is stopped.
+    /// Updates the foreign runs of a worker from its list. Runs that are no longer listed have ended or are tracked on
+    /// another worker by now. A listed run that is not known was started late or by another dispatcher; if no origin
+    /// claims it, it is stopped.
     pub(crate) fn update_foreign_runs(
         &mut self,
         now: Time,
@@ -269,10 +277,10 @@
         self.workers[key].foreign_runs = left;
     }
 
-    /// Stops what nobody wants, and starts what must have ended by now.
+    /// Stops foreign runs that no origin has claimed, and releases tasks whose earlier runs must have ended by now.
     pub(crate) fn tick_takeover(&mut self, now: Time, out: &mut Vec<Output>) {
         let ends = &mut self.takeover.ends;
-        ends.retain(|_, (at, _, _)| now.since(*at) <= KEEP_ENDS);
+        ends.retain(|_, (at, _, _)| now.since(*at) <= END_RETENTION);
         self.stop_foreign_runs(now, out);
         self.release_doubtful(now);
     }
@@ -316,8 +324,8 @@
         }
     }
 
-    /// Gives a domain up: all that may run there goes back to its origins as unsure, and what
-    /// waits goes back if nothing is held any more.
+    /// Resigns a domain. Tasks that may be running there are returned to their origins as unsure, and so are waiting
+    /// tasks if no domain is owned any more.
     pub(crate) fn resign(&mut self, now: Time, domain: Domain, out: &mut Vec<Output>) {
         self.held.remove(&domain);
         let here = |worker: &Worker| worker.domain == domain;
@@ -375,7 +383,7 @@
                 given += 1;
                 match state {
                     TaskState::Waiting => self.return_task(now, key, index, None),
-                    // As doubtful as it came; its origin knows since when.
+                    // The task may still be running somewhere, as when it was submitted; its origin knows since when.
                     TaskState::Limbo(_) | TaskState::Running(_) => {
                         self.return_unknown_run(now, key, index);
                     }
--- a/crates/celerywinch_pool/src/worker.rs
+++ b/crates/celerywinch_pool/src/worker.rs
@@ -1,4 +1,4 @@
-//! What is known of a worker.
+//! The state of a worker as the dispatcher knows it.
 
 use std::time::Duration;
 
@@ -15,75 +15,75 @@
 use crate::run::RunKey;
 
 new_key_type! {
-    /// Names one life of a worker.
+    /// Identifies one incarnation of a worker.
     pub(crate) struct WorkerKey;
 }
 
-/// Whether a worker obeys this dispatcher.
+/// Whether a worker accepts the fencing token of this dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Ownership {
-    /// Another process dispatches for its data centre, or nobody does.
+    /// Another process owns the worker's domain, or none does.
     None,
-    /// The first look under this dispatcher's fencing token is not answered yet.
+    /// The first poll with this dispatcher's fencing token is not answered yet.
     Acquiring,
-    /// It obeys.
+    /// The worker has accepted the fencing token.
     Owned,
 }
 
-/// How much a new measurement of the pace counts.
+/// The weight of a new measurement in the smoothed pace.
 const PACE_WEIGHT: f64 = 0.25;
-/// How much a new result counts in the share of failures.
+/// The weight of a new result in the smoothed failure rate.
 const FAILURE_WEIGHT: f64 = 0.35;
-/// Bounds of a believable pace.
+/// The range to which a measured pace is clamped.
 const PACE_RANGE: (f64, f64) = (0.4, 20.0);
 
 /// A worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     pub(crate) note: WorkerNote,
-    /// The last words of other lives. One of them may be the life that is there.
+    /// The last announcements of other incarnations. One of them may be the incarnation that is running.
     pub(crate) other_incarnations: OtherIncarnations,
-    /// How the life before this one ended, if there was one here.
+    /// How the previous incarnation ended, if this dispatcher had one.
     pub(crate) previous_loss: Option<Loss>,
-    /// Whose dispatcher it obeys.
+    /// The domain to which the worker belongs.
     pub(crate) domain: Domain,
     pub(crate) ownership: Ownership,
-    /// How often it has started again since this dispatcher took it over.
+    /// The number of restarts since this dispatcher took the worker over.
     pub(crate) restarts: u64,
     pub(crate) runs: Vec<RunKey>,
-    /// What its runs need, those too whose end is not listed yet.
+    /// The capacity used by its runs, including those whose end is not listed yet.
     pub(crate) used: Room,
-    /// Runs of another dispatcher that were neither adopted nor seen to end.
+    /// The number of runs of other dispatchers that were neither adopted nor seen to end.
     pub(crate) foreign_runs: usize,
-    /// The last end that was taken note of, and the last that the worker was told of.
+    /// The serial number of the last end that was processed, and of the last one that was acknowledged to the worker.
     pub(crate) cursor: u64,
     pub(crate) acked_cursor: u64,
-    /// A reading of its clock, and when it arrived.
+    /// The last reading of the worker's clock, with the time of its arrival.
     clock: Option<(Time, WorkerClock)>,
-    /// Nothing runs there later than this, unless the lease is extended.
+    /// The end of the lease: no run is active later than this unless the lease is extended.
     pub(crate) lease: Time,
-    /// The look that is under way.
+    /// The outstanding long poll.
     pub(crate) long_poll: Option<CallKey>,
-    /// A look beside that which answers at once, to settle an order without an answer.
+    /// The outstanding short poll, which settles a request without an answer.
     pub(crate) short_poll: Option<CallKey>,
-    /// The input during which the newest list that was read was asked for.
+    /// The count of inputs when the newest list that was applied was requested.
     pub(crate) list_input: u64,
-    /// What its answers to orders took.
+    /// The times that the worker took to answer start requests.
     pub(crate) answer_times: AnswerTimes,
-    /// When to look again though nothing runs.
+    /// When to poll next even if nothing runs.
     pub(crate) next_poll: Time,
-    /// Looks and orders in a row without an answer, and when the first of them was noticed.
+    /// The number of calls in a row without an answer, and when the first of them was noticed.
     pub(crate) missed_calls: u32,
     first_miss: Time,
-    /// When it answered last; an idle one is not asked.
+    /// The time of the last answer; an idle worker is polled rarely.
     pub(crate) last_contact: Time,
-    /// How much longer than usual work takes there.
+    /// The ratio of run times on this worker to the usual run time.
     pub(crate) pace: f64,
-    /// The share of failures among its last results.
+    /// The smoothed share of failures among its latest results.
     pub(crate) failure_rate: f64,
-    /// It gets no work until then.
+    /// The worker gets no tasks before this time.
     pub(crate) quarantined_until: Time,
-    /// After that, one task at a time until one succeeds.
+    /// Whether the worker gets one task at a time until one succeeds.
     pub(crate) probation: bool,
 }
 
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Forgets all that another dispatcher may have changed.
+    /// Resets all state that another dispatcher may change.
     pub(crate) fn reset(&mut self) {
         self.ownership = Ownership::None;
         self.restarts = 0;
@@ -139,13 +139,13 @@
         self.missed_calls = 0;
     }
 
-    /// Whether an answer is of another life of the worker than the one that is known.
+    /// Returns whether an answer comes from another incarnation than the known one.
     pub(crate) fn is_other_incarnation(&self, life: Incarnation) -> bool {
         let known = self.note.said.incarnation;
         known != Incarnation::default() && life != known
     }
 
-    /// Whether it obeys and answers, has nothing to do, and was told of all ends that were read.
+    /// Returns whether the worker is owned, answers, is idle, and has all its ends acknowledged.
     pub(crate) fn is_settled(&self) -> bool {
         let idle = self.runs.is_empty() && self.foreign_runs == 0;
         idle && self.ownership == Ownership::Owned
@@ -153,16 +153,16 @@
             && self.cursor == self.acked_cursor
     }
 
-    /// How long after a look an idle one is looked at again: up to a quarter less than `most`, by its name. Workers that
-    /// were taken over together would else be looked at together for ever, and a process that stands still for
-    /// 100 ms right then would take all of them for silent, and refuse callers.
+    /// Returns the time between polls of an idle worker: `most` less up to a quarter, by a hash of its id. Otherwise
+    /// workers that were taken over together would always be polled together, and a process that stalls for 100 ms at
+    /// that moment would consider all of them silent and refuse callers.
     pub(crate) fn idle_interval(&self, most: Duration) -> Duration {
         let spread = u64::from(u32::MAX);
         let share = stable_hash(self.note.id.as_bytes()) % spread;
         most - most.mul_f64(share as f64 / spread as f64 / 4.0)
     }
 
-    /// The look of a kind that is under way.
+    /// Returns the outstanding poll of a kind.
     pub(crate) fn outstanding_poll(&mut self, kind: PollKind) -> &mut Option<CallKey> {
         match kind {
             PollKind::Long => &mut self.long_poll,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// An order or a look had no answer.
+    /// Records a call without an answer.
     pub(crate) fn record_miss(&mut self, now: Time) {
         if self.missed_calls == 0 {
             self.first_miss = now;
@@ -178,50 +178,50 @@
         self.missed_calls += 1;
     }
 
-    /// Whether it was asked in vain for so long, and nothing of this dispatcher can be at work there any more.
+    /// Returns whether calls have failed for longer than `forget` and no run of this dispatcher can be active there.
     ///
-    /// That it was not heard for as long says nothing: an idle worker is not asked. A dispatcher that counted
-    /// from the last answer forgot such a worker, and its run with it, when the answer to the first order was
-    /// late, and the caller's task ran a second time elsewhere. Runs are given up with their lease alone.
+    /// The age of the last contact does not matter, since an idle worker is polled rarely. A dispatcher that counted
+    /// from the last answer removed such a worker together with its run when the answer to the first start was late,
+    /// and the task ran a second time elsewhere. Runs are given up only when their lease expires.
     pub(crate) fn is_lost(&self, now: Time, forget: Duration) -> bool {
         self.missed_calls > 0 && self.runs.is_empty() && now.since(self.first_miss) > forget
     }
 
-    /// Whether a lease can be counted from the last reading of its clock. From one of minutes ago it might last
-    /// seconds longer than a successor waits for it, and the caller's task run at both.
+    /// Returns whether the clock reading is recent enough for a lease. A lease counted from a reading that is minutes
+    /// old could last seconds longer than a successor waits for it, and the task would run on both.
     fn has_clock(&self, now: Time) -> bool {
         let read = self.clock.map(|(read, _)| now.since(read));
         read.is_some_and(|age| age <= OLDEST_READING)
     }
 
-    /// The end of a lease that starts now, on the worker's clock; none before the first reading.
+    /// Returns the end of a lease that starts now, on the worker's clock, or none before the first reading.
     pub(crate) fn deadline(&self, now: Time, lease: Duration) -> Option<WorkerClock> {
         let (read, clock) = self.clock?;
         let ahead = now.since(read) + lease;
         Some(WorkerClock(clock.0 + millis(ahead)))
     }
 
-    /// The latest moment at which a lease that is asked for now can end, in the pool's time.
+    /// Returns the latest time at which a lease requested now can end, on the pool's clock.
     pub(crate) fn lease_bound(&self, now: Time, lease: Duration) -> Time {
         let read = self.clock.map_or(now, |(read, _)| read);
-        // The reading may be older than the lease: its clock may have run slow since.
+        // The worker's clock may have run slow since the reading, which may be older than the lease.
         let drift = (now.since(read) + lease).mul_f64(CLOCK_ERROR);
         now + lease + drift + LEASE_MARGIN
     }
 
-    /// The latest moment at which a lease that another dispatcher has asked for by now can end.
+    /// Returns the latest time at which a lease that another dispatcher has requested by now can end.
     pub(crate) fn foreign_lease_bound(now: Time, lease: Duration) -> Time {
         let drift = (OLDEST_READING + lease).mul_f64(CLOCK_ERROR);
         now + lease + drift + LEASE_MARGIN
     }
 
-    /// What is free. Nothing where its room has shrunk below what is at work there: that ends as it would, and what
-    /// comes next waits.
+    /// Returns the free capacity. It is zero if the capacity has shrunk below what is in use: those runs continue, and
+    /// new tasks wait.
     pub(crate) fn free(&self) -> Room {
         self.note.room.less(self.used)
     }
 
-    /// Whether a new task may be sent there.
+    /// Returns whether a new task may be sent to the worker.
     pub(crate) fn accepts_tasks(&self, now: Time) -> bool {
         let sound =
             self.ownership == Ownership::Owned && self.missed_calls == 0 && self.foreign_runs == 0;
@@ -237,7 +237,7 @@
         self.note.labels.iter().any(|label| label == rack)
     }
 
-    /// Takes a run time into account, relative to what was expected on a usual worker.
+    /// Records a run time as a ratio to the expected time on a usual worker.
     pub(crate) fn learn_pace(&mut self, ratio: f64) {
         let ratio = ratio.clamp(PACE_RANGE.0, PACE_RANGE.1);
         self.pace = (self.pace.ln() * (1.0 - PACE_WEIGHT) + ratio.ln() * PACE_WEIGHT).exp();
@@ -252,13 +252,13 @@
         self.failure_rate = self.failure_rate * (1.0 - FAILURE_WEIGHT) + FAILURE_WEIGHT;
     }
 
-    /// A failure turned out to be the task's own fault.
+    /// Takes a failure back that turned out to be the fault of the task.
     pub(crate) fn retract_failure(&mut self) {
         self.failure_rate = (self.failure_rate - FAILURE_WEIGHT).max(0.0);
     }
 }
 
-/// By the address, which a worker keeps over its lives.
+/// Returns the domain of a worker, by a hash of its address, which stays the same over its incarnations.
 pub(crate) fn domain_of(note: &WorkerNote, shards: u8) -> Domain {
     let hash = stable_hash(note.addr.to_string().as_bytes());
     Domain {
