--- a/crates/celerywinch_pool/src/answer_times.rs
+++ b/crates/celerywinch_pool/src/answer_times.rs
@@ -4,7 +4,7 @@
 //! within 2 to 4 ms, but a dispatcher with an eighth of a core reads answers tens of ms late when several requests come
 //! at once. So the timeout follows the measured answer times, by the estimator that TCP uses for its retransmission
 //! timer: the mean plus a multiple of the mean deviation. The multiple is eight here, since a process that is short of
-//! CPU time reads many answers late at once: with four, one call in nine timed out under load at full size.
+//! CPU time reads many answers late at once: with four, one call in nine timed out at full size.
 //!
 //! If the network path of the dispatcher itself is slow, all answers are late, including those of workers that were not
 //! called recently. A timeout that is too short then makes the congestion worse: the request is followed by a poll and
--- a/crates/celerywinch_pool/src/call.rs
+++ b/crates/celerywinch_pool/src/call.rs
@@ -59,7 +59,7 @@
 pub struct Call {
     /// Identifies the call.
     pub key: CallKey,
-    /// The id of the worker.
+    /// The id of the worker that the call is for.
     pub worker: String,
     /// The address of the worker.
     pub addr: SocketAddr,
--- a/crates/celerywinch_pool/src/crashes.rs
+++ b/crates/celerywinch_pool/src/crashes.rs
@@ -1,11 +1,14 @@
-//! Tasks that end the workers which start them.
+//! Tasks that crash the workers on which they run.
 //!
-//! A worker that is gone ends all that was there, and one task of these may have ended it. Which one shows by where they start
-//! next: never two of them on one worker. A task is given up after a few; until a queue has been without such tasks for some
-//! seconds, its steps start with one task, and the others follow when that has been at work for a moment. So a step whose tasks all
-//! end their workers takes one at a time, and is not started again. That a worker is gone need not be certain for that: its
-//! silence bounds what else is started there, its lease only when a task may be started elsewhere. What one dispatcher knows the others are told, as the caller sends the job again to another
-//! origin, which may hand it to another dispatcher.
+//! When a worker crashes, all its runs end, and any one of their tasks may be the cause. The cause shows in where those
+//! tasks start next: two of them never share a worker. A task is given up after a few crashes. Until a queue has been
+//! free of such tasks for some seconds, each of its steps starts with one task as a probe, and the others follow when
+//! the probe has been running for a moment. So a step all of whose tasks crash their workers takes one worker at a
+//! time, and is not started again. For this a worker need not be known to have crashed: that it does not answer already
+//! limits what else is started, while its lease only decides when its tasks may be started elsewhere.
+//!
+//! Dispatchers share what they know of crashes, since the caller sends the job again to another origin, which may
+//! submit it to another dispatcher.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,31 +22,31 @@
 use crate::run::Run;
 use crate::worker::{Worker, WorkerKey};
 
-/// What ended under a task is remembered for so long: its caller sends the job again, also to another origin.
-const REMEMBER: Duration = Duration::from_secs(30);
-/// A queue is started with care for so long after one of its tasks has ended several workers.
-const CAREFUL: Duration = Duration::from_secs(5);
-/// A first task that is at work for this long does not end its worker by being started.
-const AT_WORK: Duration = Duration::from_millis(50);
+/// How long the crashes of a task are retained: its caller sends the job again, also to another origin.
+const RETENTION: Duration = Duration::from_secs(30);
+/// How long the steps of a queue start with a probe after one of its tasks has crashed several workers.
+const PROBE_PERIOD: Duration = Duration::from_secs(5);
+/// A probe that has been running for this long has not crashed its worker by starting.
+const MIN_PROBE_TIME: Duration = Duration::from_millis(50);
 
-/// So many silent workers of one step are no coincidence.
-const SEVERAL: usize = 2;
+/// This many silent workers with tasks of one step are considered more than a coincidence.
+const MIN_SILENT_WORKERS: usize = 2;
 
-/// A worker that fell silent with tasks.
+/// A worker whose lease expired without an answer, and the tasks that it had.
 #[derive(Clone, Debug)]
-struct Silenced {
-    life: Incarnation,
+struct UnansweredWorker {
+    incarnation: Incarnation,
     tasks: Vec<TaskId>,
     at: Time,
 }
 
-/// What is remembered of workers that ended under tasks.
+/// The crashes of workers, by the tasks that were running on them.
 #[derive(Debug, Default)]
 pub(crate) struct CrashHistory {
     tasks: BTreeMap<TaskId, (Crashes, Time)>,
-    silenced: BTreeMap<String, Silenced>,
-    /// Queues that are started with care, and until when.
-    careful: BTreeMap<String, Time>,
+    unanswered: BTreeMap<String, UnansweredWorker>,
+    /// Queues whose steps start with a probe, and until when.
+    probe_until: BTreeMap<String, Time>,
 }
 
 impl CrashHistory {
@@ -52,85 +55,86 @@
         known.map_or_else(Crashes::default, |(crashes, _)| *crashes)
     }
 
-    fn forget(&mut self, now: Time) {
-        self.tasks.retain(|_, (_, at)| now.since(*at) <= REMEMBER);
-        self.silenced.retain(|_, s| now.since(s.at) <= REMEMBER);
-        self.careful.retain(|_, until| *until > now);
+    fn expire(&mut self, now: Time) {
+        self.tasks.retain(|_, (_, at)| now.since(*at) <= RETENTION);
+        self.unanswered.retain(|_, s| now.since(s.at) <= RETENTION);
+        self.probe_until.retain(|_, until| *until > now);
     }
 }
 
 impl Pool {
     pub(crate) fn tick_crashes(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.crashes.forget(now);
+        self.crashes.expire(now);
         self.poll_probes(now, out);
     }
 
-    /// Asks whether first tasks are at work, as soon as that shows something: the others of their steps wait for it, and the look
-    /// that is under way may wait for an end.
+    /// Polls the workers of probes once these have run for long enough to pass: the other tasks of their steps wait for
+    /// that, and the outstanding long poll may wait for an end.
     fn poll_probes(&mut self, now: Time, out: &mut Vec<Output>) {
-        let due = |run: &&Run| run.probe && now.since(run.started) >= AT_WORK;
-        let unproved = |run: &&Run| {
+        let probed = |run: &&Run| run.probe && now.since(run.started) >= MIN_PROBE_TIME;
+        let unpassed = |run: &&Run| {
             let batch = run.batch.and_then(|key| self.batches.get(key));
             batch.is_some_and(|batch| !batch.proved)
         };
-        let runs = self.runs.values().filter(due).filter(unproved);
+        let runs = self.runs.values().filter(probed).filter(unpassed);
         let workers: BTreeSet<_> = runs.map(|run| run.worker).collect();
         for worker in workers {
             self.short_poll(worker, out);
         }
     }
 
-    /// A worker fell silent until its lease was over, with this run.
+    /// Records a run whose worker did not answer until the lease expired.
     pub(crate) fn lease_expired_with(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
         let note = &self.workers[run.worker].note;
-        let life = note.said.incarnation;
-        let silenced = self.crashes.silenced.entry(note.id.clone());
-        let silenced = silenced.or_insert_with(|| Silenced {
-            life,
+        let incarnation = note.said.incarnation;
+        let unanswered = self.crashes.unanswered.entry(note.id.clone());
+        let unanswered = unanswered.or_insert_with(|| UnansweredWorker {
+            incarnation,
             tasks: Vec::new(),
             at: now,
         });
-        if silenced.life != life {
-            silenced.tasks.clear();
-            silenced.life = life;
+        if unanswered.incarnation != incarnation {
+            unanswered.tasks.clear();
+            unanswered.incarnation = incarnation;
         }
-        silenced.at = now;
-        silenced.tasks.push(run.task);
+        unanswered.at = now;
+        unanswered.tasks.push(run.task);
         self.count_crash(now, run.task, out, Crashes::suspect);
     }
 
-    /// A life of a worker has ended: the tasks that were there when it fell silent may have ended it.
+    /// Records that an incarnation of a worker has ended: the tasks that it had when it stopped answering may have
+    /// crashed it.
     pub(crate) fn incarnation_ended(&mut self, now: Time, worker: &Worker, out: &mut Vec<Output>) {
-        let Some(silenced) = self.crashes.silenced.remove(&worker.note.id) else {
+        let Some(unanswered) = self.crashes.unanswered.remove(&worker.note.id) else {
             return;
         };
-        if silenced.life != worker.note.said.incarnation {
+        if unanswered.incarnation != worker.note.said.incarnation {
             return;
         }
-        for task in silenced.tasks {
+        for task in unanswered.tasks {
             self.count_crash(now, task, out, |crashes| crashes.prove(true));
         }
     }
 
-    /// A run was there as the life of its worker ended.
+    /// Records a run that was on its worker when the incarnation of that ended.
     pub(crate) fn crashed_with(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
         if !run.stop_accepted {
             self.count_crash(now, run.task, out, |crashes| crashes.prove(false));
         }
     }
 
-    /// Another dispatcher knows of workers that ended under a task.
+    /// Merges crashes that another dispatcher has reported.
     pub(crate) fn merge_crashes(
         &mut self,
         now: Time,
-        told: Vec<(TaskId, Crashes)>,
+        reported: Vec<(TaskId, Crashes)>,
         out: &mut Vec<Output>,
     ) {
-        for (task, crashes) in told {
+        for (task, crashes) in reported {
             let known = self.crashes.tasks.entry(task).or_default();
-            let together = known.0.with(crashes);
-            *known = (together, now);
-            self.apply_crashes(now, task, together, out);
+            let merged = known.0.with(crashes);
+            *known = (merged, now);
+            self.apply_crashes(now, task, merged, out);
         }
     }
 
@@ -150,17 +154,17 @@
         self.apply_crashes(now, task, crashes, out);
     }
 
-    /// Acts on what is known of a task by now.
+    /// Acts on the known crashes of a task.
     fn apply_crashes(&mut self, now: Time, task: TaskId, crashes: Crashes, out: &mut Vec<Output>) {
         let batch = self.jobs.get(&(task.job, task.step)).copied();
         let Some(key) = batch else {
             return;
         };
         let batch = &mut self.batches[key];
-        let mut waits = false;
+        let mut waiting = false;
         if let Some(task) = batch.tasks.get_mut(&task.index) {
             task.crashes = task.crashes.with(crashes);
-            waits = task.state == TaskState::Waiting;
+            waiting = task.state == TaskState::Waiting;
         }
         let queue = batch.order.queue.clone();
         let origin = batch.origin;
@@ -168,13 +172,13 @@
             self.require_probe(now, queue, out);
         }
         out.push(Output::Send(origin, WorkMsg::Crashed(task, crashes)));
-        if waits {
+        if waiting {
             self.give_up(now, key, task.index, out);
         }
     }
 
-    /// A worker has fallen silent: what was started there last may have ended it. A step that seems to is given up. It may have
-    /// run, and its caller is told so.
+    /// Gives up steps that seem to have crashed a worker that does not answer any more. Their tasks may have run, and
+    /// the callers are told so.
     pub(crate) fn suspect_runs(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let runs = self.workers[key].runs.iter();
         let batches: BTreeSet<_> = runs.filter_map(|run| self.runs[*run].batch).collect();
@@ -185,8 +189,8 @@
         }
     }
 
-    /// Whether a step seems to end its workers: its first task was started with care and its worker is silent, or all of several
-    /// that have its tasks are.
+    /// Returns whether a step seems to crash its workers: the worker of its probe is silent, or all workers that have
+    /// its tasks are silent and there are several of them.
     fn is_suspect(&self, key: BatchKey) -> bool {
         let Some(batch) = self.batches.get(key).filter(|batch| !batch.proved) else {
             return false;
@@ -199,7 +203,7 @@
         let (silent, others): (Vec<&Run>, Vec<&Run>) = runs.partition(|run| silent(run));
         let workers: BTreeSet<_> = silent.iter().map(|run| run.worker).collect();
         let probe = silent.iter().any(|run| run.probe);
-        probe || (others.is_empty() && workers.len() >= SEVERAL)
+        probe || (others.is_empty() && workers.len() >= MIN_SILENT_WORKERS)
     }
 
     fn give_up_suspect_batch(&mut self, now: Time, key: BatchKey, out: &mut Vec<Output>) {
@@ -215,15 +219,15 @@
 
     fn require_probe(&mut self, now: Time, queue: String, out: &mut Vec<Output>) {
         out.push(Output::Careful(queue.clone()));
-        self.crashes.careful.insert(queue, now + CAREFUL);
+        self.crashes.probe_until.insert(queue, now + PROBE_PERIOD);
     }
 
     pub(crate) fn merge_careful(&mut self, now: Time, queues: Vec<String>) {
-        let queues = queues.into_iter().map(|queue| (queue, now + CAREFUL));
-        self.crashes.careful.extend(queues);
+        let queues = queues.into_iter().map(|queue| (queue, now + PROBE_PERIOD));
+        self.crashes.probe_until.extend(queues);
     }
 
-    /// Gives up all tasks of a batch, and stops its runs.
+    /// Gives up all tasks of a batch and stops its runs.
     fn give_up_batch(&mut self, now: Time, key: BatchKey, out: &mut Vec<Output>) {
         self.unqueue(key);
         let tasks = self.batches[key].tasks.iter();
@@ -242,7 +246,7 @@
         }
     }
 
-    /// Gives up a task under which enough workers have ended, unless it has a run; whether it did.
+    /// Gives up a task that has crashed enough workers, unless it has a run. Returns whether it did.
     pub(crate) fn give_up(
         &mut self,
         now: Time,
@@ -266,36 +270,37 @@
         true
     }
 
-    /// Whether the tasks of a batch are to be started one first.
+    /// Returns whether a batch is to start with a probe.
     pub(crate) fn needs_probe(&self, batch: &Batch) -> bool {
-        !batch.proved && self.crashes.careful.contains_key(&batch.order.queue)
+        !batch.proved && self.crashes.probe_until.contains_key(&batch.order.queue)
     }
 
-    /// Whether a task that may have ended a worker would share one with another such task.
+    /// Returns whether a task that may have crashed a worker would share `worker` with another such task.
     pub(crate) fn shares_with_suspect(&self, crashes: Crashes, worker: &Worker) -> bool {
         let mut runs = worker.runs.iter().map(|run| &self.runs[*run]);
         crashes.is_suspect() && runs.any(|run| run.suspect)
     }
 
-    /// A run is listed as at work.
+    /// Records that a worker has listed a run as active.
     pub(crate) fn seen_running(&mut self, now: Time, run: &Run) {
-        if now.since(run.started) >= AT_WORK {
+        if now.since(run.started) >= MIN_PROBE_TIME {
             self.mark_probe_passed(run.batch);
         }
     }
 
-    /// A task of a batch is done, or goes on: the others may follow.
+    /// Marks the probe of a batch as passed, since one of its tasks is done or keeps running: the other tasks may
+    /// start.
     pub(crate) fn mark_probe_passed(&mut self, batch: Option<BatchKey>) {
         let Some(key) = batch else {
             return;
         };
-        let careful = self
+        let needs_probe = self
             .batches
             .get(key)
             .is_some_and(|batch| self.needs_probe(batch));
         if let Some(batch) = self.batches.get_mut(key) {
             batch.proved = true;
-            let passes = careful && batch.order.pass;
+            let passes = needs_probe && batch.order.pass;
             self.passing.extend(passes.then_some(key));
         }
     }
--- a/crates/celerywinch_pool/src/grants.rs
+++ b/crates/celerywinch_pool/src/grants.rs
@@ -1,11 +1,11 @@
 //! The right to start the tasks of an origin.
 //!
-//! An origin that takes this dispatcher for lost has its tasks done elsewhere. Telling the dispatcher
-//! to drop them does not suffice: the message may be lost or late, and a hand-in that was held up in
-//! a cut may arrive seconds after it, when the task runs at another dispatcher. The caller would see
-//! one job done twice. So a task is started only under a grant that needs no message to end: it is
-//! over by this dispatcher's own clock before the origin can have passed the task on, and the origin
-//! renews it with each heartbeat. A hand-in of an earlier session than the grant's is not taken at all.
+//! An origin that considers this dispatcher lost has its tasks run elsewhere. Telling the dispatcher to drop them is
+//! not sufficient: the message may be lost or late, and a submission that was delayed by a network partition may arrive
+//! seconds after it, when the task is running at another dispatcher. The job would run twice. So a task is started only
+//! under a grant that ends without a message: it expires by this dispatcher's own clock before the origin can have
+//! passed the task on, and the origin renews it with each heartbeat. A submission of an earlier session than the
+//! grant's is not accepted at all.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,23 +17,24 @@
 use crate::pool::{Output, Pool};
 use crate::worker::Worker;
 
-/// A grant may be over only because heartbeats were late. What runs of its origin is kept for so long
-/// after it, though no lease is extended beside it; then it is stopped.
-const SUSPENDED: Duration = Duration::from_millis(300);
+/// A grant may have expired only because heartbeats were late. Runs of its origin are kept for this long after it,
+/// without an extension of their leases; then they are stopped.
+const SUSPENSION: Duration = Duration::from_millis(300);
 
 /// The right to start the tasks of an origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// The life of the origin.
+    /// The incarnation of the origin.
     pub incarnation: Incarnation,
-    /// Tasks that were handed in under another session may be elsewhere.
+    /// The session of the grant. Tasks that were submitted in another session may be elsewhere.
     pub session: Session,
-    /// When it ends, by this process's clock.
+    /// When the grant expires, by this process's clock.
     pub until: Time,
 }
 
 impl Grant {
-    /// For the origin of the same process, which cannot take the dispatcher for lost.
+    /// Returns a grant that does not expire, for the origin in the same process, which cannot consider the dispatcher
+    /// lost.
     #[must_use]
     pub fn unlimited(incarnation: Incarnation) -> Self {
         Self {
@@ -50,65 +51,65 @@
     grants: BTreeMap<InstanceId, Grant>,
 }
 
-/// What a renewal changed.
+/// The effect of a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Change {
-    /// The grant goes on.
-    Renewed,
-    /// There was none, or it was over, or it is of another session.
+enum Renewal {
+    /// The grant was still valid.
+    Extended,
+    /// There was no grant, or it had expired, or it was of another session.
     New,
 }
 
 impl Grants {
-    fn renew(&mut self, now: Time, origin: InstanceId, grant: Grant) -> Change {
+    fn renew(&mut self, now: Time, origin: InstanceId, grant: Grant) -> Renewal {
         let Some(known) = self.grants.get_mut(&origin) else {
             self.grants.insert(origin, grant);
-            return Change::New;
+            return Renewal::New;
         };
         if known.incarnation != grant.incarnation || known.session < grant.session {
             *known = grant;
-            return Change::New;
+            return Renewal::New;
         }
-        let over = known.until <= now;
+        let expired = known.until <= now;
         if known.session == grant.session {
             known.until = known.until.max(grant.until);
         }
-        if over && known.until > now {
-            Change::New
+        if expired && known.until > now {
+            Renewal::New
         } else {
-            Change::Renewed
+            Renewal::Extended
         }
     }
 
-    /// The session under which an origin hands in at present.
+    /// Returns the session in which an origin submits tasks at present.
     pub(crate) fn session(&self, origin: InstanceId) -> Option<Session> {
         self.grants.get(&origin).map(|grant| grant.session)
     }
 
-    /// Whether tasks that an origin has handed in under a session may be started.
+    /// Returns whether tasks that an origin has submitted in a session may be started.
     pub(crate) fn allows(&self, now: Time, origin: InstanceId, session: Option<Session>) -> bool {
         let grant = self.grants.get(&origin);
         grant.is_some_and(|grant| grant.until > now && Some(grant.session) == session)
     }
 
-    /// Those of `origins` whose grants have been over for long enough that what they have here is dropped.
+    /// Returns those of `origins` whose grants expired at least `SUSPENSION` ago, so that their tasks here are dropped.
     fn lapsed(&self, now: Time, origins: impl Iterator<Item = InstanceId>) -> BTreeSet<InstanceId> {
-        let over = |origin: &InstanceId| {
+        let expired = |origin: &InstanceId| {
             let grant = self.grants.get(origin);
-            grant.is_some_and(|grant| now.since(grant.until) >= SUSPENDED)
+            grant.is_some_and(|grant| now.since(grant.until) >= SUSPENSION)
         };
-        origins.filter(over).collect()
+        origins.filter(expired).collect()
     }
 }
 
 impl Pool {
-    /// Takes a grant for good, of the origin in the same process.
+    /// Sets the grant of the origin in the same process.
     pub fn set_permanent_grant(&mut self, origin: InstanceId, grant: Grant) {
         self.grants.grants.insert(origin, grant);
     }
 
-    /// A heartbeat of an origin has renewed its grant. Under a new one the origin is asked what it wants:
-    /// hand-ins may have been dropped before, and what it does not name is elsewhere.
+    /// Applies a grant that a heartbeat of an origin has renewed. If the grant is new, the origin is asked which tasks
+    /// it wants: submissions may have been dropped before, and tasks that it does not name are elsewhere.
     pub(crate) fn granted(
         &mut self,
         now: Time,
@@ -116,13 +117,13 @@
         grant: Grant,
         out: &mut Vec<Output>,
     ) {
-        let change = self.grants.renew(now, origin, grant);
-        if change == Change::New && grant.until > now && !self.held.is_empty() {
+        let renewal = self.grants.renew(now, origin, grant);
+        if renewal == Renewal::New && grant.until > now && !self.held.is_empty() {
             self.request_resync(origin, out);
         }
     }
 
-    /// Whether a hand-in is of the origin's present session; one that is not was held up on its way.
+    /// Returns whether a submission belongs to the present session of its origin; any other was delayed on its way.
     pub(crate) fn is_current(
         &self,
         origin: InstanceId,
@@ -141,16 +142,16 @@
         false
     }
 
-    /// Whether a task may be started at this moment.
+    /// Returns whether a task may be started now.
     pub(crate) fn may_start(&self, now: Time, origin: InstanceId, task: &Task) -> bool {
         self.grants.allows(now, origin, task.session)
     }
 
-    /// Whether a task runs on a worker that may not be started any more: its origin waits for the end of its
-    /// lease before it has it done elsewhere, so nothing may extend that.
+    /// Returns whether a worker has a run whose task may not be started any more. The origin of such a task waits for
+    /// the end of the lease before it has it run elsewhere, so the lease must not be extended.
     ///
-    /// Nor may it for a run that was taken back, until the worker has taken the stop: where stops are lost and
-    /// looks are answered, the run would go on beside the one that its task has elsewhere by then.
+    /// The same holds for a run whose task was taken back, until the worker has accepted the stop: if stops are lost
+    /// while polls are answered, the run would continue beside the new run of its task elsewhere.
     pub(crate) fn has_suspended(&self, now: Time, worker: &Worker) -> bool {
         worker.runs.iter().any(|key| {
             let run = &self.runs[*key];
@@ -162,7 +163,7 @@
         })
     }
 
-    /// Drops what origins have here whose grants are over for good.
+    /// Drops the tasks of origins whose grants expired at least `SUSPENSION` ago.
     pub(crate) fn tick_grants(&mut self, now: Time, out: &mut Vec<Output>) {
         let origins = self.batches.values().map(|batch| batch.origin);
         for origin in self.grants.lapsed(now, origins) {
--- a/crates/celerywinch_pool/src/incarnations.rs
+++ b/crates/celerywinch_pool/src/incarnations.rs
@@ -1,7 +1,8 @@
-//! Workers that start again under the name that they had.
+//! Workers that restart under the same id.
 //!
-//! Nothing of one life holds for another: its runs are over, its clock, its numbers of ends and the fencing token that it has
-//! seen begin anew. So each life has a key of its own, and what was asked of an earlier one is answered to nobody.
+//! Nothing known of one incarnation holds for another: its runs are over, and its clock, the serial numbers of its ends
+//! and its highest fencing token start anew. So each incarnation has its own key, and answers to calls of an earlier
+//! one are discarded.
 
 use std::collections::BTreeMap;
 
@@ -14,36 +15,37 @@
 use crate::worker::WorkerKey;
 use crate::{Departure, Note};
 
-/// So many lives of a worker are remembered beside the one that is known.
-const MOST_OTHERS: usize = 4;
+/// How many incarnations of a worker are retained besides the known one.
+const MAX_OTHER_INCARNATIONS: usize = 4;
 
-/// The last words of lives of a worker, other than the one that is known.
+/// The last announcements of a worker's incarnations other than the known one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OtherIncarnations(BTreeMap<Incarnation, WorkerNote>);
 
 impl OtherIncarnations {
     fn keep(&mut self, note: WorkerNote) {
-        let life = note.said.incarnation;
-        let known = self.0.get(&life);
+        let incarnation = note.said.incarnation;
+        let known = self.0.get(&incarnation);
         if known.is_none_or(|known| known.said < note.said) {
-            self.0.insert(life, note);
+            self.0.insert(incarnation, note);
         }
-        while self.0.len() > MOST_OTHERS {
+        while self.0.len() > MAX_OTHER_INCARNATIONS {
             self.0.pop_first();
         }
     }
 
-    fn of(&self, life: Incarnation) -> Option<WorkerNote> {
-        self.0.get(&life).cloned()
+    fn of(&self, incarnation: Incarnation) -> Option<WorkerNote> {
+        self.0.get(&incarnation).cloned()
     }
 }
 
 impl Pool {
-    /// Another life of a worker has begun.
+    /// Replaces a worker by a later incarnation.
     ///
-    /// An order that the earlier life did not answer may reach the later one, which obeys it. So its runs are not given up
-    /// before the later life has shown what it has: a task started elsewhere in between would run twice. That takes one
-    /// call; if the worker does not answer, as long as a task that may run anywhere waits.
+    /// A request that the earlier incarnation did not answer may reach the later one, which would carry it out. So its
+    /// runs are not given up before the later one has listed its runs: a task started elsewhere in between would run
+    /// twice. That takes one call or, if the worker does not answer, as long as any task waits that may be running
+    /// elsewhere.
     pub(crate) fn replace_worker(
         &mut self,
         now: Time,
@@ -68,50 +70,52 @@
         };
         let moved = earlier.note.addr != note.addr;
         let runs = std::mem::take(&mut earlier.runs);
-        let lives = earlier.restarts + 1;
-        let later = self.add_worker(now, note, lives, out);
+        let restarts = earlier.restarts + 1;
+        let later = self.add_worker(now, note, restarts, out);
         let worker = &mut self.workers[later];
         worker.pace = earlier.pace;
         worker.previous_loss = Some(loss);
         worker.other_incarnations = std::mem::take(&mut earlier.other_incarnations);
-        // It counts again if it turns out to be the one that is there after all.
+        // The earlier incarnation becomes the known one again if it turns out to be the one that is running.
         worker.other_incarnations.keep(earlier.note.clone());
         for run in runs {
-            self.inherit(now, later, run, moved, out);
+            self.inherit_run(now, later, run, moved, out);
         }
         self.incarnation_ended(now, &earlier, out);
-        if lives > MOST_LIVES {
+        if restarts > MOST_LIVES {
             out.push(Output::UsedUp(self.workers[later].domain));
         }
     }
 
-    /// A worker is heard of that is not known. If it was forgotten lately, as it had left or was silent, an order to that life may
-    /// still be on its way, and would be obeyed under the same token.
+    /// Adds an unknown worker. If it was removed recently, because it had left or did not answer, a request to that
+    /// incarnation may still be in flight and would be accepted under the same fencing token, so the restart count
+    /// continues from there.
     pub(crate) fn add_unknown(&mut self, now: Time, note: WorkerNote, out: &mut Vec<Output>) {
         let forgotten = self.forgotten.remove(&note.id);
-        let lives = forgotten.map_or(0, |(lives, _)| lives + 1);
-        let key = self.add_worker(now, note, lives, out);
-        if lives > MOST_LIVES {
+        let restarts = forgotten.map_or(0, |(restarts, _)| restarts + 1);
+        let key = self.add_worker(now, note, restarts, out);
+        if restarts > MOST_LIVES {
             out.push(Output::UsedUp(self.workers[key].domain));
         }
     }
 
-    /// A list is of another life than the one that is known: that is the one that is there now, whatever was heard in which order.
+    /// Handles a list from another incarnation than the known one: that one is running now, in whatever order the
+    /// announcements arrived.
     pub(crate) fn other_incarnation_answered(
         &mut self,
         now: Time,
         key: WorkerKey,
-        life: Incarnation,
+        incarnation: Incarnation,
         out: &mut Vec<Output>,
     ) {
         let worker = &self.workers[key];
         let note = worker
             .other_incarnations
-            .of(life)
+            .of(incarnation)
             .unwrap_or_else(|| WorkerNote {
                 stage: WorkerStage::Ready,
                 said: Said {
-                    incarnation: life,
+                    incarnation,
                     sequence: 0,
                 },
                 ..worker.note.clone()
@@ -119,9 +123,9 @@
         self.replace_worker(now, key, note, out);
     }
 
-    /// A life speaks that counts as an earlier one. Mostly that is a message that was held up; but where the clock of the worker
-    /// was set back between two starts it is the life that is there, and if it says that it leaves nothing may be started
-    /// there. The worker is asked which one it is.
+    /// Handles an announcement of an earlier incarnation. Usually the message was delayed. But if the worker's clock
+    /// was set back between two starts, that incarnation is the running one, and if it announces that it leaves,
+    /// nothing may be started there. A short poll shows which one is running.
     pub(crate) fn earlier_incarnation_announced(
         &mut self,
         key: WorkerKey,
@@ -132,9 +136,9 @@
         self.short_poll(key, out);
     }
 
-    /// Leaves a run of an earlier life to the later one to settle. One that has moved can have got no order that was sent to where
-    /// the earlier one was.
-    fn inherit(
+    /// Transfers a run of an earlier incarnation to the later one. If the address has changed, the later one cannot
+    /// have received a request that was sent to the earlier one, so the run is lost.
+    fn inherit_run(
         &mut self,
         now: Time,
         later: WorkerKey,
@@ -142,7 +146,7 @@
         moved: bool,
         out: &mut Vec<Output>,
     ) {
-        let longest = now + self.config.limbo;
+        let lease_bound = now + self.config.limbo;
         let Some(run) = self.runs.get_mut(key) else {
             return;
         };
@@ -153,20 +157,20 @@
         let worker = &mut self.workers[later];
         worker.runs.push(key);
         worker.used = worker.used.plus(need);
-        worker.lease = worker.lease.max(longest);
+        worker.lease = worker.lease.max(lease_bound);
         if moved {
-            self.lose_inherited(now, key, out);
+            self.lose_inherited_run(now, key, out);
         }
     }
 
-    fn lose_inherited(&mut self, now: Time, key: RunKey, out: &mut Vec<Output>) {
+    fn lose_inherited_run(&mut self, now: Time, key: RunKey, out: &mut Vec<Output>) {
         let worker = &self.workers[self.runs[key].worker];
         let loss = worker.previous_loss.unwrap_or(Loss::Left);
         self.lose_run(now, key, loss, out);
     }
 
-    /// The first list of a life shows which of the runs that were left to it are at work there; the others are over, and no order
-    /// for them is obeyed any more.
+    /// Settles the transferred runs by the first list of an incarnation: the runs in it are active, the others are
+    /// over, and no request for them is accepted any more.
     pub(crate) fn settle_inherited_runs(
         &mut self,
         now: Time,
@@ -185,7 +189,7 @@
                 .iter()
                 .any(|row| row.task == task && row.run == number);
             if !listed {
-                self.lose_inherited(now, run, out);
+                self.lose_inherited_run(now, run, out);
                 continue;
             }
             self.set_phase(run, Phase::Running(self.inputs));
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -164,18 +164,18 @@
             return;
         }
         let there = self.workers.iter().filter(|(_, w)| w.domain == domain);
-        let mut held = there.filter(|(_, w)| w.ownership == Ownership::Owned);
+        let mut owned = there.filter(|(_, w)| w.ownership == Ownership::Owned);
         // Workers that have missed a call are polled again anyway. An outstanding poll to one of them is no reason to
         // wait: with a few dead workers there always is one, and a domain whose other workers would answer would be
         // resigned.
-        if held
+        if owned
             .clone()
             .any(|(_, w)| w.long_poll.is_some() && w.missed_calls == 0)
         {
             return;
         }
-        let sound = held.by_ref().filter(|(_, w)| w.missed_calls == 0);
-        let Some((key, _)) = sound.max_by_key(|(_, w)| w.last_contact) else {
+        let answering = owned.by_ref().filter(|(_, w)| w.missed_calls == 0);
+        let Some((key, _)) = answering.max_by_key(|(_, w)| w.last_contact) else {
             return;
         };
         self.workers[key].next_poll = now;
--- a/crates/celerywinch_pool/src/origins.rs
+++ b/crates/celerywinch_pool/src/origins.rs
@@ -1,4 +1,4 @@
-//! Tasks that their origins want no more, or may not.
+//! Tasks that their origins do not want any more, or may not.
 
 use std::collections::BTreeSet;
 
@@ -9,11 +9,11 @@
 use crate::sent_ends::SentEnd;
 
 impl Pool {
-    /// Asks an origin what it wants done here.
+    /// Asks an origin which tasks it wants here.
     ///
-    /// A link that broke may have swallowed the message that a caller has left. Its tasks would go on,
-    /// and run a second time beside them when the caller sends the job again elsewhere. So each time
-    /// that messages may be lost the origin names what it wants, and all else is stopped.
+    /// A broken connection may have lost the message that a caller has left. Its tasks would continue, and run a second
+    /// time when the caller sends the job again elsewhere. So whenever messages may have been lost, the origin names
+    /// the tasks that it wants, and all others are stopped.
     pub(crate) fn request_resync(&mut self, origin: InstanceId, out: &mut Vec<Output>) {
         self.asks += 1;
         self.asked.insert(origin, self.asks);
@@ -24,13 +24,14 @@
         out.push(Output::Send(origin, WorkMsg::Resync(self.asks)));
     }
 
-    /// Whether work of an origin is here.
+    /// Returns whether tasks of an origin are here.
     #[must_use]
     pub fn has_work_of(&self, origin: InstanceId) -> bool {
         self.batches.values().any(|batch| batch.origin == origin)
     }
 
-    /// An origin has named all that it wants, or may want yet.
+    /// Drops the tasks that an origin has not named in its answer to a resync request. Tasks in `unsure` are kept, as
+    /// the origin may still want them.
     pub(crate) fn drop_unnamed(
         &mut self,
         now: Time,
@@ -39,7 +40,7 @@
         unsure: &[TaskId],
         out: &mut Vec<Output>,
     ) {
-        // An earlier question was answered; what was handed in between is not marked by it.
+        // This answers an earlier request, which does not cover tasks submitted after it.
         if self.asked.get(&origin) != Some(&ask) {
             return;
         }
@@ -54,8 +55,8 @@
         self.drop_tasks(now, origin, &left, u32::MAX, out);
     }
 
-    /// These tasks are not wanted here any more, unless they were handed in after the `last` time that
-    /// their origin knew of as it said so; their runs are stopped.
+    /// Drops tasks that their origin does not want here any more and stops their runs, unless they were submitted after
+    /// `last`, the latest submission that the origin knew of when it sent the message.
     pub(crate) fn drop_tasks(
         &mut self,
         now: Time,
@@ -107,7 +108,7 @@
     }
 
     pub(crate) fn drop_origin(&mut self, now: Time, origin: InstanceId, out: &mut Vec<Output>) {
-        // Its next life counts from the beginning.
+        // The next incarnation of the origin numbers its submissions from the beginning.
         let gives_back = |told: &SentEnd| told.origin == origin && told.news.gives_back();
         self.told.retain(|_, told| !gives_back(told));
         let keys: Vec<_> = self
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Nobody wants the batch any more: its runs are stopped.
+    /// Removes a batch that is not wanted any more and stops its runs.
     pub(crate) fn drop_batch(&mut self, now: Time, key: BatchKey, out: &mut Vec<Output>) {
         self.unqueue(key);
         let Some(batch) = self.batches.remove(key) else {
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -204,10 +204,10 @@
         *worker.outstanding_poll(kind) = None;
         match answer {
             Answer::Lists {
-                incarnation: Some(life),
+                incarnation: Some(incarnation),
                 ..
-            } if worker.is_other_incarnation(life) => {
-                self.other_incarnation_answered(now, key, life, out);
+            } if worker.is_other_incarnation(incarnation) => {
+                self.other_incarnation_answered(now, key, incarnation, out);
                 return;
             }
             Answer::Lists {
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -14,7 +14,7 @@
 /// How long ends found during a takeover are retained for origins that have not resubmitted their tasks yet.
 const END_RETENTION: std::time::Duration = std::time::Duration::from_secs(3);
 
-/// A run that another dispatcher started, or that was started later than expected.
+/// A run that another dispatcher started, or that started after it was given up here.
 #[derive(Clone, Copy, Debug)]
 struct ForeignRun {
     worker: WorkerKey,
@@ -258,19 +258,19 @@
         running: &[RunningRow],
     ) {
         let listed = |task: &TaskId| running.iter().any(|row| row.task == *task);
-        let aliens = &mut self.takeover.foreign_runs;
-        aliens.retain(|task, foreign| foreign.worker != key || listed(task));
+        let foreign_runs = &mut self.takeover.foreign_runs;
+        foreign_runs.retain(|task, foreign| foreign.worker != key || listed(task));
         let own = self.workers[key].runs.iter();
         let own: BTreeSet<_> = own.map(|run| self.runs[*run].task).collect();
         for row in running.iter().filter(|row| !own.contains(&row.task)) {
-            aliens.entry(row.task).or_insert(ForeignRun {
+            foreign_runs.entry(row.task).or_insert(ForeignRun {
                 worker: key,
                 run: row.run,
                 found: now,
                 stopped: false,
             });
         }
-        let left = aliens
+        let left = foreign_runs
             .values()
             .filter(|foreign| foreign.worker == key)
             .count();
--- a/crates/celerywinch_pool/src/worker.rs
+++ b/crates/celerywinch_pool/src/worker.rs
@@ -140,9 +140,9 @@
     }
 
     /// Returns whether an answer comes from another incarnation than the known one.
-    pub(crate) fn is_other_incarnation(&self, life: Incarnation) -> bool {
+    pub(crate) fn is_other_incarnation(&self, incarnation: Incarnation) -> bool {
         let known = self.note.said.incarnation;
-        known != Incarnation::default() && life != known
+        known != Incarnation::default() && incarnation != known
     }
 
     /// Returns whether the worker is owned, answers, is idle, and has all its ends acknowledged.
