--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -12,7 +12,7 @@
 use crate::choice::{Choice, Wanted, choose};
 use crate::job::{Job, Place, Trace};
 use crate::lost::{Left, SURELY_ENDED};
-use crate::{Holder, JobNote};
+use crate::{Holder, JobEvent};
 
 /// How long a new job waits for a dispatcher, where none is known. A change of hands takes up to
 /// 500 ms; most objectives are over by then, and the caller is told when to come back.
@@ -74,7 +74,7 @@
     /// Answer a caller.
     Answer(CallerId, JobEnd),
     /// A decision for the logs.
-    Note(JobNote),
+    Event(JobEvent),
 }
 
 /// The jobs of the callers of one entry.
@@ -83,7 +83,7 @@
     dc: DataCentreId,
     without: Without,
     pub(crate) holders: Vec<Holder>,
-    misses_holder: bool,
+    holders_incomplete: bool,
     /// The domains that a process was last known to dispatch for.
     pub(crate) held: BTreeMap<InstanceId, Arc<BTreeSet<Domain>>>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
@@ -107,7 +107,7 @@
             dc,
             without,
             holders: Vec::new(),
-            misses_holder: false,
+            holders_incomplete: false,
             held: BTreeMap::new(),
             jobs: BTreeMap::new(),
             callers: BTreeMap::new(),
@@ -132,7 +132,7 @@
 
     /// One line for each open job: how many callers wait, and where its tasks are. For logs and checks.
     #[must_use]
-    pub fn open_places(&self) -> Vec<String> {
+    pub fn describe_jobs(&self) -> Vec<String> {
         let line = |job: &Job| {
             let places: Vec<_> = job.tasks.values().map(|task| &task.place).collect();
             format!(
@@ -180,7 +180,7 @@
             }
         }
         self.holders = holders;
-        self.misses_holder = false;
+        self.holders_incomplete = false;
     }
 
     fn set_loads(&mut self, dispatcher: InstanceId, holdings: &[Holding]) {
@@ -196,8 +196,8 @@
     /// Whether a dispatcher was left out since the holders were told last: it gave work back, and may dispatch on
     /// for other domains.
     #[must_use]
-    pub fn misses_holder(&self) -> bool {
-        self.misses_holder
+    pub fn holders_incomplete(&self) -> bool {
+        self.holders_incomplete
     }
 
     /// Dispatchers that have work of this origin, or may have.
@@ -215,7 +215,7 @@
         }
         let id = new.id;
         let job = Job::new(now, id, caller, new.queue, new.plan, new.first_run);
-        out.push(Output::Note(JobNote::Submitted {
+        out.push(Output::Event(JobEvent::Submitted {
             job: id,
             queue: job.queue.name.clone(),
             tasks: job.tasks.len(),
@@ -237,7 +237,7 @@
             return;
         }
         let took = now.since(job.arrived).as_millis() as u32;
-        out.push(Output::Note(JobNote::CallerLeft { job: id, took }));
+        out.push(Output::Event(JobEvent::CallerLeft { job: id, took }));
         self.drop_job(id, out);
     }
 
@@ -259,7 +259,7 @@
         let Some(job) = self.drop_job(id, out) else {
             return;
         };
-        out.push(Output::Note(JobNote::Answered {
+        out.push(Output::Event(JobEvent::Answered {
             job: id,
             end,
             took: now.since(job.arrived).as_millis() as u32,
@@ -382,7 +382,7 @@
     fn wait_for_holder(&mut self, job: JobId, from: InstanceId) {
         self.open.insert(job);
         self.holders.retain(|holder| holder.instance != from);
-        self.misses_holder = true;
+        self.holders_incomplete = true;
     }
 
     fn finish_if_done(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
@@ -522,7 +522,7 @@
         }
         left.tell(self.hands, out);
         let count = orders.len();
-        out.push(Output::Note(JobNote::HandedIn {
+        out.push(Output::Event(JobEvent::HandedIn {
             job: id,
             domain: holder.domain,
             to: holder.instance,
