--- a/crates/celerywinch_pool/tests/crashes.rs
+++ b/crates/celerywinch_pool/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that end the workers which start them.
+//! Tests of tasks that crash the workers on which they run.
 
 mod rig;
 
@@ -12,27 +12,27 @@
 use rig::{ORIGIN, Rig, clock, is_look, is_start, lists, lists_of, note, row, step, task};
 use rstest::rstest;
 
-/// How a worker ends with the task that it has.
+/// How the incarnation of a worker ends while it runs the task.
 #[derive(Clone, Copy, PartialEq)]
-enum Ends {
-    /// It is back at once, as another life.
-    Returns,
-    /// It falls silent, and is not back for long.
+enum End {
+    /// The worker restarts at once, as another incarnation.
+    Restarts,
+    /// The worker stops answering and does not restart for a long time.
     Silent,
-    /// It has said that it leaves.
+    /// The worker announced that it was leaving, and restarts.
     Planned,
 }
 
 struct Case {
     /// How the workers end, one after the other.
-    ends: &'static [Ends],
-    /// How often the task is started.
+    ends: &'static [End],
+    /// The number of starts of the task.
     starts: usize,
-    /// Whether it is given up.
+    /// Whether the task is given up.
     given_up: bool,
 }
 
-/// A dispatcher with so many workers beside the first.
+/// Returns a dispatcher with this number of workers.
 fn rig(workers: u16) -> Rig {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     for index in 2..=workers {
@@ -43,12 +43,12 @@
     rig
 }
 
-fn life(worker: &str, life: u64, stage: WorkerStage) -> WorkerNote {
+fn incarnation_note(worker: &str, incarnation: u64, stage: WorkerStage) -> WorkerNote {
     let port = worker[1..].parse().expect("a worker's number");
     WorkerNote {
         said: Said {
-            incarnation: Incarnation(life),
-            // The notice that a life leaves is its last word.
+            incarnation: Incarnation(incarnation),
+            // The notice of leaving is the last announcement of an incarnation.
             sequence: if stage == WorkerStage::Ready { 2 } else { 3 },
         },
         stage,
@@ -56,16 +56,16 @@
     }
 }
 
-/// Which life each worker is in, where that is not the first.
-type Lives = BTreeMap<String, u64>;
+/// The current incarnation of each worker that is not in its first one.
+type Incarnations = BTreeMap<String, u64>;
 
-/// Ends the worker that the task was started on last.
-fn end(rig: &mut Rig, lives: &mut Lives, ends: Ends) {
+/// Ends the incarnation of the worker on which the task was started last.
+fn end(rig: &mut Rig, incarnations: &mut Incarnations, ends: End) {
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
     let worker = start.worker.clone();
     match ends {
-        Ends::Silent => {
+        End::Silent => {
             for _ in 0..130 {
                 let calls = rig.calls.iter().filter(|call| call.worker == worker);
                 let calls: Vec<_> = calls
@@ -78,15 +78,15 @@
                 rig.wait(10);
             }
         }
-        Ends::Returns | Ends::Planned => {
-            let known = lives.entry(worker.clone()).or_insert(1);
-            if ends == Ends::Planned {
-                let leaves = life(&worker, *known, WorkerStage::Draining);
+        End::Restarts | End::Planned => {
+            let known = incarnations.entry(worker.clone()).or_insert(1);
+            if ends == End::Planned {
+                let leaves = incarnation_note(&worker, *known, WorkerStage::Draining);
                 rig.take(Input::Workers(vec![leaves]));
             }
             *known += 1;
             let later = *known;
-            let back = life(&worker, later, WorkerStage::Ready);
+            let back = incarnation_note(&worker, later, WorkerStage::Ready);
             rig.take(Input::Workers(vec![back]));
             let look = rig.last(is_look);
             rig.answer(&look, lists_of(later, Vec::new(), Vec::new()));
@@ -95,60 +95,68 @@
     }
 }
 
-/// All workers of a service are down, one after the other: a task ends each worker that starts it, and is started again on the next
-/// one for as long as its caller waits. It is given up after few; one whose workers were only cut off, or left, is not.
+/// Guards against a task that takes down all workers of a service: it crashes each worker that runs it, and is started
+/// again on the next one for as long as its caller waits. It must be given up after a few crashes, but not if its
+/// workers were only unreachable or had left.
 #[rstest]
-#[case::one(Case { ends: &[Ends::Returns], starts: 2, given_up: false })]
-#[case::two(Case { ends: &[Ends::Returns, Ends::Returns], starts: 2, given_up: true })]
-#[case::silent_twice(Case { ends: &[Ends::Silent, Ends::Silent], starts: 3, given_up: false })]
-#[case::silent_thrice(Case { ends: &[Ends::Silent, Ends::Silent, Ends::Silent], starts: 3, given_up: true })]
-#[case::planned(Case { ends: &[Ends::Planned, Ends::Planned, Ends::Planned], starts: 4, given_up: false })]
-fn task_that_ends_its_workers_is_given_up(#[case] case: Case) {
+#[case::one(Case { ends: &[End::Restarts], starts: 2, given_up: false })]
+#[case::two(Case { ends: &[End::Restarts, End::Restarts], starts: 2, given_up: true })]
+#[case::silent_twice(Case { ends: &[End::Silent, End::Silent], starts: 3, given_up: false })]
+#[case::silent_thrice(Case { ends: &[End::Silent, End::Silent, End::Silent], starts: 3, given_up: true })]
+#[case::planned(Case { ends: &[End::Planned, End::Planned, End::Planned], starts: 4, given_up: false })]
+fn task_that_crashes_its_workers_is_given_up(#[case] case: Case) {
     let mut rig = rig(6);
-    let mut lives = Lives::new();
+    let mut incarnations = Incarnations::new();
     let mut order = step(Doubt::None, 0);
     order.fresh = false;
     rig.submit(order);
     for ends in case.ends {
-        end(&mut rig, &mut lives, *ends);
+        end(&mut rig, &mut incarnations, *ends);
     }
     assert_eq!(rig.count(is_start), case.starts);
     let given_up = rig.told.contains(&(task(0), TaskEnd::GivenUp));
     assert_eq!(given_up, case.given_up);
 }
 
-/// A caller's task is given up as a worker that was silent with it is back as another life, while it waits; the same worker does
-/// not count twice.
+/// Guards against counting one worker twice: a worker that stopped answering with the task restarts as another
+/// incarnation while the task waits.
 #[test]
-fn worker_that_is_back_counts_once() {
+fn worker_that_restarts_is_counted_once() {
     let mut rig = rig(2);
-    let mut lives = Lives::new();
+    let mut incarnations = Incarnations::new();
     let mut order = step(Doubt::None, 0);
     order.fresh = false;
     rig.submit(order);
     let first = rig.last(is_start).worker;
-    end(&mut rig, &mut lives, Ends::Silent);
+    end(&mut rig, &mut incarnations, End::Silent);
     let second = rig.last(is_start).worker;
     assert_ne!(first, second);
-    rig.take(Input::Workers(vec![life(&first, 2, WorkerStage::Ready)]));
+    rig.take(Input::Workers(vec![incarnation_note(
+        &first,
+        2,
+        WorkerStage::Ready,
+    )]));
     let look = rig.last(is_look);
     rig.answer(&look, lists_of(2, Vec::new(), Vec::new()));
-    assert!(rig.told.is_empty(), "one worker has ended");
-    end(&mut rig, &mut lives, Ends::Returns);
+    assert!(rig.told.is_empty(), "only one worker has crashed");
+    end(&mut rig, &mut incarnations, End::Restarts);
     assert_eq!(rig.told, [(task(0), TaskEnd::GivenUp)]);
 }
 
-/// A task goes on ending workers as its caller sends the job again to another entry, or as its dispatcher is lost: what is known
-/// of it is remembered where it ran, and its origin is told.
+/// Guards against a task that keeps crashing workers because its caller sends the job again to another entry, or
+/// because its dispatcher is lost. The crashes are remembered where the task ran and are reported to its origin.
 #[rstest]
 #[case::by_its_dispatcher(Crashes::default(), true)]
 #[case::by_its_origin(Crashes { seen: 2, proven: 2 }, false)]
-fn what_is_known_outlives_a_dispatcher_and_an_origin(#[case] told: Crashes, #[case] here: bool) {
+fn crashes_are_known_after_the_loss_of_a_dispatcher_or_an_origin(
+    #[case] known: Crashes,
+    #[case] here: bool,
+) {
     let mut rig = rig(4);
-    let mut lives = Lives::new();
+    let mut incarnations = Incarnations::new();
     if here {
         rig.submit(step(Doubt::None, 0));
-        end(&mut rig, &mut lives, Ends::Returns);
+        end(&mut rig, &mut incarnations, End::Restarts);
         let cancel = WorkMsg::Cancel {
             job: rig::JOB,
             last: u32::MAX,
@@ -156,18 +164,18 @@
         rig.take(Input::Work(ORIGIN, cancel));
         let stop = rig.last(rig::is_stop);
         rig.answer(&stop, Answer::NoAnswer);
-        end(&mut rig, &mut lives, Ends::Returns);
+        end(&mut rig, &mut incarnations, End::Restarts);
     }
     let starts = rig.count(is_start);
     let mut order = step(Doubt::None, 9_000);
-    order.tasks[0].crashes = told;
+    order.tasks[0].crashes = known;
     rig.submit(order);
     assert_eq!(rig.count(is_start), starts, "not started again");
     assert_eq!(rig.told.last(), Some(&(task(0), TaskEnd::GivenUp)));
 }
 
-/// Steps of eight tasks, each of which ends its worker, take eight workers at a time.
-fn wide(job: u64) -> StepOrder {
+/// Returns a step of eight tasks.
+fn wide_step(job: u64) -> StepOrder {
     let mut order = step(Doubt::None, 0);
     order.job = JobId(job);
     order.fresh = false;
@@ -177,46 +185,46 @@
     order
 }
 
-/// Callers of a service find no worker: steps of many tasks that end their workers come in, and each takes as many workers as it
-/// has tasks. Once tasks of a queue have ended several workers, a step begins with one task, and the others follow when that is
-/// at work.
+/// Guards against steps of many tasks that crash their workers, each of which takes as many workers as it has tasks.
+/// Once tasks of a queue have crashed several workers, a step starts with one task, and the others follow when that is
+/// running.
 #[test]
-fn steps_of_a_queue_that_ends_workers_begin_with_one_task() {
+fn steps_of_a_queue_that_crashes_workers_start_with_a_probe() {
     let mut rig = rig(12);
-    let mut lives = Lives::new();
+    let mut incarnations = Incarnations::new();
     let mut order = step(Doubt::None, 0);
     order.fresh = false;
     rig.submit(order);
-    end(&mut rig, &mut lives, Ends::Returns);
-    end(&mut rig, &mut lives, Ends::Returns);
+    end(&mut rig, &mut incarnations, End::Restarts);
+    end(&mut rig, &mut incarnations, End::Restarts);
     let before = rig.count(is_start);
-    rig.submit(wide(500));
-    assert_eq!(rig.count(is_start), before + 1, "one first");
+    rig.submit(wide_step(500));
+    assert_eq!(rig.count(is_start), before + 1, "one task starts first");
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
     rig.wait(60);
     let look = rig.last(is_look);
-    let mut at_work = row(1);
-    at_work.task.job = JobId(500);
+    let mut running = row(1);
+    running.task.job = JobId(500);
     assert_eq!(look.worker, start.worker);
-    rig.answer(&look, lists(vec![at_work], Vec::new()));
-    assert_eq!(rig.count(is_start), before + 8, "the others follow");
-    let mut other = wide(501);
+    rig.answer(&look, lists(vec![running], Vec::new()));
+    assert_eq!(rig.count(is_start), before + 8, "the other tasks follow");
+    let mut other = wide_step(501);
     other.queue = "another".to_owned();
     rig.submit(other);
     assert_eq!(
         rig.count(is_start),
         before + 16,
-        "another queue is not held up"
+        "another queue needs no probe"
     );
 }
 
-/// A caller's task that ended no worker is given up with one that does: they were on one worker as it ended, and start together on
-/// the next one.
+/// Guards against giving up a task that crashed no worker together with one that does: both were on one worker when it
+/// crashed, and must not start together on the next one.
 #[test]
-fn tasks_of_a_worker_that_ended_start_apart() {
+fn tasks_of_a_crashed_worker_start_on_different_workers() {
     let mut rig = rig(3);
-    let mut order = wide(600);
+    let mut order = wide_step(600);
     order.tasks.truncate(2);
     rig.submit(order);
     let workers: BTreeMap<_, _> = rig
@@ -229,7 +237,7 @@
             _ => None,
         })
         .collect();
-    assert_eq!(workers[&0], workers[&1], "they fill one worker");
+    assert_eq!(workers[&0], workers[&1], "both tasks start on one worker");
     let worker = workers[&0].clone();
     let starts: Vec<_> = rig
         .calls
@@ -240,7 +248,11 @@
     for start in starts {
         rig.answer(&start, Answer::Accepted(clock()));
     }
-    rig.take(Input::Workers(vec![life(&worker, 2, WorkerStage::Ready)]));
+    rig.take(Input::Workers(vec![incarnation_note(
+        &worker,
+        2,
+        WorkerStage::Ready,
+    )]));
     let look = rig.last(is_look);
     rig.answer(&look, lists_of(2, Vec::new(), Vec::new()));
     let again: Vec<_> = rig
@@ -254,10 +266,10 @@
     assert_eq!((again.len(), apart.len()), (2, 2));
 }
 
-/// A caller sends its job again to another origin, which hands it to another dispatcher, and the task ends two more workers there:
-/// dispatchers tell each other what they know of such tasks.
+/// Guards against a job that its caller sends again to another origin, which submits it to another dispatcher, where
+/// the task crashes two more workers. Dispatchers share the crashes that they know of.
 #[test]
-fn what_another_dispatcher_knows_counts() {
+fn crashes_reported_by_another_dispatcher_count() {
     let mut rig = rig(2);
     let seen = Crashes { seen: 1, proven: 0 };
     let proven = Crashes { seen: 1, proven: 1 };
@@ -266,18 +278,18 @@
     let mut order = step(Doubt::None, 0);
     order.fresh = false;
     rig.submit(order);
-    assert_eq!(rig.count(is_start), 1, "one worker has ended, told twice");
+    assert_eq!(rig.count(is_start), 1, "one crash, reported twice");
     rig.take(Input::Crashes(vec![(
         task(0),
         Crashes { seen: 2, proven: 2 },
     )]));
-    end(&mut rig, &mut Lives::new(), Ends::Returns);
+    end(&mut rig, &mut Incarnations::new(), End::Restarts);
     assert_eq!(rig.count(is_start), 1);
     assert_eq!(rig.told.last(), Some(&(task(0), TaskEnd::GivenUp)));
 }
 
-/// No call to these workers gets an answer for so long; all others find their tasks at work.
-fn silence(rig: &mut Rig, silent: &BTreeSet<String>, ms: u64) {
+/// Lets time pass while polls of the `silent` workers get no answer and others stay open.
+fn pass_without_answers(rig: &mut Rig, silent: &BTreeSet<String>, ms: u64) {
     for _ in 0..ms / 10 {
         let looks = rig.calls.iter().filter(|call| is_look(&call.request));
         let looks: Vec<_> = looks.cloned().collect();
@@ -293,47 +305,51 @@
     starts.map(|call| call.worker.clone()).collect()
 }
 
-struct Suspect {
-    /// Whether steps of the queue are started with care.
-    careful: bool,
-    /// How many of the workers that have tasks of the step fall silent.
+struct SilentCase {
+    /// Whether steps of the queue start with a probe.
+    probe: bool,
+    /// The number of workers with tasks of the step that stop answering.
     silent: usize,
     given_up: bool,
 }
 
-/// Guards against callers that wait for room while one job after the other ends workers: that a worker may be gone counted only when
-/// its lease was over, and the job ended the next one meanwhile.
+/// Guards against crashes that are counted only when the lease of a worker has expired: one job after the other crashed
+/// workers meanwhile, and callers waited for capacity.
 #[rstest]
-#[case::first_task(Suspect { careful: true, silent: 1, given_up: true })]
-#[case::all_workers(Suspect { careful: false, silent: 4, given_up: true })]
-#[case::some_workers(Suspect { careful: false, silent: 2, given_up: false })]
-fn step_that_seems_to_end_its_workers_is_given_up_at_once(#[case] case: Suspect) {
+#[case::first_task(SilentCase { probe: true, silent: 1, given_up: true })]
+#[case::all_workers(SilentCase { probe: false, silent: 4, given_up: true })]
+#[case::some_workers(SilentCase { probe: false, silent: 2, given_up: false })]
+fn step_that_seems_to_crash_its_workers_is_given_up_at_once(#[case] case: SilentCase) {
     let mut rig = rig(8);
-    if case.careful {
+    if case.probe {
         rig.take(Input::Careful(vec!["q".to_owned()]));
     }
-    rig.submit(wide(500));
+    rig.submit(wide_step(500));
     let workers = started(&rig);
-    assert_eq!(workers.len(), if case.careful { 1 } else { 4 });
+    assert_eq!(workers.len(), if case.probe { 1 } else { 4 });
     let silent = workers.into_iter().take(case.silent).collect();
-    silence(&mut rig, &silent, 400);
+    pass_without_answers(&mut rig, &silent, 400);
     let given_up = rig.told.iter().any(|(_, end)| *end == TaskEnd::GivenUp);
     assert_eq!(given_up, case.given_up, "{:?}", rig.told);
     if given_up {
         let starts = rig.count(is_start);
-        rig.submit(wide(500));
+        rig.submit(wide_step(500));
         assert_eq!(rig.count(is_start), starts, "not started again");
-        rig.submit(wide(501));
-        assert_eq!(rig.count(is_start), starts + 1, "the next one with care");
+        rig.submit(wide_step(501));
+        assert_eq!(
+            rig.count(is_start),
+            starts + 1,
+            "the next step starts with a probe"
+        );
     }
 }
 
-/// Guards against steps that wait for the end of a look before their other tasks follow the first.
+/// Guards against steps whose other tasks wait for the end of a long poll before they follow the first.
 #[test]
-fn first_task_is_looked_at_once_it_has_been_at_work_for_a_moment() {
+fn probe_is_polled_once_it_has_run_for_long_enough() {
     let mut rig = rig(8);
     rig.take(Input::Careful(vec!["q".to_owned()]));
-    rig.submit(wide(500));
+    rig.submit(wide_step(500));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
     let looks = |rig: &Rig| {
--- a/crates/celerywinch_pool/tests/grants.rs
+++ b/crates/celerywinch_pool/tests/grants.rs
@@ -1,4 +1,4 @@
-//! Tasks that their origin may have done elsewhere.
+//! Tests of tasks that their origin may have run elsewhere.
 
 mod rig;
 
@@ -11,7 +11,7 @@
 
 const REMOTE: InstanceId = InstanceId(5);
 
-/// A dispatcher with one worker that an origin in another process hands tasks to.
+/// A dispatcher with one worker, to which an origin in another process submits tasks.
 struct Remote {
     rig: Rig,
 }
@@ -25,7 +25,7 @@
         remote
     }
 
-    /// A heartbeat tells that the origin counts the dispatcher as alive for so many ms more.
+    /// Delivers a heartbeat that extends the origin's grant by `ms` milliseconds.
     fn grant(&mut self, session: u32, ms: u64) {
         let until = self.rig.now + Duration::from_millis(ms);
         let grant = Grant {
@@ -36,10 +36,10 @@
         self.rig.take(Input::Granted(REMOTE, grant));
     }
 
-    fn hand_in(&mut self, session: u32, doubt: Doubt) {
+    fn submit(&mut self, session: u32, doubt: Doubt) {
         let mut order = step(doubt, 0);
         order.session = Session(session);
-        // Else it would be refused while it waits.
+        // A fresh step would be refused while it waits.
         order.fresh = false;
         self.rig.take(Input::Work(REMOTE, WorkMsg::Submit(order)));
     }
@@ -48,8 +48,8 @@
         self.rig.count(is_start)
     }
 
-    /// Whether the last look extends the lease.
-    fn extends(&self) -> bool {
+    /// Returns whether the last poll extends the lease.
+    fn extends_lease(&self) -> bool {
         let look = self.rig.last(is_look);
         matches!(
             look.request,
@@ -61,48 +61,49 @@
     }
 }
 
-/// What arrived before a hand-in.
+/// What arrived before a submission.
 struct Case {
     session: u32,
-    /// For how long the last heartbeat granted the right to start, in ms.
+    /// How long the last heartbeat granted the right to start tasks, in ms.
     granted: u64,
-    /// The session of the hand-in.
-    of: u32,
+    /// The session of the submission.
+    submitted: u32,
     starts: usize,
 }
 
-/// A task runs twice: its hand-in is held up in a cut, its origin takes the dispatcher for lost and has the
-/// task done elsewhere; seconds later, when the cut has healed, the hand-in arrives and is obeyed.
+/// Guards against running a task twice: its submission is delayed by a network partition, its origin considers the
+/// dispatcher lost and has the task run elsewhere; seconds later, when the partition has healed, the submission arrives
+/// and is accepted.
 #[rstest]
-#[case::as_usual(Case { session: 0, granted: 500, of: 0, starts: 1 })]
-#[case::of_an_earlier_session(Case { session: 1, granted: 500, of: 0, starts: 0 })]
-#[case::of_a_session_not_heard_of(Case { session: 0, granted: 500, of: 1, starts: 0 })]
-#[case::with_heartbeats_held_up_like_it(Case { session: 0, granted: 0, of: 0, starts: 0 })]
-fn hand_in_is_obeyed_under_its_grant(#[case] case: Case) {
+#[case::current_session(Case { session: 0, granted: 500, submitted: 0, starts: 1 })]
+#[case::earlier_session(Case { session: 1, granted: 500, submitted: 0, starts: 0 })]
+#[case::unknown_session(Case { session: 0, granted: 500, submitted: 1, starts: 0 })]
+#[case::delayed_heartbeats(Case { session: 0, granted: 0, submitted: 0, starts: 0 })]
+fn submission_is_accepted_under_its_grant(#[case] case: Case) {
     let mut remote = Remote {
         rig: Rig::new(Vec::new(), Vec::new()),
     };
     remote.grant(case.session, case.granted);
-    remote.hand_in(case.of, Doubt::None);
+    remote.submit(case.submitted, Doubt::None);
     assert_eq!(remote.starts(), case.starts);
 }
 
-/// A task runs twice: it waits for room at a dispatcher that hears nothing of its origin any more, which
-/// has it done elsewhere; then a run ends, and the room goes to the task. A grant that was renewed
-/// meanwhile lets it start, unless the origin had taken the dispatcher for lost before.
+/// Guards against running a task twice: it waits for capacity at a dispatcher that gets no heartbeats from its origin
+/// any more, and the origin has it run elsewhere. Then a run ends, and its capacity goes to the task. A grant that was
+/// renewed in the meantime lets the task start, unless the origin had considered the dispatcher lost before.
 #[rstest]
-#[case::over(None, 0)]
+#[case::expired(None, 0)]
 #[case::renewed(Some(0), 1)]
 #[case::renewed_in_another_session(Some(1), 0)]
 fn waiting_task_is_started_under_its_grant(#[case] renewed: Option<u32>, #[case] starts: usize) {
     let mut remote = Remote::new();
-    // Two fill the worker.
+    // Two tasks use the whole capacity of the worker.
     for job in 0..2 {
         let mut order = step(Doubt::None, 0);
         order.job = JobId(job);
         remote.rig.submit(order);
     }
-    remote.hand_in(0, Doubt::None);
+    remote.submit(0, Doubt::None);
     assert_eq!(remote.starts(), 2);
     remote.rig.wait(400);
     if let Some(session) = renewed {
@@ -115,64 +116,64 @@
     assert_eq!(remote.starts(), 2 + starts);
 }
 
-/// A task runs twice: its origin waits for the end of the lease of a run, while the dispatcher, which
-/// does not know that it was given up, goes on extending it. Without a grant nothing extends a lease where the
-/// run is, and after 300 ms more the run is stopped.
+/// Guards against running a task twice: its origin waits for the end of the lease of a run, while the dispatcher, which
+/// does not know that, keeps extending it. Without a grant the lease of the run's worker must not be extended, and
+/// after 300 ms more the run is stopped.
 #[test]
-fn lease_is_not_extended_beside_a_task_without_a_grant() {
+fn lease_is_not_extended_for_a_task_without_a_grant() {
     let mut remote = Remote::new();
-    remote.hand_in(0, Doubt::None);
+    remote.submit(0, Doubt::None);
     let start = remote.rig.last(is_start);
     remote.rig.answer(&start, Answer::Accepted(clock()));
     let look = remote.rig.last(is_look);
     remote.rig.answer(&look, lists(vec![row(1)], Vec::new()));
-    assert!(remote.extends());
+    assert!(remote.extends_lease());
     remote.rig.wait(510);
     let look = remote.rig.last(is_look);
     remote.rig.answer(&look, lists(vec![row(1)], Vec::new()));
-    assert!(!remote.extends());
+    assert!(!remote.extends_lease());
     assert_eq!(remote.rig.count(is_stop), 0);
     remote.rig.wait(300);
     assert_eq!(remote.rig.count(is_stop), 1);
 }
 
 /// How a task is taken back from a dispatcher.
-enum TakenBack {
-    /// Its caller has left.
+enum Withdrawal {
+    /// The caller has left.
     Cancelled,
-    /// Its origin has it done elsewhere.
+    /// The origin has the task run elsewhere.
     Dropped,
-    /// The grant of its origin is over for good.
-    WithoutGrant,
+    /// The grant of the origin has expired, and the time to renew it has passed.
+    GrantExpired,
 }
 
-/// A task runs twice: its origin takes it back and waits for the end of its lease before it has it done
-/// elsewhere, but the stop of its run is lost, or is carried out seconds later, while looks at the worker are
-/// answered. Each of them would extend the lease, and nothing would bound the run until a stop gets through.
+/// Guards against running a task twice: its origin takes it back and waits for the end of its lease before it has it
+/// run elsewhere, but the stop of its run is lost or is carried out seconds later, while polls of the worker are
+/// answered. If each of them extended the lease, nothing would bound the run until a stop gets through.
 #[rstest]
-#[case::cancelled(TakenBack::Cancelled)]
-#[case::dropped(TakenBack::Dropped)]
-#[case::without_a_grant(TakenBack::WithoutGrant)]
-fn lease_is_not_extended_beside_a_run_that_is_not_stopped_yet(#[case] how: TakenBack) {
+#[case::cancelled(Withdrawal::Cancelled)]
+#[case::dropped(Withdrawal::Dropped)]
+#[case::grant_expired(Withdrawal::GrantExpired)]
+fn lease_is_not_extended_while_a_stop_is_outstanding(#[case] withdrawal: Withdrawal) {
     let mut remote = Remote::new();
-    remote.hand_in(0, Doubt::None);
+    remote.submit(0, Doubt::None);
     let start = remote.rig.last(is_start);
     remote.rig.answer(&start, Answer::Accepted(clock()));
     let look = remote.rig.last(is_look);
     remote.rig.answer(&look, lists(vec![row(1)], Vec::new()));
     let last = 1;
-    match how {
-        TakenBack::Cancelled => {
+    match withdrawal {
+        Withdrawal::Cancelled => {
             let job = rig::JOB;
             let cancel = WorkMsg::Cancel { job, last };
             remote.rig.take(Input::Work(REMOTE, cancel));
         }
-        TakenBack::Dropped => {
+        Withdrawal::Dropped => {
             let tasks = vec![rig::task(0)];
             let drop = WorkMsg::Drop { tasks, last };
             remote.rig.take(Input::Work(REMOTE, drop));
         }
-        TakenBack::WithoutGrant => remote.rig.wait(810),
+        Withdrawal::GrantExpired => remote.rig.wait(810),
     }
     let before = remote.rig.calls.len();
     let mut answered = Vec::new();
@@ -204,12 +205,15 @@
     assert_eq!(extended, 0, "of {} calls", calls.len());
 }
 
-/// A worker that stops a run that is not wanted gets no other work until it has taken the stop: a start would
-/// extend the lease of all that runs there. After that it does.
+/// Checks that a worker with a run to be stopped gets no other task until it has accepted the stop, since a start would
+/// extend the lease of all its runs, and that it does get one after that.
 #[rstest]
-#[case::not_taken(None, 0)]
-#[case::taken(Some(Answer::Accepted(clock())), 1)]
-fn worker_is_used_again_once_a_stop_is_taken(#[case] stop: Option<Answer>, #[case] more: usize) {
+#[case::not_accepted(None, 0)]
+#[case::accepted(Some(Answer::Accepted(clock())), 1)]
+fn worker_gets_tasks_again_once_it_accepts_a_stop(
+    #[case] stop: Option<Answer>,
+    #[case] more: usize,
+) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
@@ -229,9 +233,9 @@
     assert_eq!(rig.count(is_start), 1 + more);
 }
 
-/// A caller waits until its deadline: it sent its job to another entry, and the first one, which has it
-/// still, names it again after a break of its link; what becomes of the job is told to the first one
-/// alone. The entry that got the job last keeps it, and the other gives its caller a final answer.
+/// Guards against a caller that gets no answer until its deadline: it sent its job to another entry, and the first one,
+/// which still has it, names it again after its connection broke; then only the first one would be told how the job
+/// ends. The entry that got the job last keeps it, and the other one gives its caller a final answer.
 #[rstest]
 #[case::later(5, 300, REMOTE, ORIGIN)]
 #[case::earlier(300, 5, ORIGIN, REMOTE)]
@@ -261,28 +265,28 @@
     );
 }
 
-/// A caller waits until its deadline: the dispatcher of its job was taken for lost and told to drop it, the job
-/// goes back to it after the cut, and then that message arrives, which was held up. It takes back only
-/// what was handed in before it was sent.
+/// Guards against a caller that gets no answer until its deadline: the dispatcher of its job was considered lost and
+/// told to drop it, the job goes back to it after the network partition, and then the delayed message arrives. It must
+/// take back only what was submitted before it was sent.
 #[rstest]
 #[case::cancelled(WorkMsg::Cancel { job: rig::JOB, last: 0 }, 0)]
 #[case::dropped(WorkMsg::Drop { tasks: vec![rig::task(0)], last: 0 }, 0)]
 #[case::cancelled_in_time(WorkMsg::Cancel { job: rig::JOB, last: 1 }, 1)]
 #[case::dropped_in_time(WorkMsg::Drop { tasks: vec![rig::task(0)], last: 1 }, 1)]
-fn message_that_was_held_up_takes_nothing_back(#[case] msg: WorkMsg, #[case] stops: usize) {
+fn delayed_message_takes_back_only_earlier_submissions(#[case] msg: WorkMsg, #[case] stops: usize) {
     let mut remote = Remote::new();
-    remote.hand_in(0, Doubt::None);
+    remote.submit(0, Doubt::None);
     remote.rig.take(Input::Work(REMOTE, msg));
     remote.rig.take(Input::Tick);
     assert_eq!((remote.starts(), remote.rig.count(is_stop)), (1, stops));
 }
 
-/// Guards against two runs of one task at once: a caller sends its job again to another entry before the worker has carried out
-/// the stop of the first run.
+/// Guards against two concurrent runs of one task: a caller sends its job again to another entry before the worker has
+/// carried out the stop of the first run.
 #[rstest]
-#[case::cut(RunEnd::Interrupted)]
+#[case::interrupted(RunEnd::Interrupted)]
 #[case::done(RunEnd::Done)]
-fn task_waits_for_the_end_of_a_run_that_is_being_stopped(#[case] how: RunEnd) {
+fn task_waits_for_the_end_of_a_run_that_is_being_stopped(#[case] end: RunEnd) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
@@ -294,11 +298,11 @@
     rig.take(Input::Work(ORIGIN, cancel));
     let stop = rig.last(is_stop);
     rig.submit(step(Doubt::None, 0));
-    assert_eq!(rig.count(is_start), 1, "the first run is there yet");
+    assert_eq!(rig.count(is_start), 1, "the first run has not ended yet");
     rig.answer(&stop, Answer::Accepted(clock()));
     let look = rig.last(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, how)]));
-    let told: &[_] = if how == RunEnd::Done {
+    rig.answer(&look, lists(Vec::new(), vec![ended(1, end)]));
+    let told: &[_] = if end == RunEnd::Done {
         &[TaskEnd::Done]
     } else {
         &[]
@@ -307,25 +311,25 @@
         rig.told.iter().map(|(_, end)| *end).collect::<Vec<_>>(),
         told
     );
-    let starts = 1 + usize::from(how == RunEnd::Interrupted);
+    let starts = 1 + usize::from(end == RunEnd::Interrupted);
     assert_eq!(rig.count(is_start), starts);
 }
 
-struct SentAgain {
-    /// Ms from what the first origin was told to the second hand-in.
+struct Resubmission {
+    /// The time from the end sent to the first origin to the second submission, in ms.
     after: u64,
-    /// Whether the second hand-in is of another origin.
+    /// Whether another origin makes the second submission.
     other: bool,
     starts: usize,
 }
 
-/// Guards against two runs of one task at once: a dispatcher without room gives a task back, its origin has it done elsewhere, and
-/// the hand-in of another origin, whose caller is gone, comes when there is room.
+/// Guards against two concurrent runs of one task: a dispatcher without free capacity returns a task, its origin has it
+/// run elsewhere, and another origin, whose caller is gone, submits it when there is capacity.
 #[rstest]
-#[case::at_once(SentAgain { after: 20, other: true, starts: 1 })]
-#[case::later(SentAgain { after: 1_300, other: true, starts: 2 })]
-#[case::same_origin(SentAgain { after: 20, other: false, starts: 2 })]
-fn task_that_went_elsewhere_a_moment_ago_is_not_started(#[case] case: SentAgain) {
+#[case::at_once(Resubmission { after: 20, other: true, starts: 1 })]
+#[case::later(Resubmission { after: 1_300, other: true, starts: 2 })]
+#[case::same_origin(Resubmission { after: 20, other: false, starts: 2 })]
+fn task_that_was_just_returned_is_not_started_for_another_origin(#[case] case: Resubmission) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     let mut full = step(Doubt::None, 0);
     full.need = rig::ROOM;
@@ -359,10 +363,10 @@
     assert_eq!(remote.starts(), case.starts);
 }
 
-/// Guards against two runs of one task at once: a task that may run under a lost dispatcher is handed in where an earlier run of it is
-/// being stopped, and the end of that run says nothing of the other one.
+/// Guards against two concurrent runs of one task: a task that may be running under a lost dispatcher is submitted
+/// where an earlier run of it is being stopped. The end of that run says nothing about the other one.
 #[test]
-fn task_in_doubt_waits_beyond_the_end_of_a_run_that_is_being_stopped() {
+fn task_that_may_run_elsewhere_outwaits_a_run_that_is_being_stopped() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
@@ -381,5 +385,5 @@
         lists(Vec::new(), vec![ended(1, RunEnd::Interrupted)]),
     );
     rig.wait(100);
-    assert_eq!(rig.count(is_start), 1, "it may run elsewhere");
+    assert_eq!(rig.count(is_start), 1, "the task may be running elsewhere");
 }
--- a/crates/celerywinch_pool/tests/leaving.rs
+++ b/crates/celerywinch_pool/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Tasks of workers that say that they leave.
+//! Tests of tasks on workers that announce that they leave.
 
 mod rig;
 
@@ -7,30 +7,30 @@
 use rig::{Rig, clock, ended, is_look, is_start, lists, note, row, step};
 use rstest::rstest;
 
-/// What a worker does after it has said that it leaves.
+/// What a worker does after it has announced that it leaves.
 #[derive(Clone, Copy)]
-enum Then {
-    /// It goes on: the acknowledgement was lost.
-    Works,
-    /// It ends.
-    Silent,
-    /// It ends its runs first, and lists them.
-    Ends,
+enum AfterNotice {
+    /// It keeps running, since the acknowledgement was lost.
+    KeepsRunning,
+    /// It stops answering.
+    StopsAnswering,
+    /// It ends its runs first and lists their ends.
+    ListsEnds,
 }
 
-impl Then {
+impl AfterNotice {
     fn answer(self) -> Answer {
         match self {
-            Self::Works => lists(vec![row(1)], Vec::new()),
-            Self::Silent => Answer::NoAnswer,
-            Self::Ends => lists(Vec::new(), vec![ended(1, RunEnd::Interrupted)]),
+            Self::KeepsRunning => lists(vec![row(1)], Vec::new()),
+            Self::StopsAnswering => Answer::NoAnswer,
+            Self::ListsEnds => lists(Vec::new(), vec![ended(1, RunEnd::Interrupted)]),
         }
     }
 }
 
 struct Case {
-    then: Then,
-    /// How often the task was started 400 ms and 900 ms after the worker's last word.
+    then: AfterNotice,
+    /// The number of starts of the task 400 ms and 900 ms after the worker's announcement.
     starts: [usize; 2],
 }
 
@@ -41,8 +41,8 @@
     }
 }
 
-/// Answers the looks at the worker that leaves, for so many ms.
-fn pass(rig: &mut Rig, then: Then, ms: u64) {
+/// Lets `ms` milliseconds pass and answers the polls of the leaving worker.
+fn pass(rig: &mut Rig, then: AfterNotice, ms: u64) {
     let mut answered = Vec::new();
     for _ in 0..ms / 20 {
         let looks = rig.calls.iter();
@@ -58,14 +58,14 @@
     }
 }
 
-/// A caller's task runs twice: a worker says that it leaves, the acknowledgement is lost on its way back, and the
-/// worker goes on for seconds, while its dispatcher has heard of it and starts the task elsewhere at once.
-/// That a worker leaves does not show that it has ended what it runs: its list does, or the end of its lease.
+/// Guards against running a task twice: a worker announces that it leaves, the acknowledgement is lost, and the worker
+/// runs for seconds more, while its dispatcher starts the task elsewhere at once. The announcement does not show that
+/// the runs have ended: only the worker's list or the end of its lease does.
 #[rstest]
-#[case::acknowledgement_lost(Case { then: Then::Works, starts: [1, 1] })]
-#[case::silent(Case { then: Then::Silent, starts: [1, 2] })]
-#[case::ended_before(Case { then: Then::Ends, starts: [2, 2] })]
-fn task_of_a_worker_that_leaves_waits_for_its_end(#[case] case: Case) {
+#[case::acknowledgement_lost(Case { then: AfterNotice::KeepsRunning, starts: [1, 1] })]
+#[case::silent(Case { then: AfterNotice::StopsAnswering, starts: [1, 2] })]
+#[case::ended_before(Case { then: AfterNotice::ListsEnds, starts: [2, 2] })]
+fn task_of_a_leaving_worker_waits_for_the_end_of_its_run(#[case] case: Case) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
@@ -80,11 +80,12 @@
     assert_eq!([early, rig.count(is_start)], case.starts);
 }
 
-/// A worker that has left stays in the list for ever, and counts among those that are divided.
+/// Guards against workers that stay in the list for ever after they have left, and count among the workers
+/// that are divided into shards.
 #[rstest]
 #[case::idle(false)]
-#[case::at_work(true)]
-fn worker_that_has_left_is_forgotten(#[case] busy: bool) {
+#[case::busy(true)]
+fn worker_that_has_left_is_removed(#[case] busy: bool) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     if busy {
         rig.submit(step(Doubt::None, 0));
@@ -92,17 +93,17 @@
         rig.answer(&start, Answer::Accepted(clock()));
     }
     rig.take(Input::Workers(vec![gone("w1", 1)]));
-    pass(&mut rig, Then::Silent, 900);
+    pass(&mut rig, AfterNotice::StopsAnswering, 900);
     assert_eq!(rig.pool.known_workers(), 0);
 }
 
-/// A worker that drains gets work again: it has left by what one keeper was told, and another one, which heard it last
-/// while it was ready, tells of all that it knows when its link is opened anew. If the worker still serves, it
-/// is used; if not, it is called for 20 s in vain.
+/// Guards against sending tasks to a worker that has left. One keeper has reported that it left, and another one, which
+/// last heard of it while it was ready, sends all that it knows when its connection is opened again. If the worker
+/// still runs, it would get tasks; if not, it would be called for 20 s without an answer.
 #[rstest]
 #[case::known_before(true)]
-#[case::first_heard_of_as_gone(false)]
-fn worker_that_has_left_is_not_brought_back(#[case] known: bool) {
+#[case::first_announced_as_gone(false)]
+fn worker_that_has_left_is_not_added_again(#[case] known: bool) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     if known {
         rig.take(Input::Workers(vec![note("w2", 2)]));
@@ -112,5 +113,5 @@
     rig.take(Input::Workers(vec![gone("w2", 2)]));
     rig.wait(15_000);
     rig.take(Input::Workers(vec![note("w2", 2)]));
-    assert_eq!(rig.pool.known_workers(), 1, "w1 alone");
+    assert_eq!(rig.pool.known_workers(), 1, "only w1 is known");
 }
--- a/crates/celerywinch_pool/tests/silence.rs
+++ b/crates/celerywinch_pool/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Workers that miss an answer after they had nothing to do for long.
+//! Tests of workers that do not answer after a long idle time.
 
 mod rig;
 
@@ -9,13 +9,13 @@
 use rig::{DOMAIN, Rig, is_look, is_start, lists, note, step};
 use rstest::rstest;
 
-/// What a lease of 800 ms lasts at most on a worker that was asked lately, in ms, and 20 ms for the tick.
-const LEASE_OVER: u64 = 970;
+/// The longest duration of a lease of 800 ms on a worker that was polled recently, plus 20 ms for the tick, in ms.
+const LEASE_EXPIRED_MS: u64 = 970;
 
-/// No worker has this name.
-const NOBODY: &str = "";
+/// An id that no worker has.
+const NO_WORKER: &str = "";
 
-/// A dispatcher with two workers.
+/// Returns a dispatcher with two workers.
 fn two_workers() -> Rig {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.take(Input::Workers(vec![note("w2", 2)]));
@@ -24,8 +24,7 @@
     rig
 }
 
-/// Answers all looks that were sent so far, but those to a worker of this name get no answer, like all else
-/// that it is sent.
+/// Answers all polls sent so far. No call to the worker `silent` gets an answer.
 fn answer_all(rig: &mut Rig, silent: &str) {
     for call in rig.calls.clone() {
         if call.worker == silent {
@@ -36,7 +35,7 @@
     }
 }
 
-/// Lets time pass in which a worker gives no answers.
+/// Lets `ms` milliseconds pass while the worker `silent` does not answer.
 fn pass(rig: &mut Rig, ms: u64, silent: &str) {
     for _ in 0..ms / 10 {
         rig.wait(10);
@@ -44,86 +43,86 @@
     }
 }
 
-/// A task is started after so long, and its worker gives no answer until so long after that.
+/// Starts a task after an idle time and lets its worker miss all calls for `missed_ms` after that.
 fn start_and_miss(rig: &mut Rig, idle_ms: u64, missed_ms: u64) {
-    pass(rig, idle_ms, NOBODY);
+    pass(rig, idle_ms, NO_WORKER);
     rig.submit(step(Doubt::None, 0));
     let worker = rig.last(is_start).worker;
     rig.wait(60);
     pass(rig, missed_ms - 60, &worker);
 }
 
-/// A caller's task runs twice: a worker had nothing to do for longer than silent workers are remembered. It
-/// gets a task and begins it, but its answer is late, as the dispatcher's link is full. The dispatcher, which
-/// counts from when the worker was heard last, forgets it with its run, and starts the task elsewhere 60 ms
-/// after the first time. Only the end of the lease shows that the first run is over.
+/// Guards against running a task twice: a worker was idle for longer than unresponsive workers are kept. It gets a task
+/// and starts it, but its answer is late because the dispatcher's connection is congested. A dispatcher that counted
+/// from the last contact removed the worker with its run and started the task elsewhere 60 ms after the first start.
+/// Only the end of the lease shows that the first run is over.
 #[rstest]
-#[case::just_heard(0)]
-#[case::idle_for_less_than_silent_ones_are_remembered(15_000)]
+#[case::recent_contact(0)]
+#[case::idle_for_less_than_the_removal_time(15_000)]
 #[case::idle_for_longer(25_000)]
 #[case::idle_for_minutes(200_000)]
-fn run_of_a_worker_that_misses_an_answer_goes_on_until_its_lease_is_over(#[case] idle_ms: u64) {
+fn run_on_a_silent_worker_counts_as_active_until_its_lease_expires(#[case] idle_ms: u64) {
     let mut rig = two_workers();
     start_and_miss(&mut rig, idle_ms, 760);
-    assert_eq!(rig.count(is_start), 1, "the first run may be at work");
+    assert_eq!(rig.count(is_start), 1, "the first run may be active");
 }
 
-/// A caller waits for seconds: its task's worker was idle for minutes and dies. Since the dispatcher read the
-/// worker's clock, that may have lost 2% of the time, and a lease that is counted from there is believed to
-/// last so much longer, here by 4 s. As long as it lasts, no other dispatcher may start the task either: what they
-/// wait for a lost dispatcher's leases would not suffice.
+/// Guards against a lease that is assumed to last 4 s longer: the worker of a task was idle for minutes and crashes,
+/// and its clock may have lost 2% of the time since the last reading, from which the lease was counted. Meanwhile the
+/// caller waits, and no other dispatcher may start the task either: the time that they wait for the leases of a lost
+/// dispatcher would not suffice.
 #[rstest]
-#[case::just_heard(0)]
+#[case::recent_contact(0)]
 #[case::idle_for_some_seconds(15_000)]
 #[case::idle_for_minutes(200_000)]
-fn lease_of_a_worker_that_was_idle_is_over_as_soon_as_others(#[case] idle_ms: u64) {
+fn lease_on_an_idle_worker_expires_no_later_than_others(#[case] idle_ms: u64) {
     let mut rig = two_workers();
-    start_and_miss(&mut rig, idle_ms, LEASE_OVER);
-    assert_eq!(rig.count(is_start), 2, "its lease is over");
+    start_and_miss(&mut rig, idle_ms, LEASE_EXPIRED_MS);
+    assert_eq!(rig.count(is_start), 2, "its lease has expired");
 }
 
-/// Callers are refused though workers are idle: a dispatcher takes workers over that it has known for long and
-/// never called. Each whose first answer is late is forgotten, and as they announce only changes to it,
-/// it never hears of them again.
+/// Guards against refusing callers while workers are idle: a dispatcher takes over workers that it has known for a long
+/// time and never called. If each whose first answer is late were removed, it would never learn of it again, since
+/// workers announce only changes.
 #[rstest]
-#[case::known_for_a_moment(0)]
+#[case::known_briefly(0)]
 #[case::known_for_long(25_000)]
-fn worker_whose_first_answer_is_missed_is_asked_again(#[case] known_ms: u64) {
+fn worker_whose_first_answer_is_missed_is_polled_again(#[case] known_ms: u64) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.take(Input::Resign(DOMAIN));
     rig.wait(known_ms);
     rig.take(Input::Acquire(DOMAIN, Fence(7 << 5)));
     pass(&mut rig, 100, "w1");
-    pass(&mut rig, 400, NOBODY);
+    pass(&mut rig, 400, NO_WORKER);
     rig.submit(step(Doubt::None, 0));
     assert_eq!(rig.count(is_start), 1);
 }
 
-/// Callers are refused though all workers are free: they were taken over at one moment, and each is looked at again
-/// after the same time. A process with an eighth of a core that stands still for 100 ms right then takes all of
-/// them for silent at once. So looks at idle workers are spread over time.
+/// Guards against refusing callers while all workers are idle: they were taken over at the same time and are polled
+/// again after the same interval. A process with an eighth of a core that stalls for 100 ms at that moment would
+/// consider all of them silent at once. So polls of idle workers are spread over time.
 #[test]
-fn idle_workers_are_not_looked_at_all_at_once() {
+fn polls_of_idle_workers_are_spread_over_time() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.take(Input::Resign(DOMAIN));
     let others = (2..=40).map(|port| note(&format!("w{port}"), port));
     rig.take(Input::Workers(others.collect()));
     rig.take(Input::Acquire(DOMAIN, Fence(7 << 5)));
-    pass(&mut rig, 1_000, NOBODY);
+    pass(&mut rig, 1_000, NO_WORKER);
     let mut most = 0;
     for _ in 0..90 {
         let before = rig.count(is_look);
-        pass(&mut rig, 100, NOBODY);
+        pass(&mut rig, 100, NO_WORKER);
         most = most.max(rig.count(is_look) - before);
     }
     assert!(most <= 10, "{most} of 40 within 100 ms");
-    assert!(rig.count(is_look) >= 80 + 40, "each is looked at twice");
+    assert!(rig.count(is_look) >= 80 + 40, "each worker is polled twice");
 }
 
-/// A list of workers would grow for as long as the dispatcher lives: a worker that never answers again, and
-/// that nobody says has left, is forgotten in the end.
+/// Guards against a list of workers that grows without limit: a worker that never answers again, and that nobody
+/// reports as gone, is removed in the end.
 #[test]
-fn worker_that_stays_silent_is_forgotten() {
+fn worker_that_stays_silent_is_removed() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     for (ms, known) in [(15_000, 1), (10_000, 0)] {
@@ -132,20 +131,20 @@
     }
 }
 
-/// A caller's task runs twice: its worker's clock was read long ago and is slow, so its lease lasts longer than the
-/// dispatcher said. Then the dispatcher is lost, and its successor starts the task when the lease should be
-/// over. Nothing is started on such a worker before its clock has been read again.
+/// Guards against running a task twice: the clock of its worker was read long ago and is slow, so the lease lasts
+/// longer than the dispatcher assumed. Then the dispatcher is lost, and its successor starts the task when the lease
+/// should have ended. No task may be started on such a worker before its clock has been read again.
 #[rstest]
-#[case::read_lately(4_000, 1)]
+#[case::read_recently(4_000, 1)]
 #[case::read_long_ago(10_000, 0)]
 fn no_lease_is_counted_from_an_old_reading(#[case] age_ms: u64, #[case] starts: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.now = rig.now + Duration::from_millis(age_ms);
     let mut order = step(Doubt::None, 0);
-    // Else it would be refused for want of workers.
+    // A fresh step would be refused for lack of workers.
     order.fresh = false;
     rig.submit(order);
     assert_eq!(rig.count(is_start), starts);
-    pass(&mut rig, 100, NOBODY);
+    pass(&mut rig, 100, NO_WORKER);
     assert_eq!(rig.count(is_start), 1);
 }
--- a/crates/celerywinch_pool/tests/takeover.rs
+++ b/crates/celerywinch_pool/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! Jobs submitted while a dispatcher takes its workers over.
+//! Tests of jobs that are submitted while a dispatcher takes its workers over.
 
 mod rig;
 
--- a/crates/celerywinch_pool/tests/worker_incarnations.rs
+++ b/crates/celerywinch_pool/tests/worker_incarnations.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under the name that they had.
+//! Tests of workers that restart under the same id.
 
 mod rig;
 
@@ -13,8 +13,8 @@
 
 const LATER_JOB: JobId = JobId(78);
 
-/// The second life of the worker that the rig has.
-fn second_life() -> WorkerNote {
+/// Returns the second incarnation of the worker that the rig has.
+fn second_incarnation() -> WorkerNote {
     WorkerNote {
         said: Said {
             incarnation: Incarnation(2),
@@ -24,11 +24,11 @@
     }
 }
 
-/// A caller's task is done, and done again, up to six times: a worker crashes and starts again under its name. The numbers
-/// of its ends start anew, and its dispatcher skips all that are not higher than the last one it has read. The run is
-/// not listed as at work either, so it counts as cut, and the task is started again.
+/// Guards against running a task up to six times: a worker crashes and restarts under its id. The serial numbers of its
+/// ends start anew, and a dispatcher that skipped all that are not above its cursor would ignore them. The run is not
+/// listed as active either, so it would count as interrupted, and the task would start again.
 #[test]
-fn ends_of_a_later_life_are_counted_anew() {
+fn ends_of_a_later_incarnation_are_numbered_anew() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
@@ -36,7 +36,7 @@
     let look = rig.last(is_look);
     rig.answer(&look, lists(Vec::new(), vec![ended(1, RunEnd::Done)]));
     assert_eq!(rig.told, [(task(0), TaskEnd::Done)]);
-    rig.take(Input::Workers(vec![second_life()]));
+    rig.take(Input::Workers(vec![second_incarnation()]));
     let look = rig.last(is_look);
     rig.answer(&look, lists(Vec::new(), Vec::new()));
     let mut order = step(Doubt::None, 0);
@@ -59,37 +59,37 @@
         rig.wait(20);
     }
     assert_eq!(rig.told.last(), Some(&(later, TaskEnd::Done)));
-    assert_eq!(rig.count(is_start), starts, "it is not started again");
+    assert_eq!(rig.count(is_start), starts, "the task is not started again");
 }
 
-/// A caller's task waits for 0.9 s though its worker has ended and is back: what was at work in the earlier life is over as soon
-/// as the later one lists what it has, not when a lease of the earlier one would be.
+/// Guards against a task that waits 0.9 s although its worker has crashed and restarted: the runs of the earlier
+/// incarnation are over as soon as the later one lists its runs, not only when their lease would have expired.
 #[test]
-fn runs_of_an_earlier_life_are_over_with_it() {
+fn runs_of_an_earlier_incarnation_end_with_it() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
     let look = rig.last(is_look);
     rig.answer(&look, lists(vec![row(1)], Vec::new()));
-    rig.take(Input::Workers(vec![second_life()]));
+    rig.take(Input::Workers(vec![second_incarnation()]));
     let look = rig.last(is_look);
     rig.answer(&look, lists(Vec::new(), Vec::new()));
     rig.wait(20);
-    assert_eq!(rig.count(is_start), 2, "started again at once");
+    assert_eq!(rig.count(is_start), 2, "the task starts again at once");
 }
 
-/// An announcement and what the dispatcher heard before it.
+/// An announcement, and what the dispatcher received before it.
 struct Case {
-    /// Life and number of what was heard first: that the worker is ready.
+    /// The incarnation and sequence number of the first announcement, that the worker is ready.
     first: (u64, u64),
-    /// Life, number and stage of what is heard then.
+    /// The incarnation, sequence number and stage of the second announcement.
     then: (u64, u64, WorkerStage),
     /// Whether the worker gets a task afterwards.
-    works: bool,
+    gets_task: bool,
 }
 
-fn said(incarnation: u64, sequence: u64, stage: WorkerStage) -> WorkerNote {
+fn announcement(incarnation: u64, sequence: u64, stage: WorkerStage) -> WorkerNote {
     WorkerNote {
         said: Said {
             incarnation: Incarnation(incarnation),
@@ -100,52 +100,57 @@
     }
 }
 
-/// A caller's task reaches a worker that has said that it leaves, as the dispatcher compares numbers of two lives of it; or
-/// a worker that is back gets none, as what an earlier life has said counts against it.
+/// Guards against comparing sequence numbers of two incarnations: a task would be sent to a worker that has announced
+/// that it leaves, or a restarted worker would get none because of what an earlier incarnation has announced.
 #[rstest]
-#[case::leaves(Case { first: (1, 20), then: (1, 21, WorkerStage::Draining), works: false })]
-#[case::later_life_leaves(Case { first: (1, 20), then: (2, 3, WorkerStage::Draining), works: false })]
-#[case::late_word_of_the_same_life(Case { first: (1, 20), then: (1, 3, WorkerStage::Draining), works: true })]
-#[case::late_word_of_an_earlier_life(Case { first: (2, 3), then: (1, 20, WorkerStage::Draining), works: true })]
-#[case::earlier_life_has_left(Case { first: (2, 3), then: (1, 20, WorkerStage::Gone), works: true })]
-#[case::later_life_has_left(Case { first: (1, 20), then: (2, 3, WorkerStage::Gone), works: false })]
-fn words_of_lives_are_told_apart(#[case] case: Case) {
+#[case::leaves(Case { first: (1, 20), then: (1, 21, WorkerStage::Draining), gets_task: false })]
+#[case::later_incarnation_leaves(Case { first: (1, 20), then: (2, 3, WorkerStage::Draining), gets_task: false })]
+#[case::late_announcement_of_the_same_incarnation(Case { first: (1, 20), then: (1, 3, WorkerStage::Draining), gets_task: true })]
+#[case::late_announcement_of_an_earlier_incarnation(Case { first: (2, 3), then: (1, 20, WorkerStage::Draining), gets_task: true })]
+#[case::earlier_incarnation_has_left(Case { first: (2, 3), then: (1, 20, WorkerStage::Gone), gets_task: true })]
+#[case::later_incarnation_has_left(Case { first: (1, 20), then: (2, 3, WorkerStage::Gone), gets_task: false })]
+fn announcements_are_compared_within_an_incarnation(#[case] case: Case) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Workers(vec![said(
+    rig.take(Input::Workers(vec![announcement(
         case.first.0,
         case.first.1,
         WorkerStage::Ready,
     )]));
     let (incarnation, sequence, stage) = case.then;
-    rig.take(Input::Workers(vec![said(incarnation, sequence, stage)]));
+    rig.take(Input::Workers(vec![announcement(
+        incarnation,
+        sequence,
+        stage,
+    )]));
     let look = rig.last(is_look);
     rig.answer(&look, lists(Vec::new(), Vec::new()));
     rig.submit(step(Doubt::None, 0));
-    assert_eq!(rig.count(is_start) == 1, case.works);
+    assert_eq!(rig.count(is_start) == 1, case.gets_task);
 }
 
-/// A worker that has left and starts again gets no work for 30 s, though it serves and callers are refused.
+/// Guards against a worker that has left, restarts, and gets no tasks for 30 s although it runs and callers are
+/// refused.
 #[test]
 fn worker_that_has_left_may_come_back() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Workers(vec![said(1, 9, WorkerStage::Gone)]));
-    rig.take(Input::Workers(vec![said(1, 8, WorkerStage::Ready)]));
+    rig.take(Input::Workers(vec![announcement(1, 9, WorkerStage::Gone)]));
+    rig.take(Input::Workers(vec![announcement(1, 8, WorkerStage::Ready)]));
     assert_eq!(
         rig.pool.known_workers(),
         0,
-        "late word of the life that has left"
+        "late announcement of the incarnation that has left"
     );
-    rig.take(Input::Workers(vec![second_life()]));
+    rig.take(Input::Workers(vec![second_incarnation()]));
     assert_eq!(rig.pool.known_workers(), 1);
 }
 
-/// A caller's task is given up though it is at work, or waits for a lease that cannot matter: a worker has started again, and its
-/// dispatcher hears that first by an answer, before any announcement. The list is of the later life, so it says what is at work,
-/// once it is asked under that life's own key.
+/// Guards against giving up a task that is running, or waiting for a lease that does not matter: a worker has
+/// restarted, and its dispatcher learns so from an answer, before any announcement. The list comes from the later
+/// incarnation, so it shows what is running once it is requested under the key of that incarnation.
 #[rstest]
-#[case::over(Vec::new(), 2)]
-#[case::order_reached_the_later_life(vec![row(1)], 1)]
-fn answer_tells_of_a_later_life(#[case] running: Vec<RunningRow>, #[case] starts: usize) {
+#[case::ended(Vec::new(), 2)]
+#[case::request_reached_the_later_incarnation(vec![row(1)], 1)]
+fn answer_shows_a_later_incarnation(#[case] running: Vec<RunningRow>, #[case] starts: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
@@ -153,30 +158,43 @@
     let looks = rig.count(is_look);
     let look = rig.last(is_look);
     rig.answer(&look, lists_of(2, running.clone(), Vec::new()));
-    assert_eq!(rig.count(is_look), looks + 1, "asked anew");
+    assert_eq!(rig.count(is_look), looks + 1, "polled again");
     let look = rig.last(is_look);
     rig.answer(&look, lists_of(2, running, Vec::new()));
     rig.wait(20);
     assert_eq!(rig.count(is_start), starts);
 }
 
-/// A caller's task reaches a worker that has said that it leaves, as the worker's clock was set back between two starts: the life
-/// that leaves counts as the earlier one. What the worker itself answers shows which life is there.
+/// Guards against sending a task to a worker that has announced that it leaves: its clock was set back between two
+/// starts, so the leaving incarnation counts as the earlier one. The worker's own answer shows which incarnation is
+/// running.
 #[rstest]
 #[case::clock_set_back(1, 0)]
-#[case::held_up_on_its_way(2, 1)]
-fn worker_shows_which_life_is_there(#[case] answers: u64, #[case] starts: usize) {
+#[case::delayed_announcement(2, 1)]
+fn answer_shows_which_incarnation_is_running(#[case] answers: u64, #[case] starts: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Workers(vec![said(2, 20, WorkerStage::Ready)]));
+    rig.take(Input::Workers(vec![announcement(
+        2,
+        20,
+        WorkerStage::Ready,
+    )]));
     let look = rig.last(is_look);
     rig.answer(&look, lists_of(2, Vec::new(), Vec::new()));
-    rig.take(Input::Workers(vec![said(1, 3, WorkerStage::Draining)]));
+    rig.take(Input::Workers(vec![announcement(
+        1,
+        3,
+        WorkerStage::Draining,
+    )]));
     for _ in 0..2 {
         let look = rig.last(is_look);
         rig.answer(&look, lists_of(answers, Vec::new(), Vec::new()));
     }
-    // Another keeper tells of all that it knows.
-    rig.take(Input::Workers(vec![said(2, 19, WorkerStage::Ready)]));
+    // Another keeper sends all announcements that it knows.
+    rig.take(Input::Workers(vec![announcement(
+        2,
+        19,
+        WorkerStage::Ready,
+    )]));
     for _ in 0..2 {
         let look = rig.last(is_look);
         rig.answer(&look, lists_of(answers, Vec::new(), Vec::new()));
@@ -185,19 +203,23 @@
     assert_eq!(rig.count(is_start), starts);
 }
 
-/// A caller's task runs twice: an answer to an order of the earlier life comes late, and its clock counts as the later one's.
+/// Guards against running a task twice: a late answer to a request to the earlier incarnation must not count for the
+/// later one, whose clock is another.
 #[test]
-fn answers_of_an_earlier_life_count_for_nothing() {
+fn answers_of_an_earlier_incarnation_are_discarded() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
-    rig.take(Input::Workers(vec![second_life()]));
+    rig.take(Input::Workers(vec![second_incarnation()]));
     rig.answer(&start, Answer::Rejected(Rejection::StaleFence, None));
-    assert_eq!(rig.outbid, 0, "nobody has taken the domain over");
+    assert_eq!(
+        rig.outbid, 0,
+        "no other dispatcher has taken the domain over"
+    );
     assert_eq!(
         rig.count(is_start),
         1,
-        "not before the later life has shown its list"
+        "not before the later incarnation has listed its runs"
     );
     let look = rig.last(is_look);
     rig.answer(&look, lists_of(2, Vec::new(), Vec::new()));
@@ -205,19 +227,23 @@
     assert_eq!(rig.count(is_start), 2);
 }
 
-/// A caller's task runs twice: an order gets no answer, its worker crashes and starts again, the task is started elsewhere, and
-/// seconds later the order reaches the later life, which has seen no fencing token and obeys. So a life is looked at under a
-/// higher token than any that an earlier one was called under.
+/// Guards against running a task twice: a start gets no answer, its worker crashes and restarts, the task is started
+/// elsewhere, and seconds later the request reaches the later incarnation, which has seen no fencing token and accepts
+/// it. So each incarnation is polled with a higher token than any that an earlier one was called with.
 #[test]
-fn orders_of_an_earlier_life_are_fenced_off() {
+fn requests_to_an_earlier_incarnation_are_fenced() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let mut highest = rig.last(is_start).fence;
-    for life in 2..8 {
-        rig.take(Input::Workers(vec![said(life, 1, WorkerStage::Ready)]));
+    for incarnation in 2..8 {
+        rig.take(Input::Workers(vec![announcement(
+            incarnation,
+            1,
+            WorkerStage::Ready,
+        )]));
         let look = rig.last(is_look);
-        assert!(look.fence > highest, "life {life}");
-        rig.answer(&look, lists_of(life, Vec::new(), Vec::new()));
+        assert!(look.fence > highest, "incarnation {incarnation}");
+        rig.answer(&look, lists_of(incarnation, Vec::new(), Vec::new()));
         rig.wait(20);
         highest = rig.last(is_start).fence;
     }
@@ -227,36 +253,48 @@
     );
 }
 
-/// A caller's task reaches a worker that leaves: its clock was set back, so the life that is there counts as an earlier one, and what
-/// a life that is long over had said comes late and takes the place of its notice.
+/// Guards against sending a task to a leaving worker: its clock was set back, so the running incarnation counts as an
+/// earlier one, and a late announcement of one that ended long ago replaces its notice.
 #[test]
-fn words_of_several_lives_are_kept_apart() {
+fn announcements_of_several_incarnations_are_kept_apart() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Workers(vec![said(9, 20, WorkerStage::Ready)]));
-    rig.take(Input::Workers(vec![said(2, 3, WorkerStage::Draining)]));
-    rig.take(Input::Workers(vec![said(5, 30, WorkerStage::Ready)]));
-    // Each list is of another life than the one that is known by then.
-    for life in [5, 9, 2, 2] {
+    rig.take(Input::Workers(vec![announcement(
+        9,
+        20,
+        WorkerStage::Ready,
+    )]));
+    rig.take(Input::Workers(vec![announcement(
+        2,
+        3,
+        WorkerStage::Draining,
+    )]));
+    rig.take(Input::Workers(vec![announcement(
+        5,
+        30,
+        WorkerStage::Ready,
+    )]));
+    // Each list comes from another incarnation than the one known by then.
+    for incarnation in [5, 9, 2, 2] {
         let look = rig.last(is_look);
-        rig.answer(&look, lists_of(life, Vec::new(), Vec::new()));
+        rig.answer(&look, lists_of(incarnation, Vec::new(), Vec::new()));
     }
     rig.submit(step(Doubt::None, 0));
     assert_eq!(rig.count(is_start), 0);
 }
 
-/// A caller's task runs twice, or a worker is overloaded: a worker leaves with an order on its way that got no answer, and starts again
-/// under its name. Its dispatcher had forgotten it with the life that left, and calls the later one under the token of before, so
-/// that it obeys the order.
+/// Guards against running a task twice, or overloading a worker: a worker leaves while a start without an answer is in
+/// flight, and restarts under its id. A dispatcher that had removed it with the incarnation that left, and called the
+/// later one with the same token, would have that request accepted.
 #[test]
-fn orders_of_a_life_that_has_left_are_fenced_off() {
+fn requests_to_an_incarnation_that_has_left_are_fenced() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
     let look = rig.last(is_look);
     rig.answer(&look, lists(Vec::new(), vec![ended(1, RunEnd::Done)]));
-    rig.take(Input::Workers(vec![said(1, 9, WorkerStage::Gone)]));
+    rig.take(Input::Workers(vec![announcement(1, 9, WorkerStage::Gone)]));
     assert_eq!(rig.pool.known_workers(), 0);
-    rig.take(Input::Workers(vec![second_life()]));
+    rig.take(Input::Workers(vec![second_incarnation()]));
     assert!(rig.last(is_look).fence > start.fence);
 }
