--- a/crates/celerywinch_pool/src/crashes.rs
+++ b/crates/celerywinch_pool/src/crashes.rs
@@ -34,7 +34,7 @@
 
 /// A worker whose lease expired without an answer, and the tasks that it had.
 #[derive(Clone, Debug)]
-struct UnansweredWorker {
+struct SilentWorker {
     incarnation: Incarnation,
     tasks: Vec<TaskId>,
     at: Time,
@@ -44,7 +44,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct CrashHistory {
     tasks: BTreeMap<TaskId, (Crashes, Time)>,
-    unanswered: BTreeMap<String, UnansweredWorker>,
+    silent_workers: BTreeMap<String, SilentWorker>,
     /// Queues whose steps start with a probe, and until when.
     probe_until: BTreeMap<String, Time>,
 }
@@ -57,7 +57,8 @@
 
     fn expire(&mut self, now: Time) {
         self.tasks.retain(|_, (_, at)| now.since(*at) <= RETENTION);
-        self.unanswered.retain(|_, s| now.since(s.at) <= RETENTION);
+        self.silent_workers
+            .retain(|_, s| now.since(s.at) <= RETENTION);
         self.probe_until.retain(|_, until| *until > now);
     }
 }
@@ -71,12 +72,12 @@
     /// Polls the workers of probes once these have run for long enough to pass: the other tasks of their steps wait for
     /// that, and the outstanding long poll may wait for an end.
     fn poll_probes(&mut self, now: Time, out: &mut Vec<Output>) {
-        let probed = |run: &&Run| run.probe && now.since(run.started) >= MIN_PROBE_TIME;
-        let unpassed = |run: &&Run| {
+        let due = |run: &&Run| run.probe && now.since(run.started) >= MIN_PROBE_TIME;
+        let not_passed = |run: &&Run| {
             let batch = run.batch.and_then(|key| self.batches.get(key));
             batch.is_some_and(|batch| !batch.proved)
         };
-        let runs = self.runs.values().filter(probed).filter(unpassed);
+        let runs = self.runs.values().filter(due).filter(not_passed);
         let workers: BTreeSet<_> = runs.map(|run| run.worker).collect();
         for worker in workers {
             self.short_poll(worker, out);
@@ -87,36 +88,36 @@
     pub(crate) fn lease_expired_with(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
         let note = &self.workers[run.worker].note;
         let incarnation = note.said.incarnation;
-        let unanswered = self.crashes.unanswered.entry(note.id.clone());
-        let unanswered = unanswered.or_insert_with(|| UnansweredWorker {
+        let silent = self.crashes.silent_workers.entry(note.id.clone());
+        let silent = silent.or_insert_with(|| SilentWorker {
             incarnation,
             tasks: Vec::new(),
             at: now,
         });
-        if unanswered.incarnation != incarnation {
-            unanswered.tasks.clear();
-            unanswered.incarnation = incarnation;
+        if silent.incarnation != incarnation {
+            silent.tasks.clear();
+            silent.incarnation = incarnation;
         }
-        unanswered.at = now;
-        unanswered.tasks.push(run.task);
+        silent.at = now;
+        silent.tasks.push(run.task);
         self.count_crash(now, run.task, out, Crashes::suspect);
     }
 
     /// Records that an incarnation of a worker has ended: the tasks that it had when it stopped answering may have
     /// crashed it.
     pub(crate) fn incarnation_ended(&mut self, now: Time, worker: &Worker, out: &mut Vec<Output>) {
-        let Some(unanswered) = self.crashes.unanswered.remove(&worker.note.id) else {
+        let Some(silent) = self.crashes.silent_workers.remove(&worker.note.id) else {
             return;
         };
-        if unanswered.incarnation != worker.note.said.incarnation {
+        if silent.incarnation != worker.note.said.incarnation {
             return;
         }
-        for task in unanswered.tasks {
+        for task in silent.tasks {
             self.count_crash(now, task, out, |crashes| crashes.prove(true));
         }
     }
 
-    /// Records a run that was on its worker when the incarnation of that ended.
+    /// Records a run that was on a worker when its incarnation ended, unless the worker had accepted a stop of the run.
     pub(crate) fn crashed_with(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
         if !run.stop_accepted {
             self.count_crash(now, run.task, out, |crashes| crashes.prove(false));
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -87,7 +87,7 @@
         worker.next_poll = Time::NEVER;
         let input = self.inputs;
         let context = PollContext { input, cursor };
-        let wait = if waits { self.look_wait(now, key) } else { 0 };
+        let wait = if waits { self.poll_wait(now, key) } else { 0 };
         let request = Request::Poll {
             deadline,
             cursor,
@@ -104,10 +104,11 @@
 
     /// Returns how long, in ms, a poll waits on the worker for an end: until shortly after the first one is expected. A
     /// lost poll is detected only after its wait, and until then no ends from that worker are received.
-    fn look_wait(&self, now: Time, key: WorkerKey) -> u32 {
+    fn poll_wait(&self, now: Time, key: WorkerKey) -> u32 {
         let runs = self.workers[key].runs.iter().map(|run| &self.runs[*run]);
-        let left = runs.map(|run| (run.started + run.expected.mul_f64(WAIT_FACTOR)).since(now));
-        let first = left.min().unwrap_or_default();
+        let remaining =
+            runs.map(|run| (run.started + run.expected.mul_f64(WAIT_FACTOR)).since(now));
+        let first = remaining.min().unwrap_or_default();
         let wait = first.max(self.config.least_wait).min(self.config.look_wait);
         wait.as_millis() as u32
     }
@@ -276,20 +277,20 @@
         let run = self.runs[key];
         let took = now.since(run.started);
         let late = run.expected.mul_f64(LATE_FACTOR) + LATE_MARGIN;
-        let stays = self.config.without.lacks(Mechanism::Moving);
-        if run.stopping || took < late || stays {
+        let not_moved = self.config.without.lacks(Mechanism::Moving);
+        if run.stopping || took < late || not_moved {
             return;
         }
         let done = f64::from(percent.clamp(1, 100)) / 100.0;
-        let left = took.mul_f64((1.0 - done) / done);
+        let remaining = took.mul_f64((1.0 - done) / done);
         let Some(batch) = run.batch.and_then(|batch| self.batches.get(batch)) else {
             return;
         };
         // Also uses the caller's estimate: run times learned from few tasks may be far too short, and then all workers
         // would look slow at the same time.
-        let guess = Duration::from_millis(batch.order.estimate.into());
-        let usual = batch.expected.max(guess);
-        if left < usual.mul_f64(MOVE_FACTOR) || took < usual.mul_f64(LATE_FACTOR) {
+        let estimate = Duration::from_millis(batch.order.estimate.into());
+        let usual = batch.expected.max(estimate);
+        if remaining < usual.mul_f64(MOVE_FACTOR) || took < usual.mul_f64(LATE_FACTOR) {
             return;
         }
         let usual = usual.as_secs_f64().max(1e-3);
@@ -297,8 +298,8 @@
         if !self.config.without.lacks(Mechanism::Pace) {
             worker.learn_pace(took.as_secs_f64() / done / usual);
         }
-        let set_aside = !self.config.without.lacks(Mechanism::Probation);
-        if set_aside && (worker.pace > SLOW_PACE || percent == 0) {
+        let quarantine = !self.config.without.lacks(Mechanism::Probation);
+        if quarantine && (worker.pace > SLOW_PACE || percent == 0) {
             worker.quarantined_until = now + self.config.aside;
             worker.probation = true;
         }
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -69,7 +69,7 @@
         let confirmed = Phase::Running(self.inputs);
         match answer {
             Answer::Accepted(_) | Answer::Lists { .. } => self.set_phase(key, confirmed),
-            Answer::Rejected(reject, _) => self.start_rejected(now, key, run, reject, out),
+            Answer::Rejected(rejection, _) => self.start_rejected(now, key, run, rejection, out),
             Answer::OtherIncarnation => {
                 self.remove_worker(now, run.worker, Departure::OtherLife, out)
             }
@@ -97,11 +97,11 @@
         now: Time,
         key: RunKey,
         run: Run,
-        reject: Rejection,
+        rejection: Rejection,
         out: &mut Vec<Output>,
     ) {
         let worker = &mut self.workers[run.worker];
-        match reject {
+        match rejection {
             Rejection::StaleFence => {
                 out.push(Output::Outbid(worker.domain));
                 // The run is left as it is: the domain is resigned, and the task goes to its new owner.
@@ -128,7 +128,7 @@
             }
             Rejection::StaleRun | Rejection::LeaseExpired => {}
         }
-        let gap = if reject == Rejection::StaleRun {
+        let gap = if rejection == Rejection::StaleRun {
             RUN_NUMBER_GAP
         } else {
             0
@@ -161,16 +161,16 @@
             Answer::Accepted(_) | Answer::Lists { .. } => {
                 // If the run had not started, the worker refuses it from now on; otherwise its end is listed soon.
                 let confirmed = Phase::Running(self.inputs);
-                let mut doubtful = false;
+                let mut unconfirmed = false;
                 if let Some(run) = self.runs.get_mut(key) {
                     run.stopping = true;
                     run.stop_accepted = true;
-                    doubtful = run.phase == Phase::Unconfirmed;
-                    if doubtful {
+                    unconfirmed = run.phase == Phase::Unconfirmed;
+                    if unconfirmed {
                         run.phase = confirmed;
                     }
                 }
-                if doubtful {
+                if unconfirmed {
                     self.short_poll(worker, out);
                 }
                 self.workers[worker].next_poll = now + self.config.stop;
@@ -307,15 +307,15 @@
         }
     }
 
-    fn run_ended(&mut self, now: Time, key: RunKey, how: RunEnd, out: &mut Vec<Output>) {
+    fn run_ended(&mut self, now: Time, key: RunKey, end: RunEnd, out: &mut Vec<Output>) {
         let Some(run) = self.release(key) else {
             return;
         };
-        self.note_end(now, &run, how, out);
+        self.note_end(now, &run, end, out);
         let Some(batch) = run.batch else {
             return;
         };
-        match how {
+        match end {
             RunEnd::Done => {
                 self.mark_probe_passed(Some(batch));
                 self.record_run_time(now, &run, batch);
@@ -326,8 +326,8 @@
         }
     }
 
-    fn note_end(&self, now: Time, run: &Run, how: RunEnd, out: &mut Vec<Output>) {
-        let how = match how {
+    fn note_end(&self, now: Time, run: &Run, end: RunEnd, out: &mut Vec<Output>) {
+        let how = match end {
             RunEnd::Done => "done",
             RunEnd::Failed => "failed",
             RunEnd::Interrupted => "cut",
@@ -388,8 +388,8 @@
     fn record_worker_failure(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let worker = &mut self.workers[key];
         worker.record_failure();
-        let set_aside = !self.config.without.lacks(Mechanism::Probation);
-        if set_aside
+        let quarantine = !self.config.without.lacks(Mechanism::Probation);
+        if quarantine
             && worker.failure_rate >= FAILURE_LIMIT
             && worker.note.stage == WorkerStage::Ready
         {
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -14,7 +14,7 @@
 /// How long ends found during a takeover are retained for origins that have not resubmitted their tasks yet.
 const END_RETENTION: std::time::Duration = std::time::Duration::from_secs(3);
 
-/// A run that another dispatcher started, or that started after it was given up here.
+/// A run that another dispatcher started, or that started late.
 #[derive(Clone, Copy, Debug)]
 struct ForeignRun {
     worker: WorkerKey,
@@ -132,8 +132,8 @@
         if matches!(task.state, TaskState::Running(_)) {
             return;
         }
-        if let Some((_, how, run)) = self.takeover.ends.get(&id).copied()
-            && self.settle_by_end(now, key, index, how, run)
+        if let Some((_, end, run)) = self.takeover.ends.get(&id).copied()
+            && self.settle_by_end(now, key, index, end, run)
         {
             self.takeover.ends.remove(&id);
             return;
@@ -160,7 +160,7 @@
         now: Time,
         key: BatchKey,
         index: u16,
-        how: RunEnd,
+        end: RunEnd,
         run: RunNumber,
     ) -> bool {
         let no_shortcuts = self.config.without.lacks(Mechanism::Shortcuts);
@@ -168,10 +168,10 @@
             return false;
         };
         let last = task.doubt == Doubt::Last && run == task.run && !no_shortcuts;
-        match how {
+        match end {
             RunEnd::Done => self.finish(now, key, index, TaskEnd::Done),
             RunEnd::Failed | RunEnd::Interrupted if last => {
-                task.failures += u32::from(how == RunEnd::Failed);
+                task.failures += u32::from(end == RunEnd::Failed);
                 self.back_to_queue(key, index, run);
             }
             RunEnd::Failed | RunEnd::Interrupted => return false,
@@ -324,20 +324,20 @@
         }
     }
 
-    /// Resigns a domain. Tasks that may be running there are returned to their origins as unsure, and so are waiting
-    /// tasks if no domain is owned any more.
+    /// Resigns a domain. Tasks that may be running there are returned to their origins as unsure. Waiting tasks are
+    /// returned too if no domain is owned any more.
     pub(crate) fn resign(&mut self, now: Time, domain: Domain, out: &mut Vec<Output>) {
         self.held.remove(&domain);
         let here = |worker: &Worker| worker.domain == domain;
         let workers = self.workers.iter().filter(|(_, w)| here(w));
         let keys: Vec<_> = workers.map(|(key, _)| key).collect();
-        let mut given = 0;
+        let mut returned = 0;
         for key in keys {
             for run in self.workers[key].runs.clone() {
                 if let Some(run) = self.runs.remove(run)
                     && let Some(batch) = run.batch
                 {
-                    given += 1;
+                    returned += 1;
                     self.return_task(now, batch, run.task.index, Some(domain));
                 }
             }
@@ -345,11 +345,11 @@
             self.workers[key].reset();
         }
         if self.held.is_empty() {
-            given += self.return_queue(now);
+            returned += self.return_queue(now);
         }
         out.push(Output::Note(Note::Resigned {
             domain,
-            tasks: given,
+            tasks: returned,
         }));
     }
 
@@ -371,7 +371,7 @@
     }
 
     fn return_queue(&mut self, now: Time) -> usize {
-        let mut given = 0;
+        let mut returned = 0;
         let keys: Vec<_> = self.batches.keys().collect();
         for key in keys {
             let Some(batch) = self.batches.get(key) else {
@@ -380,7 +380,7 @@
             self.queue.remove(self.rank(key, batch));
             let tasks: Vec<_> = batch.tasks.iter().map(|(i, t)| (*i, t.state)).collect();
             for (index, state) in tasks {
-                given += 1;
+                returned += 1;
                 match state {
                     TaskState::Waiting => self.return_task(now, key, index, None),
                     // The task may still be running somewhere, as when it was submitted; its origin knows since when.
@@ -390,6 +390,6 @@
                 }
             }
         }
-        given
+        returned
     }
 }
