--- a/crates/celerywinch_domains/tests/holders.rs
+++ b/crates/celerywinch_domains/tests/holders.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use celerywinch_domains::{Change, Domains, Me, Peers};
+use celerywinch_domains::{Change, Domains, LocalEntry, Peers};
 use celerywinch_types::{
-    Beat, DataCentreId, Domain, Evacuations, Fence, Holding, Incarnation, InstanceId, Load, Part,
-    Process, Stage, Time, WallMs,
+    DataCentreId, Domain, Evacuations, Fence, FleetHeartbeat, Incarnation, InstanceId, Load,
+    OwnedDomain, Process, ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
 
@@ -19,17 +19,17 @@
     }
 }
 
-fn beat(dc: u8, part: Part, holdings: &[(u8, u64)]) -> Beat {
-    let holding = |(dc, fence): &(u8, u64)| Holding {
+fn beat(dc: u8, part: ProcessKind, holdings: &[(u8, u64)]) -> FleetHeartbeat {
+    let holding = |(dc, fence): &(u8, u64)| OwnedDomain {
         domain: domain(*dc),
         fence: Fence(*fence),
         load: Load::default(),
     };
-    Beat {
-        part,
+    FleetHeartbeat {
+        kind: part,
         dc: DataCentreId(dc),
         stage: Stage::Ready,
-        holdings: holdings.iter().map(holding).collect(),
+        owned_domains: holdings.iter().map(holding).collect(),
         fence: Fence(0),
         version: 1,
         evacuations: Evacuations::default(),
@@ -37,8 +37,8 @@
         // Of a process that has run for some time.
         sent: Time(5_000_000),
         echo: None,
-        every: 100,
-        wants: true,
+        interval_ms: 100,
+        wants_frequent: true,
         probe: false,
     }
 }
@@ -53,7 +53,7 @@
 impl Rig {
     /// Entry 1 in data centre 0 of three.
     fn new() -> Self {
-        let me = Me {
+        let me = LocalEntry {
             instance: InstanceId(1),
             dc: DataCentreId(0),
             stage: Stage::Ready,
@@ -67,13 +67,13 @@
         }
     }
 
-    fn hear(&mut self, instance: u32, beat: Beat) {
+    fn hear(&mut self, instance: u32, beat: FleetHeartbeat) {
         let process = Process {
             instance: InstanceId(instance),
             incarnation: Incarnation(1),
         };
         let window = Duration::from_millis(350);
-        self.peers.heard(self.now, process, beat, window);
+        self.peers.record_heartbeat(self.now, process, beat, window);
     }
 
     fn tick(&mut self) -> Vec<Change> {
@@ -86,7 +86,7 @@
 
     fn held(&self) -> Vec<u8> {
         self.domains
-            .held()
+            .owned()
             .keys()
             .map(|domain| domain.dc.0)
             .collect()
@@ -102,7 +102,7 @@
     let mut rig = Rig::new();
     for _ in 0..20 {
         for dc in heard {
-            rig.hear(100 + u32::from(*dc), beat(*dc, Part::Keeper, &[]));
+            rig.hear(100 + u32::from(*dc), beat(*dc, ProcessKind::Keeper, &[]));
         }
         rig.tick();
     }
@@ -120,15 +120,15 @@
         rig.tick();
     }
     assert_eq!(rig.held(), [0]);
-    rig.hear(101, beat(1, Part::Keeper, &[]));
+    rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
     for _ in 0..8 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
         assert_eq!(rig.tick(), []);
     }
-    rig.hear(2, beat(1, Part::Entry, &[(1, 1 << 60)]));
+    rig.hear(2, beat(1, ProcessKind::Entry, &[(1, 1 << 60)]));
     for _ in 0..20 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
-        rig.hear(2, beat(1, Part::Entry, &[(1, 1 << 60)]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
+        rig.hear(2, beat(1, ProcessKind::Entry, &[(1, 1 << 60)]));
         rig.tick();
         assert!(!rig.held().contains(&1), "entry 2 dispatches there");
     }
@@ -154,9 +154,9 @@
     }
     let start = rig.now;
     loop {
-        rig.hear(2, beat(1, Part::Entry, &[(1, 5), (2, 6)]));
+        rig.hear(2, beat(1, ProcessKind::Entry, &[(1, 5), (2, 6)]));
         if rig.now.since(start) <= Duration::from_millis(heal.found) {
-            rig.domains.found(rig.now);
+            rig.domains.peer_found(rig.now);
         }
         let changes = rig.tick();
         if rig.now.since(start) >= Duration::from_millis(heal.given_up + 40) {
@@ -177,12 +177,12 @@
     }
     assert_eq!(rig.held(), [0]);
     for _ in 0..40 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
-        rig.domains.found(rig.now);
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
+        rig.domains.peer_found(rig.now);
         assert_eq!(rig.tick(), []);
     }
     for _ in 0..20 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
         rig.tick();
     }
     assert!(rig.held().contains(&1), "nobody else dispatches there");
@@ -195,13 +195,13 @@
     let mut rig = Rig::new();
     let mut changes = Vec::new();
     for _ in 0..20 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
-        rig.hear(102, beat(2, Part::Keeper, &[]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
+        rig.hear(102, beat(2, ProcessKind::Keeper, &[]));
         rig.tick();
     }
     assert_eq!(rig.held(), [0, 1, 2]);
     for _ in 0..60 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
         changes.extend(rig.tick());
     }
     assert_eq!(changes, [Change::Resign(domain(2))]);
@@ -213,13 +213,13 @@
 fn goes_on_with_a_token_above_all_that_workers_may_have_seen() {
     let mut rig = Rig::new();
     for _ in 0..20 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
-        rig.hear(102, beat(2, Part::Keeper, &[]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
+        rig.hear(102, beat(2, ProcessKind::Keeper, &[]));
         rig.tick();
     }
     assert_eq!(rig.held(), [0, 1, 2]);
     let seen = Fence(1 << 60);
-    rig.hear(2, beat(1, Part::Entry, &[(1, seen.0)]));
+    rig.hear(2, beat(1, ProcessKind::Entry, &[(1, seen.0)]));
     let changes = rig.tick();
     let dc = domain(1);
     let [Change::Resign(a), Change::Acquire(b, fence)] = changes[..] else {
@@ -248,24 +248,24 @@
 fn entry_that_hears_nobody_takes_nothing() {
     let mut rig = Rig::new();
     for _ in 0..20 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
         rig.tick();
     }
-    let mine = rig.domains.held().clone();
+    let mine = rig.domains.owned().clone();
     for _ in 0..15 {
         rig.tick();
     }
     let mut out = Vec::new();
     for domain in mine.keys() {
-        rig.domains.outbid(rig.now, *domain, &mut out);
+        rig.domains.fenced(rig.now, *domain, &mut out);
     }
     for _ in 0..50 {
         rig.tick();
         assert_eq!(rig.held(), [], "nobody is heard");
     }
-    rig.hear(101, beat(1, Part::Keeper, &[]));
+    rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
     for _ in 0..15 {
-        rig.hear(101, beat(1, Part::Keeper, &[]));
+        rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
         rig.tick();
     }
     assert!(rig.held().contains(&0), "heard again");
@@ -285,12 +285,12 @@
     #[case] held: &[u8],
 ) {
     let mut rig = Rig::new();
-    rig.domains.set_undivided(undivided);
+    rig.domains.set_single_dispatcher(undivided);
     for _ in 0..8 {
         for (instance, dc, age) in [(101, 1, 20), (102, 2, age)] {
-            let beat = Beat {
+            let beat = FleetHeartbeat {
                 sent: Time(age * 1_000),
-                ..beat(dc, Part::Keeper, &[])
+                ..beat(dc, ProcessKind::Keeper, &[])
             };
             rig.hear(instance, beat);
         }
@@ -314,18 +314,18 @@
     let mut rig = Rig::new();
     rig.domains.set_shards(8, &mut Vec::new());
     for _ in 0..8 {
-        let keeper = beat(1, Part::Keeper, &[]);
-        let entries = stages.iter().map(|stage| Beat {
+        let keeper = beat(1, ProcessKind::Keeper, &[]);
+        let entries = stages.iter().map(|stage| FleetHeartbeat {
             stage: *stage,
-            ..beat(2, Part::Entry, &[])
+            ..beat(2, ProcessKind::Entry, &[])
         });
         for (instance, beat) in (101..).zip(std::iter::once(keeper).chain(entries)) {
             let sent = Time(age * 1_000);
-            rig.hear(instance, Beat { sent, ..beat });
+            rig.hear(instance, FleetHeartbeat { sent, ..beat });
         }
         rig.tick();
     }
-    assert_eq!(!rig.domains.held().is_empty(), holds_shards);
+    assert_eq!(!rig.domains.owned().is_empty(), holds_shards);
 }
 
 struct Behind {
@@ -344,17 +344,17 @@
     let seen = Fence::new(behind.epoch, 0);
     for round in 0.. {
         for _ in 0..20 {
-            rig.hear(101, beat(1, Part::Keeper, &[]));
+            rig.hear(101, beat(1, ProcessKind::Keeper, &[]));
             rig.tick();
         }
-        let fence = rig.domains.held()[&domain(0)];
+        let fence = rig.domains.owned()[&domain(0)];
         if fence > seen {
             return;
         }
         assert!(round < behind.rounds, "still outbid, at {fence:?}");
         let mut out = Vec::new();
-        for domain in rig.domains.held().clone().into_keys() {
-            rig.domains.outbid(rig.now, domain, &mut out);
+        for domain in rig.domains.owned().clone().into_keys() {
+            rig.domains.fenced(rig.now, domain, &mut out);
         }
     }
 }
--- a/crates/celerywinch_fleet/src/core/members.rs
+++ b/crates/celerywinch_fleet/src/core/members.rs
@@ -6,7 +6,7 @@
 
 use celerywinch_links::LinkEvent;
 use celerywinch_member::Input;
-use celerywinch_types::{Contact, FleetMsg, InstanceId, Part, Process, Time};
+use celerywinch_types::{Contact, FleetMsg, InstanceId, Process, ProcessKind, Time};
 
 use super::Core;
 use crate::spread::SpreadInput;
@@ -38,7 +38,7 @@
         match event {
             LinkEvent::Opened | LinkEvent::Replaced => {
                 let beat = self.member.heartbeat_for(now, peer);
-                self.links.send(peer, FleetMsg::Beat(beat));
+                self.links.send(peer, FleetMsg::Heartbeat(beat));
                 self.send_contacts(peer);
                 self.send_workers(peer);
                 self.input(now, Input::LinkReset(peer));
@@ -71,7 +71,7 @@
         let peers = self.member.peers().all();
         let contacts = peers.map(|(instance, view)| Contact {
             instance,
-            part: view.beat.part,
+            kind: view.heartbeat.kind,
         });
         let contacts = contacts.collect();
         self.links.send(to, FleetMsg::Contacts(contacts));
@@ -89,12 +89,12 @@
         let Some(view) = peers.get(instance) else {
             return;
         };
-        if self.config.part != Part::Keeper {
+        if self.config.part != ProcessKind::Keeper {
             return;
         }
         let contact = Contact {
             instance,
-            part: view.beat.part,
+            kind: view.heartbeat.kind,
         };
         for (peer, _) in peers.all().filter(|(peer, _)| *peer != instance) {
             self.links.send(peer, FleetMsg::Contacts(vec![contact]));
@@ -122,7 +122,7 @@
         let unheard: Vec<_> = seeds.filter(|seed| peers.get(*seed).is_none()).collect();
         for seed in unheard {
             let beat = self.member.heartbeat_for(now, seed);
-            self.links.send(seed, FleetMsg::Beat(beat));
+            self.links.send(seed, FleetMsg::Heartbeat(beat));
         }
     }
 
@@ -135,7 +135,7 @@
     /// Entries that are heard.
     pub(super) fn entries(&self, now: Time) -> Vec<InstanceId> {
         let alive = self.member.peers().alive(now);
-        let entries = alive.filter(|(_, view)| view.beat.part == Part::Entry);
+        let entries = alive.filter(|(_, view)| view.heartbeat.kind == ProcessKind::Entry);
         entries.map(|(id, _)| id).collect()
     }
 }
--- a/crates/celerywinch_fleet/src/spread.rs
+++ b/crates/celerywinch_fleet/src/spread.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use celerywinch_registry::VersionedDocument;
-use celerywinch_types::{DataCentreId, InstanceId, Part, Piece, SpreadMsg, Time, score};
+use celerywinch_types::{Chunk, ConfigMsg, DataCentreId, InstanceId, ProcessKind, Time, score};
 use serde::Serialize;
 
 use copies::Copies;
@@ -32,7 +32,7 @@
     /// The sender.
     pub instance: InstanceId,
     /// What it does.
-    pub part: Part,
+    pub part: ProcessKind,
     /// Its data centre.
     pub dc: DataCentreId,
     /// The version that it has in force.
@@ -47,7 +47,7 @@
     /// No process listens there.
     Lost(InstanceId),
     /// A message of another process.
-    Message(InstanceId, SpreadMsg),
+    Message(InstanceId, ConfigMsg),
     /// This document is in force here.
     Held(VersionedDocument),
     /// The document of this version cannot be read here.
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum SpreadOutput {
     /// Send a message.
-    Send(InstanceId, SpreadMsg),
+    Send(InstanceId, ConfigMsg),
     /// Send heartbeats at once: another version is in force here.
     Tell(Vec<InstanceId>),
     /// A document has come: read it, and put it in force.
@@ -130,7 +130,7 @@
 #[derive(Debug)]
 pub struct Spread {
     me: InstanceId,
-    part: Part,
+    part: ProcessKind,
     dc: DataCentreId,
     copies: Copies,
     heard: BTreeMap<InstanceId, (Told, Time)>,
@@ -149,7 +149,7 @@
 impl Spread {
     /// Nothing is known yet.
     #[must_use]
-    pub fn new(me: InstanceId, part: Part, dc: DataCentreId) -> Self {
+    pub fn new(me: InstanceId, part: ProcessKind, dc: DataCentreId) -> Self {
         Self {
             me,
             part,
@@ -185,10 +185,10 @@
             SpreadInput::Lost(peer) => {
                 self.heard.remove(&peer);
             }
-            SpreadInput::Message(from, SpreadMsg::Want { version, offset }) => {
+            SpreadInput::Message(from, ConfigMsg::Request { version, offset }) => {
                 self.wanted(now, from, version, offset, out);
             }
-            SpreadInput::Message(from, SpreadMsg::Piece(piece)) => {
+            SpreadInput::Message(from, ConfigMsg::Chunk(piece)) => {
                 self.piece(now, from, piece, out);
             }
             SpreadInput::Held(held) => self.hold(now, held, out),
@@ -211,9 +211,9 @@
         let version = held.version;
         self.copies.add(now, held);
         self.transfers.retain(|t| t.version > version);
-        if self.part == Part::Keeper {
+        if self.part == ProcessKind::Keeper {
             let heard = self.alive(now);
-            let entries = heard.filter(|told| told.part == Part::Entry);
+            let entries = heard.filter(|told| told.part == ProcessKind::Entry);
             let entries = entries.map(|told| told.instance).collect();
             out.push(SpreadOutput::Tell(entries));
         }
@@ -243,7 +243,7 @@
         out: &mut Vec<SpreadOutput>,
     ) {
         out.push(match self.copies.piece(now, version, offset) {
-            Some(piece) => SpreadOutput::Send(from, SpreadMsg::Piece(piece)),
+            Some(piece) => SpreadOutput::Send(from, ConfigMsg::Chunk(piece)),
             None => SpreadOutput::Note(SpreadNote::DocumentUnknown {
                 from,
                 version,
@@ -255,7 +255,7 @@
     /// Begins to fetch the newest version, if there is a newer one than the one here. The transfer under way goes on, and only
     /// gives way to one that has less left: with changes in quick succession none would end else.
     fn begin(&mut self, now: Time, out: &mut Vec<SpreadOutput>) {
-        if self.part == Part::Keeper {
+        if self.part == ProcessKind::Keeper {
             return;
         }
         let version = self.newest(now);
@@ -282,7 +282,7 @@
     }
 
     /// A piece that was not waited for any more counts too, whoever sent it.
-    fn piece(&mut self, now: Time, from: InstanceId, piece: Piece, out: &mut Vec<SpreadOutput>) {
+    fn piece(&mut self, now: Time, from: InstanceId, piece: Chunk, out: &mut Vec<SpreadOutput>) {
         let Some(at) = self.transfers.iter().position(|t| t.lacks(&piece)) else {
             return;
         };
@@ -414,7 +414,7 @@
         let sources = self.alive(now).filter(|told| told.version >= version);
         let rank = |told: &&Told| {
             let silent = self.silent.get(&told.instance).copied();
-            let other = (told.part != Part::Keeper, told.dc != self.dc);
+            let other = (told.part != ProcessKind::Keeper, told.dc != self.dc);
             let score = score(self.me.0.into(), told.instance.0.into());
             (silent, other, Reverse(score))
         };
--- a/crates/celerywinch_member/tests/probes.rs
+++ b/crates/celerywinch_member/tests/probes.rs
@@ -7,9 +7,9 @@
 use celerywinch_origin::{CallerId, NewJob};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Domain, Evacuations, Fence, FleetMsg, Holding, Incarnation, InstanceId,
-    JobId, JobPlan, Load, Part, Process, Queue, Room, RunNumber, Stage, StepPlan, Time, WallMs,
-    WorkMsg,
+    DataCentreId, Domain, Evacuations, Fence, FleetHeartbeat, FleetMsg, Incarnation, InstanceId,
+    JobId, JobPlan, Load, OwnedDomain, Process, ProcessKind, Queue, Resources, RunNumber, Stage,
+    StepPlan, Time, WallMs, WorkMsg,
 };
 use rstest::rstest;
 
@@ -28,31 +28,31 @@
     }
 }
 
-fn beat(now: Time, instance: u32) -> Beat {
+fn beat(now: Time, instance: u32) -> FleetHeartbeat {
     let dispatches = DISPATCHERS.contains(&instance);
     let dc = if instance <= *OTHERS.end() {
         THERE
     } else {
         HERE
     };
-    let holding = Holding {
+    let holding = OwnedDomain {
         domain: Domain { dc, shard: 0 },
         fence: Fence(5),
         load: Load::default(),
     };
-    Beat {
-        part: Part::Entry,
+    FleetHeartbeat {
+        kind: ProcessKind::Entry,
         dc,
         stage: Stage::Ready,
-        holdings: dispatches.then_some(holding).into_iter().collect(),
+        owned_domains: dispatches.then_some(holding).into_iter().collect(),
         fence: Fence(5),
         version: 1,
         evacuations: Evacuations::default(),
         shards: 1,
         sent: now,
         echo: None,
-        every: if dispatches { 100 } else { 500 },
-        wants: false,
+        interval_ms: if dispatches { 100 } else { 500 },
+        wants_frequent: false,
         probe: false,
     }
 }
@@ -61,7 +61,7 @@
 fn member(now: Time) -> Member {
     let config = MemberConfig {
         me: process(1),
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: HERE,
         dcs: BTreeSet::from([HERE, THERE]),
         shard_size: 80,
@@ -92,7 +92,7 @@
             spec: String::new(),
             steps: vec![StepPlan {
                 count: 2,
-                need: Room::default(),
+                need: Resources::default(),
                 estimate: 200,
                 after: Vec::new(),
                 label: None,
@@ -150,7 +150,7 @@
         }
         member.handle(now, Input::Tick, &mut out);
         for output in out {
-            if let Output::Send(to, FleetMsg::Beat(sent)) = output
+            if let Output::Send(to, FleetMsg::Heartbeat(sent)) = output
                 && sent.probe
                 && OTHERS.contains(&to.0)
             {
@@ -183,8 +183,8 @@
     let mut member = member(now);
     let mut heard = Vec::new();
     for instance in OTHERS.chain(DISPATCHERS) {
-        let rarely = Beat {
-            every: 500,
+        let rarely = FleetHeartbeat {
+            interval_ms: 500,
             ..beat(now, instance)
         };
         member.handle(now, Input::Heartbeat(process(instance), rarely), &mut heard);
@@ -204,7 +204,7 @@
             let Output::Send(to, msg) = output else {
                 continue;
             };
-            if matches!(&msg, FleetMsg::Beat(sent) if sent.probe) {
+            if matches!(&msg, FleetMsg::Heartbeat(sent) if sent.probe) {
                 asked.insert(to.0);
             }
             if matches!(msg, FleetMsg::Work(WorkMsg::Submit(_))) {
--- a/crates/celerywinch_member/tests/restarts.rs
+++ b/crates/celerywinch_member/tests/restarts.rs
@@ -5,8 +5,8 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Evacuations, Fence, Incarnation, InstanceId, Part, Process, Stage, Time,
-    WallMs,
+    DataCentreId, Evacuations, Fence, FleetHeartbeat, Incarnation, InstanceId, Process,
+    ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
 
@@ -22,7 +22,7 @@
 fn entry() -> Member {
     let config = MemberConfig {
         me: process(1, 1),
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: DC,
         dcs: BTreeSet::from([DC]),
         shard_size: 32,
@@ -31,20 +31,20 @@
     Member::new(config, Time(0), WallMs(1_700_000_000_000))
 }
 
-fn beat(version: u64, sent: u64) -> Beat {
-    Beat {
-        part: Part::Keeper,
+fn beat(version: u64, sent: u64) -> FleetHeartbeat {
+    FleetHeartbeat {
+        kind: ProcessKind::Keeper,
         dc: DC,
         stage: Stage::Ready,
-        holdings: Vec::new(),
+        owned_domains: Vec::new(),
         fence: Fence::default(),
         version,
         evacuations: Evacuations::default(),
         shards: 1,
         sent: Time(sent),
         echo: None,
-        every: 100,
-        wants: false,
+        interval_ms: 100,
+        wants_frequent: false,
         probe: false,
     }
 }
@@ -72,5 +72,5 @@
     );
     assert!(out.contains(&Output::NewPeer(present)), "{out:#?}");
     let view = entry.peers().get(InstanceId(2)).expect("a known peer");
-    assert_eq!((view.process, view.beat.version), (present, 6));
+    assert_eq!((view.process, view.heartbeat.version), (present, 6));
 }
--- a/crates/celerywinch_node/src/core.rs
+++ b/crates/celerywinch_node/src/core.rs
@@ -151,18 +151,23 @@
         let peers = self.entry.peers().iter().map(|(id, peer)| PeerLine {
             instance: id.0,
             state: peer_state(peer.state).into(),
-            hears_us: peer.hears,
+            hears_us: peer.receives,
             catalogue_version: peer.catalogue,
-            heard_ms_ago: u64::try_from(now.since(peer.heard).as_millis()).unwrap_or(0),
+            heard_ms_ago: u64::try_from(now.since(peer.last_contact).as_millis()).unwrap_or(0),
             round_trip_us: peer
                 .round_trip
                 .and_then(|span| u64::try_from(span.as_micros()).ok()),
         });
         let endpoints = self.entry.endpoints().iter().map(|known| EndpointLine {
-            addr: known.note.addr,
-            incarnation: known.note.incarnation,
-            state: known.note.state,
-            kinds: known.note.kinds.iter().map(ToString::to_string).collect(),
+            addr: known.announcement.addr,
+            incarnation: known.announcement.incarnation,
+            state: known.announcement.state,
+            kinds: known
+                .announcement
+                .kinds
+                .iter()
+                .map(ToString::to_string)
+                .collect(),
         });
         StatusPage {
             at: self.shared.me,
--- a/crates/celerywinch_origin/src/lost.rs
+++ b/crates/celerywinch_origin/src/lost.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use celerywinch_types::{Doubt, InstanceId, JobEnd, JobId, TaskId, Time, WorkMsg};
+use celerywinch_types::{InstanceId, JobEnd, JobId, PriorRuns, TaskId, Time, WorkMsg};
 
 use crate::JobEvent;
 use crate::job::{Place, Trace};
@@ -34,7 +34,13 @@
 
     pub(crate) fn tell(self, last: u32, out: &mut Vec<Output>) {
         for (at, tasks) in self.tasks {
-            out.push(Output::Send(at, WorkMsg::Drop { tasks, last }));
+            out.push(Output::Send(
+                at,
+                WorkMsg::Drop {
+                    tasks,
+                    last_submission: last,
+                },
+            ));
         }
     }
 }
@@ -59,7 +65,7 @@
                 let hand = self.hands;
                 let orders = here.map(|((_, index), task)| {
                     task.hand = hand;
-                    task.order(*index, Doubt::Open)
+                    task.order(*index, PriorRuns::Unknown)
                 });
                 let orders = orders.collect();
                 let mut order = job.order(now, step, orders);
@@ -91,7 +97,7 @@
         self.sessions.entry(peer).or_default().0 += 1;
         let trace = Trace {
             domains: self.held.get(&peer).cloned().unwrap_or_default(),
-            doubt: Doubt::Open,
+            doubt: PriorRuns::Unknown,
             since: now,
             at: Some(peer),
         };
--- a/crates/celerywinch_origin/tests/hand_in.rs
+++ b/crates/celerywinch_origin/tests/hand_in.rs
@@ -4,8 +4,8 @@
 
 use celerywinch_origin::{CallerId, Holder, Input, NewJob, Origin, Output};
 use celerywinch_types::{
-    DataCentreId, Domain, Doubt, InstanceId, JobEnd, JobId, JobPlan, Load, Queue, Room, RunNumber,
-    StepOrder, StepPlan, TaskEnd, TaskId, TaskNews, Time, Without, WorkMsg,
+    DataCentreId, DisabledMechanisms, Domain, InstanceId, JobEnd, JobId, JobPlan, Load, PriorRuns,
+    Queue, Resources, RunNumber, StepOrder, StepPlan, TaskEnd, TaskId, TaskReport, Time, WorkMsg,
 };
 use rstest::rstest;
 
@@ -45,7 +45,7 @@
             spec: String::new(),
             steps: vec![StepPlan {
                 count: tasks,
-                need: Room::default(),
+                need: Resources::default(),
                 estimate: 200,
                 after: Vec::new(),
                 label: None,
@@ -71,7 +71,7 @@
     /// With a job of so many tasks, and dispatchers that have this much room each.
     fn new(tasks: u16, rooms: &[u32]) -> Self {
         let mut rig = Self {
-            origin: Origin::new(DC, Without::default()),
+            origin: Origin::new(DC, DisabledMechanisms::default()),
             now: Time(1_000_000),
             sent: Vec::new(),
             dropped: Vec::new(),
@@ -93,7 +93,7 @@
             match output {
                 Output::Send(to, WorkMsg::Submit(order)) => self.sent.push((to, order)),
                 Output::Send(to, WorkMsg::Drop { tasks, .. }) => self.dropped.push((to, tasks)),
-                Output::Send(_, msg @ WorkMsg::Named { .. }) => self.named.push(msg),
+                Output::Send(_, msg @ WorkMsg::ResyncDone { .. }) => self.named.push(msg),
                 Output::Answer(_, end) => self.answers.push(end),
                 Output::Send(..) | Output::Event(_) => {}
             }
@@ -108,13 +108,13 @@
     fn tell(&mut self, from: InstanceId, order: &StepOrder, indices: &[u16], end: TaskEnd) {
         let tasks = order.tasks.iter();
         let tasks = tasks.filter(|task| indices.contains(&task.index));
-        let news = tasks.map(|task| TaskNews {
+        let news = tasks.map(|task| TaskReport {
             task: TaskId {
                 job: JOB,
                 step: 0,
                 index: task.index,
             },
-            hand: task.hand,
+            submission: task.submission,
             end,
         });
         let news = news.collect();
@@ -128,13 +128,16 @@
 #[rstest]
 #[case::full(TaskEnd::Full)]
 #[case::returned(TaskEnd::Returned { at: None, failures: 0, run: RunNumber(1_000) })]
-#[case::doubtful(TaskEnd::Doubtful)]
+#[case::doubtful(TaskEnd::Undetermined)]
 fn what_was_given_back_before_it_was_named_again_stays(#[case] end: TaskEnd) {
     let mut rig = Rig::new(1, &[5, 5]);
     let (first, order) = rig.last();
     rig.take(Input::LinkReset(first));
     let (again, named) = rig.last();
-    assert_eq!((again, named.tasks[0].doubt), (first, Doubt::Open));
+    assert_eq!(
+        (again, named.tasks[0].prior_runs),
+        (first, PriorRuns::Unknown)
+    );
     let sent = rig.sent.len();
     rig.tell(first, &order, &[0], end);
     assert_eq!(rig.sent.len(), sent, "{:?}", rig.last());
@@ -142,7 +145,7 @@
     rig.tell(first, &named, &[0], TaskEnd::Full);
     let (other, order) = rig.last();
     assert_ne!(other, first);
-    assert_eq!(order.tasks[0].doubt, Doubt::None);
+    assert_eq!(order.tasks[0].prior_runs, PriorRuns::None);
 }
 
 /// A caller is refused though there is room: the dispatcher that its job went to had some when it
@@ -154,13 +157,13 @@
     let mut tried = Vec::new();
     for _ in 0..3 {
         let (to, order) = rig.last();
-        assert!(order.pass && order.fresh, "{order:?}");
+        assert!(order.no_wait && order.refusable, "{order:?}");
         assert!(!tried.contains(&to));
         tried.push(to);
         rig.tell(to, &order, &[0, 1], TaskEnd::Full);
     }
     let (to, order) = rig.last();
-    assert!(!order.pass && order.fresh, "{order:?}");
+    assert!(!order.no_wait && order.refusable, "{order:?}");
     rig.tell(to, &order, &[0], TaskEnd::Refused(100));
     assert_eq!(rig.answers, [JobEnd::Refused(100)]);
 }
@@ -202,7 +205,7 @@
     rig.tell(to, &order, &[1], TaskEnd::Full);
     let (other, order) = rig.last();
     assert_ne!(other, to);
-    assert!(!order.fresh, "{order:?}");
+    assert!(!order.refusable, "{order:?}");
     let indices: Vec<u16> = order.tasks.iter().map(|task| task.index).collect();
     assert_eq!(indices, [1]);
 }
@@ -211,7 +214,7 @@
 #[test]
 fn only_dispatcher_keeps_what_has_no_room() {
     let rig = Rig::new(2, &[5]);
-    assert!(!rig.last().1.pass);
+    assert!(!rig.last().1.no_wait);
 }
 
 /// A task runs twice: its dispatcher was not heard for a moment and has it still, though it no longer
@@ -281,7 +284,7 @@
     let mut rig = Rig::new(1, &[5]);
     let (to, _) = rig.last();
     rig.take(Input::Work(to, WorkMsg::Resync(7)));
-    let named = |unsure| WorkMsg::Named { ask: 7, unsure };
+    let named = |unsure| WorkMsg::ResyncDone { request: 7, unsure };
     assert_eq!(rig.sent.len(), 2);
     assert_eq!(rig.named, [named(Vec::new())]);
     rig.take(Input::PeerLost(to));
@@ -327,7 +330,7 @@
     rig.take(Input::Holders(vec![successor]));
     let (_, again) = rig.last();
     // Its dispatcher left tasks in doubt alone, each time by a step that is not told.
-    let used = order.tasks[0].run.past_unheard().past_unheard();
+    let used = order.tasks[0].run.past_unreported().past_unreported();
     assert!(again.tasks[0].run > used, "{again:?}");
 }
 
@@ -350,13 +353,16 @@
     };
     rig.take(Input::Holders(vec![successor]));
     let (to, order) = rig.last();
-    assert_eq!((to, order.tasks[0].doubt), (InstanceId(7), Doubt::Last));
+    assert_eq!(
+        (to, order.tasks[0].prior_runs),
+        (InstanceId(7), PriorRuns::Last)
+    );
     rig.take(Input::LinkReset(to));
     let (_, named) = rig.last();
-    rig.tell(to, &named, &[0], TaskEnd::Doubtful);
+    rig.tell(to, &named, &[0], TaskEnd::Undetermined);
     rig.take(Input::Holders(vec![holder(first.0, 5)]));
     let (_, order) = rig.last();
-    assert_eq!(order.tasks[0].doubt, Doubt::Open);
+    assert_eq!(order.tasks[0].prior_runs, PriorRuns::Unknown);
     assert!(order.tasks[0].run > RunNumber(1_002));
 }
 
--- a/crates/celerywinch_pool/src/crashes.rs
+++ b/crates/celerywinch_pool/src/crashes.rs
@@ -15,7 +15,7 @@
 
 use celerywinch_types::{Crashes, Incarnation, TaskEnd, TaskId, Time, WorkMsg};
 
-use crate::Note;
+use crate::PoolEvent;
 use crate::job::{Batch, BatchKey, TaskState};
 use crate::pool::{Output, Pool};
 use crate::results::SILENT_AFTER_MISSES;
@@ -75,7 +75,7 @@
         let due = |run: &&Run| run.probe && now.since(run.started) >= MIN_PROBE_TIME;
         let not_passed = |run: &&Run| {
             let batch = run.batch.and_then(|key| self.batches.get(key));
-            batch.is_some_and(|batch| !batch.proved)
+            batch.is_some_and(|batch| !batch.probe_passed)
         };
         let runs = self.runs.values().filter(due).filter(not_passed);
         let workers: BTreeSet<_> = runs.map(|run| run.worker).collect();
@@ -87,7 +87,7 @@
     /// Records a run whose worker did not answer until the lease expired.
     pub(crate) fn lease_expired_with(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
         let note = &self.workers[run.worker].note;
-        let incarnation = note.said.incarnation;
+        let incarnation = note.version.incarnation;
         let silent = self.crashes.silent_workers.entry(note.id.clone());
         let silent = silent.or_insert_with(|| SilentWorker {
             incarnation,
@@ -100,7 +100,7 @@
         }
         silent.at = now;
         silent.tasks.push(run.task);
-        self.count_crash(now, run.task, out, Crashes::suspect);
+        self.count_crash(now, run.task, out, Crashes::record_suspected);
     }
 
     /// Records that an incarnation of a worker has ended: the tasks that it had when it stopped answering may have
@@ -109,18 +109,20 @@
         let Some(silent) = self.crashes.silent_workers.remove(&worker.note.id) else {
             return;
         };
-        if silent.incarnation != worker.note.said.incarnation {
+        if silent.incarnation != worker.note.version.incarnation {
             return;
         }
         for task in silent.tasks {
-            self.count_crash(now, task, out, |crashes| crashes.prove(true));
+            self.count_crash(now, task, out, |crashes| crashes.record_confirmed(true));
         }
     }
 
     /// Records a run that was on a worker when its incarnation ended, unless the worker had accepted a stop of the run.
     pub(crate) fn crashed_with(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
         if !run.stop_accepted {
-            self.count_crash(now, run.task, out, |crashes| crashes.prove(false));
+            self.count_crash(now, run.task, out, |crashes| {
+                crashes.record_confirmed(false)
+            });
         }
     }
 
@@ -133,7 +135,7 @@
     ) {
         for (task, crashes) in reported {
             let known = self.crashes.tasks.entry(task).or_default();
-            let merged = known.0.with(crashes);
+            let merged = known.0.merge(crashes);
             *known = (merged, now);
             self.apply_crashes(now, task, merged, out);
         }
@@ -150,26 +152,26 @@
         count(&mut known.0);
         known.1 = now;
         let crashes = known.0;
-        out.push(Output::Note(Note::Crashed { task, crashes }));
+        out.push(Output::Event(PoolEvent::Crashed { task, crashes }));
         out.push(Output::Crashed(task, crashes));
         self.apply_crashes(now, task, crashes, out);
     }
 
     /// Acts on the known crashes of a task.
     fn apply_crashes(&mut self, now: Time, task: TaskId, crashes: Crashes, out: &mut Vec<Output>) {
-        let batch = self.jobs.get(&(task.job, task.step)).copied();
+        let batch = self.batch_keys.get(&(task.job, task.step)).copied();
         let Some(key) = batch else {
             return;
         };
         let batch = &mut self.batches[key];
         let mut waiting = false;
         if let Some(task) = batch.tasks.get_mut(&task.index) {
-            task.crashes = task.crashes.with(crashes);
+            task.crashes = task.crashes.merge(crashes);
             waiting = task.state == TaskState::Waiting;
         }
         let queue = batch.order.queue.clone();
         let origin = batch.origin;
-        if crashes.are_many() {
+        if crashes.is_likely_cause() {
             self.require_probe(now, queue, out);
         }
         out.push(Output::Send(origin, WorkMsg::Crashed(task, crashes)));
@@ -193,12 +195,12 @@
     /// Returns whether a step seems to crash its workers: the worker of its probe is silent, or all workers that have
     /// its tasks are silent and there are several of them.
     fn is_suspect(&self, key: BatchKey) -> bool {
-        let Some(batch) = self.batches.get(key).filter(|batch| !batch.proved) else {
+        let Some(batch) = self.batches.get(key).filter(|batch| !batch.probe_passed) else {
             return false;
         };
         let runs = batch.tasks.values().filter_map(|task| match task.state {
             TaskState::Running(run) => Some(&self.runs[run]),
-            TaskState::Waiting | TaskState::Limbo(_) => None,
+            TaskState::Waiting | TaskState::MaybeRunning(_) => None,
         });
         let silent = |run: &Run| self.workers[run.worker].missed_calls >= SILENT_AFTER_MISSES;
         let (silent, others): (Vec<&Run>, Vec<&Run>) = runs.partition(|run| silent(run));
@@ -210,16 +212,20 @@
     fn give_up_suspect_batch(&mut self, now: Time, key: BatchKey, out: &mut Vec<Output>) {
         let batch = &self.batches[key];
         let queue = batch.order.queue.clone();
-        let tasks: Vec<_> = batch.tasks.keys().map(|index| batch.id(*index)).collect();
+        let tasks: Vec<_> = batch
+            .tasks
+            .keys()
+            .map(|index| batch.task_id(*index))
+            .collect();
         self.require_probe(now, queue, out);
         for task in tasks {
-            self.count_crash(now, task, out, Crashes::condemn);
+            self.count_crash(now, task, out, Crashes::raise_to_limit);
         }
         self.give_up_batch(now, key, out);
     }
 
     fn require_probe(&mut self, now: Time, queue: String, out: &mut Vec<Output>) {
-        out.push(Output::Careful(queue.clone()));
+        out.push(Output::ProbeQueue(queue.clone()));
         self.crashes.probe_until.insert(queue, now + PROBE_PERIOD);
     }
 
@@ -230,14 +236,14 @@
 
     /// Gives up all tasks of a batch and stops its runs.
     fn give_up_batch(&mut self, now: Time, key: BatchKey, out: &mut Vec<Output>) {
-        self.unqueue(key);
+        self.dequeue(key);
         let tasks = self.batches[key].tasks.iter();
         let tasks: Vec<_> = tasks.map(|(index, task)| (*index, *task)).collect();
         for (index, task) in tasks {
-            let id = self.batches[key].id(index);
+            let id = self.batches[key].task_id(index);
             let crashes = task.crashes;
-            out.push(Output::Note(Note::GivenUp { task: id, crashes }));
-            self.finish(now, key, index, TaskEnd::GivenUp);
+            out.push(Output::Event(PoolEvent::GivenUp { task: id, crashes }));
+            self.finish_task(now, key, index, TaskEnd::GivenUp);
             if let TaskState::Running(run_key) = task.state
                 && let Some(run) = self.runs.get_mut(run_key)
             {
@@ -256,24 +262,24 @@
         out: &mut Vec<Output>,
     ) -> bool {
         let batch = &self.batches[key];
-        let id = batch.id(index);
+        let id = batch.task_id(index);
         let Some(task) = batch.tasks.get(&index) else {
             return false;
         };
         let crashes = task.crashes;
-        if !crashes.suffice() {
+        if !crashes.reaches_limit() {
             return false;
         }
-        out.push(Output::Note(Note::GivenUp { task: id, crashes }));
-        self.unqueue(key);
-        self.finish(now, key, index, TaskEnd::GivenUp);
+        out.push(Output::Event(PoolEvent::GivenUp { task: id, crashes }));
+        self.dequeue(key);
+        self.finish_task(now, key, index, TaskEnd::GivenUp);
         self.requeue(key);
         true
     }
 
     /// Returns whether a batch is to start with a probe.
     pub(crate) fn needs_probe(&self, batch: &Batch) -> bool {
-        !batch.proved && self.crashes.probe_until.contains_key(&batch.order.queue)
+        !batch.probe_passed && self.crashes.probe_until.contains_key(&batch.order.queue)
     }
 
     /// Returns whether a task that may have crashed a worker would share `worker` with another such task.
@@ -300,8 +306,8 @@
             .get(key)
             .is_some_and(|batch| self.needs_probe(batch));
         if let Some(batch) = self.batches.get_mut(key) {
-            batch.proved = true;
-            let passes = needs_probe && batch.order.pass;
+            batch.probe_passed = true;
+            let passes = needs_probe && batch.order.no_wait;
             self.passing.extend(passes.then_some(key));
         }
     }
--- a/crates/celerywinch_pool/src/incarnations.rs
+++ b/crates/celerywinch_pool/src/incarnations.rs
@@ -6,27 +6,29 @@
 
 use std::collections::BTreeMap;
 
-use celerywinch_types::{Incarnation, MOST_LIVES, Said, Time, WorkerNote, WorkerStage};
+use celerywinch_types::{
+    AnnouncementVersion, Incarnation, MAX_INCARNATIONS, Time, WorkerAnnouncement, WorkerStage,
+};
 
 use crate::call::RunningRow;
 use crate::leases::Loss;
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, Run, RunKey};
 use crate::worker::WorkerKey;
-use crate::{Departure, Note};
+use crate::{Departure, PoolEvent};
 
 /// How many incarnations of a worker are retained besides the known one.
 const MAX_OTHER_INCARNATIONS: usize = 4;
 
 /// The last announcements of a worker's incarnations other than the known one.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct OtherIncarnations(BTreeMap<Incarnation, WorkerNote>);
+pub(crate) struct OtherIncarnations(BTreeMap<Incarnation, WorkerAnnouncement>);
 
 impl OtherIncarnations {
-    fn keep(&mut self, note: WorkerNote) {
-        let incarnation = note.said.incarnation;
+    fn keep(&mut self, note: WorkerAnnouncement) {
+        let incarnation = note.version.incarnation;
         let known = self.0.get(&incarnation);
-        if known.is_none_or(|known| known.said < note.said) {
+        if known.is_none_or(|known| known.version < note.version) {
             self.0.insert(incarnation, note);
         }
         while self.0.len() > MAX_OTHER_INCARNATIONS {
@@ -34,7 +36,7 @@
         }
     }
 
-    fn of(&self, incarnation: Incarnation) -> Option<WorkerNote> {
+    fn of(&self, incarnation: Incarnation) -> Option<WorkerAnnouncement> {
         self.0.get(&incarnation).cloned()
     }
 }
@@ -50,17 +52,17 @@
         &mut self,
         now: Time,
         key: WorkerKey,
-        note: WorkerNote,
+        note: WorkerAnnouncement,
         out: &mut Vec<Output>,
     ) {
         let Some(mut earlier) = self.workers.remove(key) else {
             return;
         };
         self.takeover.remove_worker(key);
-        self.forget_addr(earlier.note.addr);
-        out.push(Output::Note(Note::WorkerGone {
+        self.remove_addr(earlier.note.addr);
+        out.push(Output::Event(PoolEvent::WorkerGone {
             worker: note.id.clone(),
-            why: Departure::OtherLife,
+            why: Departure::OtherIncarnation,
             silent: now.since(earlier.last_contact).as_millis() as u32,
             runs: earlier.runs.len(),
         }));
@@ -82,20 +84,25 @@
             self.inherit_run(now, later, run, moved, out);
         }
         self.incarnation_ended(now, &earlier, out);
-        if restarts > MOST_LIVES {
-            out.push(Output::UsedUp(self.workers[later].domain));
+        if restarts > MAX_INCARNATIONS {
+            out.push(Output::TokenExhausted(self.workers[later].domain));
         }
     }
 
     /// Adds an unknown worker. If it was removed recently, because it had left or did not answer, a request to that
     /// incarnation may still be in flight and would be accepted under the same fencing token, so the restart count
     /// continues from there.
-    pub(crate) fn add_unknown(&mut self, now: Time, note: WorkerNote, out: &mut Vec<Output>) {
-        let forgotten = self.forgotten.remove(&note.id);
+    pub(crate) fn add_unknown(
+        &mut self,
+        now: Time,
+        note: WorkerAnnouncement,
+        out: &mut Vec<Output>,
+    ) {
+        let forgotten = self.removed.remove(&note.id);
         let restarts = forgotten.map_or(0, |(restarts, _)| restarts + 1);
         let key = self.add_worker(now, note, restarts, out);
-        if restarts > MOST_LIVES {
-            out.push(Output::UsedUp(self.workers[key].domain));
+        if restarts > MAX_INCARNATIONS {
+            out.push(Output::TokenExhausted(self.workers[key].domain));
         }
     }
 
@@ -112,9 +119,9 @@
         let note = worker
             .other_incarnations
             .of(incarnation)
-            .unwrap_or_else(|| WorkerNote {
+            .unwrap_or_else(|| WorkerAnnouncement {
                 stage: WorkerStage::Ready,
-                said: Said {
+                version: AnnouncementVersion {
                     incarnation,
                     sequence: 0,
                 },
@@ -129,7 +136,7 @@
     pub(crate) fn earlier_incarnation_announced(
         &mut self,
         key: WorkerKey,
-        note: WorkerNote,
+        note: WorkerAnnouncement,
         out: &mut Vec<Output>,
     ) {
         self.workers[key].other_incarnations.keep(note);
@@ -146,7 +153,7 @@
         moved: bool,
         out: &mut Vec<Output>,
     ) {
-        let lease_bound = now + self.config.limbo;
+        let lease_bound = now + self.config.doubt_timeout;
         let Some(run) = self.runs.get_mut(key) else {
             return;
         };
@@ -156,7 +163,7 @@
         let need = run.need;
         let worker = &mut self.workers[later];
         worker.runs.push(key);
-        worker.used = worker.used.plus(need);
+        worker.used = worker.used.saturating_add(need);
         worker.lease = worker.lease.max(lease_bound);
         if moved {
             self.lose_inherited_run(now, key, out);
@@ -192,7 +199,7 @@
                 self.lose_inherited_run(now, run, out);
                 continue;
             }
-            self.set_phase(run, Phase::Running(self.inputs));
+            self.set_phase(run, Phase::Running(self.input_count));
             if batch.is_none() {
                 self.stop_run(now, run, out);
             }
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -8,7 +8,7 @@
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, RunKey};
 use crate::worker::{Ownership, WorkerKey};
-use crate::{Departure, Note};
+use crate::{Departure, PoolEvent};
 
 /// A run is late when its run time exceeds `LATE_FACTOR` times the expected run time plus `LATE_MARGIN`.
 const LATE_FACTOR: f64 = 2.5;
@@ -85,7 +85,7 @@
         }
         let cursor = worker.cursor;
         worker.next_poll = Time::NEVER;
-        let input = self.inputs;
+        let input = self.input_count;
         let context = PollContext { input, cursor };
         let wait = if waits { self.poll_wait(now, key) } else { 0 };
         let request = Request::Poll {
@@ -109,7 +109,7 @@
         let remaining =
             runs.map(|run| (run.started + run.expected.mul_f64(WAIT_FACTOR)).since(now));
         let first = remaining.min().unwrap_or_default();
-        let wait = first.max(self.config.least_wait).min(self.config.look_wait);
+        let wait = first.max(self.config.min_wait).min(self.config.poll_wait);
         wait.as_millis() as u32
     }
 
@@ -119,7 +119,7 @@
     /// discard its work. Waiting for the next long poll takes up to 150 ms, which the task may not have, and the worker
     /// gets no tasks meanwhile.
     pub(crate) fn short_poll(&mut self, key: WorkerKey, out: &mut Vec<Output>) {
-        let input = self.inputs;
+        let input = self.input_count;
         let Some(worker) = self.workers.get(key) else {
             return;
         };
@@ -150,9 +150,9 @@
             if worker.missed_calls > 0 && worker.lease <= now && !worker.runs.is_empty() {
                 self.expire_lease(now, key, out);
             }
-            if self.workers[key].is_lost(now, self.config.forget) {
+            if self.workers[key].is_lost(now, self.config.remove_after) {
                 self.remove_worker(now, key, Departure::Silent, out);
-            } else if !self.forget_if_left(now, key, out) {
+            } else if !self.remove_if_left(now, key, out) {
                 self.poll(now, key, out);
             }
         }
@@ -161,7 +161,7 @@
     /// Polls the worker of a domain with the most recent contact, unless one has answered within `PoolConfig::quiet`.
     /// If it does not answer, the next calls try the others in turn until the domain counts as unreachable.
     pub(crate) fn check_reachable(&mut self, now: Time, domain: Domain, out: &mut Vec<Output>) {
-        if self.reaches(now, domain, self.config.quiet) {
+        if self.is_reachable(now, domain, self.config.reach_window) {
             return;
         }
         let there = self.workers.iter().filter(|(_, w)| w.domain == domain);
@@ -191,10 +191,10 @@
     }
 
     pub(crate) fn lose_run(&mut self, now: Time, key: RunKey, loss: Loss, out: &mut Vec<Output>) {
-        let Some(run) = self.release(key) else {
+        let Some(run) = self.remove_run(key) else {
             return;
         };
-        out.push(Output::Note(Note::RunEnded {
+        out.push(Output::Event(PoolEvent::RunEnded {
             task: run.task,
             run: run.number,
             worker: self.workers[run.worker].note.id.clone(),
@@ -209,7 +209,7 @@
         if let Some(batch) = run.batch
             && !self.give_up(now, batch, run.task.index, out)
         {
-            self.back_to_queue(batch, run.task.index, run.number);
+            self.requeue_task(batch, run.task.index, run.number);
         }
     }
 
@@ -228,27 +228,27 @@
         let addr = worker.note.addr;
         let runs = worker.runs.clone();
         let stage = worker.note.stage;
-        out.push(Output::Note(Note::WorkerGone {
+        out.push(Output::Event(PoolEvent::WorkerGone {
             worker: id.clone(),
             why,
             silent: now.since(worker.last_contact).as_millis() as u32,
             runs: runs.len(),
         }));
         let loss = match why {
-            Departure::OtherLife if stage == WorkerStage::Ready => Loss::Crashed,
-            Departure::OtherLife | Departure::Left | Departure::Silent => Loss::Left,
+            Departure::OtherIncarnation if stage == WorkerStage::Ready => Loss::Crashed,
+            Departure::OtherIncarnation | Departure::Left | Departure::Silent => Loss::Left,
         };
         for run in runs {
             self.lose_run(now, run, loss, out);
         }
         if let Some(worker) = self.workers.remove(key) {
-            self.forgotten.insert(id.clone(), (worker.restarts, now));
-            if why == Departure::OtherLife {
+            self.removed.insert(id.clone(), (worker.restarts, now));
+            if why == Departure::OtherIncarnation {
                 self.incarnation_ended(now, &worker, out);
             }
         }
-        self.names.remove(&id);
-        self.forget_addr(addr);
+        self.worker_ids.remove(&id);
+        self.remove_addr(addr);
         self.takeover.remove_worker(key);
     }
 
@@ -277,7 +277,7 @@
         let run = self.runs[key];
         let took = now.since(run.started);
         let late = run.expected.mul_f64(LATE_FACTOR) + LATE_MARGIN;
-        let not_moved = self.config.without.lacks(Mechanism::Moving);
+        let not_moved = self.config.disabled.contains(Mechanism::Moving);
         if run.stopping || took < late || not_moved {
             return;
         }
@@ -295,15 +295,15 @@
         }
         let usual = usual.as_secs_f64().max(1e-3);
         let worker = &mut self.workers[run.worker];
-        if !self.config.without.lacks(Mechanism::Pace) {
+        if !self.config.disabled.contains(Mechanism::Pace) {
             worker.learn_pace(took.as_secs_f64() / done / usual);
         }
-        let quarantine = !self.config.without.lacks(Mechanism::Probation);
+        let quarantine = !self.config.disabled.contains(Mechanism::Probation);
         if quarantine && (worker.pace > SLOW_PACE || percent == 0) {
-            worker.quarantined_until = now + self.config.aside;
+            worker.quarantined_until = now + self.config.quarantine;
             worker.probation = true;
         }
-        out.push(Output::Note(Note::Moved {
+        out.push(Output::Event(PoolEvent::Moved {
             task: run.task,
             worker: worker.note.id.clone(),
             took: took.as_millis() as u32,
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -2,7 +2,7 @@
 
 use celerywinch_types::{Mechanism, RunNumber, Time};
 
-use crate::Note;
+use crate::PoolEvent;
 use crate::call::{CallPurpose, Request};
 use crate::job::{Batch, BatchKey, Task, TaskState};
 use crate::pool::{Output, Pool};
@@ -26,7 +26,7 @@
 impl Pool {
     /// Starts what fits, in the order of the queue. A batch that finds no room does not hold up
     /// smaller ones behind it.
-    pub(crate) fn place(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(crate) fn place_tasks(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.queue.is_empty() {
             return;
         }
@@ -46,7 +46,7 @@
 
     /// Starts the waiting tasks of a batch; false if there was no room for one.
     fn place_batch(&mut self, now: Time, key: BatchKey, out: &mut Vec<Output>) -> bool {
-        self.unqueue(key);
+        self.dequeue(key);
         let batch = &self.batches[key];
         let ready = |task: &Task| {
             task.state == TaskState::Waiting && self.may_start(now, batch.origin, task)
@@ -77,12 +77,12 @@
         let task = &batch.tasks[&index];
         let workers = self.workers.iter();
         let fitting = workers.filter(|(key, worker)| {
-            self.takes(now, worker)
+            self.accepts_tasks(now, worker)
                 && self.suits(batch, *key, worker)
                 && !self.has_suspended(now, worker)
                 && !self.shares_with_suspect(task.crashes, worker)
         });
-        let packs = !self.config.without.lacks(Mechanism::Packing);
+        let packs = !self.config.disabled.contains(Mechanism::Packing);
         let careful = self.needs_probe(batch);
         let cost = |key: WorkerKey, worker: &Worker| {
             let shared = PROBE_COST * self.shared_with_probes(worker, careful) as f64;
@@ -97,7 +97,8 @@
     /// is, with that only. A dispatcher of all workers has no part of the load that would stay, and what may end its worker
     /// is better kept away from the rest.
     fn away(&self, worker: &Worker, careful: bool) -> f64 {
-        let stays = self.shards > 1 && !careful && !self.config.without.lacks(Mechanism::Locality);
+        let stays =
+            self.shards > 1 && !careful && !self.config.disabled.contains(Mechanism::Locality);
         let elsewhere = self.config.dc.is_some_and(|dc| dc != worker.note.dc);
         if stays && elsewhere { AWAY_COST } else { 0.0 }
     }
@@ -110,7 +111,7 @@
         }
         let unproved = |run: &&Run| {
             let batch = run.batch.and_then(|key| self.batches.get(key));
-            run.probe && batch.is_none_or(|batch| !batch.proved)
+            run.probe && batch.is_none_or(|batch| !batch.probe_passed)
         };
         runs.by_ref().filter(unproved).count()
     }
@@ -160,7 +161,7 @@
         let batch = &self.batches[key];
         let task = batch.tasks[&index];
         let run = Run {
-            task: batch.id(index),
+            task: batch.task_id(index),
             batch: Some(key),
             worker: worker_key,
             number: RunNumber(task.run.0 + 1),
@@ -180,16 +181,16 @@
             spec: batch.order.spec.clone(),
             deadline,
         };
-        out.push(Output::Note(Note::Started {
+        out.push(Output::Event(PoolEvent::Started {
             task: run.task,
             run: run.number,
             worker: self.workers[worker_key].note.id.clone(),
             expected: run.expected.as_millis() as u32,
         }));
         let number = run.number;
-        let run_key = self.occupy(run);
+        let run_key = self.add_run(run);
         let batch = &mut self.batches[key];
-        batch.begun = true;
+        batch.started = true;
         if let Some(task) = batch.tasks.get_mut(&index) {
             task.state = TaskState::Running(run_key);
             task.run = number;
@@ -209,14 +210,14 @@
 
 /// Less is better: what is left empty on the worker, and how long the task would take there.
 fn cost(batch: &Batch, task: &Task, key: WorkerKey, worker: &Worker, packs: bool) -> f64 {
-    let left = worker.free().less(batch.order.need).cpu;
+    let left = worker.free().saturating_sub(batch.order.need).cpu;
     let empty = if packs {
-        f64::from(left) / f64::from(worker.note.room.cpu.max(1))
+        f64::from(left) / f64::from(worker.note.capacity.cpu.max(1))
     } else {
         0.0
     };
     let pace = worker.pace * distance(batch, worker);
-    let avoid = if task.avoid == Some(key) {
+    let avoid = if task.failed_on == Some(key) {
         AVOID_COST
     } else {
         0.0
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -9,7 +9,7 @@
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, Run, RunKey};
 use crate::worker::{Ownership, WorkerKey};
-use crate::{Departure, Note};
+use crate::{Departure, PoolEvent};
 
 /// Added to a run number that a worker rejects as stale: exceeds any number that an earlier origin can have used.
 const RUN_NUMBER_GAP: u64 = 1 << 20;
@@ -64,14 +64,14 @@
             if let Some(worker) = self.workers.get_mut(run.worker) {
                 worker.answer_times.record(now.since(run.started));
             }
-            self.answers.record(now.since(run.started));
+            self.answer_times.record(now.since(run.started));
         }
-        let confirmed = Phase::Running(self.inputs);
+        let confirmed = Phase::Running(self.input_count);
         match answer {
             Answer::Accepted(_) | Answer::Lists { .. } => self.set_phase(key, confirmed),
             Answer::Rejected(rejection, _) => self.start_rejected(now, key, run, rejection, out),
             Answer::OtherIncarnation => {
-                self.remove_worker(now, run.worker, Departure::OtherLife, out)
+                self.remove_worker(now, run.worker, Departure::OtherIncarnation, out)
             }
             Answer::ConnectionRefused => {
                 self.not_started(now, key, out);
@@ -103,26 +103,26 @@
         let worker = &mut self.workers[run.worker];
         match rejection {
             Rejection::StaleFence => {
-                out.push(Output::Outbid(worker.domain));
+                out.push(Output::Fenced(worker.domain));
                 // The run is left as it is: the domain is resigned, and the task goes to its new owner.
                 return;
             }
             Rejection::Unhealthy => {
-                worker.quarantined_until = now + self.config.aside;
+                worker.quarantined_until = now + self.config.quarantine;
                 worker.probation = true;
                 let why = "it says that it is not well";
                 let worker = worker.note.id.clone();
-                out.push(Output::Note(Note::WorkerAside { worker, why }));
+                out.push(Output::Event(PoolEvent::WorkerAside { worker, why }));
             }
             Rejection::NoCapacity => {
                 // The worker has more runs than are known here; the next poll lists them.
-                worker.quarantined_until = now + self.config.stop;
+                worker.quarantined_until = now + self.config.stop_delay;
                 worker.next_poll = now;
             }
             Rejection::Malformed => {
                 if let Some(batch) = run.batch {
-                    self.release(key);
-                    self.finish(now, batch, run.task.index, TaskEnd::Failed);
+                    self.remove_run(key);
+                    self.finish_task(now, batch, run.task.index, TaskEnd::Failed);
                 }
                 return;
             }
@@ -133,18 +133,18 @@
         } else {
             0
         };
-        self.release(key);
+        self.remove_run(key);
         if let Some(batch) = run.batch {
-            self.back_to_queue(batch, run.task.index, RunNumber(run.number.0 + gap));
+            self.requeue_task(batch, run.task.index, RunNumber(run.number.0 + gap));
         }
     }
 
     /// The request was never received, so the run did not start.
     fn not_started(&mut self, _now: Time, key: RunKey, _out: &mut Vec<Output>) {
-        if let Some(run) = self.release(key)
+        if let Some(run) = self.remove_run(key)
             && let Some(batch) = run.batch
         {
-            self.back_to_queue(batch, run.task.index, run.number);
+            self.requeue_task(batch, run.task.index, run.number);
         }
     }
 
@@ -160,7 +160,7 @@
         match answer {
             Answer::Accepted(_) | Answer::Lists { .. } => {
                 // If the run had not started, the worker refuses it from now on; otherwise its end is listed soon.
-                let confirmed = Phase::Running(self.inputs);
+                let confirmed = Phase::Running(self.input_count);
                 let mut unconfirmed = false;
                 if let Some(run) = self.runs.get_mut(key) {
                     run.stopping = true;
@@ -173,13 +173,15 @@
                 if unconfirmed {
                     self.short_poll(worker, out);
                 }
-                self.workers[worker].next_poll = now + self.config.stop;
+                self.workers[worker].next_poll = now + self.config.stop_delay;
                 self.poll(now, worker, out);
             }
-            Answer::OtherIncarnation => self.remove_worker(now, worker, Departure::OtherLife, out),
+            Answer::OtherIncarnation => {
+                self.remove_worker(now, worker, Departure::OtherIncarnation, out)
+            }
             Answer::Rejected(Rejection::StaleFence, _) => {
                 let domain = self.workers[worker].domain;
-                out.push(Output::Outbid(domain));
+                out.push(Output::Fenced(domain));
             }
             // Retried on the next tick until the lease expires.
             Answer::Rejected(..) | Answer::ConnectionRefused | Answer::NoAnswer => {
@@ -224,8 +226,10 @@
                     self.stop_unconfirmed_runs(now, out);
                 }
             }
-            Answer::Rejected(Rejection::StaleFence, _) => out.push(Output::Outbid(worker.domain)),
-            Answer::OtherIncarnation => self.remove_worker(now, key, Departure::OtherLife, out),
+            Answer::Rejected(Rejection::StaleFence, _) => out.push(Output::Fenced(worker.domain)),
+            Answer::OtherIncarnation => {
+                self.remove_worker(now, key, Departure::OtherIncarnation, out)
+            }
             Answer::Accepted(_)
             | Answer::Rejected(..)
             | Answer::ConnectionRefused
@@ -245,13 +249,13 @@
         let retry = if worker.missed_calls <= 2 && !worker.runs.is_empty() {
             std::time::Duration::ZERO
         } else {
-            self.config.retry
+            self.config.retry_delay
         };
         worker.next_poll = now + retry;
         if worker.missed_calls == SILENT_AFTER_MISSES {
             let looks = worker.missed_calls;
             let worker = worker.note.id.clone();
-            out.push(Output::Note(Note::WorkerSilent { worker, looks }));
+            out.push(Output::Event(PoolEvent::WorkerSilent { worker, looks }));
             self.suspect_runs(now, key, out);
         }
     }
@@ -283,9 +287,9 @@
         let worker = &mut self.workers[key];
         let idle = worker.runs.is_empty() && worker.foreign_runs == 0;
         worker.next_poll = if idle && worker.cursor > worker.acked_cursor {
-            now + self.config.tidy
+            now + self.config.ack_delay
         } else if idle {
-            now + worker.idle_interval(self.config.idle)
+            now + worker.idle_interval(self.config.idle_interval)
         } else {
             now
         };
@@ -308,7 +312,7 @@
     }
 
     fn run_ended(&mut self, now: Time, key: RunKey, end: RunEnd, out: &mut Vec<Output>) {
-        let Some(run) = self.release(key) else {
+        let Some(run) = self.remove_run(key) else {
             return;
         };
         self.note_end(now, &run, end, out);
@@ -319,10 +323,10 @@
             RunEnd::Done => {
                 self.mark_probe_passed(Some(batch));
                 self.record_run_time(now, &run, batch);
-                self.finish(now, batch, run.task.index, TaskEnd::Done);
+                self.finish_task(now, batch, run.task.index, TaskEnd::Done);
             }
             RunEnd::Failed => self.run_failed(now, &run, batch, out),
-            RunEnd::Interrupted => self.back_to_queue(batch, run.task.index, run.number),
+            RunEnd::Interrupted => self.requeue_task(batch, run.task.index, run.number),
         }
     }
 
@@ -332,7 +336,7 @@
             RunEnd::Failed => "failed",
             RunEnd::Interrupted => "cut",
         };
-        out.push(Output::Note(Note::RunEnded {
+        out.push(Output::Event(PoolEvent::RunEnded {
             task: run.task,
             run: run.number,
             worker: self.workers[run.worker].note.id.clone(),
@@ -350,12 +354,12 @@
             return;
         }
         let usual = run.expected.as_secs_f64() / worker.pace.max(f64::EPSILON);
-        let without = self.config.without;
-        if !without.lacks(Mechanism::Learning) {
-            self.times
+        let without = self.config.disabled;
+        if !without.contains(Mechanism::Learning) {
+            self.run_times
                 .learn(&order.queue, order.estimate, took.div_f64(worker.pace));
         }
-        if !without.lacks(Mechanism::Pace) {
+        if !without.contains(Mechanism::Pace) {
             worker.learn_pace(took.as_secs_f64() / usual.max(1e-3));
         }
     }
@@ -368,7 +372,7 @@
             return;
         };
         task.failures += 1;
-        let previous = task.avoid.replace(run.worker);
+        let previous = task.failed_on.replace(run.worker);
         let failures = task.failures;
         match previous {
             Some(other) if other != run.worker => {
@@ -379,25 +383,25 @@
             _ => self.record_worker_failure(now, run.worker, out),
         }
         if failures >= self.batches[batch].order.attempts {
-            self.finish(now, batch, index, TaskEnd::Failed);
+            self.finish_task(now, batch, index, TaskEnd::Failed);
         } else {
-            self.back_to_queue(batch, index, run.number);
+            self.requeue_task(batch, index, run.number);
         }
     }
 
     fn record_worker_failure(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let worker = &mut self.workers[key];
         worker.record_failure();
-        let quarantine = !self.config.without.lacks(Mechanism::Probation);
+        let quarantine = !self.config.disabled.contains(Mechanism::Probation);
         if quarantine
             && worker.failure_rate >= FAILURE_LIMIT
             && worker.note.stage == WorkerStage::Ready
         {
-            worker.quarantined_until = now + self.config.aside;
+            worker.quarantined_until = now + self.config.quarantine;
             worker.probation = true;
             let worker = worker.note.id.clone();
             let why = "it fails tasks";
-            out.push(Output::Note(Note::WorkerAside { worker, why }));
+            out.push(Output::Event(PoolEvent::WorkerAside { worker, why }));
         }
     }
 
@@ -423,7 +427,7 @@
             }
             (Some(_), Phase::Sent | Phase::Unconfirmed) => {
                 self.seen_running(now, &run);
-                self.set_phase(key, Phase::Running(self.inputs));
+                self.set_phase(key, Phase::Running(self.input_count));
             }
             // Confirmed before the poll was sent, and neither running nor ended: the run no longer exists.
             (None, Phase::Running(confirmed)) if confirmed <= context.input => {
--- a/crates/celerywinch_pool/src/times.rs
+++ b/crates/celerywinch_pool/src/run_times.rs
@@ -22,11 +22,11 @@
 
 /// The run times of all queues.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Times {
+pub(crate) struct RunTimes {
     queues: BTreeMap<String, QueueTimes>,
 }
 
-impl Times {
+impl RunTimes {
     /// What a task should take on a usual worker.
     ///
     /// Guesses differ from the truth by a factor that differs from job to job, and jobs differ from
@@ -47,7 +47,7 @@
         let learned = queues.map(|(name, times)| LearnedQueue {
             name: name.clone(),
             count: times.count as f32,
-            took: times.took as f32,
+            run_time: times.took as f32,
             bias: times.bias as f32,
         });
         learned.collect()
@@ -57,7 +57,7 @@
         for queue in queues {
             let times = QueueTimes {
                 count: queue.count.into(),
-                took: queue.took.into(),
+                took: queue.run_time.into(),
                 bias: queue.bias.into(),
             };
             self.queues.insert(queue.name, times);
--- a/crates/celerywinch_pool/src/sent_ends.rs
+++ b/crates/celerywinch_pool/src/sent_ends.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_types::{Doubt, InstanceId, TaskEnd, TaskNews, TaskOrder, Time};
+use celerywinch_types::{InstanceId, PriorRuns, TaskEnd, TaskOrder, TaskReport, Time};
 
 /// How long ends are retained, for origins that did not receive them.
 const RETENTION: Duration = Duration::from_secs(3);
@@ -12,7 +12,7 @@
 pub(crate) struct SentEnd {
     pub(crate) sent_at: Time,
     pub(crate) origin: InstanceId,
-    pub(crate) news: TaskNews,
+    pub(crate) news: TaskReport,
 }
 
 impl SentEnd {
@@ -27,10 +27,14 @@
     /// cannot have started since. If another dispatcher had it in between, it may be running there.
     pub(crate) fn answers_resubmission(&self, origin: InstanceId, order: &TaskOrder) -> bool {
         match self.news.end {
-            TaskEnd::Done | TaskEnd::Failed | TaskEnd::GivenUp => order.doubt != Doubt::None,
-            TaskEnd::Full => self.origin == origin && self.news.hand >= order.first,
+            TaskEnd::Done | TaskEnd::Failed | TaskEnd::GivenUp => {
+                order.prior_runs != PriorRuns::None
+            }
+            TaskEnd::Full => {
+                self.origin == origin && self.news.submission >= order.first_submission
+            }
             TaskEnd::Returned { .. }
-            | TaskEnd::Doubtful
+            | TaskEnd::Undetermined
             | TaskEnd::Refused(_)
             | TaskEnd::Superseded
             | TaskEnd::Unplaced => false,
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use celerywinch_types::{Domain, Doubt, Fence, Mechanism, RunNumber, TaskEnd, TaskId, Time};
+use celerywinch_types::{Domain, Fence, Mechanism, PriorRuns, RunNumber, TaskEnd, TaskId, Time};
 
-use crate::Note;
+use crate::PoolEvent;
 use crate::call::{CallPurpose, EndedRow, Request, RunEnd, RunningRow};
 use crate::job::{BatchKey, TaskState};
 use crate::pool::{Output, Pool};
@@ -45,11 +45,11 @@
         fence: Fence,
         out: &mut Vec<Output>,
     ) {
-        self.held.insert(domain, fence);
+        self.owned.insert(domain, fence);
         let here = |worker: &Worker| worker.domain == domain;
         let workers = self.workers.iter().filter(|(_, w)| here(w));
         let keys: Vec<_> = workers.map(|(key, _)| key).collect();
-        out.push(Output::Note(Note::Acquired {
+        out.push(Output::Event(PoolEvent::Acquired {
             domain,
             workers: keys.len(),
         }));
@@ -108,14 +108,14 @@
                 .max(Worker::foreign_lease_bound(now, self.config.lease));
         }
         worker.foreign_runs = running.len();
-        worker.next_poll = now + self.config.tidy;
-        out.push(Output::Note(Note::WorkerHeld {
+        worker.next_poll = now + self.config.ack_delay;
+        out.push(Output::Event(PoolEvent::WorkerHeld {
             worker: worker.note.id.clone(),
             found: running.len(),
         }));
         // Tasks that origins resubmitted before this poll was answered wait for its result.
         for row in &running {
-            if let Some(batch) = self.jobs.get(&(row.task.job, row.task.step)).copied() {
+            if let Some(batch) = self.batch_keys.get(&(row.task.job, row.task.step)).copied() {
                 self.settle(now, batch, row.task.index);
             }
         }
@@ -125,7 +125,7 @@
     /// earlier run must have ended.
     pub(crate) fn settle(&mut self, now: Time, key: BatchKey, index: u16) {
         let batch = &self.batches[key];
-        let id = batch.id(index);
+        let id = batch.task_id(index);
         let Some(task) = batch.tasks.get(&index).copied() else {
             return;
         };
@@ -138,17 +138,21 @@
             self.takeover.ends.remove(&id);
             return;
         }
-        let open = task.doubt == Doubt::Open;
+        let open = task.doubt == PriorRuns::Unknown;
         match self.takeover.foreign_runs.get(&id).copied() {
             Some(foreign)
                 if !foreign.stopped
                     && (open || foreign.run == task.run)
-                    && !self.config.without.lacks(Mechanism::Adoption) =>
+                    && !self.config.disabled.contains(Mechanism::Adoption) =>
             {
                 self.takeover.foreign_runs.remove(&id);
                 self.adopt_run(now, key, index, foreign);
             }
-            _ => self.set_task(key, index, TaskState::Limbo(now + self.config.limbo)),
+            _ => self.set_task(
+                key,
+                index,
+                TaskState::MaybeRunning(now + self.config.doubt_timeout),
+            ),
         }
     }
 
@@ -163,16 +167,16 @@
         end: RunEnd,
         run: RunNumber,
     ) -> bool {
-        let no_shortcuts = self.config.without.lacks(Mechanism::Shortcuts);
+        let no_shortcuts = self.config.disabled.contains(Mechanism::Shortcuts);
         let Some(task) = self.batches[key].tasks.get_mut(&index) else {
             return false;
         };
-        let last = task.doubt == Doubt::Last && run == task.run && !no_shortcuts;
+        let last = task.doubt == PriorRuns::Last && run == task.run && !no_shortcuts;
         match end {
-            RunEnd::Done => self.finish(now, key, index, TaskEnd::Done),
+            RunEnd::Done => self.finish_task(now, key, index, TaskEnd::Done),
             RunEnd::Failed | RunEnd::Interrupted if last => {
                 task.failures += u32::from(end == RunEnd::Failed);
-                self.back_to_queue(key, index, run);
+                self.requeue_task(key, index, run);
             }
             RunEnd::Failed | RunEnd::Interrupted => return false,
         }
@@ -182,22 +186,22 @@
     fn adopt_run(&mut self, now: Time, key: BatchKey, index: u16, foreign: ForeignRun) {
         let batch = &self.batches[key];
         let run = Run {
-            task: batch.id(index),
+            task: batch.task_id(index),
             batch: Some(key),
             worker: foreign.worker,
             number: foreign.run,
             need: batch.order.need,
             started: now,
             expected: batch.expected,
-            phase: Phase::Running(self.inputs),
+            phase: Phase::Running(self.input_count),
             suspect: batch.tasks[&index].crashes.is_suspect(),
             probe: false,
             adopted: true,
             stopping: false,
             stop_accepted: false,
         };
-        let run_key = self.occupy(run);
-        self.batches[key].begun = true;
+        let run_key = self.add_run(run);
+        self.batches[key].started = true;
         self.set_task(key, index, TaskState::Running(run_key));
         if let Some(task) = self.batches[key].tasks.get_mut(&index) {
             task.run = task.run.max(foreign.run);
@@ -208,7 +212,7 @@
     }
 
     pub(crate) fn set_task(&mut self, key: BatchKey, index: u16, state: TaskState) {
-        self.unqueue(key);
+        self.dequeue(key);
         if let Some(task) = self.batches[key].tasks.get_mut(&index) {
             task.state = state;
         }
@@ -228,10 +232,10 @@
             let worker = &mut self.workers[key];
             worker.foreign_runs = worker.foreign_runs.saturating_sub(1);
         }
-        let batch = self.jobs.get(&(row.task.job, row.task.step)).copied();
+        let batch = self.batch_keys.get(&(row.task.job, row.task.step)).copied();
         let doubtful = batch.is_some_and(|batch| {
             let task = self.batches[batch].tasks.get(&row.task.index);
-            task.is_some_and(|task| matches!(task.state, TaskState::Limbo(_)))
+            task.is_some_and(|task| matches!(task.state, TaskState::MaybeRunning(_)))
         });
         let settled = match batch {
             Some(batch) if doubtful => {
@@ -286,7 +290,7 @@
     }
 
     fn stop_foreign_runs(&mut self, now: Time, out: &mut Vec<Output>) {
-        let adopt = self.config.adopt;
+        let adopt = self.config.adopt_timeout;
         let mut unwanted = Vec::new();
         for (task, foreign) in &mut self.takeover.foreign_runs {
             if !foreign.stopped && now.since(foreign.found) >= adopt {
@@ -311,13 +315,13 @@
     fn release_doubtful(&mut self, now: Time) {
         let keys: Vec<_> = self.batches.keys().collect();
         for key in keys {
-            let over = |state: &TaskState| matches!(state, TaskState::Limbo(t) if *t <= now);
+            let over = |state: &TaskState| matches!(state, TaskState::MaybeRunning(t) if *t <= now);
             let batch = &self.batches[key];
             let tasks = batch.tasks.iter().filter(|(_, task)| over(&task.state));
             let due: Vec<u16> = tasks.map(|(index, _)| *index).collect();
             for index in due {
                 if let Some(task) = self.batches[key].tasks.get_mut(&index) {
-                    task.run = task.run.past_unheard();
+                    task.run = task.run.past_unreported();
                 }
                 self.set_task(key, index, TaskState::Waiting);
             }
@@ -327,7 +331,7 @@
     /// Resigns a domain. Tasks that may be running there are returned to their origins as unsure. Waiting tasks are
     /// returned too if no domain is owned any more.
     pub(crate) fn resign(&mut self, now: Time, domain: Domain, out: &mut Vec<Output>) {
-        self.held.remove(&domain);
+        self.owned.remove(&domain);
         let here = |worker: &Worker| worker.domain == domain;
         let workers = self.workers.iter().filter(|(_, w)| here(w));
         let keys: Vec<_> = workers.map(|(key, _)| key).collect();
@@ -344,10 +348,10 @@
             self.takeover.remove_worker(key);
             self.workers[key].reset();
         }
-        if self.held.is_empty() {
+        if self.owned.is_empty() {
             returned += self.return_queue(now);
         }
-        out.push(Output::Note(Note::Resigned {
+        out.push(Output::Event(PoolEvent::Resigned {
             domain,
             tasks: returned,
         }));
@@ -363,11 +367,11 @@
             failures: task.failures,
             run: task.run,
         };
-        self.finish(now, key, index, end);
+        self.finish_task(now, key, index, end);
     }
 
     fn return_unknown_run(&mut self, now: Time, key: BatchKey, index: u16) {
-        self.finish(now, key, index, TaskEnd::Doubtful);
+        self.finish_task(now, key, index, TaskEnd::Undetermined);
     }
 
     fn return_queue(&mut self, now: Time) -> usize {
@@ -384,7 +388,7 @@
                 match state {
                     TaskState::Waiting => self.return_task(now, key, index, None),
                     // The task may still be running somewhere, as when it was submitted; its origin knows since when.
-                    TaskState::Limbo(_) | TaskState::Running(_) => {
+                    TaskState::MaybeRunning(_) | TaskState::Running(_) => {
                         self.return_unknown_run(now, key, index);
                     }
                 }
--- a/crates/celerywinch_pool/src/worker.rs
+++ b/crates/celerywinch_pool/src/worker.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use celerywinch_types::{
-    Domain, Incarnation, Room, Time, WorkerClock, WorkerNote, WorkerStage, stable_hash,
+    Domain, Incarnation, Resources, Time, WorkerAnnouncement, WorkerClock, WorkerStage, stable_hash,
 };
 use slotmap::new_key_type;
 
 use crate::answer_times::AnswerTimes;
 use crate::call::{CallKey, PollKind};
-use crate::config::{CLOCK_ERROR, LEASE_MARGIN, OLDEST_READING};
+use crate::config::{LEASE_MARGIN, MAX_CLOCK_DRIFT, MAX_READING_AGE};
 use crate::incarnations::OtherIncarnations;
 use crate::leases::Loss;
 use crate::run::RunKey;
@@ -40,7 +40,7 @@
 /// A worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
-    pub(crate) note: WorkerNote,
+    pub(crate) note: WorkerAnnouncement,
     /// The last announcements of other incarnations. One of them may be the incarnation that is running.
     pub(crate) other_incarnations: OtherIncarnations,
     /// How the previous incarnation ended, if this dispatcher had one.
@@ -52,7 +52,7 @@
     pub(crate) restarts: u64,
     pub(crate) runs: Vec<RunKey>,
     /// The capacity used by its runs, including those whose end is not listed yet.
-    pub(crate) used: Room,
+    pub(crate) used: Resources,
     /// The number of runs of other dispatchers that were neither adopted nor seen to end.
     pub(crate) foreign_runs: usize,
     /// The serial number of the last end that was processed, and of the last one that was acknowledged to the worker.
@@ -88,10 +88,10 @@
 }
 
 impl Worker {
-    pub(crate) fn new(now: Time, note: WorkerNote, shards: u8) -> Self {
+    pub(crate) fn new(now: Time, note: WorkerAnnouncement, shards: u8) -> Self {
         Self {
             domain: domain_of(&note, shards),
-            used: Room::default(),
+            used: Resources::default(),
             note,
             other_incarnations: OtherIncarnations::default(),
             previous_loss: None,
@@ -123,7 +123,7 @@
         self.ownership = Ownership::None;
         self.restarts = 0;
         self.runs.clear();
-        self.used = Room::default();
+        self.used = Resources::default();
         self.foreign_runs = 0;
         self.cursor = 0;
         self.acked_cursor = 0;
@@ -141,7 +141,7 @@
 
     /// Returns whether an answer comes from another incarnation than the known one.
     pub(crate) fn is_other_incarnation(&self, incarnation: Incarnation) -> bool {
-        let known = self.note.said.incarnation;
+        let known = self.note.version.incarnation;
         known != Incarnation::default() && incarnation != known
     }
 
@@ -191,7 +191,7 @@
     /// old could last seconds longer than a successor waits for it, and the task would run on both.
     fn has_clock(&self, now: Time) -> bool {
         let read = self.clock.map(|(read, _)| now.since(read));
-        read.is_some_and(|age| age <= OLDEST_READING)
+        read.is_some_and(|age| age <= MAX_READING_AGE)
     }
 
     /// Returns the end of a lease that starts now, on the worker's clock, or none before the first reading.
@@ -205,20 +205,20 @@
     pub(crate) fn lease_bound(&self, now: Time, lease: Duration) -> Time {
         let read = self.clock.map_or(now, |(read, _)| read);
         // The worker's clock may have run slow since the reading, which may be older than the lease.
-        let drift = (now.since(read) + lease).mul_f64(CLOCK_ERROR);
+        let drift = (now.since(read) + lease).mul_f64(MAX_CLOCK_DRIFT);
         now + lease + drift + LEASE_MARGIN
     }
 
     /// Returns the latest time at which a lease that another dispatcher has requested by now can end.
     pub(crate) fn foreign_lease_bound(now: Time, lease: Duration) -> Time {
-        let drift = (OLDEST_READING + lease).mul_f64(CLOCK_ERROR);
+        let drift = (MAX_READING_AGE + lease).mul_f64(MAX_CLOCK_DRIFT);
         now + lease + drift + LEASE_MARGIN
     }
 
     /// Returns the free capacity. It is zero if the capacity has shrunk below what is in use: those runs continue, and
     /// new tasks wait.
-    pub(crate) fn free(&self) -> Room {
-        self.note.room.less(self.used)
+    pub(crate) fn free(&self) -> Resources {
+        self.note.capacity.saturating_sub(self.used)
     }
 
     /// Returns whether a new task may be sent to the worker.
@@ -259,7 +259,7 @@
 }
 
 /// Returns the domain of a worker, by a hash of its address, which stays the same over its incarnations.
-pub(crate) fn domain_of(note: &WorkerNote, shards: u8) -> Domain {
+pub(crate) fn domain_of(note: &WorkerAnnouncement, shards: u8) -> Domain {
     let hash = stable_hash(note.addr.to_string().as_bytes());
     Domain {
         dc: note.dc,
--- a/crates/celerywinch_pool/tests/crashes.rs
+++ b/crates/celerywinch_pool/tests/crashes.rs
@@ -6,10 +6,12 @@
 
 use celerywinch_pool::{Answer, Input};
 use celerywinch_types::{
-    Crashes, Doubt, Incarnation, JobId, Said, StepOrder, TaskEnd, TaskOrder, WorkMsg, WorkerNote,
-    WorkerStage,
+    AnnouncementVersion, Crashes, Incarnation, JobId, PriorRuns, StepOrder, TaskEnd, TaskOrder,
+    WorkMsg, WorkerAnnouncement, WorkerStage,
+};
+use rig::{
+    ORIGIN, Rig, clock, is_look, is_start, lists, lists_of, running_row, step, task, worker_note,
 };
-use rig::{ORIGIN, Rig, clock, is_look, is_start, lists, lists_of, note, row, step, task};
 use rstest::rstest;
 
 /// How the incarnation of a worker ends while it runs the task.
@@ -36,23 +38,26 @@
 fn rig(workers: u16) -> Rig {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     for index in 2..=workers {
-        rig.take(Input::Workers(vec![note(&format!("w{index}"), index)]));
-        let look = rig.last(is_look);
+        rig.handle(Input::Workers(vec![worker_note(
+            &format!("w{index}"),
+            index,
+        )]));
+        let look = rig.last_call(is_look);
         rig.answer(&look, lists_of(1, Vec::new(), Vec::new()));
     }
     rig
 }
 
-fn incarnation_note(worker: &str, incarnation: u64, stage: WorkerStage) -> WorkerNote {
+fn incarnation_note(worker: &str, incarnation: u64, stage: WorkerStage) -> WorkerAnnouncement {
     let port = worker[1..].parse().expect("a worker's number");
-    WorkerNote {
-        said: Said {
+    WorkerAnnouncement {
+        version: AnnouncementVersion {
             incarnation: Incarnation(incarnation),
             // The notice of leaving is the last announcement of an incarnation.
             sequence: if stage == WorkerStage::Ready { 2 } else { 3 },
         },
         stage,
-        ..note(worker, port)
+        ..worker_note(worker, port)
     }
 }
 
@@ -61,7 +66,7 @@
 
 /// Ends the incarnation of the worker on which the task was started last.
 fn end(rig: &mut Rig, incarnations: &mut Incarnations, ends: End) {
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
     let worker = start.worker.clone();
     match ends {
@@ -75,22 +80,22 @@
                 for call in calls {
                     rig.answer(&call, Answer::NoAnswer);
                 }
-                rig.wait(10);
+                rig.advance(10);
             }
         }
         End::Restarts | End::Planned => {
             let known = incarnations.entry(worker.clone()).or_insert(1);
             if ends == End::Planned {
                 let leaves = incarnation_note(&worker, *known, WorkerStage::Draining);
-                rig.take(Input::Workers(vec![leaves]));
+                rig.handle(Input::Workers(vec![leaves]));
             }
             *known += 1;
             let later = *known;
             let back = incarnation_note(&worker, later, WorkerStage::Ready);
-            rig.take(Input::Workers(vec![back]));
-            let look = rig.last(is_look);
+            rig.handle(Input::Workers(vec![back]));
+            let look = rig.last_call(is_look);
             rig.answer(&look, lists_of(later, Vec::new(), Vec::new()));
-            rig.wait(10);
+            rig.advance(10);
         }
     }
 }
@@ -107,14 +112,14 @@
 fn task_that_crashes_its_workers_is_given_up(#[case] case: Case) {
     let mut rig = rig(6);
     let mut incarnations = Incarnations::new();
-    let mut order = step(Doubt::None, 0);
-    order.fresh = false;
+    let mut order = step(PriorRuns::None, 0);
+    order.refusable = false;
     rig.submit(order);
     for ends in case.ends {
         end(&mut rig, &mut incarnations, *ends);
     }
-    assert_eq!(rig.count(is_start), case.starts);
-    let given_up = rig.told.contains(&(task(0), TaskEnd::GivenUp));
+    assert_eq!(rig.count_calls(is_start), case.starts);
+    let given_up = rig.ends.contains(&(task(0), TaskEnd::GivenUp));
     assert_eq!(given_up, case.given_up);
 }
 
@@ -124,23 +129,23 @@
 fn worker_that_restarts_is_counted_once() {
     let mut rig = rig(2);
     let mut incarnations = Incarnations::new();
-    let mut order = step(Doubt::None, 0);
-    order.fresh = false;
+    let mut order = step(PriorRuns::None, 0);
+    order.refusable = false;
     rig.submit(order);
-    let first = rig.last(is_start).worker;
+    let first = rig.last_call(is_start).worker;
     end(&mut rig, &mut incarnations, End::Silent);
-    let second = rig.last(is_start).worker;
+    let second = rig.last_call(is_start).worker;
     assert_ne!(first, second);
-    rig.take(Input::Workers(vec![incarnation_note(
+    rig.handle(Input::Workers(vec![incarnation_note(
         &first,
         2,
         WorkerStage::Ready,
     )]));
-    let look = rig.last(is_look);
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists_of(2, Vec::new(), Vec::new()));
-    assert!(rig.told.is_empty(), "only one worker has crashed");
+    assert!(rig.ends.is_empty(), "only one worker has crashed");
     end(&mut rig, &mut incarnations, End::Restarts);
-    assert_eq!(rig.told, [(task(0), TaskEnd::GivenUp)]);
+    assert_eq!(rig.ends, [(task(0), TaskEnd::GivenUp)]);
 }
 
 /// Guards against a task that keeps crashing workers because its caller sends the job again to another entry, or
@@ -155,30 +160,30 @@
     let mut rig = rig(4);
     let mut incarnations = Incarnations::new();
     if here {
-        rig.submit(step(Doubt::None, 0));
+        rig.submit(step(PriorRuns::None, 0));
         end(&mut rig, &mut incarnations, End::Restarts);
         let cancel = WorkMsg::Cancel {
             job: rig::JOB,
-            last: u32::MAX,
+            last_submission: u32::MAX,
         };
-        rig.take(Input::Work(ORIGIN, cancel));
-        let stop = rig.last(rig::is_stop);
+        rig.handle(Input::Work(ORIGIN, cancel));
+        let stop = rig.last_call(rig::is_stop);
         rig.answer(&stop, Answer::NoAnswer);
         end(&mut rig, &mut incarnations, End::Restarts);
     }
-    let starts = rig.count(is_start);
-    let mut order = step(Doubt::None, 9_000);
+    let starts = rig.count_calls(is_start);
+    let mut order = step(PriorRuns::None, 9_000);
     order.tasks[0].crashes = known;
     rig.submit(order);
-    assert_eq!(rig.count(is_start), starts, "not started again");
-    assert_eq!(rig.told.last(), Some(&(task(0), TaskEnd::GivenUp)));
+    assert_eq!(rig.count_calls(is_start), starts, "not started again");
+    assert_eq!(rig.ends.last(), Some(&(task(0), TaskEnd::GivenUp)));
 }
 
 /// Returns a step of eight tasks.
 fn wide_step(job: u64) -> StepOrder {
-    let mut order = step(Doubt::None, 0);
+    let mut order = step(PriorRuns::None, 0);
     order.job = JobId(job);
-    order.fresh = false;
+    order.refusable = false;
     let first = order.tasks[0];
     let tasks = (0..8).map(|index| TaskOrder { index, ..first });
     order.tasks = tasks.collect();
@@ -192,28 +197,36 @@
 fn steps_of_a_queue_that_crashes_workers_start_with_a_probe() {
     let mut rig = rig(12);
     let mut incarnations = Incarnations::new();
-    let mut order = step(Doubt::None, 0);
-    order.fresh = false;
+    let mut order = step(PriorRuns::None, 0);
+    order.refusable = false;
     rig.submit(order);
     end(&mut rig, &mut incarnations, End::Restarts);
     end(&mut rig, &mut incarnations, End::Restarts);
-    let before = rig.count(is_start);
+    let before = rig.count_calls(is_start);
     rig.submit(wide_step(500));
-    assert_eq!(rig.count(is_start), before + 1, "one task starts first");
-    let start = rig.last(is_start);
+    assert_eq!(
+        rig.count_calls(is_start),
+        before + 1,
+        "one task starts first"
+    );
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    rig.wait(60);
-    let look = rig.last(is_look);
-    let mut running = row(1);
+    rig.advance(60);
+    let look = rig.last_call(is_look);
+    let mut running = running_row(1);
     running.task.job = JobId(500);
     assert_eq!(look.worker, start.worker);
     rig.answer(&look, lists(vec![running], Vec::new()));
-    assert_eq!(rig.count(is_start), before + 8, "the other tasks follow");
+    assert_eq!(
+        rig.count_calls(is_start),
+        before + 8,
+        "the other tasks follow"
+    );
     let mut other = wide_step(501);
     other.queue = "another".to_owned();
     rig.submit(other);
     assert_eq!(
-        rig.count(is_start),
+        rig.count_calls(is_start),
         before + 16,
         "another queue needs no probe"
     );
@@ -248,12 +261,12 @@
     for start in starts {
         rig.answer(&start, Answer::Accepted(clock()));
     }
-    rig.take(Input::Workers(vec![incarnation_note(
+    rig.handle(Input::Workers(vec![incarnation_note(
         &worker,
         2,
         WorkerStage::Ready,
     )]));
-    let look = rig.last(is_look);
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists_of(2, Vec::new(), Vec::new()));
     let again: Vec<_> = rig
         .calls
@@ -273,19 +286,19 @@
     let mut rig = rig(2);
     let seen = Crashes { seen: 1, proven: 0 };
     let proven = Crashes { seen: 1, proven: 1 };
-    rig.take(Input::Crashes(vec![(task(0), seen)]));
-    rig.take(Input::Crashes(vec![(task(0), proven)]));
-    let mut order = step(Doubt::None, 0);
-    order.fresh = false;
+    rig.handle(Input::Crashes(vec![(task(0), seen)]));
+    rig.handle(Input::Crashes(vec![(task(0), proven)]));
+    let mut order = step(PriorRuns::None, 0);
+    order.refusable = false;
     rig.submit(order);
-    assert_eq!(rig.count(is_start), 1, "one crash, reported twice");
-    rig.take(Input::Crashes(vec![(
+    assert_eq!(rig.count_calls(is_start), 1, "one crash, reported twice");
+    rig.handle(Input::Crashes(vec![(
         task(0),
         Crashes { seen: 2, proven: 2 },
     )]));
     end(&mut rig, &mut Incarnations::new(), End::Restarts);
-    assert_eq!(rig.count(is_start), 1);
-    assert_eq!(rig.told.last(), Some(&(task(0), TaskEnd::GivenUp)));
+    assert_eq!(rig.count_calls(is_start), 1);
+    assert_eq!(rig.ends.last(), Some(&(task(0), TaskEnd::GivenUp)));
 }
 
 /// Lets time pass while polls of the `silent` workers get no answer and others stay open.
@@ -296,7 +309,7 @@
         for look in looks.iter().filter(|look| silent.contains(&look.worker)) {
             rig.answer(look, Answer::NoAnswer);
         }
-        rig.wait(10);
+        rig.advance(10);
     }
 }
 
@@ -322,22 +335,22 @@
 fn step_that_seems_to_crash_its_workers_is_given_up_at_once(#[case] case: SilentCase) {
     let mut rig = rig(8);
     if case.probe {
-        rig.take(Input::Careful(vec!["q".to_owned()]));
+        rig.handle(Input::ProbeQueues(vec!["q".to_owned()]));
     }
     rig.submit(wide_step(500));
     let workers = started(&rig);
     assert_eq!(workers.len(), if case.probe { 1 } else { 4 });
     let silent = workers.into_iter().take(case.silent).collect();
     pass_without_answers(&mut rig, &silent, 400);
-    let given_up = rig.told.iter().any(|(_, end)| *end == TaskEnd::GivenUp);
-    assert_eq!(given_up, case.given_up, "{:?}", rig.told);
+    let given_up = rig.ends.iter().any(|(_, end)| *end == TaskEnd::GivenUp);
+    assert_eq!(given_up, case.given_up, "{:?}", rig.ends);
     if given_up {
-        let starts = rig.count(is_start);
+        let starts = rig.count_calls(is_start);
         rig.submit(wide_step(500));
-        assert_eq!(rig.count(is_start), starts, "not started again");
+        assert_eq!(rig.count_calls(is_start), starts, "not started again");
         rig.submit(wide_step(501));
         assert_eq!(
-            rig.count(is_start),
+            rig.count_calls(is_start),
             starts + 1,
             "the next step starts with a probe"
         );
@@ -348,17 +361,17 @@
 #[test]
 fn probe_is_polled_once_it_has_run_for_long_enough() {
     let mut rig = rig(8);
-    rig.take(Input::Careful(vec!["q".to_owned()]));
+    rig.handle(Input::ProbeQueues(vec!["q".to_owned()]));
     rig.submit(wide_step(500));
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
     let looks = |rig: &Rig| {
         let here = rig.calls.iter().filter(|call| call.worker == start.worker);
         here.filter(|call| is_look(&call.request)).count()
     };
     let before = looks(&rig);
-    rig.wait(40);
+    rig.advance(40);
     assert_eq!(looks(&rig), before);
-    rig.wait(20);
+    rig.advance(20);
     assert_eq!(looks(&rig), before + 1);
 }
--- a/crates/celerywinch_pool/tests/grants.rs
+++ b/crates/celerywinch_pool/tests/grants.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use celerywinch_pool::{Answer, Grant, Input, Rejection, Request, RunEnd};
-use celerywinch_types::{Doubt, Incarnation, InstanceId, JobId, Session, TaskEnd, WorkMsg};
-use rig::{ORIGIN, Rig, clock, ended, is_look, is_start, is_stop, lists, row, step};
+use celerywinch_types::{Incarnation, InstanceId, JobId, PriorRuns, Session, TaskEnd, WorkMsg};
+use rig::{ORIGIN, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step};
 use rstest::rstest;
 
 const REMOTE: InstanceId = InstanceId(5);
@@ -33,24 +33,24 @@
             session: Session(session),
             until,
         };
-        self.rig.take(Input::Granted(REMOTE, grant));
+        self.rig.handle(Input::Granted(REMOTE, grant));
     }
 
-    fn submit(&mut self, session: u32, doubt: Doubt) {
+    fn submit(&mut self, session: u32, doubt: PriorRuns) {
         let mut order = step(doubt, 0);
         order.session = Session(session);
         // A fresh step would be refused while it waits.
-        order.fresh = false;
-        self.rig.take(Input::Work(REMOTE, WorkMsg::Submit(order)));
+        order.refusable = false;
+        self.rig.handle(Input::Work(REMOTE, WorkMsg::Submit(order)));
     }
 
     fn starts(&self) -> usize {
-        self.rig.count(is_start)
+        self.rig.count_calls(is_start)
     }
 
     /// Returns whether the last poll extends the lease.
     fn extends_lease(&self) -> bool {
-        let look = self.rig.last(is_look);
+        let look = self.rig.last_call(is_look);
         matches!(
             look.request,
             Request::Poll {
@@ -84,7 +84,7 @@
         rig: Rig::new(Vec::new(), Vec::new()),
     };
     remote.grant(case.session, case.granted);
-    remote.submit(case.submitted, Doubt::None);
+    remote.submit(case.submitted, PriorRuns::None);
     assert_eq!(remote.starts(), case.starts);
 }
 
@@ -99,18 +99,18 @@
     let mut remote = Remote::new();
     // Two tasks use the whole capacity of the worker.
     for job in 0..2 {
-        let mut order = step(Doubt::None, 0);
+        let mut order = step(PriorRuns::None, 0);
         order.job = JobId(job);
         remote.rig.submit(order);
     }
-    remote.submit(0, Doubt::None);
+    remote.submit(0, PriorRuns::None);
     assert_eq!(remote.starts(), 2);
-    remote.rig.wait(400);
+    remote.rig.advance(400);
     if let Some(session) = renewed {
         remote.grant(session, 500);
     }
-    remote.rig.wait(150);
-    let first = remote.rig.last(is_start);
+    remote.rig.advance(150);
+    let first = remote.rig.last_call(is_start);
     let rejected = Answer::Rejected(Rejection::Malformed, Some(clock()));
     remote.rig.answer(&first, rejected);
     assert_eq!(remote.starts(), 2 + starts);
@@ -122,19 +122,23 @@
 #[test]
 fn lease_is_not_extended_for_a_task_without_a_grant() {
     let mut remote = Remote::new();
-    remote.submit(0, Doubt::None);
-    let start = remote.rig.last(is_start);
+    remote.submit(0, PriorRuns::None);
+    let start = remote.rig.last_call(is_start);
     remote.rig.answer(&start, Answer::Accepted(clock()));
-    let look = remote.rig.last(is_look);
-    remote.rig.answer(&look, lists(vec![row(1)], Vec::new()));
+    let look = remote.rig.last_call(is_look);
+    remote
+        .rig
+        .answer(&look, lists(vec![running_row(1)], Vec::new()));
     assert!(remote.extends_lease());
-    remote.rig.wait(510);
-    let look = remote.rig.last(is_look);
-    remote.rig.answer(&look, lists(vec![row(1)], Vec::new()));
+    remote.rig.advance(510);
+    let look = remote.rig.last_call(is_look);
+    remote
+        .rig
+        .answer(&look, lists(vec![running_row(1)], Vec::new()));
     assert!(!remote.extends_lease());
-    assert_eq!(remote.rig.count(is_stop), 0);
-    remote.rig.wait(300);
-    assert_eq!(remote.rig.count(is_stop), 1);
+    assert_eq!(remote.rig.count_calls(is_stop), 0);
+    remote.rig.advance(300);
+    assert_eq!(remote.rig.count_calls(is_stop), 1);
 }
 
 /// How a task is taken back from a dispatcher.
@@ -156,24 +160,32 @@
 #[case::grant_expired(Withdrawal::GrantExpired)]
 fn lease_is_not_extended_while_a_stop_is_outstanding(#[case] withdrawal: Withdrawal) {
     let mut remote = Remote::new();
-    remote.submit(0, Doubt::None);
-    let start = remote.rig.last(is_start);
+    remote.submit(0, PriorRuns::None);
+    let start = remote.rig.last_call(is_start);
     remote.rig.answer(&start, Answer::Accepted(clock()));
-    let look = remote.rig.last(is_look);
-    remote.rig.answer(&look, lists(vec![row(1)], Vec::new()));
+    let look = remote.rig.last_call(is_look);
+    remote
+        .rig
+        .answer(&look, lists(vec![running_row(1)], Vec::new()));
     let last = 1;
     match withdrawal {
         Withdrawal::Cancelled => {
             let job = rig::JOB;
-            let cancel = WorkMsg::Cancel { job, last };
-            remote.rig.take(Input::Work(REMOTE, cancel));
+            let cancel = WorkMsg::Cancel {
+                job,
+                last_submission: last,
+            };
+            remote.rig.handle(Input::Work(REMOTE, cancel));
         }
         Withdrawal::Dropped => {
             let tasks = vec![rig::task(0)];
-            let drop = WorkMsg::Drop { tasks, last };
-            remote.rig.take(Input::Work(REMOTE, drop));
+            let drop = WorkMsg::Drop {
+                tasks,
+                last_submission: last,
+            };
+            remote.rig.handle(Input::Work(REMOTE, drop));
         }
-        Withdrawal::GrantExpired => remote.rig.wait(810),
+        Withdrawal::GrantExpired => remote.rig.advance(810),
     }
     let before = remote.rig.calls.len();
     let mut answered = Vec::new();
@@ -184,12 +196,12 @@
         for call in open {
             answered.push(call.key);
             let answer = match call.request {
-                Request::Poll { .. } => lists(vec![row(1)], Vec::new()),
+                Request::Poll { .. } => lists(vec![running_row(1)], Vec::new()),
                 Request::Start { .. } | Request::Stop { .. } => Answer::NoAnswer,
             };
             remote.rig.answer(&call, answer);
         }
-        remote.rig.wait(10);
+        remote.rig.advance(10);
     }
     let calls = &remote.rig.calls[before..];
     let extends = |order: &Request| {
@@ -215,22 +227,22 @@
     #[case] more: usize,
 ) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    rig.submit(step(PriorRuns::None, 0));
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
     let cancel = WorkMsg::Cancel {
         job: rig::JOB,
-        last: 1,
+        last_submission: 1,
     };
-    rig.take(Input::Work(ORIGIN, cancel));
+    rig.handle(Input::Work(ORIGIN, cancel));
     if let Some(answer) = stop {
-        let call = rig.last(is_stop);
+        let call = rig.last_call(is_stop);
         rig.answer(&call, answer);
     }
-    let mut other = step(Doubt::None, 0);
+    let mut other = step(PriorRuns::None, 0);
     other.job = JobId(78);
     rig.submit(other);
-    assert_eq!(rig.count(is_start), 1 + more);
+    assert_eq!(rig.count_calls(is_start), 1 + more);
 }
 
 /// Guards against a caller that gets no answer until its deadline: it sent its job to another entry, and the first one,
@@ -247,17 +259,21 @@
 ) {
     let mut remote = Remote::new();
     for (from, age) in [(ORIGIN, first_age), (REMOTE, second_age)] {
-        let mut order = step(Doubt::None, 0);
+        let mut order = step(PriorRuns::None, 0);
         order.age = age;
-        remote.rig.take(Input::Work(from, WorkMsg::Submit(order)));
+        remote.rig.handle(Input::Work(from, WorkMsg::Submit(order)));
     }
-    let start = remote.rig.last(is_start);
+    let start = remote.rig.last_call(is_start);
     remote.rig.answer(&start, Answer::Accepted(clock()));
-    let look = remote.rig.last(is_look);
+    let look = remote.rig.last_call(is_look);
     remote
         .rig
-        .answer(&look, lists(Vec::new(), vec![ended(1, RunEnd::Done)]));
-    let news = remote.rig.news.iter().map(|(to, end)| (*to, *end));
+        .answer(&look, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
+    let news = remote
+        .rig
+        .ends_by_origin
+        .iter()
+        .map(|(to, end)| (*to, *end));
     let news: Vec<_> = news.collect();
     assert_eq!(
         news,
@@ -269,16 +285,19 @@
 /// told to drop it, the job goes back to it after the network partition, and then the delayed message arrives. It must
 /// take back only what was submitted before it was sent.
 #[rstest]
-#[case::cancelled(WorkMsg::Cancel { job: rig::JOB, last: 0 }, 0)]
-#[case::dropped(WorkMsg::Drop { tasks: vec![rig::task(0)], last: 0 }, 0)]
-#[case::cancelled_in_time(WorkMsg::Cancel { job: rig::JOB, last: 1 }, 1)]
-#[case::dropped_in_time(WorkMsg::Drop { tasks: vec![rig::task(0)], last: 1 }, 1)]
+#[case::cancelled(WorkMsg::Cancel { job: rig::JOB, last_submission: 0 }, 0)]
+#[case::dropped(WorkMsg::Drop { tasks: vec![rig::task(0)], last_submission: 0 }, 0)]
+#[case::cancelled_in_time(WorkMsg::Cancel { job: rig::JOB, last_submission: 1 }, 1)]
+#[case::dropped_in_time(WorkMsg::Drop { tasks: vec![rig::task(0)], last_submission: 1 }, 1)]
 fn delayed_message_takes_back_only_earlier_submissions(#[case] msg: WorkMsg, #[case] stops: usize) {
     let mut remote = Remote::new();
-    remote.submit(0, Doubt::None);
-    remote.rig.take(Input::Work(REMOTE, msg));
-    remote.rig.take(Input::Tick);
-    assert_eq!((remote.starts(), remote.rig.count(is_stop)), (1, stops));
+    remote.submit(0, PriorRuns::None);
+    remote.rig.handle(Input::Work(REMOTE, msg));
+    remote.rig.handle(Input::Tick);
+    assert_eq!(
+        (remote.starts(), remote.rig.count_calls(is_stop)),
+        (1, stops)
+    );
 }
 
 /// Guards against two concurrent runs of one task: a caller sends its job again to another entry before the worker has
@@ -288,31 +307,35 @@
 #[case::done(RunEnd::Done)]
 fn task_waits_for_the_end_of_a_run_that_is_being_stopped(#[case] end: RunEnd) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    rig.submit(step(PriorRuns::None, 0));
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
     let cancel = WorkMsg::Cancel {
         job: rig::JOB,
-        last: 1,
+        last_submission: 1,
     };
-    rig.take(Input::Work(ORIGIN, cancel));
-    let stop = rig.last(is_stop);
-    rig.submit(step(Doubt::None, 0));
-    assert_eq!(rig.count(is_start), 1, "the first run has not ended yet");
+    rig.handle(Input::Work(ORIGIN, cancel));
+    let stop = rig.last_call(is_stop);
+    rig.submit(step(PriorRuns::None, 0));
+    assert_eq!(
+        rig.count_calls(is_start),
+        1,
+        "the first run has not ended yet"
+    );
     rig.answer(&stop, Answer::Accepted(clock()));
-    let look = rig.last(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, end)]));
+    let look = rig.last_call(is_look);
+    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, end)]));
     let told: &[_] = if end == RunEnd::Done {
         &[TaskEnd::Done]
     } else {
         &[]
     };
     assert_eq!(
-        rig.told.iter().map(|(_, end)| *end).collect::<Vec<_>>(),
+        rig.ends.iter().map(|(_, end)| *end).collect::<Vec<_>>(),
         told
     );
     let starts = 1 + usize::from(end == RunEnd::Interrupted);
-    assert_eq!(rig.count(is_start), starts);
+    assert_eq!(rig.count_calls(is_start), starts);
 }
 
 struct Resubmission {
@@ -331,35 +354,37 @@
 #[case::same_origin(Resubmission { after: 20, other: false, starts: 2 })]
 fn task_that_was_just_returned_is_not_started_for_another_origin(#[case] case: Resubmission) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    let mut full = step(Doubt::None, 0);
+    let mut full = step(PriorRuns::None, 0);
     full.need = rig::ROOM;
     full.job = JobId(1);
     rig.submit(full);
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    let mut passed = step(Doubt::None, 0);
-    passed.pass = true;
+    let mut passed = step(PriorRuns::None, 0);
+    passed.no_wait = true;
     rig.submit(passed);
-    assert_eq!(rig.told.last().map(|(_, end)| *end), Some(TaskEnd::Full));
+    assert_eq!(rig.ends.last().map(|(_, end)| *end), Some(TaskEnd::Full));
     let cancel = WorkMsg::Cancel {
         job: JobId(1),
-        last: 1,
+        last_submission: 1,
     };
-    rig.take(Input::Work(ORIGIN, cancel));
-    let stop = rig.last(is_stop);
+    rig.handle(Input::Work(ORIGIN, cancel));
+    let stop = rig.last_call(is_stop);
     rig.answer(&stop, Answer::Accepted(clock()));
-    let look = rig.last(is_look);
-    let mut over = ended(1, RunEnd::Interrupted);
+    let look = rig.last_call(is_look);
+    let mut over = ended_row(1, RunEnd::Interrupted);
     over.task.job = JobId(1);
     rig.answer(&look, lists(Vec::new(), vec![over]));
-    rig.wait(case.after);
+    rig.advance(case.after);
     let mut remote = Remote { rig };
     remote.grant(0, 500);
-    let mut again = step(Doubt::None, 0);
-    again.tasks[0].hand = 2;
-    again.tasks[0].first = 2;
+    let mut again = step(PriorRuns::None, 0);
+    again.tasks[0].submission = 2;
+    again.tasks[0].first_submission = 2;
     let origin = if case.other { REMOTE } else { ORIGIN };
-    remote.rig.take(Input::Work(origin, WorkMsg::Submit(again)));
+    remote
+        .rig
+        .handle(Input::Work(origin, WorkMsg::Submit(again)));
     assert_eq!(remote.starts(), case.starts);
 }
 
@@ -368,22 +393,26 @@
 #[test]
 fn task_that_may_run_elsewhere_outwaits_a_run_that_is_being_stopped() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    rig.submit(step(PriorRuns::None, 0));
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
     let cancel = WorkMsg::Cancel {
         job: rig::JOB,
-        last: 1,
+        last_submission: 1,
     };
-    rig.take(Input::Work(ORIGIN, cancel));
-    let stop = rig.last(is_stop);
-    rig.submit(step(Doubt::Open, 0));
+    rig.handle(Input::Work(ORIGIN, cancel));
+    let stop = rig.last_call(is_stop);
+    rig.submit(step(PriorRuns::Unknown, 0));
     rig.answer(&stop, Answer::Accepted(clock()));
-    let look = rig.last(is_look);
+    let look = rig.last_call(is_look);
     rig.answer(
         &look,
-        lists(Vec::new(), vec![ended(1, RunEnd::Interrupted)]),
+        lists(Vec::new(), vec![ended_row(1, RunEnd::Interrupted)]),
+    );
+    rig.advance(100);
+    assert_eq!(
+        rig.count_calls(is_start),
+        1,
+        "the task may be running elsewhere"
     );
-    rig.wait(100);
-    assert_eq!(rig.count(is_start), 1, "the task may be running elsewhere");
 }
--- a/crates/celerywinch_pool/tests/leaving.rs
+++ b/crates/celerywinch_pool/tests/leaving.rs
@@ -3,8 +3,8 @@
 mod rig;
 
 use celerywinch_pool::{Answer, Input, RunEnd};
-use celerywinch_types::{Doubt, WorkerNote, WorkerStage};
-use rig::{Rig, clock, ended, is_look, is_start, lists, note, row, step};
+use celerywinch_types::{PriorRuns, WorkerAnnouncement, WorkerStage};
+use rig::{Rig, clock, ended_row, is_look, is_start, lists, running_row, step, worker_note};
 use rstest::rstest;
 
 /// What a worker does after it has announced that it leaves.
@@ -21,9 +21,9 @@
 impl AfterNotice {
     fn answer(self) -> Answer {
         match self {
-            Self::KeepsRunning => lists(vec![row(1)], Vec::new()),
+            Self::KeepsRunning => lists(vec![running_row(1)], Vec::new()),
             Self::StopsAnswering => Answer::NoAnswer,
-            Self::ListsEnds => lists(Vec::new(), vec![ended(1, RunEnd::Interrupted)]),
+            Self::ListsEnds => lists(Vec::new(), vec![ended_row(1, RunEnd::Interrupted)]),
         }
     }
 }
@@ -34,10 +34,10 @@
     starts: [usize; 2],
 }
 
-fn gone(id: &str, port: u16) -> WorkerNote {
-    WorkerNote {
+fn gone(id: &str, port: u16) -> WorkerAnnouncement {
+    WorkerAnnouncement {
         stage: WorkerStage::Gone,
-        ..note(id, port)
+        ..worker_note(id, port)
     }
 }
 
@@ -54,7 +54,7 @@
                 rig.answer(&look, then.answer());
             }
         }
-        rig.wait(20);
+        rig.advance(20);
     }
 }
 
@@ -67,17 +67,17 @@
 #[case::ended_before(Case { then: AfterNotice::ListsEnds, starts: [2, 2] })]
 fn task_of_a_leaving_worker_waits_for_the_end_of_its_run(#[case] case: Case) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    rig.submit(step(PriorRuns::None, 0));
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    rig.take(Input::Workers(vec![note("w2", 2)]));
-    let other = rig.last(is_look);
+    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
+    let other = rig.last_call(is_look);
     rig.answer(&other, lists(Vec::new(), Vec::new()));
-    rig.take(Input::Workers(vec![gone("w1", 1)]));
+    rig.handle(Input::Workers(vec![gone("w1", 1)]));
     pass(&mut rig, case.then, 400);
-    let early = rig.count(is_start);
+    let early = rig.count_calls(is_start);
     pass(&mut rig, case.then, 500);
-    assert_eq!([early, rig.count(is_start)], case.starts);
+    assert_eq!([early, rig.count_calls(is_start)], case.starts);
 }
 
 /// Guards against workers that stay in the list for ever after they have left, and count among the workers
@@ -88,11 +88,11 @@
 fn worker_that_has_left_is_removed(#[case] busy: bool) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     if busy {
-        rig.submit(step(Doubt::None, 0));
-        let start = rig.last(is_start);
+        rig.submit(step(PriorRuns::None, 0));
+        let start = rig.last_call(is_start);
         rig.answer(&start, Answer::Accepted(clock()));
     }
-    rig.take(Input::Workers(vec![gone("w1", 1)]));
+    rig.handle(Input::Workers(vec![gone("w1", 1)]));
     pass(&mut rig, AfterNotice::StopsAnswering, 900);
     assert_eq!(rig.pool.known_workers(), 0);
 }
@@ -106,12 +106,12 @@
 fn worker_that_has_left_is_not_added_again(#[case] known: bool) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     if known {
-        rig.take(Input::Workers(vec![note("w2", 2)]));
-        let look = rig.last(is_look);
+        rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
+        let look = rig.last_call(is_look);
         rig.answer(&look, lists(Vec::new(), Vec::new()));
     }
-    rig.take(Input::Workers(vec![gone("w2", 2)]));
-    rig.wait(15_000);
-    rig.take(Input::Workers(vec![note("w2", 2)]));
+    rig.handle(Input::Workers(vec![gone("w2", 2)]));
+    rig.advance(15_000);
+    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
     assert_eq!(rig.pool.known_workers(), 1, "only w1 is known");
 }
--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -8,9 +8,9 @@
     Answer, Call, EndedRow, Grant, Input, Output, Pool, PoolConfig, Request, RunEnd, RunningRow,
 };
 use celerywinch_types::{
-    Crashes, DataCentreId, Domain, Doubt, Fence, Incarnation, InstanceId, JobId, Room, RunNumber,
-    Said, Session, StepOrder, TaskEnd, TaskId, TaskOrder, Time, WorkMsg, WorkerClock, WorkerNote,
-    WorkerStage,
+    AnnouncementVersion, Crashes, DataCentreId, Domain, Fence, Incarnation, InstanceId, JobId,
+    PriorRuns, Resources, RunNumber, Session, StepOrder, TaskEnd, TaskId, TaskOrder, Time, WorkMsg,
+    WorkerAnnouncement, WorkerClock, WorkerStage,
 };
 
 pub(crate) const DC: DataCentreId = DataCentreId(0);
@@ -20,7 +20,7 @@
 /// A fencing token above the one that the dispatcher begins with.
 pub(crate) const LATER_FENCE: Fence = Fence(9 << 5);
 pub(crate) const JOB: JobId = JobId(77);
-pub(crate) const ROOM: Room = Room {
+pub(crate) const ROOM: Resources = Resources {
     cpu: 32_000,
     memory: 65_536,
     accelerators: 0,
@@ -34,23 +34,23 @@
     }
 }
 
-pub(crate) fn note(id: &str, port: u16) -> WorkerNote {
-    WorkerNote {
+pub(crate) fn worker_note(id: &str, port: u16) -> WorkerAnnouncement {
+    WorkerAnnouncement {
         id: id.to_owned(),
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], port).into(),
         dc: DC,
-        room: ROOM,
+        capacity: ROOM,
         labels: Vec::new(),
         stage: WorkerStage::Ready,
-        said: Said {
+        version: AnnouncementVersion {
             incarnation: Incarnation(1),
             sequence: 1,
         },
     }
 }
 
-pub(crate) fn step(doubt: Doubt, run: u64) -> StepOrder {
+pub(crate) fn step(doubt: PriorRuns, run: u64) -> StepOrder {
     StepOrder {
         session: Session(0),
         job: JOB,
@@ -60,9 +60,9 @@
         service: "s".to_owned(),
         priority: 0,
         attempts: 3,
-        need: Room {
+        need: Resources {
             cpu: 14_000,
-            ..Room::default()
+            ..Resources::default()
         },
         estimate: 200,
         label: None,
@@ -71,17 +71,17 @@
         age: 0,
         slack: 1_600,
         target: 60,
-        chain: 200,
-        fresh: doubt == Doubt::None,
-        pass: false,
+        critical_path: 200,
+        refusable: doubt == PriorRuns::None,
+        no_wait: false,
         tasks: vec![TaskOrder {
             index: 0,
             failures: 0,
             crashes: Crashes::default(),
             run: RunNumber(run),
-            doubt,
-            hand: 1,
-            first: 1,
+            prior_runs: doubt,
+            submission: 1,
+            first_submission: 1,
         }],
     }
 }
@@ -91,20 +91,20 @@
     pub(crate) pool: Pool,
     pub(crate) now: Time,
     pub(crate) calls: Vec<Call>,
-    pub(crate) told: Vec<(TaskId, TaskEnd)>,
+    pub(crate) ends: Vec<(TaskId, TaskEnd)>,
     /// The same with whom it was told.
-    pub(crate) news: Vec<(InstanceId, TaskEnd)>,
+    pub(crate) ends_by_origin: Vec<(InstanceId, TaskEnd)>,
     /// How often a worker was found to obey another dispatcher.
-    pub(crate) outbid: usize,
+    pub(crate) fenced: usize,
 }
 
 impl Rig {
     /// With one worker that was taken over with these lists.
     pub(crate) fn new(running: Vec<RunningRow>, ended: Vec<EndedRow>) -> Self {
         let mut rig = Self::empty(PoolConfig::default());
-        rig.take(Input::Workers(vec![note("w1", 1)]));
-        rig.take(Input::Acquire(DOMAIN, Fence(5 << 5)));
-        let look = rig.last(|order| matches!(order, Request::Poll { .. }));
+        rig.handle(Input::Workers(vec![worker_note("w1", 1)]));
+        rig.handle(Input::Acquire(DOMAIN, Fence(5 << 5)));
+        let look = rig.last_call(|order| matches!(order, Request::Poll { .. }));
         rig.answer(&look, lists(running, ended));
         rig
     }
@@ -115,50 +115,51 @@
             pool: Pool::new(config),
             now: Time(1_000_000),
             calls: Vec::new(),
-            told: Vec::new(),
-            news: Vec::new(),
-            outbid: 0,
+            ends: Vec::new(),
+            ends_by_origin: Vec::new(),
+            fenced: 0,
         };
         rig.pool
             .set_permanent_grant(ORIGIN, Grant::unlimited(Incarnation(1)));
         rig
     }
 
-    pub(crate) fn take(&mut self, input: Input) {
+    pub(crate) fn handle(&mut self, input: Input) {
         let mut out = Vec::new();
         self.pool.handle(self.now, input, &mut out);
         for output in out {
             match output {
                 Output::Call(call) => self.calls.push(call),
                 Output::Send(to, WorkMsg::Ended(news)) => {
-                    self.news.extend(news.iter().map(|news| (to, news.end)));
-                    self.told
+                    self.ends_by_origin
+                        .extend(news.iter().map(|news| (to, news.end)));
+                    self.ends
                         .extend(news.iter().map(|news| (news.task, news.end)));
                 }
-                Output::Outbid(_) => self.outbid += 1,
+                Output::Fenced(_) => self.fenced += 1,
                 Output::Send(..)
-                | Output::UsedUp(_)
+                | Output::TokenExhausted(_)
                 | Output::Crashed(..)
-                | Output::Careful(_)
-                | Output::Note(_) => {}
+                | Output::ProbeQueue(_)
+                | Output::Event(_) => {}
             }
         }
     }
 
-    pub(crate) fn wait(&mut self, ms: u64) {
+    pub(crate) fn advance(&mut self, ms: u64) {
         for _ in 0..ms / 10 {
             self.now = self.now + Duration::from_millis(10);
-            self.take(Input::Tick);
+            self.handle(Input::Tick);
         }
     }
 
-    pub(crate) fn last(&self, wanted: impl Fn(&Request) -> bool) -> Call {
+    pub(crate) fn last_call(&self, wanted: impl Fn(&Request) -> bool) -> Call {
         let calls = self.calls.iter().rev();
         let mut fitting = calls.filter(|call| wanted(&call.request));
         fitting.next().expect("a call").clone()
     }
 
-    pub(crate) fn count(&self, wanted: impl Fn(&Request) -> bool) -> usize {
+    pub(crate) fn count_calls(&self, wanted: impl Fn(&Request) -> bool) -> usize {
         self.calls
             .iter()
             .filter(|call| wanted(&call.request))
@@ -166,11 +167,11 @@
     }
 
     pub(crate) fn answer(&mut self, call: &Call, answer: Answer) {
-        self.take(Input::Answered(call.key, answer));
+        self.handle(Input::Answered(call.key, answer));
     }
 
     pub(crate) fn submit(&mut self, order: StepOrder) {
-        self.take(Input::Work(ORIGIN, WorkMsg::Submit(order)));
+        self.handle(Input::Work(ORIGIN, WorkMsg::Submit(order)));
     }
 }
 
@@ -210,7 +211,7 @@
 }
 
 /// A run of the task that is at work.
-pub(crate) fn row(run: u64) -> RunningRow {
+pub(crate) fn running_row(run: u64) -> RunningRow {
     RunningRow {
         task: task(0),
         run: RunNumber(run),
@@ -219,7 +220,7 @@
 }
 
 /// The first end that a worker lists.
-pub(crate) fn ended(run: u64, end: RunEnd) -> EndedRow {
+pub(crate) fn ended_row(run: u64, end: RunEnd) -> EndedRow {
     EndedRow {
         serial: 1,
         task: task(0),
--- a/crates/celerywinch_pool/tests/silence.rs
+++ b/crates/celerywinch_pool/tests/silence.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use celerywinch_pool::{Answer, Input};
-use celerywinch_types::{Doubt, Fence};
-use rig::{DOMAIN, Rig, is_look, is_start, lists, note, step};
+use celerywinch_types::{Fence, PriorRuns};
+use rig::{DOMAIN, Rig, is_look, is_start, lists, step, worker_note};
 use rstest::rstest;
 
 /// The longest duration of a lease of 800 ms on a worker that was polled recently, plus 20 ms for the tick, in ms.
@@ -18,8 +18,8 @@
 /// Returns a dispatcher with two workers.
 fn two_workers() -> Rig {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Workers(vec![note("w2", 2)]));
-    let look = rig.last(is_look);
+    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists(Vec::new(), Vec::new()));
     rig
 }
@@ -38,7 +38,7 @@
 /// Lets `ms` milliseconds pass while the worker `silent` does not answer.
 fn pass(rig: &mut Rig, ms: u64, silent: &str) {
     for _ in 0..ms / 10 {
-        rig.wait(10);
+        rig.advance(10);
         answer_all(rig, silent);
     }
 }
@@ -46,9 +46,9 @@
 /// Starts a task after an idle time and lets its worker miss all calls for `missed_ms` after that.
 fn start_and_miss(rig: &mut Rig, idle_ms: u64, missed_ms: u64) {
     pass(rig, idle_ms, NO_WORKER);
-    rig.submit(step(Doubt::None, 0));
-    let worker = rig.last(is_start).worker;
-    rig.wait(60);
+    rig.submit(step(PriorRuns::None, 0));
+    let worker = rig.last_call(is_start).worker;
+    rig.advance(60);
     pass(rig, missed_ms - 60, &worker);
 }
 
@@ -64,7 +64,7 @@
 fn run_on_a_silent_worker_counts_as_active_until_its_lease_expires(#[case] idle_ms: u64) {
     let mut rig = two_workers();
     start_and_miss(&mut rig, idle_ms, 760);
-    assert_eq!(rig.count(is_start), 1, "the first run may be active");
+    assert_eq!(rig.count_calls(is_start), 1, "the first run may be active");
 }
 
 /// Guards against a lease that is assumed to last 4 s longer: the worker of a task was idle for minutes and crashes,
@@ -78,7 +78,7 @@
 fn lease_on_an_idle_worker_expires_no_later_than_others(#[case] idle_ms: u64) {
     let mut rig = two_workers();
     start_and_miss(&mut rig, idle_ms, LEASE_EXPIRED_MS);
-    assert_eq!(rig.count(is_start), 2, "its lease has expired");
+    assert_eq!(rig.count_calls(is_start), 2, "its lease has expired");
 }
 
 /// Guards against refusing callers while workers are idle: a dispatcher takes over workers that it has known for a long
@@ -89,13 +89,13 @@
 #[case::known_for_long(25_000)]
 fn worker_whose_first_answer_is_missed_is_polled_again(#[case] known_ms: u64) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Resign(DOMAIN));
-    rig.wait(known_ms);
-    rig.take(Input::Acquire(DOMAIN, Fence(7 << 5)));
+    rig.handle(Input::Resign(DOMAIN));
+    rig.advance(known_ms);
+    rig.handle(Input::Acquire(DOMAIN, Fence(7 << 5)));
     pass(&mut rig, 100, "w1");
     pass(&mut rig, 400, NO_WORKER);
-    rig.submit(step(Doubt::None, 0));
-    assert_eq!(rig.count(is_start), 1);
+    rig.submit(step(PriorRuns::None, 0));
+    assert_eq!(rig.count_calls(is_start), 1);
 }
 
 /// Guards against refusing callers while all workers are idle: they were taken over at the same time and are polled
@@ -104,19 +104,22 @@
 #[test]
 fn polls_of_idle_workers_are_spread_over_time() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Resign(DOMAIN));
-    let others = (2..=40).map(|port| note(&format!("w{port}"), port));
-    rig.take(Input::Workers(others.collect()));
-    rig.take(Input::Acquire(DOMAIN, Fence(7 << 5)));
+    rig.handle(Input::Resign(DOMAIN));
+    let others = (2..=40).map(|port| worker_note(&format!("w{port}"), port));
+    rig.handle(Input::Workers(others.collect()));
+    rig.handle(Input::Acquire(DOMAIN, Fence(7 << 5)));
     pass(&mut rig, 1_000, NO_WORKER);
     let mut most = 0;
     for _ in 0..90 {
-        let before = rig.count(is_look);
+        let before = rig.count_calls(is_look);
         pass(&mut rig, 100, NO_WORKER);
-        most = most.max(rig.count(is_look) - before);
+        most = most.max(rig.count_calls(is_look) - before);
     }
     assert!(most <= 10, "{most} of 40 within 100 ms");
-    assert!(rig.count(is_look) >= 80 + 40, "each worker is polled twice");
+    assert!(
+        rig.count_calls(is_look) >= 80 + 40,
+        "each worker is polled twice"
+    );
 }
 
 /// Guards against a list of workers that grows without limit: a worker that never answers again, and that nobody
@@ -124,7 +127,7 @@
 #[test]
 fn worker_that_stays_silent_is_removed() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     for (ms, known) in [(15_000, 1), (10_000, 0)] {
         pass(&mut rig, ms, "w1");
         assert_eq!(rig.pool.known_workers(), known);
@@ -140,11 +143,11 @@
 fn no_lease_is_counted_from_an_old_reading(#[case] age_ms: u64, #[case] starts: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.now = rig.now + Duration::from_millis(age_ms);
-    let mut order = step(Doubt::None, 0);
+    let mut order = step(PriorRuns::None, 0);
     // A fresh step would be refused for lack of workers.
-    order.fresh = false;
+    order.refusable = false;
     rig.submit(order);
-    assert_eq!(rig.count(is_start), starts);
+    assert_eq!(rig.count_calls(is_start), starts);
     pass(&mut rig, 100, NO_WORKER);
-    assert_eq!(rig.count(is_start), 1);
+    assert_eq!(rig.count_calls(is_start), 1);
 }
--- a/crates/celerywinch_pool/tests/worker_incarnations.rs
+++ b/crates/celerywinch_pool/tests/worker_incarnations.rs
@@ -4,23 +4,25 @@
 
 use celerywinch_pool::{Answer, EndedRow, Input, Rejection, RunEnd, RunningRow};
 use celerywinch_types::{
-    Doubt, Incarnation, JobId, Said, TaskEnd, TaskId, WorkerNote, WorkerStage,
+    AnnouncementVersion, Incarnation, JobId, PriorRuns, TaskEnd, TaskId, WorkerAnnouncement,
+    WorkerStage,
 };
 use rig::{
-    LATER_FENCE, Rig, clock, ended, is_look, is_start, lists, lists_of, note, row, step, task,
+    LATER_FENCE, Rig, clock, ended_row, is_look, is_start, lists, lists_of, running_row, step,
+    task, worker_note,
 };
 use rstest::rstest;
 
 const LATER_JOB: JobId = JobId(78);
 
 /// Returns the second incarnation of the worker that the rig has.
-fn second_incarnation() -> WorkerNote {
-    WorkerNote {
-        said: Said {
+fn second_incarnation() -> WorkerAnnouncement {
+    WorkerAnnouncement {
+        version: AnnouncementVersion {
             incarnation: Incarnation(2),
             sequence: 1,
         },
-        ..note("w1", 1)
+        ..worker_note("w1", 1)
     }
 }
 
@@ -30,19 +32,19 @@
 #[test]
 fn ends_of_a_later_incarnation_are_numbered_anew() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    rig.submit(step(PriorRuns::None, 0));
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    let look = rig.last(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, RunEnd::Done)]));
-    assert_eq!(rig.told, [(task(0), TaskEnd::Done)]);
-    rig.take(Input::Workers(vec![second_incarnation()]));
-    let look = rig.last(is_look);
+    let look = rig.last_call(is_look);
+    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
+    assert_eq!(rig.ends, [(task(0), TaskEnd::Done)]);
+    rig.handle(Input::Workers(vec![second_incarnation()]));
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists(Vec::new(), Vec::new()));
-    let mut order = step(Doubt::None, 0);
+    let mut order = step(PriorRuns::None, 0);
     order.job = LATER_JOB;
     rig.submit(order);
-    let start = rig.last(is_start);
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
     let later = TaskId {
         job: LATER_JOB,
@@ -50,16 +52,20 @@
     };
     let first_end = EndedRow {
         task: later,
-        ..ended(1, RunEnd::Done)
+        ..ended_row(1, RunEnd::Done)
     };
-    let starts = rig.count(is_start);
+    let starts = rig.count_calls(is_start);
     for _ in 0..10 {
-        let look = rig.last(is_look);
+        let look = rig.last_call(is_look);
         rig.answer(&look, lists(Vec::new(), vec![first_end]));
-        rig.wait(20);
+        rig.advance(20);
     }
-    assert_eq!(rig.told.last(), Some(&(later, TaskEnd::Done)));
-    assert_eq!(rig.count(is_start), starts, "the task is not started again");
+    assert_eq!(rig.ends.last(), Some(&(later, TaskEnd::Done)));
+    assert_eq!(
+        rig.count_calls(is_start),
+        starts,
+        "the task is not started again"
+    );
 }
 
 /// Guards against a task that waits 0.9 s although its worker has crashed and restarted: the runs of the earlier
@@ -67,16 +73,20 @@
 #[test]
 fn runs_of_an_earlier_incarnation_end_with_it() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    rig.submit(step(PriorRuns::None, 0));
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    let look = rig.last(is_look);
-    rig.answer(&look, lists(vec![row(1)], Vec::new()));
-    rig.take(Input::Workers(vec![second_incarnation()]));
-    let look = rig.last(is_look);
+    let look = rig.last_call(is_look);
+    rig.answer(&look, lists(vec![running_row(1)], Vec::new()));
+    rig.handle(Input::Workers(vec![second_incarnation()]));
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists(Vec::new(), Vec::new()));
-    rig.wait(20);
-    assert_eq!(rig.count(is_start), 2, "the task starts again at once");
+    rig.advance(20);
+    assert_eq!(
+        rig.count_calls(is_start),
+        2,
+        "the task starts again at once"
+    );
 }
 
 /// An announcement, and what the dispatcher received before it.
@@ -89,14 +99,14 @@
     gets_task: bool,
 }
 
-fn announcement(incarnation: u64, sequence: u64, stage: WorkerStage) -> WorkerNote {
-    WorkerNote {
-        said: Said {
+fn announcement(incarnation: u64, sequence: u64, stage: WorkerStage) -> WorkerAnnouncement {
+    WorkerAnnouncement {
+        version: AnnouncementVersion {
             incarnation: Incarnation(incarnation),
             sequence,
         },
         stage,
-        ..note("w1", 1)
+        ..worker_note("w1", 1)
     }
 }
 
@@ -111,21 +121,21 @@
 #[case::later_incarnation_has_left(Case { first: (1, 20), then: (2, 3, WorkerStage::Gone), gets_task: false })]
 fn announcements_are_compared_within_an_incarnation(#[case] case: Case) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Workers(vec![announcement(
+    rig.handle(Input::Workers(vec![announcement(
         case.first.0,
         case.first.1,
         WorkerStage::Ready,
     )]));
     let (incarnation, sequence, stage) = case.then;
-    rig.take(Input::Workers(vec![announcement(
+    rig.handle(Input::Workers(vec![announcement(
         incarnation,
         sequence,
         stage,
     )]));
-    let look = rig.last(is_look);
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists(Vec::new(), Vec::new()));
-    rig.submit(step(Doubt::None, 0));
-    assert_eq!(rig.count(is_start) == 1, case.gets_task);
+    rig.submit(step(PriorRuns::None, 0));
+    assert_eq!(rig.count_calls(is_start) == 1, case.gets_task);
 }
 
 /// Guards against a worker that has left, restarts, and gets no tasks for 30 s although it runs and callers are
@@ -133,14 +143,14 @@
 #[test]
 fn worker_that_has_left_may_come_back() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Workers(vec![announcement(1, 9, WorkerStage::Gone)]));
-    rig.take(Input::Workers(vec![announcement(1, 8, WorkerStage::Ready)]));
+    rig.handle(Input::Workers(vec![announcement(1, 9, WorkerStage::Gone)]));
+    rig.handle(Input::Workers(vec![announcement(1, 8, WorkerStage::Ready)]));
     assert_eq!(
         rig.pool.known_workers(),
         0,
         "late announcement of the incarnation that has left"
     );
-    rig.take(Input::Workers(vec![second_incarnation()]));
+    rig.handle(Input::Workers(vec![second_incarnation()]));
     assert_eq!(rig.pool.known_workers(), 1);
 }
 
@@ -149,20 +159,20 @@
 /// incarnation, so it shows what is running once it is requested under the key of that incarnation.
 #[rstest]
 #[case::ended(Vec::new(), 2)]
-#[case::request_reached_the_later_incarnation(vec![row(1)], 1)]
+#[case::request_reached_the_later_incarnation(vec![running_row(1)], 1)]
 fn answer_shows_a_later_incarnation(#[case] running: Vec<RunningRow>, #[case] starts: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    rig.submit(step(PriorRuns::None, 0));
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    let looks = rig.count(is_look);
-    let look = rig.last(is_look);
+    let looks = rig.count_calls(is_look);
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists_of(2, running.clone(), Vec::new()));
-    assert_eq!(rig.count(is_look), looks + 1, "polled again");
-    let look = rig.last(is_look);
+    assert_eq!(rig.count_calls(is_look), looks + 1, "polled again");
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists_of(2, running, Vec::new()));
-    rig.wait(20);
-    assert_eq!(rig.count(is_start), starts);
+    rig.advance(20);
+    assert_eq!(rig.count_calls(is_start), starts);
 }
 
 /// Guards against sending a task to a worker that has announced that it leaves: its clock was set back between two
@@ -173,34 +183,34 @@
 #[case::delayed_announcement(2, 1)]
 fn answer_shows_which_incarnation_is_running(#[case] answers: u64, #[case] starts: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Workers(vec![announcement(
+    rig.handle(Input::Workers(vec![announcement(
         2,
         20,
         WorkerStage::Ready,
     )]));
-    let look = rig.last(is_look);
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists_of(2, Vec::new(), Vec::new()));
-    rig.take(Input::Workers(vec![announcement(
+    rig.handle(Input::Workers(vec![announcement(
         1,
         3,
         WorkerStage::Draining,
     )]));
     for _ in 0..2 {
-        let look = rig.last(is_look);
+        let look = rig.last_call(is_look);
         rig.answer(&look, lists_of(answers, Vec::new(), Vec::new()));
     }
     // Another keeper sends all announcements that it knows.
-    rig.take(Input::Workers(vec![announcement(
+    rig.handle(Input::Workers(vec![announcement(
         2,
         19,
         WorkerStage::Ready,
     )]));
     for _ in 0..2 {
-        let look = rig.last(is_look);
+        let look = rig.last_call(is_look);
         rig.answer(&look, lists_of(answers, Vec::new(), Vec::new()));
     }
-    rig.submit(step(Doubt::None, 0));
-    assert_eq!(rig.count(is_start), starts);
+    rig.submit(step(PriorRuns::None, 0));
+    assert_eq!(rig.count_calls(is_start), starts);
 }
 
 /// Guards against running a task twice: a late answer to a request to the earlier incarnation must not count for the
@@ -208,23 +218,23 @@
 #[test]
 fn answers_of_an_earlier_incarnation_are_discarded() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
-    rig.take(Input::Workers(vec![second_incarnation()]));
+    rig.submit(step(PriorRuns::None, 0));
+    let start = rig.last_call(is_start);
+    rig.handle(Input::Workers(vec![second_incarnation()]));
     rig.answer(&start, Answer::Rejected(Rejection::StaleFence, None));
     assert_eq!(
-        rig.outbid, 0,
+        rig.fenced, 0,
         "no other dispatcher has taken the domain over"
     );
     assert_eq!(
-        rig.count(is_start),
+        rig.count_calls(is_start),
         1,
         "not before the later incarnation has listed its runs"
     );
-    let look = rig.last(is_look);
+    let look = rig.last_call(is_look);
     rig.answer(&look, lists_of(2, Vec::new(), Vec::new()));
-    rig.wait(20);
-    assert_eq!(rig.count(is_start), 2);
+    rig.advance(20);
+    assert_eq!(rig.count_calls(is_start), 2);
 }
 
 /// Guards against running a task twice: a start gets no answer, its worker crashes and restarts, the task is started
@@ -233,22 +243,22 @@
 #[test]
 fn requests_to_an_earlier_incarnation_are_fenced() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
-    let mut highest = rig.last(is_start).fence;
+    rig.submit(step(PriorRuns::None, 0));
+    let mut highest = rig.last_call(is_start).fence;
     for incarnation in 2..8 {
-        rig.take(Input::Workers(vec![announcement(
+        rig.handle(Input::Workers(vec![announcement(
             incarnation,
             1,
             WorkerStage::Ready,
         )]));
-        let look = rig.last(is_look);
+        let look = rig.last_call(is_look);
         assert!(look.fence > highest, "incarnation {incarnation}");
         rig.answer(&look, lists_of(incarnation, Vec::new(), Vec::new()));
-        rig.wait(20);
-        highest = rig.last(is_start).fence;
+        rig.advance(20);
+        highest = rig.last_call(is_start).fence;
     }
     assert!(
-        highest < LATER_FENCE.of_life(0),
+        highest < LATER_FENCE.for_incarnation(0),
         "a successor's token is higher"
     );
 }
@@ -258,28 +268,28 @@
 #[test]
 fn announcements_of_several_incarnations_are_kept_apart() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.take(Input::Workers(vec![announcement(
+    rig.handle(Input::Workers(vec![announcement(
         9,
         20,
         WorkerStage::Ready,
     )]));
-    rig.take(Input::Workers(vec![announcement(
+    rig.handle(Input::Workers(vec![announcement(
         2,
         3,
         WorkerStage::Draining,
     )]));
-    rig.take(Input::Workers(vec![announcement(
+    rig.handle(Input::Workers(vec![announcement(
         5,
         30,
         WorkerStage::Ready,
     )]));
     // Each list comes from another incarnation than the one known by then.
     for incarnation in [5, 9, 2, 2] {
-        let look = rig.last(is_look);
+        let look = rig.last_call(is_look);
         rig.answer(&look, lists_of(incarnation, Vec::new(), Vec::new()));
     }
-    rig.submit(step(Doubt::None, 0));
-    assert_eq!(rig.count(is_start), 0);
+    rig.submit(step(PriorRuns::None, 0));
+    assert_eq!(rig.count_calls(is_start), 0);
 }
 
 /// Guards against running a task twice, or overloading a worker: a worker leaves while a start without an answer is in
@@ -288,13 +298,13 @@
 #[test]
 fn requests_to_an_incarnation_that_has_left_are_fenced() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
-    let start = rig.last(is_start);
+    rig.submit(step(PriorRuns::None, 0));
+    let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    let look = rig.last(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended(1, RunEnd::Done)]));
-    rig.take(Input::Workers(vec![announcement(1, 9, WorkerStage::Gone)]));
+    let look = rig.last_call(is_look);
+    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
+    rig.handle(Input::Workers(vec![announcement(1, 9, WorkerStage::Gone)]));
     assert_eq!(rig.pool.known_workers(), 0);
-    rig.take(Input::Workers(vec![second_incarnation()]));
-    assert!(rig.last(is_look).fence > start.fence);
+    rig.handle(Input::Workers(vec![second_incarnation()]));
+    assert!(rig.last_call(is_look).fence > start.fence);
 }
--- a/crates/celerywinch_types/src/lib.rs
+++ b/crates/celerywinch_types/src/lib.rs
@@ -20,27 +20,27 @@
 mod work;
 
 pub use crashes::Crashes;
-pub use endpoint::{EndpointNote, EndpointState, KindName};
+pub use endpoint::{EndpointAnnouncement, EndpointState, KindName};
 pub use fleet::{
-    Beat, Contact, Domain, Doubt, Echo, EvacuationOrder, Evacuations, FleetMsg, Holding, KeepMsg,
-    KeeperRequest, KeeperState, Learned, LearnedQueue, Load, Part, Piece, Session, SpreadMsg,
-    Stage, StepOrder, TaskEnd, TaskNews, TaskOrder, WorkMsg,
+    Chunk, ConfigMsg, Contact, Domain, Echo, EvacuationOrder, Evacuations, FleetHeartbeat,
+    FleetMsg, KeeperMsg, KeeperRequest, KeeperState, Learned, LearnedQueue, Load, OwnedDomain,
+    PriorRuns, ProcessKind, Session, Stage, StepOrder, TaskEnd, TaskOrder, TaskReport, WorkMsg,
 };
 pub use hash::{score, stable_hash};
 pub use id::{DataCentreId, Holder, Incarnation, InstanceId, Process};
 pub use job::{Submission, TaskBody};
 pub use key::{Key, KeyError, MAX_KEY_BYTES};
-pub use mechanism::{Mechanism, UnknownMechanism, Without};
+pub use mechanism::{DisabledMechanisms, Mechanism, UnknownMechanism};
 pub use message::{
     Ballot, ClaimMsg, ClaimReply, Grant, Heartbeat, MemberMsg, PeerMsg, RelayMsg, Renewal, SlotMsg,
     VoteState,
 };
 pub use outcome::{Failure, Outcome, Ran, Refusal, RefusalReason, Step};
-pub use queue::{Bounds, Queue, QueueBook, Service};
+pub use queue::{Bounds, Queue, QueueConfig, Service};
 pub use status::ExitStatus;
 pub use time::{Time, WallMs};
 pub use timers::{TimerId, TimerQueue};
 pub use work::{
-    Fence, JobEnd, JobId, JobPlan, MOST_LIVES, Room, RunNumber, Said, StepPlan, TaskId,
-    WorkerClock, WorkerNote, WorkerStage,
+    AnnouncementVersion, Fence, JobEnd, JobId, JobPlan, MAX_INCARNATIONS, Resources, RunNumber,
+    StepPlan, TaskId, WorkerAnnouncement, WorkerClock, WorkerStage,
 };
