--- a/crates/celerywinch_pool/src/incarnations.rs
+++ b/crates/celerywinch_pool/src/incarnations.rs
@@ -98,8 +98,8 @@
         note: WorkerAnnouncement,
         out: &mut Vec<Output>,
     ) {
-        let forgotten = self.removed.remove(&note.id);
-        let restarts = forgotten.map_or(0, |(restarts, _)| restarts + 1);
+        let removed = self.removed.remove(&note.id);
+        let restarts = removed.map_or(0, |(restarts, _)| restarts + 1);
         let key = self.add_worker(now, note, restarts, out);
         if restarts > MAX_INCARNATIONS {
             out.push(Output::TokenExhausted(self.workers[key].domain));
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -19,7 +19,7 @@
 /// Most runs have ended after this multiple of their expected run time: run times of one kind of job vary by a quarter,
 /// and the learned pace of a worker is off by a few percent.
 const WAIT_FACTOR: f64 = 1.3;
-/// A worker that takes this many times the usual run time gets no tasks for `PoolConfig::aside`.
+/// A worker that takes this many times the usual run time gets no tasks for `PoolConfig::quarantine`.
 const SLOW_PACE: f64 = 3.0;
 
 /// Why a run was lost.
@@ -158,8 +158,9 @@
         }
     }
 
-    /// Polls the worker of a domain with the most recent contact, unless one has answered within `PoolConfig::quiet`.
-    /// If it does not answer, the next calls try the others in turn until the domain counts as unreachable.
+    /// Polls the worker of a domain with the most recent contact, unless one has answered within
+    /// `PoolConfig::reach_window`. If it does not answer, the next calls try the others in turn until the domain counts
+    /// as unreachable.
     pub(crate) fn check_reachable(&mut self, now: Time, domain: Domain, out: &mut Vec<Output>) {
         if self.is_reachable(now, domain, self.config.reach_window) {
             return;
--- a/crates/celerywinch_pool/src/origins.rs
+++ b/crates/celerywinch_pool/src/origins.rs
@@ -109,8 +109,8 @@
 
     pub(crate) fn drop_origin(&mut self, now: Time, origin: InstanceId, out: &mut Vec<Output>) {
         // The next incarnation of the origin numbers its submissions from the beginning.
-        let gives_back = |told: &SentEnd| told.origin == origin && told.news.returns_task();
-        self.sent_ends.retain(|_, told| !gives_back(told));
+        let returned = |sent: &SentEnd| sent.origin == origin && sent.news.returns_task();
+        self.sent_ends.retain(|_, sent| !returned(sent));
         let keys: Vec<_> = self
             .batches
             .iter()
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -15,7 +15,7 @@
 const RUN_NUMBER_GAP: u64 = 1 << 20;
 /// A worker counts as silent after this many missed calls in a row.
 pub(crate) const SILENT_AFTER_MISSES: u32 = 2;
-/// A worker whose smoothed failure rate reaches this value gets no tasks for `PoolConfig::aside`.
+/// A worker whose smoothed failure rate reaches this value gets no tasks for `PoolConfig::quarantine`.
 const FAILURE_LIMIT: f64 = 0.5;
 
 impl Pool {
@@ -354,12 +354,12 @@
             return;
         }
         let usual = run.expected.as_secs_f64() / worker.pace.max(f64::EPSILON);
-        let without = self.config.disabled;
-        if !without.contains(Mechanism::Learning) {
+        let disabled = self.config.disabled;
+        if !disabled.contains(Mechanism::Learning) {
             self.run_times
                 .learn(&order.queue, order.estimate, took.div_f64(worker.pace));
         }
-        if !without.contains(Mechanism::Pace) {
+        if !disabled.contains(Mechanism::Pace) {
             worker.learn_pace(took.as_secs_f64() / usual.max(1e-3));
         }
     }
--- a/crates/celerywinch_pool/tests/crashes.rs
+++ b/crates/celerywinch_pool/tests/crashes.rs
@@ -42,8 +42,8 @@
             &format!("w{index}"),
             index,
         )]));
-        let look = rig.last_call(is_look);
-        rig.answer(&look, lists_of(1, Vec::new(), Vec::new()));
+        let poll = rig.last_call(is_look);
+        rig.answer(&poll, lists_of(1, Vec::new(), Vec::new()));
     }
     rig
 }
@@ -93,8 +93,8 @@
             let later = *known;
             let back = incarnation_note(&worker, later, WorkerStage::Ready);
             rig.handle(Input::Workers(vec![back]));
-            let look = rig.last_call(is_look);
-            rig.answer(&look, lists_of(later, Vec::new(), Vec::new()));
+            let poll = rig.last_call(is_look);
+            rig.answer(&poll, lists_of(later, Vec::new(), Vec::new()));
             rig.advance(10);
         }
     }
@@ -141,8 +141,8 @@
         2,
         WorkerStage::Ready,
     )]));
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists_of(2, Vec::new(), Vec::new()));
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists_of(2, Vec::new(), Vec::new()));
     assert!(rig.ends.is_empty(), "only one worker has crashed");
     end(&mut rig, &mut incarnations, End::Restarts);
     assert_eq!(rig.ends, [(task(0), TaskEnd::GivenUp)]);
@@ -212,11 +212,11 @@
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
     rig.advance(60);
-    let look = rig.last_call(is_look);
+    let poll = rig.last_call(is_look);
     let mut running = running_row(1);
     running.task.job = JobId(500);
-    assert_eq!(look.worker, start.worker);
-    rig.answer(&look, lists(vec![running], Vec::new()));
+    assert_eq!(poll.worker, start.worker);
+    rig.answer(&poll, lists(vec![running], Vec::new()));
     assert_eq!(
         rig.count_calls(is_start),
         before + 8,
@@ -266,8 +266,8 @@
         2,
         WorkerStage::Ready,
     )]));
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists_of(2, Vec::new(), Vec::new()));
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists_of(2, Vec::new(), Vec::new()));
     let again: Vec<_> = rig
         .calls
         .iter()
@@ -304,10 +304,10 @@
 /// Lets time pass while polls of the `silent` workers get no answer and others stay open.
 fn pass_without_answers(rig: &mut Rig, silent: &BTreeSet<String>, ms: u64) {
     for _ in 0..ms / 10 {
-        let looks = rig.calls.iter().filter(|call| is_look(&call.request));
-        let looks: Vec<_> = looks.cloned().collect();
-        for look in looks.iter().filter(|look| silent.contains(&look.worker)) {
-            rig.answer(look, Answer::NoAnswer);
+        let polls = rig.calls.iter().filter(|call| is_look(&call.request));
+        let polls: Vec<_> = polls.cloned().collect();
+        for poll in polls.iter().filter(|poll| silent.contains(&poll.worker)) {
+            rig.answer(poll, Answer::NoAnswer);
         }
         rig.advance(10);
     }
@@ -365,13 +365,13 @@
     rig.submit(wide_step(500));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    let looks = |rig: &Rig| {
+    let polls = |rig: &Rig| {
         let here = rig.calls.iter().filter(|call| call.worker == start.worker);
         here.filter(|call| is_look(&call.request)).count()
     };
-    let before = looks(&rig);
+    let before = polls(&rig);
     rig.advance(40);
-    assert_eq!(looks(&rig), before);
+    assert_eq!(polls(&rig), before);
     rig.advance(20);
-    assert_eq!(looks(&rig), before + 1);
+    assert_eq!(polls(&rig), before + 1);
 }
--- a/crates/celerywinch_pool/tests/grants.rs
+++ b/crates/celerywinch_pool/tests/grants.rs
@@ -50,9 +50,9 @@
 
     /// Returns whether the last poll extends the lease.
     fn extends_lease(&self) -> bool {
-        let look = self.rig.last_call(is_look);
+        let poll = self.rig.last_call(is_look);
         matches!(
-            look.request,
+            poll.request,
             Request::Poll {
                 deadline: Some(_),
                 ..
@@ -125,16 +125,16 @@
     remote.submit(0, PriorRuns::None);
     let start = remote.rig.last_call(is_start);
     remote.rig.answer(&start, Answer::Accepted(clock()));
-    let look = remote.rig.last_call(is_look);
+    let poll = remote.rig.last_call(is_look);
     remote
         .rig
-        .answer(&look, lists(vec![running_row(1)], Vec::new()));
+        .answer(&poll, lists(vec![running_row(1)], Vec::new()));
     assert!(remote.extends_lease());
     remote.rig.advance(510);
-    let look = remote.rig.last_call(is_look);
+    let poll = remote.rig.last_call(is_look);
     remote
         .rig
-        .answer(&look, lists(vec![running_row(1)], Vec::new()));
+        .answer(&poll, lists(vec![running_row(1)], Vec::new()));
     assert!(!remote.extends_lease());
     assert_eq!(remote.rig.count_calls(is_stop), 0);
     remote.rig.advance(300);
@@ -163,10 +163,10 @@
     remote.submit(0, PriorRuns::None);
     let start = remote.rig.last_call(is_start);
     remote.rig.answer(&start, Answer::Accepted(clock()));
-    let look = remote.rig.last_call(is_look);
+    let poll = remote.rig.last_call(is_look);
     remote
         .rig
-        .answer(&look, lists(vec![running_row(1)], Vec::new()));
+        .answer(&poll, lists(vec![running_row(1)], Vec::new()));
     let last = 1;
     match withdrawal {
         Withdrawal::Cancelled => {
@@ -265,10 +265,10 @@
     }
     let start = remote.rig.last_call(is_start);
     remote.rig.answer(&start, Answer::Accepted(clock()));
-    let look = remote.rig.last_call(is_look);
+    let poll = remote.rig.last_call(is_look);
     remote
         .rig
-        .answer(&look, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
+        .answer(&poll, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
     let news = remote
         .rig
         .ends_by_origin
@@ -323,8 +323,8 @@
         "the first run has not ended yet"
     );
     rig.answer(&stop, Answer::Accepted(clock()));
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, end)]));
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists(Vec::new(), vec![ended_row(1, end)]));
     let told: &[_] = if end == RunEnd::Done {
         &[TaskEnd::Done]
     } else {
@@ -371,10 +371,10 @@
     rig.handle(Input::Work(ORIGIN, cancel));
     let stop = rig.last_call(is_stop);
     rig.answer(&stop, Answer::Accepted(clock()));
-    let look = rig.last_call(is_look);
+    let poll = rig.last_call(is_look);
     let mut over = ended_row(1, RunEnd::Interrupted);
     over.task.job = JobId(1);
-    rig.answer(&look, lists(Vec::new(), vec![over]));
+    rig.answer(&poll, lists(Vec::new(), vec![over]));
     rig.advance(case.after);
     let mut remote = Remote { rig };
     remote.grant(0, 500);
@@ -404,9 +404,9 @@
     let stop = rig.last_call(is_stop);
     rig.submit(step(PriorRuns::Unknown, 0));
     rig.answer(&stop, Answer::Accepted(clock()));
-    let look = rig.last_call(is_look);
+    let poll = rig.last_call(is_look);
     rig.answer(
-        &look,
+        &poll,
         lists(Vec::new(), vec![ended_row(1, RunEnd::Interrupted)]),
     );
     rig.advance(100);
--- a/crates/celerywinch_pool/tests/leaving.rs
+++ b/crates/celerywinch_pool/tests/leaving.rs
@@ -45,13 +45,13 @@
 fn pass(rig: &mut Rig, then: AfterNotice, ms: u64) {
     let mut answered = Vec::new();
     for _ in 0..ms / 20 {
-        let looks = rig.calls.iter();
-        let open = looks.filter(|call| call.worker == "w1" && is_look(&call.request));
+        let polls = rig.calls.iter();
+        let open = polls.filter(|call| call.worker == "w1" && is_look(&call.request));
         let open: Vec<_> = open.cloned().collect();
-        for look in open {
-            if !answered.contains(&look.key) {
-                answered.push(look.key);
-                rig.answer(&look, then.answer());
+        for poll in open {
+            if !answered.contains(&poll.key) {
+                answered.push(poll.key);
+                rig.answer(&poll, then.answer());
             }
         }
         rig.advance(20);
@@ -107,8 +107,8 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     if known {
         rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
-        let look = rig.last_call(is_look);
-        rig.answer(&look, lists(Vec::new(), Vec::new()));
+        let poll = rig.last_call(is_look);
+        rig.answer(&poll, lists(Vec::new(), Vec::new()));
     }
     rig.handle(Input::Workers(vec![gone("w2", 2)]));
     rig.advance(15_000);
--- a/crates/celerywinch_pool/tests/silence.rs
+++ b/crates/celerywinch_pool/tests/silence.rs
@@ -19,8 +19,8 @@
 fn two_workers() -> Rig {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists(Vec::new(), Vec::new()));
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists(Vec::new(), Vec::new()));
     rig
 }
 
--- a/crates/celerywinch_pool/tests/takeover.rs
+++ b/crates/celerywinch_pool/tests/takeover.rs
@@ -19,8 +19,8 @@
     rig.handle(Input::Acquire(DOMAIN, Fence(7 << 5)));
     rig.submit(step(PriorRuns::None, 0));
     assert_eq!(rig.ends, [], "job ended before the worker answered");
-    let look = rig.last_call(is_look);
-    rig.answer(&look, answer);
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, answer);
     rig.advance(20);
     assert_eq!(rig.count_calls(is_start), starts);
 }
--- a/crates/celerywinch_pool/tests/worker_incarnations.rs
+++ b/crates/celerywinch_pool/tests/worker_incarnations.rs
@@ -35,12 +35,12 @@
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
     assert_eq!(rig.ends, [(task(0), TaskEnd::Done)]);
     rig.handle(Input::Workers(vec![second_incarnation()]));
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists(Vec::new(), Vec::new()));
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists(Vec::new(), Vec::new()));
     let mut order = step(PriorRuns::None, 0);
     order.job = LATER_JOB;
     rig.submit(order);
@@ -56,8 +56,8 @@
     };
     let starts = rig.count_calls(is_start);
     for _ in 0..10 {
-        let look = rig.last_call(is_look);
-        rig.answer(&look, lists(Vec::new(), vec![first_end]));
+        let poll = rig.last_call(is_look);
+        rig.answer(&poll, lists(Vec::new(), vec![first_end]));
         rig.advance(20);
     }
     assert_eq!(rig.ends.last(), Some(&(later, TaskEnd::Done)));
@@ -76,11 +76,11 @@
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists(vec![running_row(1)], Vec::new()));
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists(vec![running_row(1)], Vec::new()));
     rig.handle(Input::Workers(vec![second_incarnation()]));
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists(Vec::new(), Vec::new()));
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists(Vec::new(), Vec::new()));
     rig.advance(20);
     assert_eq!(
         rig.count_calls(is_start),
@@ -132,8 +132,8 @@
         sequence,
         stage,
     )]));
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists(Vec::new(), Vec::new()));
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists(Vec::new(), Vec::new()));
     rig.submit(step(PriorRuns::None, 0));
     assert_eq!(rig.count_calls(is_start) == 1, case.gets_task);
 }
@@ -165,12 +165,12 @@
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    let looks = rig.count_calls(is_look);
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists_of(2, running.clone(), Vec::new()));
-    assert_eq!(rig.count_calls(is_look), looks + 1, "polled again");
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists_of(2, running, Vec::new()));
+    let polls = rig.count_calls(is_look);
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists_of(2, running.clone(), Vec::new()));
+    assert_eq!(rig.count_calls(is_look), polls + 1, "polled again");
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists_of(2, running, Vec::new()));
     rig.advance(20);
     assert_eq!(rig.count_calls(is_start), starts);
 }
@@ -188,16 +188,16 @@
         20,
         WorkerStage::Ready,
     )]));
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists_of(2, Vec::new(), Vec::new()));
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists_of(2, Vec::new(), Vec::new()));
     rig.handle(Input::Workers(vec![announcement(
         1,
         3,
         WorkerStage::Draining,
     )]));
     for _ in 0..2 {
-        let look = rig.last_call(is_look);
-        rig.answer(&look, lists_of(answers, Vec::new(), Vec::new()));
+        let poll = rig.last_call(is_look);
+        rig.answer(&poll, lists_of(answers, Vec::new(), Vec::new()));
     }
     // Another keeper sends all announcements that it knows.
     rig.handle(Input::Workers(vec![announcement(
@@ -206,8 +206,8 @@
         WorkerStage::Ready,
     )]));
     for _ in 0..2 {
-        let look = rig.last_call(is_look);
-        rig.answer(&look, lists_of(answers, Vec::new(), Vec::new()));
+        let poll = rig.last_call(is_look);
+        rig.answer(&poll, lists_of(answers, Vec::new(), Vec::new()));
     }
     rig.submit(step(PriorRuns::None, 0));
     assert_eq!(rig.count_calls(is_start), starts);
@@ -231,8 +231,8 @@
         1,
         "not before the later incarnation has listed its runs"
     );
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists_of(2, Vec::new(), Vec::new()));
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists_of(2, Vec::new(), Vec::new()));
     rig.advance(20);
     assert_eq!(rig.count_calls(is_start), 2);
 }
@@ -251,9 +251,9 @@
             1,
             WorkerStage::Ready,
         )]));
-        let look = rig.last_call(is_look);
-        assert!(look.fence > highest, "incarnation {incarnation}");
-        rig.answer(&look, lists_of(incarnation, Vec::new(), Vec::new()));
+        let poll = rig.last_call(is_look);
+        assert!(poll.fence > highest, "incarnation {incarnation}");
+        rig.answer(&poll, lists_of(incarnation, Vec::new(), Vec::new()));
         rig.advance(20);
         highest = rig.last_call(is_start).fence;
     }
@@ -285,8 +285,8 @@
     )]));
     // Each list comes from another incarnation than the one known by then.
     for incarnation in [5, 9, 2, 2] {
-        let look = rig.last_call(is_look);
-        rig.answer(&look, lists_of(incarnation, Vec::new(), Vec::new()));
+        let poll = rig.last_call(is_look);
+        rig.answer(&poll, lists_of(incarnation, Vec::new(), Vec::new()));
     }
     rig.submit(step(PriorRuns::None, 0));
     assert_eq!(rig.count_calls(is_start), 0);
@@ -301,8 +301,8 @@
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
     rig.handle(Input::Workers(vec![announcement(1, 9, WorkerStage::Gone)]));
     assert_eq!(rig.pool.known_workers(), 0);
     rig.handle(Input::Workers(vec![second_incarnation()]));
