--- a/crates/celerywinch_pool/src/grants.rs
+++ b/crates/celerywinch_pool/src/grants.rs
@@ -54,7 +54,7 @@
 /// The effect of a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Renewal {
-    /// The grant was still valid.
+    /// The known grant was extended, or the renewal changed nothing.
     Extended,
     /// There was no grant, or it had expired, or it was of another session.
     New,
