--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking workers over from another dispatcher, and giving them up.
+//! Takes workers over from another dispatcher, and hands them over to a successor.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,10 +11,10 @@
 use crate::run::{Phase, Run};
 use crate::worker::{Ownership, Worker, WorkerKey};
 
-/// How long ends found at a takeover wait for their origins.
-const KEEP_ENDS: std::time::Duration = std::time::Duration::from_secs(3);
+/// How long ends found during a takeover are retained for origins that have not resubmitted their tasks yet.
+const END_RETENTION: std::time::Duration = std::time::Duration::from_secs(3);
 
-/// A run that another dispatcher started.
+/// A run that another dispatcher started, or that started late.
 #[derive(Clone, Copy, Debug)]
 struct ForeignRun {
     worker: WorkerKey,
@@ -23,7 +23,7 @@
     stopped: bool,
 }
 
-/// Runs and ends that were found and belong to no batch yet.
+/// Runs and ends that were found on workers and are not matched to a batch yet.
 #[derive(Debug, Default)]
 pub(crate) struct Takeover {
     foreign_runs: BTreeMap<TaskId, ForeignRun>,
@@ -59,8 +59,8 @@
         }
     }
 
-    /// The first look shows the fencing token, and extends no lease: what runs there may be wanted
-    /// by nobody.
+    /// Takes a worker over. The first poll presents the fencing token and does not extend the lease, since no origin
+    /// may want what runs there.
     pub(crate) fn take_over_worker(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let worker = &mut self.workers[key];
         worker.ownership = Ownership::Acquiring;
@@ -100,8 +100,8 @@
         }
         let worker = &mut self.workers[key];
         worker.ownership = Ownership::Owned;
-        // The dispatcher before may have extended the lease just now. Without that, runs that are
-        // adopted would be taken for ended as soon as the worker misses a call.
+        // The previous dispatcher may have extended the lease just before. Without this bound, adopted runs would be
+        // considered ended as soon as the worker misses a call.
         if !running.is_empty() || !own.is_empty() {
             worker.lease = worker
                 .lease
@@ -113,7 +113,7 @@
             worker: worker.note.id.clone(),
             found: running.len(),
         }));
-        // Origins that were faster than this look wait for what it shows.
+        // Tasks that origins resubmitted before this poll was answered wait for its result.
         for row in &running {
             if let Some(batch) = self.batch_keys.get(&(row.task.job, row.task.step)).copied() {
                 self.settle(now, batch, row.task.index);
@@ -121,7 +121,8 @@
         }
     }
 
-    /// A task in doubt: found at work, found ended, or in limbo until it must have ended.
+    /// Settles a task that may already have run: adopts its run, applies its end, or holds the task back until any
+    /// earlier run must have ended.
     pub(crate) fn settle(&mut self, now: Time, key: BatchKey, index: u16) {
         let batch = &self.batches[key];
         let id = batch.task_id(index);
@@ -131,8 +132,8 @@
         if matches!(task.state, TaskState::Running(_)) {
             return;
         }
-        if let Some((_, how, run)) = self.takeover.ends.get(&id).copied()
-            && self.settle_by_end(now, key, index, how, run)
+        if let Some((_, end, run)) = self.takeover.ends.get(&id).copied()
+            && self.settle_by_end(now, key, index, end, run)
         {
             self.takeover.ends.remove(&id);
             return;
@@ -155,25 +156,26 @@
         }
     }
 
-    /// An end that was found settles a task if it is the end of the last run there can be; a result
-    /// settles it always. An older run that was cut says nothing of a later one.
+    /// Settles a task by an end that was found, and returns whether it did. A result settles it always, any other end
+    /// only if it belongs to the last run that can exist: the interruption of an older run does not say whether a later
+    /// one exists.
     fn settle_by_end(
         &mut self,
         now: Time,
         key: BatchKey,
         index: u16,
-        how: RunEnd,
+        end: RunEnd,
         run: RunNumber,
     ) -> bool {
-        let long_way = self.config.disabled.contains(Mechanism::Shortcuts);
+        let no_shortcuts = self.config.disabled.contains(Mechanism::Shortcuts);
         let Some(task) = self.batches[key].tasks.get_mut(&index) else {
             return false;
         };
-        let last = task.doubt == PriorRuns::Last && run == task.run && !long_way;
-        match how {
+        let last = task.doubt == PriorRuns::Last && run == task.run && !no_shortcuts;
+        match end {
             RunEnd::Done => self.finish_task(now, key, index, TaskEnd::Done),
             RunEnd::Failed | RunEnd::Interrupted if last => {
-                task.failures += u32::from(how == RunEnd::Failed);
+                task.failures += u32::from(end == RunEnd::Failed);
                 self.requeue_task(key, index, run);
             }
             RunEnd::Failed | RunEnd::Interrupted => return false,
@@ -218,20 +220,25 @@
     }
 
     pub(crate) fn foreign_run_ended(&mut self, now: Time, key: WorkerKey, row: &EndedRow) {
-        // An earlier run of the task may have ended on another worker: this one goes on.
-        let this = |foreign: &ForeignRun| foreign.worker == key && foreign.run == row.run;
-        if self.takeover.foreign_runs.get(&row.task).is_some_and(this) {
+        // An earlier run of the task may have ended on another worker; only the end of this run removes it.
+        let this_run = |foreign: &ForeignRun| foreign.worker == key && foreign.run == row.run;
+        if self
+            .takeover
+            .foreign_runs
+            .get(&row.task)
+            .is_some_and(this_run)
+        {
             self.takeover.foreign_runs.remove(&row.task);
             let worker = &mut self.workers[key];
             worker.foreign_runs = worker.foreign_runs.saturating_sub(1);
         }
         let batch = self.batch_keys.get(&(row.task.job, row.task.step)).copied();
-        let limbo = batch.is_some_and(|batch| {
+        let doubtful = batch.is_some_and(|batch| {
             let task = self.batches[batch].tasks.get(&row.task.index);
             task.is_some_and(|task| matches!(task.state, TaskState::MaybeRunning(_)))
         });
         let settled = match batch {
-            Some(batch) if limbo => {
+            Some(batch) if doubtful => {
                 self.settle_by_end(now, batch, row.task.index, row.end, row.run)
             }
             _ => false,
@@ -245,8 +252,9 @@
         }
     }
 
-    /// Runs that are listed no more have ended, or belong to another list by now. What is listed and is
-    /// not known was started late, or by another dispatcher, and nobody waits for it: it is stopped.
+    /// Updates the foreign runs of a worker from its list. Runs that are no longer listed have ended or are tracked on
+    /// another worker by now. A listed run that is not known was started late or by another dispatcher; if no origin
+    /// claims it, it is stopped.
     pub(crate) fn update_foreign_runs(
         &mut self,
         now: Time,
@@ -254,29 +262,29 @@
         running: &[RunningRow],
     ) {
         let listed = |task: &TaskId| running.iter().any(|row| row.task == *task);
-        let aliens = &mut self.takeover.foreign_runs;
-        aliens.retain(|task, foreign| foreign.worker != key || listed(task));
+        let foreign_runs = &mut self.takeover.foreign_runs;
+        foreign_runs.retain(|task, foreign| foreign.worker != key || listed(task));
         let own = self.workers[key].runs.iter();
         let own: BTreeSet<_> = own.map(|run| self.runs[*run].task).collect();
         for row in running.iter().filter(|row| !own.contains(&row.task)) {
-            aliens.entry(row.task).or_insert(ForeignRun {
+            foreign_runs.entry(row.task).or_insert(ForeignRun {
                 worker: key,
                 run: row.run,
                 found: now,
                 stopped: false,
             });
         }
-        let left = aliens
+        let left = foreign_runs
             .values()
             .filter(|foreign| foreign.worker == key)
             .count();
         self.workers[key].foreign_runs = left;
     }
 
-    /// Stops what nobody wants, and starts what must have ended by now.
+    /// Stops foreign runs that no origin has claimed, and releases tasks whose earlier runs must have ended by now.
     pub(crate) fn tick_takeover(&mut self, now: Time, out: &mut Vec<Output>) {
         let ends = &mut self.takeover.ends;
-        ends.retain(|_, (at, _, _)| now.since(*at) <= KEEP_ENDS);
+        ends.retain(|_, (at, _, _)| now.since(*at) <= END_RETENTION);
         self.stop_foreign_runs(now, out);
         self.release_doubtful(now);
     }
@@ -320,20 +328,20 @@
         }
     }
 
-    /// Gives a domain up: all that may run there goes back to its origins as unsure, and what
-    /// waits goes back if nothing is held any more.
+    /// Resigns a domain. Tasks that may be running there are returned to their origins as unsure. Waiting tasks are
+    /// returned too if no domain is owned any more.
     pub(crate) fn resign(&mut self, now: Time, domain: Domain, out: &mut Vec<Output>) {
         self.owned.remove(&domain);
         let here = |worker: &Worker| worker.domain == domain;
         let workers = self.workers.iter().filter(|(_, w)| here(w));
         let keys: Vec<_> = workers.map(|(key, _)| key).collect();
-        let mut given = 0;
+        let mut returned = 0;
         for key in keys {
             for run in self.workers[key].runs.clone() {
                 if let Some(run) = self.runs.remove(run)
                     && let Some(batch) = run.batch
                 {
-                    given += 1;
+                    returned += 1;
                     self.return_task(now, batch, run.task.index, Some(domain));
                 }
             }
@@ -341,11 +349,11 @@
             self.workers[key].reset();
         }
         if self.owned.is_empty() {
-            given += self.return_queue(now);
+            returned += self.return_queue(now);
         }
         out.push(Output::Event(PoolEvent::Resigned {
             domain,
-            tasks: given,
+            tasks: returned,
         }));
     }
 
@@ -367,7 +375,7 @@
     }
 
     fn return_queue(&mut self, now: Time) -> usize {
-        let mut given = 0;
+        let mut returned = 0;
         let keys: Vec<_> = self.batches.keys().collect();
         for key in keys {
             let Some(batch) = self.batches.get(key) else {
@@ -376,16 +384,16 @@
             self.queue.remove(self.rank(key, batch));
             let tasks: Vec<_> = batch.tasks.iter().map(|(i, t)| (*i, t.state)).collect();
             for (index, state) in tasks {
-                given += 1;
+                returned += 1;
                 match state {
                     TaskState::Waiting => self.return_task(now, key, index, None),
-                    // As doubtful as it came; its origin knows since when.
+                    // The task may still be running somewhere, as when it was submitted; its origin knows since when.
                     TaskState::MaybeRunning(_) | TaskState::Running(_) => {
                         self.return_unknown_run(now, key, index);
                     }
                 }
             }
         }
-        given
+        returned
     }
 }
