--- a/crates/celerywinch_pool/src/admission.rs
+++ b/crates/celerywinch_pool/src/admission.rs
@@ -1,4 +1,4 @@
-//! Refusing at once what cannot end in time.
+//! Admission control: refuses jobs that cannot end within their objective.
 
 use std::time::Duration;
 
@@ -8,54 +8,53 @@
 use crate::job::{Batch, BatchKey, TaskState};
 use crate::pool::{Output, Pool};
 
-/// The share of the processors that placement can fill: what remains on a worker is often too
-/// small for one more task.
-const PACKING: f64 = 0.85;
-/// The share of the processors that is counted on for work of low priority however much comes above
-/// it: what runs out at that moment.
-const LEFT_FOR_LOW: f64 = 0.1;
-/// A caller is told to come back when the work ahead of it is done, at least after this, ms.
-const LEAST_RETRY_MS: u32 = 100;
-/// Retry delay given to callers while all workers of a service are in evacuated data centres, ms.
+/// The share of the processors that placement can fill. The rest of a worker is often too small for another task.
+const PACKING_EFFICIENCY: f64 = 0.85;
+/// The share of the processors that counts as available to work of low priority, however much work of higher priority
+/// arrives: the capacity that ending runs free at that moment.
+const MIN_LOW_SHARE: f64 = 0.1;
+/// The shortest retry delay that a refused caller gets, in ms. Otherwise it gets the time until the work ahead is done.
+const MIN_RETRY_MS: u32 = 100;
+/// Retry delay that callers get while all workers of a service are in evacuated data centres, in ms.
 const EVACUATED_RETRY_MS: u32 = 1_000;
-/// Priorities that are told apart in the load that is told to others.
+/// Number of priorities that are reported separately in the load of a domain.
 const PRIORITIES: u8 = 3;
-/// Thousandths of a core of a usual task, before any was seen.
-const USUAL_CPU: u32 = 8_000;
+/// The assumed need of a task while nothing runs, in thousandths of a core.
+const DEFAULT_MILLICORES: u32 = 8_000;
 
 impl Pool {
-    /// Thousandths of a core that work can be placed on. Includes workers that are being taken over, so
-    /// that jobs are not refused before the first of them has answered.
+    /// Returns the capacity on which work can be placed, in thousandths of a core. It includes workers that are being taken
+    /// over, so that jobs are not refused before the first of them has answered.
     fn capacity(&self, now: Time) -> f64 {
         let workers = self.workers.values();
-        let sound =
+        let usable =
             workers.filter(|w| self.accepts_tasks(now, w) || self.accepts_after_takeover(w));
         let speed = |w: &crate::worker::Worker| f64::from(w.note.room.cpu) / w.pace.max(1.0);
-        sound.map(speed).sum::<f64>() * PACKING
+        usable.map(speed).sum::<f64>() * PACKING_EFFICIENCY
     }
 
-    /// Ms until all that is ahead, and `own` work, could be done, if `coming` work comes before it
-    /// each ms.
+    /// Estimates the time in ms until the waiting work of the batches `ahead` and `new_work` is done, while `inflow_rate` work
+    /// of higher priority arrives each ms.
     fn wait_ms(
         &self,
         now: Time,
         ahead: impl Iterator<Item = BatchKey>,
-        own: f64,
-        coming: f64,
+        new_work: f64,
+        inflow_rate: f64,
     ) -> u32 {
         let ahead: f64 = ahead.map(|key| self.batches[key].waiting_work()).sum();
-        let whole = self.capacity(now);
-        let capacity = (whole - coming).max(whole * LEFT_FOR_LOW);
-        if ahead + own <= 0.0 {
+        let total = self.capacity(now);
+        let capacity = (total - inflow_rate).max(total * MIN_LOW_SHARE);
+        if ahead + new_work <= 0.0 {
             return 0;
         }
         if capacity <= 0.0 {
             return self.config.lease.as_millis() as u32;
         }
-        ((ahead + own) / capacity) as u32
+        ((ahead + new_work) / capacity) as u32
     }
 
-    /// Whether a service has workers and all of them are in evacuated data centres.
+    /// Returns whether a service has workers and all of them are in evacuated data centres.
     fn all_evacuated(&self, service: &str) -> bool {
         if self.evacuated.is_empty() {
             return false;
@@ -65,19 +64,19 @@
         workers.peek().is_some() && workers.all(|w| self.evacuated.contains(&w.note.dc))
     }
 
-    /// How many tasks could start at once.
-    fn places(&self, now: Time, batch: &Batch) -> usize {
+    /// Returns how many tasks of a batch could start now.
+    fn free_slots(&self, now: Time, batch: &Batch) -> usize {
         let workers = self
             .workers
             .iter()
             .filter(|(_, w)| self.accepts_tasks(now, w));
-        let fitting = workers.filter(|(key, worker)| self.suits(batch, *key, worker));
+        let fitting = workers.filter(|(key, worker)| self.can_run(batch, *key, worker));
         let cpu = batch.order.need.cpu.max(1);
         fitting.map(|(_, w)| (w.free().cpu / cpu) as usize).sum()
     }
 
-    /// Refuses a new job that could not end within its objective because of the work ahead of it.
-    /// What has room is never refused.
+    /// Refuses a new job that could not end within its objective because of the work ahead of it, and returns whether it did.
+    /// A job whose tasks can all start now is never refused.
     pub(crate) fn refuse_new(
         &mut self,
         now: Time,
@@ -85,9 +84,9 @@
         tasks: usize,
         out: &mut Vec<Output>,
     ) -> bool {
-        let without = self.config.disabled;
-        let room = self.queue.is_empty() && self.places(now, batch) >= tasks;
-        if room || without.lacks(Mechanism::Admission) {
+        let disabled = self.config.disabled;
+        let room = self.queue.is_empty() && self.free_slots(now, batch) >= tasks;
+        if room || disabled.lacks(Mechanism::Admission) {
             return false;
         }
         if self.all_evacuated(&batch.order.service) {
@@ -95,14 +94,14 @@
             return true;
         }
         let rank = self.rank(BatchKey::default(), batch);
-        let coming = if without.lacks(Mechanism::Inflow) {
+        let inflow_rate = if disabled.lacks(Mechanism::Inflow) {
             0.0
         } else {
-            self.inflow.above(now, batch.order.priority)
+            self.inflow.rate_above(now, batch.order.priority)
         };
-        let own = batch.work_of(tasks);
-        let wait = self.wait_ms(now, self.queue.ahead(rank), own, coming);
-        if fits(now, batch, wait) {
+        let new_work = batch.work_of(tasks);
+        let wait = self.wait_ms(now, self.queue.ahead(rank), new_work, inflow_rate);
+        if meets_objective(now, batch, wait) {
             out.push(Output::Event(PoolEvent::Queued {
                 job: batch.order.job,
                 origin: batch.origin,
@@ -116,10 +115,10 @@
     }
 
     fn refuse(&mut self, now: Time, batch: &Batch, wait: u32, out: &mut Vec<Output>) {
-        let later = if self.config.disabled.lacks(Mechanism::RetryTime) {
-            LEAST_RETRY_MS
+        let retry_ms = if self.config.disabled.lacks(Mechanism::RetryTime) {
+            MIN_RETRY_MS
         } else {
-            wait.max(LEAST_RETRY_MS)
+            wait.max(MIN_RETRY_MS)
         };
         out.push(Output::Event(PoolEvent::Refused {
             job: batch.order.job,
@@ -130,7 +129,7 @@
         let news = TaskNews {
             task: batch.task_id(0),
             hand: 0,
-            end: TaskEnd::Refused(later),
+            end: TaskEnd::Refused(retry_ms),
         };
         out.push(Output::Send(
             batch.origin,
@@ -138,29 +137,29 @@
         ));
     }
 
-    /// Refuses jobs of which nothing has run and which can no longer end in time. Their callers are
-    /// told at once, and the room goes to those that can. While all workers of a service are in evacuated data
-    /// centres, its waiting jobs that may have run are given up as well, as unsure.
+    /// Refuses queued jobs of which nothing has run and which can no longer end in time: their callers learn it at once, and
+    /// their capacity goes to jobs that can. While all workers of a service are in evacuated data centres, its waiting
+    /// jobs that may have run are given up too, with an unsure outcome.
     pub(crate) fn shed(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.config.disabled.lacks(Mechanism::Shedding) {
             return;
         }
         for key in self.queue.keys() {
             let batch = &self.batches[key];
-            let untouched = batch.tasks.values().all(|t| t.state == TaskState::Waiting);
-            if !untouched {
+            let all_waiting = batch.tasks.values().all(|t| t.state == TaskState::Waiting);
+            if !all_waiting {
                 continue;
             }
             let evacuated = self.all_evacuated(&batch.order.service);
             if batch.started {
                 if evacuated {
-                    self.give_up_unplaced(now, key);
+                    self.give_up_waiting(now, key);
                 }
                 continue;
             }
             let wait = if evacuated {
                 EVACUATED_RETRY_MS
-            } else if fits(now, batch, 0) {
+            } else if meets_objective(now, batch, 0) {
                 continue;
             } else {
                 self.wait_ms(now, self.queue.ahead(self.rank(key, batch)), 0.0, 0.0)
@@ -171,8 +170,8 @@
         }
     }
 
-    /// Gives up the waiting tasks of a job that may have run.
-    fn give_up_unplaced(&mut self, now: Time, key: BatchKey) {
+    /// Gives up the waiting tasks of a job that may have run, as unplaced.
+    fn give_up_waiting(&mut self, now: Time, key: BatchKey) {
         self.dequeue(key);
         let indices: Vec<u16> = self.batches[key].tasks.keys().copied().collect();
         for index in indices {
@@ -180,10 +179,10 @@
         }
     }
 
-    /// The room of a domain, for others to choose where to hand work in.
+    /// Returns the load of a domain, by which other processes choose a dispatcher.
     #[must_use]
     pub fn load(&self, now: Time, domain: Domain) -> Load {
-        let cpu = self.usual_cpu();
+        let cpu = self.mean_cpu();
         let workers = self.workers.values().filter(|w| w.domain == domain);
         let free = workers
             .filter(|worker| self.accepts_tasks(now, worker))
@@ -196,16 +195,19 @@
         Load { free, wait }
     }
 
-    fn usual_cpu(&self) -> u32 {
+    /// Returns the mean need of the current runs, in thousandths of a core.
+    fn mean_cpu(&self) -> u32 {
         let runs = self.runs.values().map(|run| run.need.cpu);
         let (sum, count) = runs.fold((0u64, 0u64), |(s, c), cpu| (s + u64::from(cpu), c + 1));
-        let mean = sum.checked_div(count).unwrap_or(u64::from(USUAL_CPU));
-        u32::try_from(mean).unwrap_or(USUAL_CPU).max(1)
+        let mean = sum
+            .checked_div(count)
+            .unwrap_or(u64::from(DEFAULT_MILLICORES));
+        u32::try_from(mean).unwrap_or(DEFAULT_MILLICORES).max(1)
     }
 }
 
-/// Whether a batch that starts after `wait` ms ends within its objective.
-fn fits(now: Time, batch: &Batch, wait: u32) -> bool {
+/// Returns whether a batch that starts after `wait` ms ends within its objective.
+fn meets_objective(now: Time, batch: &Batch, wait: u32) -> bool {
     let end = now + Duration::from_millis(wait.into()) + batch.expected;
     end <= batch.due
 }
--- a/crates/celerywinch_pool/src/config.rs
+++ b/crates/celerywinch_pool/src/config.rs
@@ -1,67 +1,66 @@
-//! Limits and intervals of the dispatcher.
+//! Timeouts and intervals of the dispatcher.
 
 use std::time::Duration;
 
 use celerywinch_types::{DataCentreId, Without};
 
-/// How slow a worker's steady clock may be; by the users' page.
+/// The share of time by which a worker's steady clock may run slow. The user documentation states it.
 pub const MAX_CLOCK_DRIFT: f64 = 0.02;
-/// Allowance for the rounding of times to whole ms and for a message under way, added to the end of
-/// a lease.
+/// Added to the end of a lease, for the rounding of times to whole ms and for a message in flight.
 pub(crate) const LEASE_MARGIN: Duration = Duration::from_millis(25);
 
-/// No lease is counted from an older reading of a worker's clock: the time between two looks at an idle worker,
-/// the wait and the time-out of a look, and ticks that are late.
+/// The oldest reading of a worker's clock from which a lease may be counted: the interval between two polls of an idle worker,
+/// plus the wait and the timeout of a poll, plus late ticks.
 pub(crate) const MAX_READING_AGE: Duration = Duration::from_millis(4_500);
 
-/// What may be set.
+/// Settings of the dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolConfig {
-    /// How long a worker goes on without hearing from the dispatcher. Shorter, work of a lost
-    /// worker is started elsewhere sooner; but it must outlast the change of hands (350 ms of
-    /// silence, a call, and the time for adoption), or running work is thrown away. The users' page allows 1,000 ms.
+    /// How long a worker keeps its runs without hearing from the dispatcher. A shorter lease lets the work of a lost worker start
+    /// elsewhere sooner. It must outlast a change of dispatcher (350 ms of silence, a call, and the time for adoption), or
+    /// running work is lost. The user documentation allows 1,000 ms.
     pub lease: Duration,
-    /// How long a look at a worker waits there for an end. Two missed looks and their time-outs
-    /// fit into a lease.
+    /// The longest time that a poll waits at a worker for a run to end. Two missed polls and their timeouts fit into a lease.
     pub poll_wait: Duration,
-    /// The least wait of a look, while runs take longer than expected: shorter, late runs cost looks.
+    /// The shortest wait of a poll while runs take longer than expected. A shorter wait costs more polls for late runs.
     pub min_wait: Duration,
-    /// How much longer than its wait an answer may take.
+    /// How much longer than its wait the answer to a poll may take.
     pub answer_timeout: Duration,
-    /// The same for orders; one that takes longer is settled by a stop.
+    /// How long the answer to an order to start or stop may take. A start without an answer is resolved by a stop.
     pub order_timeout: Duration,
-    /// The most that any answer is waited for, beside the wait of a look, where all of them are slow. With the wait for what
-    /// is not read yet two of them fit into a lease.
+    /// The longest timeout of any call, beside the wait of a poll, where all answers are slow. Two such timeouts, with the
+    /// allowance for answers that are not read yet, fit into a lease.
     pub max_timeout: Duration,
-    /// How long ends wait for being acknowledged to a worker that has nothing else to do.
+    /// How long the acknowledgement of ends to a worker without other work is delayed.
     pub ack_delay: Duration,
-    /// An idle worker is looked at this often. Its clock may lose 2% of the time since the last reading, and a lease
-    /// that is counted from there lasts so much longer: 90 ms at most, which the waits for lost dispatchers count.
-    /// And a task does not find out by its own start that a worker is dead. 350 idle workers cost 88 looks/s, a
-    /// thirtieth of what they get under load.
+    /// How often an idle worker is polled. Its clock may lose 2% of the time since the last reading, so a lease that is counted
+    /// from that reading may last up to 90 ms longer; the timeouts for lost dispatchers include this. The poll also
+    /// finds a dead worker before a task is started there. 350 idle workers cost 88 polls/s, a thirtieth of the polls
+    /// under load.
     pub idle_interval: Duration,
-    /// A domain whose workers said nothing for this long has one of them asked, when its
-    /// dispatcher needs to know whether they can be reached. Several can be asked one after the
-    /// other, each for the time of an order, before a second is over and the domain given up.
+    /// A domain without an answer for this long has one of its workers polled when its dispatcher needs to know whether
+    /// the workers can be reached. Several can be polled in turn, each for the timeout of an order, before the domain
+    /// is given up after a second.
     pub reach_window: Duration,
-    /// Between two attempts to reach a worker that does not answer.
+    /// Delay between two attempts to reach a worker that does not answer.
     pub retry_delay: Duration,
-    /// How long runs found at a takeover wait for their origin before they are stopped. Origins
-    /// hear of a new dispatcher within a heartbeat.
+    /// How long runs found at a takeover wait for their origin before they are stopped. Origins learn of a new dispatcher
+    /// within a heartbeat interval.
     pub adopt_timeout: Duration,
-    /// How long a task that may run somewhere waits at most before it is started: the time for which an origin
-    /// lets a dispatcher start its tasks (500 ms), and the longest lease (931 ms). Not less by the silence after
-    /// which a dispatcher counts as lost: a cut that refuses connections makes it count as lost at once.
+    /// The longest time that a task which may be running somewhere waits before it is started: the time for which an origin's
+    /// grant lets a dispatcher start its tasks (500 ms) plus the longest lease (931 ms). The silence after which a
+    /// dispatcher counts as lost is not subtracted, as a network cut that refuses connections makes it count as lost at
+    /// once.
     pub doubt_timeout: Duration,
-    /// How long a worker that failed tasks gets none.
+    /// How long a worker that failed tasks gets no new ones.
     pub quarantine: Duration,
-    /// A worker that was asked in vain for this long is forgotten.
+    /// How long a worker may leave calls unanswered before it is removed.
     pub remove_after: Duration,
-    /// How long a stop may take on a worker.
+    /// How long a worker may take to carry out a stop.
     pub stop_delay: Duration,
-    /// The dispatcher's data centre, whose workers it prefers.
+    /// The dispatcher's data centre; its workers are preferred.
     pub dc: Option<DataCentreId>,
-    /// Mechanisms that are left out.
+    /// Mechanisms that are disabled.
     pub disabled: Without,
 }
 
--- a/crates/celerywinch_pool/src/event.rs
+++ b/crates/celerywinch_pool/src/event.rs
@@ -1,23 +1,23 @@
-//! Decisions worth a line in the logs, with what decided them.
+//! Decisions of the dispatcher that are logged, with their reasons.
 
 use celerywinch_types::{Crashes, Domain, InstanceId, JobId, RunNumber, Session, TaskId};
 use serde::Serialize;
 
-/// How it is known that a worker is gone.
+/// Why a worker counts as gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Departure {
-    /// It said so itself.
+    /// It announced that it left.
     Left,
-    /// Another life answers at its address.
+    /// Another incarnation answers at its address.
     #[serde(rename = "other_life")]
     OtherIncarnation,
-    /// It gave no answers for long.
+    /// It has not answered for the configured time.
     Silent,
 }
 
 impl Departure {
-    /// The label of its metric.
+    /// Returns its label in the metrics.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -28,57 +28,57 @@
     }
 }
 
-/// A decision of the dispatcher.
+/// A logged decision of the dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum PoolEvent {
-    /// A step of a job was taken into the queue.
+    /// A step of a job was queued.
     Queued {
         /// The job.
         job: JobId,
         /// Its origin.
         origin: InstanceId,
-        /// Its tasks.
+        /// Number of its tasks.
         tasks: usize,
-        /// Ms of work ahead of it on each place.
+        /// Estimated time in ms until its last task could start.
         wait: u32,
     },
-    /// Tasks found no room, and were given back for another dispatcher to start.
+    /// Tasks found no free capacity and were returned, for another dispatcher to start.
     Passed {
         /// The job.
         job: JobId,
         /// Its origin.
         origin: InstanceId,
-        /// How many tasks.
+        /// Number of returned tasks.
         tasks: usize,
-        /// How many of those handed in were started.
+        /// Number of submitted tasks that were started.
         started: usize,
-        /// How many steps of jobs wait here.
+        /// Number of steps of jobs that wait here.
         queued: usize,
     },
-    /// A hand-in was not taken: it was held up on its way, and its tasks may be elsewhere.
+    /// A submission of another session was dropped: it was delayed on its way, and its tasks may be elsewhere.
     HeldUp {
         /// The origin.
         origin: InstanceId,
         /// The session in which it was sent.
         session: Session,
-        /// Its present session; none if it was not heard yet.
+        /// The current session of the origin; none before its first heartbeat.
         present: Option<Session>,
     },
-    /// What an origin had here was dropped: it is not known to count this dispatcher as alive.
+    /// The tasks of an origin were dropped, as its grant has expired: it may count this dispatcher as lost.
     GrantOver {
         /// The origin.
         origin: InstanceId,
     },
-    /// A job was refused: it could not end in time.
+    /// A job was refused, as it could not end in time.
     Refused {
         /// The job.
         job: JobId,
-        /// Ms until its last task could start.
+        /// Estimated time in ms until its last task could start; the retry delay while all data centres are evacuated.
         wait: u32,
-        /// Ms a task is expected to run.
+        /// Expected run time of a task, in ms.
         expected: u32,
-        /// Ms until it is late.
+        /// Time until the end of its latency objective, in ms.
         left: u32,
     },
     /// A task was sent to a worker.
@@ -89,10 +89,10 @@
         run: RunNumber,
         /// The worker.
         worker: String,
-        /// Ms it is expected to run there.
+        /// Expected run time on this worker, in ms.
         expected: u32,
     },
-    /// A run ended, or was given up.
+    /// A run ended or was lost.
     RunEnded {
         /// The task.
         task: TaskId,
@@ -100,88 +100,88 @@
         run: RunNumber,
         /// The worker.
         worker: String,
-        /// How.
+        /// How it ended.
         how: &'static str,
-        /// Ms since its start.
+        /// Time since its start, in ms.
         took: u32,
     },
-    /// A run is stopped because it makes too little progress.
+    /// A run is stopped to start its task elsewhere, as it makes too little progress.
     Moved {
         /// The task.
         task: TaskId,
         /// The worker.
         worker: String,
-        /// Ms since its start.
+        /// Time since its start, in ms.
         took: u32,
-        /// Ms it was expected to run.
+        /// Expected run time, in ms.
         expected: u32,
-        /// The progress that the worker told of.
+        /// The progress that the worker reported.
         percent: u8,
     },
     /// A worker does not answer.
     WorkerSilent {
         /// The worker.
         worker: String,
-        /// Looks in a row without an answer.
+        /// Number of consecutive calls without an answer.
         looks: u32,
     },
-    /// A worker answers again, or was taken over.
+    /// A worker was taken over.
     WorkerHeld {
         /// The worker.
         worker: String,
-        /// Runs found there that were started by another dispatcher.
+        /// Number of runs found there that another dispatcher started.
         found: usize,
     },
-    /// A worker gets no more work for a while.
+    /// A worker is quarantined: it gets no tasks for a while.
     WorkerAside {
         /// The worker.
         worker: String,
-        /// Why.
+        /// The reason.
         why: &'static str,
     },
     /// A worker is gone.
     WorkerGone {
         /// The worker.
         worker: String,
-        /// How that is known.
+        /// Why it counts as gone.
         why: Departure,
-        /// Ms since it answered last.
+        /// Time since its last answer, in ms.
         silent: u32,
-        /// Runs that were believed to be at work there.
+        /// Number of runs that were assumed to be running there.
         runs: usize,
     },
-    /// A worker has ended under a task, or is back after it had fallen silent with it.
+    /// A worker has crashed or fallen silent while it ran a task, or a silent one has turned out to have crashed.
     Crashed {
         /// The task.
         task: TaskId,
-        /// What is known of it by now.
+        /// All that is known of crashes under the task.
         crashes: Crashes,
     },
-    /// A task is given up, as several workers have ended under it.
+    /// A task is given up, as several workers have crashed while they ran it.
     GivenUp {
         /// The task.
         task: TaskId,
-        /// What is known of it.
+        /// All that is known of crashes under the task.
         crashes: Crashes,
     },
-    /// This process dispatches for a domain.
+    /// This process has become the dispatcher of a domain.
     Acquired {
         /// The domain.
         domain: Domain,
-        /// Its workers.
+        /// Number of its known workers.
         workers: usize,
     },
-    /// It does so no more.
+    /// This process is no longer the dispatcher of a domain.
     Resigned {
         /// The domain.
         domain: Domain,
-        /// Tasks that were given back to their origins.
+        /// Number of tasks that were returned to their origins.
         tasks: usize,
     },
 }
 
 impl PoolEvent {
-    /// Whether it tells of something that goes as it should.
+    /// Returns whether the event is part of normal operation.
     #[must_use]
     pub fn is_routine(&self) -> bool {
         match self {
--- a/crates/celerywinch_pool/src/inflow.rs
+++ b/crates/celerywinch_pool/src/inflow.rs
@@ -1,51 +1,50 @@
-//! How much work comes in, by priority.
+//! The rate at which work arrives, by priority.
 //!
-//! A job of low priority waits for what is ahead of it and for all of higher priority that comes
-//! meanwhile. An admission that counts only the former takes jobs in a burst that it has to give up
-//! most of a second later, when their callers have waited for nothing.
+//! A job waits for the work ahead of it and for all work of higher priority that arrives meanwhile. An admission
+//! that counts only the work ahead accepts jobs of low priority in a burst and gives up most of them a second later, after
+//! their callers have waited in vain.
 
 use std::time::Duration;
 
 use celerywinch_types::Time;
 
-/// Work of the last so much time counts, fading: shorter than a burst, longer than the gaps between
-/// jobs.
-const MEMORY: Duration = Duration::from_millis(500);
-/// Priorities that are told apart.
+/// Time constant of the exponential decay: shorter than a burst, longer than the gaps between jobs.
+const DECAY_TIME: Duration = Duration::from_millis(500);
+/// Number of priorities that are counted separately.
 const PRIORITIES: usize = 4;
 
-/// Work that was taken, thousandths of a core times ms, fading with time.
+/// A sum of accepted work that decays exponentially, in thousandths of a core times ms.
 #[derive(Clone, Copy, Debug, Default)]
-struct Fading {
+struct DecayingSum {
     work: f64,
     at: Time,
 }
 
-impl Fading {
-    fn faded(&self, now: Time) -> f64 {
-        let age = now.since(self.at).as_secs_f64() / MEMORY.as_secs_f64();
+impl DecayingSum {
+    fn decayed(&self, now: Time) -> f64 {
+        let age = now.since(self.at).as_secs_f64() / DECAY_TIME.as_secs_f64();
         self.work * (-age).exp()
     }
 }
 
-/// The inflow of work by priority.
+/// Arrival rates of work by priority.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Inflow {
-    taken: [Fading; PRIORITIES],
+    accepted: [DecayingSum; PRIORITIES],
 }
 
 impl Inflow {
-    /// Work was taken.
+    /// Records accepted work, in thousandths of a core times ms.
     pub(crate) fn add(&mut self, now: Time, priority: u8, work: f64) {
-        let fading = &mut self.taken[usize::from(priority).min(PRIORITIES - 1)];
-        fading.work = fading.faded(now) + work;
-        fading.at = now;
+        let sum = &mut self.accepted[usize::from(priority).min(PRIORITIES - 1)];
+        sum.work = sum.decayed(now) + work;
+        sum.at = now;
     }
 
-    /// Thousandths of a core that work of higher priority takes at present.
-    pub(crate) fn above(&self, now: Time, priority: u8) -> f64 {
-        let higher = self.taken.iter().take(usize::from(priority));
-        let work: f64 = higher.map(|fading| fading.faded(now)).sum();
-        work / (MEMORY.as_secs_f64() * 1e3)
+    /// Returns the current arrival rate of work of higher priority, in thousandths of a core.
+    pub(crate) fn rate_above(&self, now: Time, priority: u8) -> f64 {
+        let higher = self.accepted.iter().take(usize::from(priority));
+        let work: f64 = higher.map(|sum| sum.decayed(now)).sum();
+        work / (DECAY_TIME.as_secs_f64() * 1e3)
     }
 }
--- a/crates/celerywinch_pool/src/job.rs
+++ b/crates/celerywinch_pool/src/job.rs
@@ -1,4 +1,4 @@
-//! Steps of jobs that were handed in.
+//! Submitted steps of jobs and their tasks.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,18 +10,18 @@
 use crate::worker::WorkerKey;
 
 new_key_type! {
-    /// Names a step of a job.
+    /// Key of a batch.
     pub(crate) struct BatchKey;
 }
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TaskState {
-    /// Waits for room.
+    /// Waits for a worker with free capacity.
     Waiting,
-    /// May be running under an earlier dispatcher; waits until that is settled, or until then.
+    /// May be running under an earlier dispatcher. Waits until this is resolved, at most until the given time.
     MaybeRunning(Time),
-    /// Has a run.
+    /// Has a run, which may be starting or in doubt.
     Running(RunKey),
 }
 
@@ -30,37 +30,37 @@
 pub(crate) struct Task {
     pub(crate) state: TaskState,
     pub(crate) failures: u32,
-    /// Workers that have ended under it.
+    /// Crashes of workers that ran the task.
     pub(crate) crashes: Crashes,
-    /// The highest run number that was used for it.
+    /// The highest run number used so far.
     pub(crate) run: RunNumber,
-    /// Whether it may be running under an earlier dispatcher.
+    /// What is not known of runs under an earlier dispatcher.
     pub(crate) doubt: Doubt,
-    /// The last time that it was handed in.
+    /// Number of its latest submission.
     pub(crate) submission: u32,
-    /// The session in which its origin handed it in; none since another origin has the job.
+    /// The session in which its origin submitted it; none after another origin has taken over the job.
     pub(crate) session: Option<Session>,
-    /// Its origin was asked whether it is wanted, and has not named it yet.
+    /// Whether a resync of its origin is pending that has not named this task yet.
     pub(crate) unconfirmed: bool,
-    /// The worker that failed it last.
+    /// The worker on which it failed last.
     pub(crate) failed_on: Option<WorkerKey>,
 }
 
-/// A step of a job; tasks that ended are no more in it.
+/// A submitted step of a job, with the tasks that have not ended.
 #[derive(Clone, Debug)]
 pub(crate) struct Batch {
     pub(crate) order: StepOrder,
     pub(crate) origin: InstanceId,
-    /// When the job arrived at that.
+    /// When the job arrived at the origin.
     pub(crate) arrived: Time,
     /// The end of its latency objective.
     pub(crate) due: Time,
-    /// How long a task should take on a usual worker.
+    /// Expected run time of a task on a worker of average speed.
     pub(crate) expected: Duration,
     pub(crate) tasks: BTreeMap<u16, Task>,
-    /// Whether any task was sent to a worker.
+    /// Whether a task was sent to a worker, here or perhaps by an earlier dispatcher.
     pub(crate) started: bool,
-    /// Whether a task of it is done, or was at work for a moment without ending its worker.
+    /// Whether a task of it is done, or has run for a short time without crashing its worker.
     pub(crate) probe_passed: bool,
 }
 
@@ -78,13 +78,13 @@
         tasks.filter(|t| t.state == TaskState::Waiting).count()
     }
 
-    /// Thousandths of a core times ms of so many tasks.
+    /// Returns the work of `tasks` tasks, in thousandths of a core times ms.
     pub(crate) fn work_of(&self, tasks: usize) -> f64 {
         let each = f64::from(self.order.need.cpu) * self.expected.as_secs_f64() * 1e3;
         each * tasks as f64
     }
 
-    /// The same of what waits.
+    /// Returns the work of the waiting tasks, in thousandths of a core times ms.
     pub(crate) fn waiting_work(&self) -> f64 {
         self.work_of(self.waiting_count())
     }
--- a/crates/celerywinch_pool/src/lib.rs
+++ b/crates/celerywinch_pool/src/lib.rs
@@ -1,14 +1,15 @@
-//! The dispatcher of the workers of a data centre: one queue, placement by capacity, leases and
-//! fencing, run numbers, and the recovery of all that from the workers and the origins of jobs.
+//! The dispatcher of the workers of a data centre: a queue, placement by capacity, leases, fencing
+//! tokens, run numbers, and the recovery of this state from the workers and the origins of jobs.
 //!
-//! [`Pool`] is a state machine without clock, socket or thread. It keeps nothing that outlives the
-//! process: a successor takes the workers over with a higher fencing token, learns from them what
-//! runs and what ended, and gets the open tasks from their origins again.
+//! [`Pool`] is a state machine without clock, socket or thread. It keeps no state that outlives the
+//! process: a successor takes over the workers with a higher fencing token, learns from them which
+//! runs are running or have ended, and gets the open tasks from their origins again.
 //!
-//! What the host must guarantee: time is monotonic and counts suspensions; every [`Output::Call`]
-//! is answered once by [`Input::Answered`], at the latest when its timeout is over; `Tick` comes at
-//! least every 20 ms. What the pool guarantees: a task has no second run while a first one may
-//! still be at work, as long as a worker's clock is at most [`MAX_CLOCK_DRIFT`] slow.
+//! The host must guarantee the following: time is monotonic and includes suspensions of the machine;
+//! every [`Output::Call`] is answered once by [`Input::Answered`], at the latest when its timeout
+//! expires; `Tick` comes at least every 20 ms. The pool guarantees that a task has no second run
+//! while an earlier one may still be running, as long as the clock of a worker is slow by at most
+//! [`MAX_CLOCK_DRIFT`].
 
 mod admission;
 mod call;
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -1,4 +1,4 @@
-//! Which waiting task goes to which worker.
+//! Placement: which waiting task starts on which worker.
 
 use celerywinch_types::{Mechanism, RunNumber, Time};
 
@@ -9,23 +9,22 @@
 use crate::run::{Phase, Run};
 use crate::worker::{Worker, WorkerKey};
 
-/// How much longer work takes on another rack than the one near its data, where nothing else is
-/// known.
-const REMOTE_FACTOR: f64 = 1.5;
-/// What a pace of one more costs in the choice, in shares of a worker left empty: a slow worker is
-/// taken when packing elsewhere would waste more than that.
+/// Assumed factor by which a task takes longer on another rack than the one near its data.
+const REMOTE_RACK_FACTOR: f64 = 1.5;
+/// Cost of a pace that is higher by one, in shares of a worker left empty. A slow worker is chosen when placement elsewhere
+/// would waste more than that.
 const PACE_COST: f64 = 2.0;
 /// Cost of a worker in another data centre than the dispatcher's, in shares of a worker left empty: less than that of
-/// data on another rack, and more than any gap that packing leaves.
-const AWAY_COST: f64 = 0.6;
-/// Cost of each run that may end with the worker of a task that may end it.
+/// data on another rack, and more than the differences that packing makes.
+const REMOTE_DC_COST: f64 = 0.6;
+/// Cost of each run that would be lost with the worker if a probe task crashes it, in shares of a worker left empty.
 const PROBE_COST: f64 = 0.5;
-/// Cost of the worker that has just failed the task.
-const AVOID_COST: f64 = 50.0;
+/// Cost of the worker on which the task failed last, in shares of a worker left empty.
+const FAILED_ON_COST: f64 = 50.0;
 
 impl Pool {
-    /// Starts what fits, in the order of the queue. A batch that finds no room does not hold up
-    /// smaller ones behind it.
+    /// Starts the waiting tasks that fit, in queue order. A batch that finds no free capacity does not block smaller ones
+    /// behind it.
     pub(crate) fn place_tasks(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.queue.is_empty() {
             return;
@@ -33,8 +32,8 @@
         let mut smallest_refused = u32::MAX;
         for key in self.queue.keys() {
             let need = self.batches[key].order.need.cpu;
-            // What is as large as something that found no room finds none either, unless it asks
-            // for another kind of worker; then it is found at the next end.
+            // A batch that needs at least as much as one that found no worker is skipped, as it would find none either; one
+            // that could use other workers is then placed after the end of a run. Batches with a label are always tried.
             if need >= smallest_refused && self.batches[key].order.label.is_none() {
                 continue;
             }
@@ -44,86 +43,102 @@
         }
     }
 
-    /// Starts the waiting tasks of a batch; false if there was no room for one.
+    /// Starts the waiting tasks of a batch. Returns false if one of them found no worker.
     fn place_batch(&mut self, now: Time, key: BatchKey, out: &mut Vec<Output>) -> bool {
         self.dequeue(key);
         let batch = &self.batches[key];
-        let ready = |task: &Task| {
+        let startable = |task: &Task| {
             task.state == TaskState::Waiting && self.may_start(now, batch.origin, task)
         };
-        let tasks = batch.tasks.iter().filter(|(_, task)| ready(task));
+        let tasks = batch.tasks.iter().filter(|(_, task)| startable(task));
         let mut waiting: Vec<u16> = tasks.map(|(index, _)| *index).collect();
-        let mut all = true;
+        let mut placed_all = true;
         if self.is_careful(batch) {
             let running = |task: &Task| matches!(task.state, TaskState::Running(_));
             let first = !batch.tasks.values().any(running);
             waiting.truncate(usize::from(first));
         }
         for index in waiting {
-            let Some(worker) = self.choose(now, &self.batches[key], index) else {
-                all = false;
+            let Some(worker) = self.choose_worker(now, &self.batches[key], index) else {
+                placed_all = false;
                 break;
             };
-            if !self.start(now, key, index, worker, out) {
-                all = false;
+            if !self.start_run(now, key, index, worker, out) {
+                placed_all = false;
                 break;
             }
         }
         self.requeue(key);
-        all
+        placed_all
     }
 
-    fn choose(&self, now: Time, batch: &Batch, index: u16) -> Option<WorkerKey> {
+    /// Returns the worker with the lowest cost for a task, if any can take it.
+    fn choose_worker(&self, now: Time, batch: &Batch, index: u16) -> Option<WorkerKey> {
         let task = &batch.tasks[&index];
         let workers = self.workers.iter();
         let fitting = workers.filter(|(key, worker)| {
             self.accepts_tasks(now, worker)
-                && self.suits(batch, *key, worker)
+                && self.can_run(batch, *key, worker)
                 && !self.has_suspended(now, worker)
                 && !self.meets_suspect(task.crashes, worker)
         });
         let packs = !self.config.disabled.lacks(Mechanism::Packing);
         let careful = self.is_careful(batch);
         let cost = |key: WorkerKey, worker: &Worker| {
-            let shared = PROBE_COST * self.shared_with_probes(worker, careful) as f64;
-            cost(batch, task, key, worker, packs) + shared + self.away(worker, careful)
+            let shared = PROBE_COST * self.probe_exposure(worker, careful) as f64;
+            placement_cost(batch, task, key, worker, packs)
+                + shared
+                + self.locality_cost(worker, careful)
         };
         fitting
             .min_by(|a, b| cost(a.0, a.1).total_cmp(&cost(b.0, b.1)))
             .map(|(key, _)| key)
     }
 
-    /// A job whose tasks are spread over data centres is lost in part with each of them; one that stays where its dispatcher
-    /// is, with that only. A dispatcher of all workers has no part of the load that would stay, and what may end its worker
-    /// is better kept away from the rest.
-    fn away(&self, worker: &Worker, careful: bool) -> f64 {
-        let stays = self.shards > 1 && !careful && !self.config.disabled.lacks(Mechanism::Locality);
+    /// Returns the cost of running a task in another data centre than the dispatcher's.
+    ///
+    /// A job whose tasks are spread over several data centres loses tasks with each data centre that fails; a local one is
+    /// affected by its own only. The cost is zero for the single dispatcher of all workers, whose load belongs to no data centre,
+    /// and for probe tasks, which may crash their worker and are better kept away from other runs.
+    fn locality_cost(&self, worker: &Worker, careful: bool) -> f64 {
+        let prefers_local =
+            self.shards > 1 && !careful && !self.config.disabled.lacks(Mechanism::Locality);
         let elsewhere = self.config.dc.is_some_and(|dc| dc != worker.note.dc);
-        if stays && elsewhere { AWAY_COST } else { 0.0 }
+        if prefers_local && elsewhere {
+            REMOTE_DC_COST
+        } else {
+            0.0
+        }
     }
 
-    /// How many runs a task would meet on a worker that may be ended by one of them.
-    fn shared_with_probes(&self, worker: &Worker, careful: bool) -> usize {
+    /// Returns how many runs would share the worker with a probe task: all of its runs if the new task is a probe (`careful`), else
+    /// its unconfirmed probe runs.
+    fn probe_exposure(&self, worker: &Worker, careful: bool) -> usize {
         let mut runs = worker.runs.iter().map(|run| &self.runs[*run]);
         if careful {
             return runs.len();
         }
-        let unproved = |run: &&Run| {
+        let unconfirmed = |run: &&Run| {
             let batch = run.batch.and_then(|key| self.batches.get(key));
             run.probe && batch.is_none_or(|batch| !batch.probe_passed)
         };
-        runs.by_ref().filter(unproved).count()
+        runs.by_ref().filter(unconfirmed).count()
     }
 
-    pub(crate) fn suits(&self, batch: &Batch, key: WorkerKey, worker: &Worker) -> bool {
+    /// Returns whether a worker offers the service, the label and the free capacity that a task of the batch needs.
+    pub(crate) fn can_run(&self, batch: &Batch, key: WorkerKey, worker: &Worker) -> bool {
         let order = &batch.order;
         let service = worker.note.service == order.service;
         let label = order.label.as_ref();
         let labelled = label.is_none_or(|label| worker.note.labels.contains(label));
-        service && labelled && worker.free().fits(order.need) && self.spreads(batch, key, worker)
+        service
+            && labelled
+            && worker.free().fits(order.need)
+            && self.within_spread(batch, key, worker)
     }
 
-    fn spreads(&self, batch: &Batch, _key: WorkerKey, worker: &Worker) -> bool {
+    /// Returns whether a worker runs fewer tasks of the step than the job allows on one worker.
+    fn within_spread(&self, batch: &Batch, _key: WorkerKey, worker: &Worker) -> bool {
         let Some(most) = batch.order.spread else {
             return true;
         };
@@ -135,7 +150,8 @@
         here.count() < usize::from(most)
     }
 
-    fn start(
+    /// Starts a task on a worker. Returns false if no lease can be given, as the worker's clock was never read.
+    fn start_run(
         &mut self,
         now: Time,
         key: BatchKey,
@@ -156,7 +172,7 @@
             return false;
         };
         worker.lease = worker.lease.max(worker.bound(now, lease));
-        let pace = worker.pace * distance(&self.batches[key], worker);
+        let pace = worker.pace * rack_factor(&self.batches[key], worker);
         let batch = &self.batches[key];
         let task = batch.tasks[&index];
         let run = Run {
@@ -200,24 +216,25 @@
     }
 }
 
-fn distance(batch: &Batch, worker: &Worker) -> f64 {
+/// Returns the factor by which tasks of a batch take longer on a worker because of their distance to the data.
+fn rack_factor(batch: &Batch, worker: &Worker) -> f64 {
     match &batch.order.rack {
-        Some(rack) if !worker.rack_is(rack) => REMOTE_FACTOR,
+        Some(rack) if !worker.rack_is(rack) => REMOTE_RACK_FACTOR,
         _ => 1.0,
     }
 }
 
-/// Less is better: what is left empty on the worker, and how long the task would take there.
-fn cost(batch: &Batch, task: &Task, key: WorkerKey, worker: &Worker, packs: bool) -> f64 {
+/// Returns the cost of a task on a worker: the share of the worker left empty, its pace, and whether the task failed there last.
+fn placement_cost(batch: &Batch, task: &Task, key: WorkerKey, worker: &Worker, packs: bool) -> f64 {
     let left = worker.free().less(batch.order.need).cpu;
     let empty = if packs {
         f64::from(left) / f64::from(worker.note.room.cpu.max(1))
     } else {
         0.0
     };
-    let pace = worker.pace * distance(batch, worker);
+    let pace = worker.pace * rack_factor(batch, worker);
     let avoid = if task.failed_on == Some(key) {
-        AVOID_COST
+        FAILED_ON_COST
     } else {
         0.0
     };
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -25,73 +25,72 @@
 use crate::worker::{Grip, Worker, WorkerKey, domain_of};
 use crate::{Departure, PoolConfig, PoolEvent};
 
-/// A worker that has left is remembered for so long: a keeper that did not hear of it may tell of it as ready for
-/// 20 s after its last announcement there, and a dispatcher that starts work there would break its leave.
-const REMEMBER_LEFT: Duration = Duration::from_secs(30);
+/// How long a worker that has left is remembered. A keeper that did not receive its last announcement may report it as ready for
+/// 20 s after the one before, and a dispatcher that started tasks there would disturb its shutdown.
+const DEPARTED_RETENTION: Duration = Duration::from_secs(30);
 
 /// A worker that has left.
 #[derive(Clone, Copy, Debug)]
-struct Left {
-    /// The last of its lives that did.
-    life: Incarnation,
-    heard: Time,
+struct Departed {
+    /// The last incarnation that has left.
+    incarnation: Incarnation,
+    last_contact: Time,
 }
 
-/// What happened outside.
+/// An input of the pool.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Dispatch for a domain under this fencing token.
+    /// Become the dispatcher of a domain, with this fencing token.
     Acquire(Domain, Fence),
-    /// Do so no more; what is open is given back to its origins.
+    /// Stop being the dispatcher of a domain; its open tasks are returned to their origins.
     Resign(Domain),
-    /// What workers said of themselves.
+    /// Announcements of workers.
     Workers(Vec<WorkerNote>),
     /// Replaces the set of evacuated data centres: their workers get no new tasks, and running tasks
     /// continue.
     EvacuatedDataCentres(BTreeSet<DataCentreId>),
-    /// A message of an origin of jobs.
+    /// A message from an origin of jobs.
     Work(InstanceId, WorkMsg),
-    /// An origin counts this dispatcher as alive.
+    /// An origin counts this dispatcher as alive and lets it start its tasks.
     Granted(InstanceId, Grant),
-    /// Messages from an origin may be lost: it is asked what it wants.
+    /// Messages from an origin may be lost: ask it which tasks it still wants.
     ResyncOrigin(InstanceId),
-    /// An origin is lost: its callers' connections broke, or it cannot be told of ends.
+    /// An origin is lost: the connections of its callers broke, or it cannot be told how tasks ended.
     OriginLost(InstanceId),
-    /// What came of a call.
+    /// The answer to a call, or the lack of one.
     Answered(CallKey, Answer),
-    /// An answer came after its time, so long after the call, without the time that the worker was to wait.
+    /// An answer arrived after its timeout. The duration runs from the call, without the time that the worker was to wait.
     AnsweredLate(Duration),
-    /// What other dispatchers know of workers that ended under tasks.
+    /// What other dispatchers know of crashes of workers under tasks.
     Crashes(Vec<(TaskId, Crashes)>),
-    /// Queues whose steps another dispatcher starts with care.
+    /// Queues whose steps another dispatcher starts with a single probe task.
     ProbeQueues(Vec<String>),
-    /// Whether any worker of a domain that is held can be reached: one that has nothing to do is
-    /// asked, unless one has answered lately.
+    /// Check whether any worker of an owned domain can be reached: polls an idle worker, unless one has answered recently.
     CheckReachable(Domain),
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
-/// What the host is to do.
+/// An action for the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Call a worker.
     Call(Call),
-    /// Tell an origin.
+    /// Send a message to an origin.
     Send(InstanceId, WorkMsg),
-    /// A worker of this domain has seen a higher fencing token.
+    /// A worker of this domain has seen a higher fencing token: another dispatcher has taken over.
     Fenced(Domain),
-    /// The fencing token of this domain is used up by a worker that has started again so often.
+    /// A worker has restarted so often that the fencing token of this domain cannot tell its incarnations apart any more.
     TokenExhausted(Domain),
-    /// Workers have ended under a task; other dispatchers are to know.
+    /// Workers have crashed under a task; inform the other dispatchers.
     Crashed(TaskId, Crashes),
-    /// Steps of this queue are started with care; other dispatchers are to know.
+    /// Steps of this queue are started with a single probe task; inform the other dispatchers.
     ProbeQueue(String),
-    /// A decision for the logs.
+    /// Log a decision.
     Event(PoolEvent),
 }
 
-/// The dispatcher.
+/// The dispatcher of the workers of one or more domains.
 #[derive(Debug)]
 pub struct Pool {
     pub(crate) config: PoolConfig,
@@ -100,11 +99,11 @@
     pub(crate) evacuated: BTreeSet<DataCentreId>,
     pub(crate) workers: SlotMap<WorkerKey, Worker>,
     pub(crate) worker_ids: BTreeMap<String, WorkerKey>,
-    /// Workers that have left.
-    departed: BTreeMap<String, Left>,
-    /// How often workers that were forgotten had started again, and when that was.
+    /// Workers that have left, by name.
+    departed: BTreeMap<String, Departed>,
+    /// For each removed worker, how often it had restarted and when it was removed.
     pub(crate) removed: BTreeMap<String, (u64, Time)>,
-    /// How many lives of workers are known at each address.
+    /// Number of known workers at each address.
     pub(crate) addr_counts: BTreeMap<SocketAddr, usize>,
     pub(crate) batches: SlotMap<BatchKey, Batch>,
     pub(crate) batch_keys: BTreeMap<(JobId, u16), BatchKey>,
@@ -112,29 +111,30 @@
     pub(crate) calls: SlotMap<CallKey, Sent>,
     pub(crate) queue: Queue,
     pub(crate) run_times: RunTimes,
-    /// What the answers of all workers took.
+    /// Response times of all workers.
     pub(crate) answer_times: Patience,
     pub(crate) inflow: Inflow,
-    /// Workers that ended under tasks.
+    /// Crashes of workers under tasks.
     pub(crate) crashes: CrashLog,
     pub(crate) takeover: Takeover,
     pub(crate) grants: Grants,
-    /// What origins were told of tasks that are here no more.
+    /// The ends reported to origins, of tasks that are no longer here.
     pub(crate) sent_ends: BTreeMap<TaskId, Told>,
+    /// Ends that are sent to each origin after the current input.
     pub(crate) unsent_ends: BTreeMap<InstanceId, Vec<TaskNews>>,
-    /// Batches that lost a task during the current input; the empty ones are dropped after it.
+    /// Batches that lost a task during the current input; the empty ones are removed after it.
     pub(crate) shrunk: Vec<BatchKey>,
-    /// The last question to each origin, and how many there were.
+    /// Number of the resync that is pending with each origin, and of the last one sent to any.
     pub(crate) resyncs: BTreeMap<InstanceId, u64>,
     pub(crate) resync_count: u64,
-    /// Counts the inputs: what was sent during one of them was sent after all that was heard before.
+    /// Number of inputs so far: a call sent during an input was sent after everything received in earlier ones.
     pub(crate) input_count: u64,
-    /// Batches of which what finds no room in the current input is to be given back.
+    /// Batches whose tasks are returned if they find no free capacity during the current input.
     pub(crate) passing: Vec<BatchKey>,
 }
 
 impl Pool {
-    /// Dispatches for nothing yet.
+    /// Creates a pool that owns no domain.
     #[must_use]
     pub fn new(config: PoolConfig) -> Self {
         Self {
@@ -168,13 +168,13 @@
         }
     }
 
-    /// How many workers are known, by their addresses.
+    /// Returns the number of known workers, counted by address.
     #[must_use]
     pub fn known_workers(&self) -> usize {
         self.addr_counts.len()
     }
 
-    /// Divides the workers in shards; only while none is held.
+    /// Divides the workers into shards. Must be called only while no domain is owned.
     pub fn set_shards(&mut self, shards: u8) {
         self.shards = shards;
         for worker in self.workers.values_mut() {
@@ -182,15 +182,15 @@
         }
     }
 
-    /// Whether a worker of a domain answered within `span`.
+    /// Returns whether a worker of a domain answered within the last `span` and has missed no call since.
     #[must_use]
     pub fn is_reachable(&self, now: Time, domain: Domain, span: Duration) -> bool {
-        let mut there = self.workers.values().filter(|w| w.domain == domain);
-        there.any(|w| w.grip == Grip::Held && w.silent == 0 && now.since(w.heard) <= span)
+        let mut workers = self.workers.values().filter(|w| w.domain == domain);
+        workers.any(|w| w.grip == Grip::Held && w.silent == 0 && now.since(w.heard) <= span)
     }
 
-    /// What was learned of run times, and of the paces of the workers that obey, for a successor. Those of others are
-    /// as old as the last change of hands.
+    /// Returns the learned run times and the paces of the workers that this dispatcher controls, for a successor. The paces of
+    /// other workers are left out, as they date from the last change of dispatcher.
     #[must_use]
     pub fn learned(&self) -> Learned {
         let held = self.workers.values().filter(|w| w.grip == Grip::Held);
@@ -201,8 +201,7 @@
         }
     }
 
-    /// Takes over what another dispatcher has learned; one that dispatches itself keeps its own run
-    /// times.
+    /// Adopts what another dispatcher has learned. A pool that owns a domain keeps its own run times.
     pub fn learn_from(&mut self, learned: Learned) {
         if self.owned.is_empty() {
             self.run_times.learn_from(learned.queues);
@@ -216,18 +215,18 @@
         }
     }
 
-    /// Whether nothing is open here: no runs, waiting tasks, or calls but looks at workers with nothing to do.
+    /// Returns whether nothing is open: no run, no task, and no call other than polls of idle workers.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        let settled = self.runs.is_empty() && self.batches.is_empty();
-        settled
+        let no_work = self.runs.is_empty() && self.batches.is_empty();
+        no_work
             && self
                 .calls
                 .values()
                 .all(|call| self.is_routine(call.pending))
     }
 
-    /// Whether a call only asks an idle worker for a sign of life.
+    /// Returns whether a call is a poll of an idle worker.
     fn is_routine(&self, call: Pending) -> bool {
         match call {
             Pending::Look(worker, Question::Ends, _) => {
@@ -240,23 +239,23 @@
         }
     }
 
-    /// How many steps of jobs and runs are open, and how many workers obey.
+    /// Returns the numbers of open steps of jobs, of open runs and of workers that this dispatcher controls.
     #[must_use]
     pub fn counts(&self) -> (usize, usize, usize) {
         let held = self.workers.values().filter(|w| w.grip == Grip::Held);
         (self.batches.len(), self.runs.len(), held.count())
     }
 
-    /// One line for each open step of a job: its origin, and how its tasks stand. For logs and checks.
+    /// Describes each open step of a job in one line, with its origin and the states of its tasks, for logs and checks.
     #[must_use]
     pub fn open_steps(&self, now: Time) -> Vec<String> {
         let line = |batch: &Batch| {
             let states: Vec<_> = batch.tasks.values().map(|task| task.state).collect();
-            let unnamed = batch.tasks.values().filter(|task| task.unconfirmed).count();
+            let unconfirmed = batch.tasks.values().filter(|task| task.unconfirmed).count();
             let granted = batch.tasks.values();
             let granted = granted.filter(|task| self.may_start(now, batch.origin, task));
             format!(
-                "job {} of {}: {states:?}, {unnamed} unnamed, {} granted",
+                "job {} of {}: {states:?}, {unconfirmed} unconfirmed, {} granted",
                 batch.order.job.0,
                 batch.origin,
                 granted.count()
@@ -265,7 +264,7 @@
         self.batches.values().map(line).collect()
     }
 
-    /// The number of this dispatcher's runs on workers in evacuated data centres.
+    /// Returns the number of this dispatcher's runs on workers in evacuated data centres.
     #[must_use]
     pub fn evacuated_runs(&self) -> usize {
         let workers = self.workers.values();
@@ -273,7 +272,7 @@
         evacuated.map(|worker| worker.runs.len()).sum()
     }
 
-    /// Takes an input and appends what the host is to do.
+    /// Handles an input and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         self.input_count += 1;
         match input {
@@ -291,7 +290,7 @@
             Input::OriginLost(origin) => self.drop_origin(now, origin, out),
             Input::Answered(key, answer) => self.answered(now, key, answer, out),
             Input::AnsweredLate(took) => self.answer_times.learn(took),
-            Input::Crashes(told) => self.learn_crashes(now, told, out),
+            Input::Crashes(crashes) => self.learn_crashes(now, crashes, out),
             Input::ProbeQueues(queues) => self.learn_careful(now, queues),
             Input::CheckReachable(domain) => self.ask(now, domain, out),
             Input::Tick => self.tick(now, out),
@@ -311,11 +310,11 @@
         self.tend_runs(now, out);
         self.shed(now, out);
         self.tend_crashes(now, out);
-        self.sent_ends.retain(|_, told| told.is_kept(now));
+        self.sent_ends.retain(|_, sent| sent.is_kept(now));
         self.departed
-            .retain(|_, left| now.since(left.heard) <= REMEMBER_LEFT);
+            .retain(|_, departed| now.since(departed.last_contact) <= DEPARTED_RETENTION);
         self.removed
-            .retain(|_, (_, at)| now.since(*at) <= REMEMBER_LEFT);
+            .retain(|_, (_, at)| now.since(*at) <= DEPARTED_RETENTION);
     }
 
     fn handle_message(&mut self, now: Time, from: InstanceId, msg: WorkMsg, out: &mut Vec<Output>) {
@@ -324,7 +323,7 @@
             WorkMsg::Cancel { job, last } => self.cancel(now, from, job, last, out),
             WorkMsg::Drop { tasks, last } => self.drop_tasks(now, from, &tasks, last, out),
             WorkMsg::Named { ask, unsure } => self.sweep(now, from, ask, &unsure, out),
-            // For origins, not for dispatchers.
+            // Addressed to origins, not to dispatchers.
             WorkMsg::Ended(_) | WorkMsg::Crashed(..) | WorkMsg::Resync(_) => {}
         }
     }
@@ -335,8 +334,8 @@
             self.record_departure(now, &note);
         }
         let Some(key) = self.worker_ids.get(&note.id).copied() else {
-            let left = self.departed.get(&note.id);
-            let has_left = left.is_some_and(|left| note.said.incarnation <= left.life);
+            let departed = self.departed.get(&note.id);
+            let has_left = departed.is_some_and(|left| note.said.incarnation <= left.incarnation);
             if !gone && !has_left {
                 self.add_unknown(now, note, out);
             }
@@ -347,36 +346,39 @@
             Ordering::Less if gone => {}
             Ordering::Less => self.other_life_speaks(key, note, out),
             Ordering::Equal if gone => self.worker_left(now, key, out),
-            // A late announcement must not bring an earlier state back.
+            // A delayed announcement must not restore an earlier state.
             Ordering::Equal if note.said <= known => {}
             Ordering::Equal => self.update_worker(key, note),
             Ordering::Greater => self.replace_worker(now, key, note, out),
         }
     }
 
-    /// Whether a worker takes new tasks and its data centre is not evacuated.
+    /// Returns whether a worker takes new tasks and its data centre is not evacuated.
     pub(crate) fn accepts_tasks(&self, now: Time, worker: &Worker) -> bool {
         worker.takes(now) && !self.evacuated.contains(&worker.note.dc)
     }
 
-    /// Whether a worker is being taken over and is expected to take new tasks once it has answered the first
-    /// look. False once a look has timed out.
+    /// Returns whether a worker is being taken over and is expected to take new tasks once it has answered the first
+    /// poll. False once a poll has timed out.
     pub(crate) fn accepts_after_takeover(&self, worker: &Worker) -> bool {
-        let sound = worker.grip == Grip::Taking && worker.silent == 0;
-        sound
+        let answering = worker.grip == Grip::Taking && worker.silent == 0;
+        answering
             && worker.note.stage == WorkerStage::Ready
             && !self.evacuated.contains(&worker.note.dc)
     }
 
     fn record_departure(&mut self, now: Time, note: &WorkerNote) {
-        let life = note.said.incarnation;
-        let left = Left { life, heard: now };
-        let known = self.departed.entry(note.id.clone()).or_insert(left);
-        known.life = known.life.max(life);
-        known.heard = now;
+        let incarnation = note.said.incarnation;
+        let departed = Departed {
+            incarnation,
+            last_contact: now,
+        };
+        let known = self.departed.entry(note.id.clone()).or_insert(departed);
+        known.incarnation = known.incarnation.max(incarnation);
+        known.last_contact = now;
     }
 
-    /// A worker has said something new of the life that is known.
+    /// Applies a newer announcement of the known incarnation of a worker.
     fn update_worker(&mut self, key: WorkerKey, note: WorkerNote) {
         let worker = &mut self.workers[key];
         let addr = std::mem::replace(&mut worker.note, note).addr;
@@ -387,16 +389,16 @@
         }
     }
 
-    /// A worker says that it leaves.
+    /// Handles the announcement of a worker that it leaves.
     ///
-    /// If the acknowledgement is lost, it goes on for seconds, and a task started elsewhere would run twice.
-    /// So it stays known, without new work, until it lists the ends of its runs or the lease is over.
+    /// If the acknowledgement is lost, the worker keeps running for seconds, and a task started elsewhere would run
+    /// twice. So it stays known, without new tasks, until it has listed the ends of its runs or its lease has expired.
     fn worker_left(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         self.workers[key].note.stage = WorkerStage::Gone;
         self.remove_if_left(now, key, out);
     }
 
-    /// Forgets a worker that has left, once nothing runs there; whether it did.
+    /// Removes a worker that has left once nothing runs there, and returns whether it did.
     pub(crate) fn remove_if_left(
         &mut self,
         now: Time,
@@ -404,17 +406,17 @@
         out: &mut Vec<Output>,
     ) -> bool {
         let worker = &self.workers[key];
-        let over = worker.note.stage == WorkerStage::Gone && worker.runs.is_empty();
-        if over {
+        let has_left = worker.note.stage == WorkerStage::Gone && worker.runs.is_empty();
+        if has_left {
             self.forget_worker(now, key, Departure::Left, out);
         }
-        over
+        has_left
     }
 
     pub(crate) fn remove_addr(&mut self, addr: SocketAddr) {
-        if let Some(lives) = self.addr_counts.get_mut(&addr) {
-            *lives -= 1;
-            if *lives == 0 {
+        if let Some(count) = self.addr_counts.get_mut(&addr) {
+            *count -= 1;
+            if *count == 0 {
                 self.addr_counts.remove(&addr);
             }
         }
@@ -440,7 +442,7 @@
         key
     }
 
-    /// Not before the end of an input: what works on a batch must not lose it on the way.
+    /// Removes empty batches. Called at the end of an input, so that no batch disappears while it is being processed.
     pub(crate) fn remove_empty(&mut self) {
         for key in std::mem::take(&mut self.shrunk) {
             let empty = self.batches.get(key).is_some_and(|b| b.tasks.is_empty());
@@ -451,7 +453,7 @@
         }
     }
 
-    /// Where a batch stands in the queue.
+    /// Returns the rank of a batch in the queue.
     pub(crate) fn rank(&self, key: BatchKey, batch: &Batch) -> Rank {
         Rank::new(key, batch, self.config.disabled)
     }
@@ -472,7 +474,7 @@
         }
     }
 
-    /// Tells an origin of the end of a task, and takes the task out of its batch.
+    /// Removes a task from its batch and reports its end to the origin.
     pub(crate) fn finish_task(&mut self, now: Time, key: BatchKey, index: u16, end: TaskEnd) {
         let Some(batch) = self.batches.get_mut(key) else {
             return;
@@ -484,12 +486,12 @@
             hand: task.map_or(0, |task| task.submission),
             end,
         };
-        let told = Told {
+        let sent = Told {
             at: now,
             origin: batch.origin,
             news,
         };
-        self.sent_ends.insert(id, told);
+        self.sent_ends.insert(id, sent);
         self.report_end(key, news);
         self.shrunk.push(key);
     }
@@ -506,7 +508,7 @@
         }
     }
 
-    /// Sends a call to a worker; none if its data centre is not held.
+    /// Sends a call to a worker. Returns `None` if its domain is not owned.
     pub(crate) fn call(
         &mut self,
         worker: WorkerKey,
@@ -516,9 +518,9 @@
     ) -> Option<CallKey> {
         let callee = &self.workers[worker];
         let fence = self.owned.get(&callee.domain)?.of_life(callee.lives);
-        let slow = self.answer_times.wait(self.config.max_timeout);
-        let wait = match order {
-            Order::Look { .. } => order.waits() + self.config.answer_timeout.max(slow),
+        let shared = self.answer_times.wait(self.config.max_timeout);
+        let timeout = match order {
+            Order::Look { .. } => order.waits() + self.config.answer_timeout.max(shared),
             Order::Start { .. } | Order::Stop { .. }
                 if self.config.disabled.lacks(Mechanism::Patience) =>
             {
@@ -528,7 +530,7 @@
                 let wait = self.workers[worker]
                     .patience
                     .wait(self.config.order_timeout);
-                wait.max(slow)
+                wait.max(shared)
             }
         };
         let callee = &self.workers[worker].note;
@@ -539,12 +541,12 @@
             addr: callee.addr,
             fence,
             order,
-            timeout: wait,
+            timeout,
         }));
         Some(key)
     }
 
-    /// Tells a worker to stop a run whose result is not wanted, or which is to run elsewhere.
+    /// Stops a run whose result is not wanted, or whose task is to run elsewhere.
     pub(crate) fn stop_run(&mut self, _now: Time, key: RunKey, out: &mut Vec<Output>) {
         let Some(run) = self.runs.get_mut(key) else {
             return;
@@ -561,7 +563,7 @@
         self.call(worker, Pending::Stop(key), order, out);
     }
 
-    /// A run is over, or surely never was: its room is free.
+    /// Removes a run that has ended or certainly never started, and frees its capacity.
     pub(crate) fn remove_run(&mut self, key: RunKey) -> Option<Run> {
         let run = self.runs.remove(key)?;
         if let Some(worker) = self.workers.get_mut(run.worker) {
@@ -571,7 +573,7 @@
         Some(run)
     }
 
-    /// Makes a run; its room is taken.
+    /// Adds a run and reserves its capacity.
     pub(crate) fn add_run(&mut self, run: Run) -> RunKey {
         let worker = run.worker;
         let need = run.need;
@@ -582,7 +584,7 @@
         key
     }
 
-    /// The task waits for room again, and its next run gets a higher number.
+    /// Returns a task to the queue; its next run gets a number above `number`.
     pub(crate) fn requeue_task(&mut self, key: BatchKey, index: u16, number: RunNumber) {
         self.dequeue(key);
         if let Some(batch) = self.batches.get_mut(key)
--- a/crates/celerywinch_pool/src/queue.rs
+++ b/crates/celerywinch_pool/src/queue.rs
@@ -1,4 +1,4 @@
-//! The order in which steps of jobs get room.
+//! The order in which waiting batches are placed.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 
 use crate::job::{Batch, BatchKey};
 
-/// Where a batch stands: what is smaller comes first.
+/// Position of a batch in the queue; lower ranks come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
     pub(crate) priority: u8,
@@ -15,9 +15,9 @@
 }
 
 impl Rank {
-    /// By priority, then by the end of the objective: those that would lose most by waiting.
-    pub(crate) fn new(key: BatchKey, batch: &Batch, without: Without) -> Self {
-        let priority = if without.lacks(Mechanism::Priority) {
+    /// Ranks by priority, then by the end of the latency objective (earliest first).
+    pub(crate) fn new(key: BatchKey, batch: &Batch, disabled: Without) -> Self {
+        let priority = if disabled.lacks(Mechanism::Priority) {
             0
         } else {
             batch.order.priority
@@ -30,7 +30,7 @@
     }
 }
 
-/// Batches with waiting tasks, in order.
+/// Batches with waiting tasks, ordered by rank.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
     ranks: BTreeSet<Rank>,
@@ -49,15 +49,15 @@
         self.ranks.iter().map(|rank| rank.key).collect()
     }
 
-    /// Those that come before `rank`.
+    /// Returns the batches that come before `rank`.
     pub(crate) fn ahead(&self, rank: Rank) -> impl Iterator<Item = BatchKey> + '_ {
         self.ranks.range(..rank).map(|rank| rank.key)
     }
 
-    /// Those of the priorities up to this one.
+    /// Returns the batches whose priority value is at most `priority`.
     pub(crate) fn up_to(&self, priority: u8) -> impl Iterator<Item = BatchKey> + '_ {
-        let upto = move |rank: &&Rank| rank.priority <= priority;
-        self.ranks.iter().take_while(upto).map(|rank| rank.key)
+        let within = move |rank: &&Rank| rank.priority <= priority;
+        self.ranks.iter().take_while(within).map(|rank| rank.key)
     }
 
     pub(crate) fn len(&self) -> usize {
--- a/crates/celerywinch_pool/src/run_times.rs
+++ b/crates/celerywinch_pool/src/run_times.rs
@@ -1,47 +1,48 @@
-//! Run times, learned from what tasks took.
+//! Estimates of run times, learned from completed tasks.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use celerywinch_types::LearnedQueue;
 
-/// How much a new measurement counts; about the last forty tasks decide.
-const WEIGHT: f64 = 0.05;
-/// Until so many tasks have ended, the mean counts their number.
-const FEW: f64 = 20.0;
+/// Weight of a new measurement in the moving mean: about the last forty tasks count.
+const UPDATE_WEIGHT: f64 = 0.05;
+/// Number of tasks below which the plain mean of all measurements is used.
+const WARMUP_TASKS: f64 = 20.0;
 
-/// The run times of one queue, as logarithms of ms.
+/// Run times of one queue, as logarithms of ms.
 #[derive(Clone, Copy, Debug, Default)]
 struct QueueTimes {
     count: f64,
-    /// Of what tasks took on a usual worker.
+    /// Mean run time on a worker of average speed.
     took: f64,
-    /// Of that over what callers had guessed.
+    /// Mean ratio of run time to the callers' estimates.
     bias: f64,
 }
 
-/// The run times of all queues.
+/// Run times of all queues.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunTimes {
     queues: BTreeMap<String, QueueTimes>,
 }
 
 impl RunTimes {
-    /// What a task should take on a usual worker.
+    /// Returns the expected run time of a task on a worker of average speed, given its caller's estimate in ms.
     ///
-    /// Guesses differ from the truth by a factor that differs from job to job, and jobs differ from
-    /// each other by as much; the geometric mean of both sources halves the variance of either.
-    pub(crate) fn expected(&self, queue: &str, guess: u32) -> Duration {
-        let guess = f64::from(guess.max(1));
+    /// An estimate is off by a factor that varies from job to job, and the run times of jobs vary as much. The geometric mean
+    /// of the corrected estimate and the learned run time has half the variance of either.
+    pub(crate) fn expected(&self, queue: &str, estimate: u32) -> Duration {
+        let estimate = f64::from(estimate.max(1));
         let millis = match self.queues.get(queue) {
             Some(times) if times.count > 0.0 => {
-                ((times.took + guess.ln() + times.bias) / 2.0).exp()
+                ((times.took + estimate.ln() + times.bias) / 2.0).exp()
             }
-            _ => guess,
+            _ => estimate,
         };
         Duration::from_secs_f64(millis / 1e3)
     }
 
+    /// Exports the learned run times, for a successor.
     pub(crate) fn learned(&self) -> Vec<LearnedQueue> {
         let queues = self.queues.iter();
         let learned = queues.map(|(name, times)| LearnedQueue {
@@ -53,6 +54,7 @@
         learned.collect()
     }
 
+    /// Replaces run times by those that another dispatcher has learned.
     pub(crate) fn learn_from(&mut self, queues: Vec<LearnedQueue>) {
         for queue in queues {
             let times = QueueTimes {
@@ -64,18 +66,18 @@
         }
     }
 
-    /// A task took so long, divided by its worker's pace.
-    pub(crate) fn learn(&mut self, queue: &str, guess: u32, took: Duration) {
+    /// Records a run time, already divided by the pace of its worker.
+    pub(crate) fn learn(&mut self, queue: &str, estimate: u32, took: Duration) {
         let times = self.queues.entry(queue.to_owned()).or_default();
         times.count += 1.0;
-        let weight = if times.count < FEW {
+        let weight = if times.count < WARMUP_TASKS {
             1.0 / times.count
         } else {
-            WEIGHT
+            UPDATE_WEIGHT
         };
         let took = (took.as_secs_f64() * 1e3).max(1.0).ln();
-        let guess = f64::from(guess.max(1)).ln();
+        let estimate = f64::from(estimate.max(1)).ln();
         times.took += (took - times.took) * weight;
-        times.bias += (took - guess - times.bias) * weight;
+        times.bias += (took - estimate - times.bias) * weight;
     }
 }
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -1,4 +1,4 @@
-//! Taking in what origins hand in.
+//! Submissions of tasks by origins.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use crate::pool::{Output, Pool};
 use crate::run::Run;
 
-/// A caller whose connection broke as it sent its job sends it again within this time. Where it waits for the answer it does so
-/// only after 1.3 s, when nothing of the first attempt is left.
-const SENT_AGAIN: Duration = Duration::from_millis(300);
+/// Within this time a caller whose connection broke while it sent a job sends the job again. A caller whose connection breaks while
+/// it waits for the answer retries only after 1.3 s, when nothing of the first attempt is left.
+const RESEND_WINDOW: Duration = Duration::from_millis(300);
 
 impl Pool {
-    /// Takes the tasks of a step in, unless the job is refused; new ones, or those of a step that is known.
+    /// Accepts the submitted tasks of a new or known step, unless the job is refused.
     pub(crate) fn submit(
         &mut self,
         now: Time,
@@ -37,7 +37,7 @@
         let known = self.batch_keys.get(&(order.job, order.step)).copied();
         let key = match known {
             Some(key) => {
-                if !self.known_batch(now, key, from, &order) {
+                if !self.resubmit_batch(now, key, from, &order) {
                     return;
                 }
                 key
@@ -67,14 +67,15 @@
         self.shrunk.push(key);
     }
 
-    /// A step that is known was handed in again, perhaps by another origin. What that does not name may
-    /// be elsewhere. Something of the job may have run before, unless the order says that it is new.
+    /// Handles the repeated submission of a known step, perhaps by another origin. Tasks that this one does not name may be
+    /// elsewhere. Part of the job may have run before, unless the order says that it is new. Returns false if the
+    /// submission is superseded.
     ///
-    /// A caller that got no answer sends its job to another entry, while the first one may have it still and
-    /// names it again after each break of a link. If the last one that named it got its end, the other's
-    /// caller would wait until its deadline. So the origin that got the job last keeps it, and the
-    /// other one is told so; false if that is the one that hands it in.
-    fn known_batch(
+    /// A caller that got no answer sends its job to another entry, while the first one may still have it and submits it
+    /// again after each broken link. If the end went to the origin that submitted the job last, the caller at the other one
+    /// would wait until its deadline. So the origin at which the job arrived last keeps it, and the other one is
+    /// notified.
+    fn resubmit_batch(
         &mut self,
         now: Time,
         key: BatchKey,
@@ -102,7 +103,7 @@
         true
     }
 
-    /// Another origin has got the job of this batch.
+    /// Reports to an origin that another one has taken over the job of a batch.
     fn supersede(&mut self, origin: InstanceId, key: BatchKey) {
         let batch = &self.batches[key];
         let news = batch.tasks.keys().map(|index| TaskNews {
@@ -113,7 +114,7 @@
         self.unsent_ends.entry(origin).or_default().extend(news);
     }
 
-    /// Gives back what found no room of a batch that came in just now, for another dispatcher to start.
+    /// Returns the tasks of a newly submitted batch that found no free capacity, for another dispatcher to start.
     pub(crate) fn pass_on(&mut self, now: Time, key: BatchKey, out: &mut Vec<Output>) {
         let Some(batch) = self.batches.get(key) else {
             return;
@@ -123,7 +124,7 @@
         let waiting: Vec<u16> = waiting.map(|(index, _)| *index).collect();
         let started = batch.tasks.len() - waiting.len();
         if started > 0 && self.is_careful(batch) {
-            // The others wait for the first, and not for room.
+            // The other tasks wait for the probe task, not for free capacity.
             return;
         }
         self.inflow
@@ -144,8 +145,8 @@
         self.remove_empty();
     }
 
-    /// Nothing is dispatched here. What may be running elsewhere stays with its origin as it was,
-    /// until the heartbeat tells who dispatches.
+    /// Returns submitted tasks because no domain is owned here. Tasks that may be running elsewhere stay in doubt at
+    /// their origin, until a heartbeat names the dispatcher.
     pub(crate) fn return_tasks(&mut self, to: InstanceId, order: &StepOrder, tasks: &[TaskOrder]) {
         for task in tasks {
             let id = TaskId {
@@ -183,7 +184,7 @@
             expected,
             tasks: BTreeMap::new(),
             started: !order.fresh,
-            // What another dispatcher passed on after it had started a part of the step.
+            // Another dispatcher passed the rest of the step on after it had started a part of it.
             probe_passed: order.pass && !order.fresh,
             order,
         }
@@ -227,20 +228,21 @@
             failed_on: None,
         };
         self.batches[key].tasks.insert(order.index, task);
-        // What may run elsewhere waits for the end of the longest lease, and so for that of any run here.
+        // A task that may run elsewhere waits for the end of the longest lease, and so for the end of any run here.
         if order.doubt != Doubt::None {
             self.settle(now, key, order.index);
-        } else if self.may_be_elsewhere(now, key, id) {
+        } else if self.may_run_elsewhere(now, key, id) {
             let until = now + self.config.doubt_timeout;
             self.set_task(key, order.index, TaskState::MaybeRunning(until));
-        } else if !self.take_stopping_run(key, order.index) {
+        } else if !self.reclaim_stopping_run(key, order.index) {
             self.give_up(now, key, order.index, out);
         }
     }
 
-    /// Gives a task the run that it still has here, though nobody wanted that any more: a caller whose connection broke sends its job
-    /// again before the worker has carried out the stop. The task is started anew when the run has ended.
-    fn take_stopping_run(&mut self, key: BatchKey, index: u16) -> bool {
+    /// Assigns a task the run that it still has here and that is being stopped, and returns whether there is one. This happens where
+    /// a caller whose connection broke sends its job again before the worker has carried out the stop. The task is
+    /// started anew when the run has ended.
+    fn reclaim_stopping_run(&mut self, key: BatchKey, index: u16) -> bool {
         let id = self.batches[key].task_id(index);
         let unwanted = |run: &Run| run.task == id && run.batch.is_none();
         let runs = self.runs.iter().filter(|(_, run)| unwanted(run));
@@ -260,13 +262,13 @@
         true
     }
 
-    /// Whether a task was given back to another origin a moment ago, which may have it done elsewhere. Its caller has sent the
-    /// job to both, and which of them it left is not known here before the cancellation.
-    fn may_be_elsewhere(&self, now: Time, key: BatchKey, id: TaskId) -> bool {
+    /// Returns whether a task was recently returned to another origin, which may have it run elsewhere. The caller has sent the job
+    /// to both origins; which of them it has left is not known here until the cancellation arrives.
+    fn may_run_elsewhere(&self, now: Time, key: BatchKey, id: TaskId) -> bool {
         let origin = self.batches[key].origin;
         self.sent_ends.get(&id).is_some_and(|told| {
-            let lately = now.since(told.at) <= SENT_AGAIN;
-            lately && told.origin != origin && told.news.gives_back()
+            let recent = now.since(told.at) <= RESEND_WINDOW;
+            recent && told.origin != origin && told.news.gives_back()
         })
     }
 }
