--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -276,7 +276,7 @@
             part: config.part,
             dc: config.dc,
             dcs: config.dcs.clone(),
-            shard: shard(config.cores, config.link),
+            shard_size: shard(config.cores, config.link),
             pool: PoolConfig {
                 disabled: config.without,
                 ..PoolConfig::default()
@@ -441,7 +441,7 @@
                     dc: beat.dc,
                     version: beat.version,
                 });
-                self.input(now, Input::Beat(from, beat));
+                self.input(now, Input::Heartbeat(from, beat));
                 self.spread(now, told);
             }
             FleetMsg::Contacts(contacts) => {
@@ -455,7 +455,7 @@
             FleetMsg::Work(msg) => self.input(now, Input::Work(from, msg)),
             FleetMsg::Learned(learned) => self.input(now, Input::Learned(learned)),
             FleetMsg::Crashes(told) => self.input(now, Input::Crashes(told)),
-            FleetMsg::Careful(queues) => self.input(now, Input::Careful(queues)),
+            FleetMsg::Careful(queues) => self.input(now, Input::ProbeQueues(queues)),
         }
     }
 
