--- a/crates/celerywinch_pool/tests/capacity.rs
+++ b/crates/celerywinch_pool/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Workers whose capacity shrinks and grows while they run.
+//! Workers whose capacity changes while they run tasks.
 
 mod rig;
 
@@ -10,7 +10,7 @@
 };
 use rstest::rstest;
 
-/// Room for one of the rig's tasks, and for two.
+/// Capacity for one of the rig's tasks; `TWO` has capacity for two, `NONE` for none.
 const ONE: Room = Room {
     cpu: 16_000,
     memory: 65_536,
@@ -20,16 +20,16 @@
 const NONE: Room = Room { cpu: 4_000, ..ONE };
 
 struct Case {
-    /// What the worker says that it has, one after the other; two tasks fit at first.
+    /// The capacities that the worker announces in turn; two tasks fit at first.
     rooms: &'static [Room],
-    /// How many of three tasks are started then, with none at work before, and with one.
+    /// Number of tasks started in all: with no task running before the three that are submitted, and with one.
     starts: [usize; 2],
 }
 
-fn says(rig: &mut Rig, number: u64, room: Room) {
+fn announce(rig: &mut Rig, sequence: u64, room: Room) {
     let first = worker_note("w1", 1);
     let said = Said {
-        sequence: first.said.sequence + number,
+        sequence: first.said.sequence + sequence,
         ..first.said
     };
     rig.handle(Input::Workers(vec![WorkerNote {
@@ -43,21 +43,21 @@
     for job in jobs {
         let mut order = step(Doubt::None, 0);
         order.job = JobId(job);
-        // Something of it has run, so it waits where it finds no room.
+        // Part of the job may have run, so it waits instead of being refused.
         order.fresh = false;
         rig.submit(order);
     }
 }
 
-/// A worker that does not guard its room is overloaded, and all that runs there with it: its room has shrunk while it ran, and
-/// the dispatcher goes on counting from the one it had at first. What is at work and what is being stopped counts; when the room
-/// grows again it is used.
+/// Guards against overloading a worker whose capacity has shrunk: the dispatcher kept counting from the first announced capacity,
+/// and a worker that does not enforce its capacity was overloaded with all of its runs. Running tasks and those being stopped
+/// count; capacity that grows again is used.
 #[rstest]
 #[case::same(Case { rooms: &[TWO], starts: [2, 2] })]
 #[case::shrinks(Case { rooms: &[ONE], starts: [1, 1] })]
-#[case::shrinks_below_what_is_at_work(Case { rooms: &[NONE], starts: [0, 1] })]
+#[case::shrinks_below_running_tasks(Case { rooms: &[NONE], starts: [0, 1] })]
 #[case::shrinks_and_grows(Case { rooms: &[NONE, TWO], starts: [2, 2] })]
-fn room_that_a_worker_tells_of_bounds_what_is_sent(
+fn announced_capacity_bounds_the_started_tasks(
     #[case] case: Case,
     #[values(false, true)] busy: bool,
 ) {
@@ -67,34 +67,39 @@
         let start = rig.last_call(is_start);
         rig.answer(&start, Answer::Taken(clock()));
     }
-    for (room, number) in case.rooms.iter().zip(1..) {
-        says(&mut rig, number, *room);
+    for (room, sequence) in case.rooms.iter().zip(1..) {
+        announce(&mut rig, sequence, *room);
     }
     submit(&mut rig, 78..81);
     assert_eq!(rig.count_calls(is_start), case.starts[usize::from(busy)]);
-    assert_eq!(rig.count_calls(is_stop), 0, "nothing is ended for it");
+    assert_eq!(rig.count_calls(is_stop), 0, "no run is stopped for it");
 }
 
-/// Room comes back within one announcement, and the task that waited is started without another cause.
+/// Guards against leaving announced capacity unused: a waiting task starts with the announcement, without any other input.
 #[test]
-fn room_that_grows_is_used_at_once() {
+fn grown_capacity_is_used_at_once() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    says(&mut rig, 1, NONE);
-    assert_eq!(rig.pool.load(rig.now, DOMAIN).free, 0, "nothing is offered");
+    announce(&mut rig, 1, NONE);
+    assert_eq!(
+        rig.pool.load(rig.now, DOMAIN).free,
+        0,
+        "no free capacity is reported"
+    );
     submit(&mut rig, 77..78);
     assert_eq!(rig.count_calls(is_start), 0);
-    says(&mut rig, 2, ONE);
+    announce(&mut rig, 2, ONE);
     assert_eq!(rig.count_calls(is_start), 1);
 }
 
-/// A run that is being stopped holds its room until its end is listed, also after the room has shrunk: the sums stay right.
+/// Guards against freeing the capacity of a run that is being stopped before its end is listed, also after the worker's capacity
+/// has shrunk.
 #[test]
-fn what_is_being_stopped_counts() {
+fn run_that_is_being_stopped_holds_its_capacity() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
-    says(&mut rig, 1, ONE);
+    announce(&mut rig, 1, ONE);
     let look = rig.last_call(is_look);
     let cancel = celerywinch_types::WorkMsg::Cancel {
         job: rig::JOB,
@@ -102,16 +107,16 @@
     };
     rig.handle(Input::Work(rig::ORIGIN, cancel));
     assert_eq!(rig.count_calls(is_stop), 1);
-    // From here on only its room keeps others away.
+    // From here on, only its reserved capacity prevents other starts.
     let stop = rig.last_call(is_stop);
     rig.answer(&stop, Answer::Taken(clock()));
     submit(&mut rig, 80..81);
-    assert_eq!(rig.count_calls(is_start), 1, "the first one is still there");
+    assert_eq!(rig.count_calls(is_start), 1, "the first run has not ended");
     rig.answer(&look, lists(vec![running_row(1)], Vec::new()));
     assert_eq!(rig.count_calls(is_start), 1);
     let look = rig.last_call(is_look);
     rig.answer(&look, lists(Vec::new(), vec![ended_row(1, How::Cut)]));
     assert_eq!(rig.count_calls(is_start), 2);
     submit(&mut rig, 81..82);
-    assert_eq!(rig.count_calls(is_start), 2, "one fits, and one is there");
+    assert_eq!(rig.count_calls(is_start), 2, "one fits, and one is running");
 }
--- a/crates/celerywinch_pool/tests/doubt_timeout.rs
+++ b/crates/celerywinch_pool/tests/doubt_timeout.rs
@@ -1,4 +1,4 @@
-//! When a successor starts what a lost dispatcher may have started last.
+//! When a successor starts a task that a lost dispatcher may have started.
 
 mod rig;
 
@@ -10,36 +10,36 @@
 use rstest::rstest;
 
 const REMOTE: InstanceId = InstanceId(5);
-/// A grant ends so many ms after the last heartbeat that its origin has heard, as heartbeats are read.
-const GRANT: u64 = 500;
-/// A silent dispatcher counts as lost so many ms after that at the earliest.
-const SILENCE: u64 = 350;
-/// So many ms before the last heartbeat the clock of a worker was read at the earliest; the dispatcher starts nothing
-/// on one whose clock was read longer ago.
-const OLDEST: u64 = 4_000;
-/// How fast the slowest clock of a worker runs.
-const SLOWEST: f64 = 0.98;
+/// A grant expires this many ms after the last heartbeat that its origin has received.
+const GRANT_MS: u64 = 500;
+/// A silent dispatcher counts as lost this many ms after that heartbeat at the earliest.
+const SILENCE_MS: u64 = 350;
+/// The earliest reading of a worker's clock, in ms before the last heartbeat. The dispatcher starts nothing on a worker
+/// whose clock was read longer ago.
+const MAX_READING_AGE_MS: u64 = 4_000;
+/// Rate of the slowest worker clock.
+const SLOWEST_CLOCK_RATE: f64 = 0.98;
 
 struct Case {
-    /// How long before the last heartbeat the clock of the worker was read, in ms.
-    idle: u64,
-    /// When the origin hands the task in to the successor, in ms after that heartbeat.
-    lost: u64,
+    /// Time from the reading of the worker's clock to the last heartbeat, in ms.
+    idle_ms: u64,
+    /// Time from that heartbeat to the submission of the task to the successor, in ms.
+    lost_ms: u64,
 }
 
-/// Ms after the last heartbeat at which a run is over that is started as late as the grant allows.
-fn last_end(idle: u64) -> f64 {
+/// Returns the time from the last heartbeat to the end of the lease of a run that starts as late as the grant allows, in ms.
+fn last_lease_end(idle_ms: u64) -> f64 {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     let read = rig.now;
-    rig.advance(idle);
-    let until = rig.now + Duration::from_millis(GRANT);
+    rig.advance(idle_ms);
+    let until = rig.now + Duration::from_millis(GRANT_MS);
     let grant = Grant {
         life: Incarnation(1),
         session: Session(0),
         until,
     };
     rig.handle(Input::Granted(REMOTE, grant));
-    let late = GRANT - 10;
+    let late = GRANT_MS - 10;
     rig.advance(late);
     let mut order = step(Doubt::None, 0);
     order.fresh = false;
@@ -48,12 +48,12 @@
         panic!("a start");
     };
     let passed = rig.now.since(read).as_secs_f64() * 1e3;
-    let worker = clock().0 as f64 + passed * SLOWEST;
+    let worker = clock().0 as f64 + passed * SLOWEST_CLOCK_RATE;
     let lease = deadline.0 as f64 - worker;
-    late as f64 + lease / SLOWEST
+    late as f64 + lease / SLOWEST_CLOCK_RATE
 }
 
-/// Ms after it was handed in at which a successor starts a task of which it finds nothing.
+/// Returns the time from the submission of a task to its start by a successor that finds no run of it, in ms.
 fn first_start() -> u64 {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::Open, 7));
@@ -65,20 +65,20 @@
     ms
 }
 
-/// A task runs twice: its dispatcher is cut off from the origin and from the successor, but not from a worker that
-/// the successor does not reach, and starts the task there as the grant is about to end. The successor has to
-/// wait for the end of that lease: also where the worker's clock was read long ago and is slow, so that the
-/// lease is longer than asked for, and where the cut refuses connections, so that the origin waits for no silence.
+/// Guards against a second run of a task. Its dispatcher is cut off from the origin and the successor, but not from a worker that
+/// the successor cannot reach, and starts the task there just before the grant expires. The successor must wait until
+/// that lease ends, also where the worker's clock is slow and was read long ago, so that the lease lasts longer than
+/// requested, and where the network cut refuses connections, so that the origin does not wait for a silence.
 #[rstest]
-#[case::silent(Case { idle: 0, lost: SILENCE })]
-#[case::silent_and_the_clock_read_long_ago(Case { idle: OLDEST, lost: SILENCE })]
-#[case::refused(Case { idle: 0, lost: 0 })]
-#[case::refused_and_the_clock_read_long_ago(Case { idle: OLDEST, lost: 0 })]
+#[case::silent(Case { idle_ms: 0, lost_ms: SILENCE_MS })]
+#[case::silent_and_the_clock_read_long_ago(Case { idle_ms: MAX_READING_AGE_MS, lost_ms: SILENCE_MS })]
+#[case::refused(Case { idle_ms: 0, lost_ms: 0 })]
+#[case::refused_and_the_clock_read_long_ago(Case { idle_ms: MAX_READING_AGE_MS, lost_ms: 0 })]
 fn successor_waits_for_the_end_of_the_last_run(#[case] case: Case) {
-    let end = last_end(case.idle);
-    let start = case.lost + first_start();
+    let end = last_lease_end(case.idle_ms);
+    let start = case.lost_ms + first_start();
     assert!(
         start as f64 >= end,
-        "started at {start}, over at {end:.0} ms"
+        "started at {start} ms, lease ends at {end:.0} ms"
     );
 }
--- a/crates/celerywinch_pool/tests/evacuated.rs
+++ b/crates/celerywinch_pool/tests/evacuated.rs
@@ -37,7 +37,7 @@
     rig.handle(Input::EvacuatedDataCentres(dcs));
 }
 
-/// Submits jobs of one task each that are queued if there is no room.
+/// Submits jobs of one task each that are queued if there is no free capacity.
 fn submit(rig: &mut Rig, jobs: std::ops::Range<u64>) {
     for job in jobs {
         let mut order = step(Doubt::None, 0);
@@ -56,11 +56,11 @@
     evacuated: &'static [DataCentreId],
     /// The workers on which tasks are started.
     workers: &'static [&'static str],
-    /// How many of six tasks are started; each worker has room for two.
+    /// How many of six tasks are started; each worker has capacity for two.
     starts: usize,
 }
 
-/// Guards against starting tasks in evacuated data centres, and against reporting their free room.
+/// Guards against starting tasks in evacuated data centres, and against reporting their free capacity.
 #[rstest]
 #[case::none(Case { evacuated: &[], workers: &["w1", "w2"], starts: 4 })]
 #[case::one(Case { evacuated: &[DC], workers: &["w2"], starts: 2 })]
@@ -76,7 +76,7 @@
         .map(|dc| rig.pool.load(rig.now, Domain { dc, shard: 0 }).free)
         .iter()
         .sum();
-    assert_eq!(free, 0, "no free room is reported");
+    assert_eq!(free, 0, "no free capacity is reported");
 }
 
 /// Guards against stopping running tasks at an evacuation, and against not using the workers after its end.
@@ -122,7 +122,7 @@
         evacuate(&mut rig, &[DC]);
     }
     rig.advance(10);
-    let told: Vec<_> = rig
+    let reported: Vec<_> = rig
         .ends
         .iter()
         .map(|(task, end)| (task.job, *end))
@@ -132,7 +132,7 @@
     } else {
         &[]
     };
-    assert_eq!(told, given_up);
+    assert_eq!(reported, given_up);
 }
 
 /// Guards against callers waiting until their deadline where they should get a refusal with a retry delay.
--- a/crates/celerywinch_pool/tests/locality.rs
+++ b/crates/celerywinch_pool/tests/locality.rs
@@ -11,12 +11,12 @@
 
 const OTHER: DataCentreId = DataCentreId(1);
 
-/// A dispatcher of some of the workers: one in its own data centre with room for two tasks, and two elsewhere that a task nearly
-/// fills.
-fn rig(shards: u8, without: Without) -> Rig {
+/// Creates a dispatcher with one worker in its own data centre, which has capacity for two tasks, and two workers elsewhere
+/// that one task nearly fills.
+fn rig(shards: u8, disabled: Without) -> Rig {
     let mut rig = Rig::empty(PoolConfig {
         dc: Some(DC),
-        disabled: without,
+        disabled,
         ..PoolConfig::default()
     });
     rig.pool.set_shards(shards);
@@ -46,21 +46,21 @@
 
 struct Case {
     shards: u8,
-    without: Without,
+    disabled: Without,
     jobs: u64,
-    /// How many are started in the dispatcher's own data centre.
+    /// How many of them are started in the dispatcher's own data centre.
     near: usize,
 }
 
-/// Guards against jobs that are lost in part with each data centre that is cut off: tasks went wherever they left the least room,
-/// so most jobs of eight tasks had one in each.
+/// Guards against jobs that lose tasks with each data centre that is cut off: tasks went wherever they left the least capacity
+/// unused, so most jobs of eight tasks had one in each data centre.
 #[rstest]
-#[case::stay(Case { shards: 2, without: Without::default(), jobs: 2, near: 2 })]
-#[case::the_rest_goes_elsewhere(Case { shards: 2, without: Without::default(), jobs: 4, near: 2 })]
-#[case::one_dispatcher_for_all(Case { shards: 1, without: Without::default(), jobs: 2, near: 0 })]
-#[case::left_out(Case { shards: 2, without: Without::default().and(Mechanism::Locality), jobs: 2, near: 0 })]
+#[case::stay(Case { shards: 2, disabled: Without::default(), jobs: 2, near: 2 })]
+#[case::the_rest_goes_elsewhere(Case { shards: 2, disabled: Without::default(), jobs: 4, near: 2 })]
+#[case::one_dispatcher_for_all(Case { shards: 1, disabled: Without::default(), jobs: 2, near: 0 })]
+#[case::disabled(Case { shards: 2, disabled: Without::default().and(Mechanism::Locality), jobs: 2, near: 0 })]
 fn tasks_stay_in_the_data_centre_of_their_dispatcher(#[case] case: Case) {
-    let mut rig = rig(case.shards, case.without);
+    let mut rig = rig(case.shards, case.disabled);
     for job in 0..case.jobs {
         let mut order = step(Doubt::None, 0);
         order.job = JobId(job);
--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -1,4 +1,4 @@
-//! A dispatcher, its workers and an origin, for the tests of this folder.
+//! Test rig shared by the tests in this folder: a dispatcher, its workers and an origin.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -15,9 +15,9 @@
 
 pub(crate) const DC: DataCentreId = DataCentreId(0);
 pub(crate) const DOMAIN: Domain = Domain { dc: DC, shard: 0 };
-/// An origin whose grant has no end.
+/// An origin whose grant does not expire.
 pub(crate) const ORIGIN: InstanceId = InstanceId(9);
-/// A fencing token above the one that the dispatcher begins with.
+/// A fencing token above the one that the dispatcher starts with.
 pub(crate) const LATER_FENCE: Fence = Fence(9 << 5);
 pub(crate) const JOB: JobId = JobId(77);
 pub(crate) const ROOM: Room = Room {
@@ -86,20 +86,21 @@
     }
 }
 
-/// A dispatcher and what it has said.
+/// A dispatcher and its recorded outputs.
 pub(crate) struct Rig {
     pub(crate) pool: Pool,
     pub(crate) now: Time,
     pub(crate) calls: Vec<Call>,
+    /// The ends reported to origins, in order.
     pub(crate) ends: Vec<(TaskId, TaskEnd)>,
-    /// The same with whom it was told.
+    /// The same ends with the origin that each was sent to.
     pub(crate) ends_by_origin: Vec<(InstanceId, TaskEnd)>,
-    /// How often a worker was found to obey another dispatcher.
+    /// How often a worker was found to have seen a higher fencing token.
     pub(crate) fenced: usize,
 }
 
 impl Rig {
-    /// With one worker that was taken over with these lists.
+    /// Creates a dispatcher with one worker, which listed these runs at its takeover.
     pub(crate) fn new(running: Vec<RunningRow>, ended: Vec<EndedRow>) -> Self {
         let mut rig = Self::empty(PoolConfig::default());
         rig.handle(Input::Workers(vec![worker_note("w1", 1)]));
@@ -109,7 +110,7 @@
         rig
     }
 
-    /// Without workers.
+    /// Creates a dispatcher without workers.
     pub(crate) fn empty(config: PoolConfig) -> Self {
         let mut rig = Self {
             pool: Pool::new(config),
@@ -123,6 +124,7 @@
         rig
     }
 
+    /// Passes an input to the pool and records the outputs.
     pub(crate) fn handle(&mut self, input: Input) {
         let mut out = Vec::new();
         self.pool.handle(self.now, input, &mut out);
@@ -145,6 +147,7 @@
         }
     }
 
+    /// Advances the time by `ms`, with a tick every 10 ms.
     pub(crate) fn advance(&mut self, ms: u64) {
         for _ in 0..ms / 10 {
             self.now = self.now + Duration::from_millis(10);
@@ -152,6 +155,7 @@
         }
     }
 
+    /// Returns the last call that fits.
     pub(crate) fn last_call(&self, wanted: impl Fn(&Order) -> bool) -> Call {
         let calls = self.calls.iter().rev();
         let mut fitting = calls.filter(|call| wanted(&call.order));
@@ -184,7 +188,7 @@
     }
 }
 
-/// Lists of a life that says which one it is.
+/// Lists of a worker that states its incarnation.
 pub(crate) fn lists_of(life: u64, running: Vec<RunningRow>, ended: Vec<EndedRow>) -> Answer {
     Answer::Lists {
         incarnation: Some(Incarnation(life)),
@@ -206,7 +210,7 @@
     matches!(order, Order::Look { .. })
 }
 
-/// A run of the task that is at work.
+/// A running run of task 0.
 pub(crate) fn running_row(run: u64) -> RunningRow {
     RunningRow {
         task: task(0),
@@ -215,7 +219,7 @@
     }
 }
 
-/// The first end that a worker lists.
+/// The first end in the list of a worker, of a run of task 0.
 pub(crate) fn ended_row(run: u64, how: How) -> EndedRow {
     EndedRow {
         serial: 1,
--- a/crates/celerywinch_pool/tests/runs.rs
+++ b/crates/celerywinch_pool/tests/runs.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher does when orders and their answers go wrong.
+//! Failed, lost and late calls to workers, and their effect on runs.
 
 mod rig;
 
@@ -10,10 +10,10 @@
 };
 use rstest::rstest;
 
-/// The answer to a start, and what follows.
+/// The answer to a start and its expected consequences.
 struct Case {
     answer: Answer,
-    /// Whether the worker is asked at once, and then shows nothing, so that a stop is sent.
+    /// Whether the worker is polled at once and, as it lists nothing, a stop is sent.
     stops: bool,
     /// Whether the task is started again at once.
     again: bool,
@@ -30,9 +30,9 @@
     )
 }
 
-/// A caller's task runs twice: an order without an answer is taken for one that had no effect. It may
-/// be carried out, or be later; only a refusal is certain. The worker is asked, and what it does not list is
-/// stopped, before the task is started again.
+/// Guards against a second run of a task after a start without an answer. The start may have been carried out or may be later;
+/// only a refusal is certain. The worker is polled, and a run that it does not list is stopped, before the task is started
+/// again.
 #[rstest]
 #[case::taken(Case { answer: Answer::Taken(clock()), stops: false, again: false })]
 #[case::silent(Case { answer: Answer::Silent, stops: true, again: false })]
@@ -61,10 +61,10 @@
     assert_eq!(rig.count_calls(is_start) > 1, case.again);
 }
 
-/// Work is thrown away of which only the answer to its order was lost: the worker lists it, and it goes on. Where the
-/// worker does not answer that either, the run is stopped.
+/// Guards against stopping a run when only the answer to its start was lost: the worker lists the run, and it continues. If the
+/// worker does not answer the poll either, the run is stopped.
 #[rstest]
-#[case::at_work(lists(vec![running_row(1)], Vec::new()), 0)]
+#[case::running(lists(vec![running_row(1)], Vec::new()), 0)]
 #[case::no_answer(Answer::Silent, 1)]
 fn order_without_an_answer_is_settled_by_what_the_worker_has(
     #[case] answer: Answer,
@@ -83,10 +83,10 @@
     );
 }
 
-/// A worker is taken for busy for ever: a caller leaves, the stop of its task is answered before the
-/// start is, and the start's answer is then lost. The stop settles the run, whatever comes after.
+/// Guards against a worker that counts as busy forever: a caller leaves, the stop of its task is answered before the start, and
+/// then the answer to the start is lost. The accepted stop must settle the run, whatever follows.
 #[test]
-fn stop_that_was_taken_settles_a_start_without_an_answer() {
+fn accepted_stop_settles_a_start_without_an_answer() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last_call(is_start);
@@ -102,39 +102,38 @@
     assert_eq!(rig.pool.counts().1, 0, "no run is left");
 }
 
-/// What a successor finds of a task that its origin handed in with doubt.
+/// What a successor finds of a task that its origin submitted as in doubt.
 struct Found {
     doubt: Doubt,
     running: Option<u64>,
     ended: Option<(u64, How)>,
-    /// Whether it is started anew at once.
+    /// Whether it is started again at once.
     starts: bool,
-    /// What the origin is told.
-    told: Option<TaskEnd>,
+    /// The end that is reported to the origin.
+    reported: Option<TaskEnd>,
 }
 
-/// Two runs of one task: a dispatcher is lost, its successor finds an earlier run of the task that was
-/// stopped, takes it for the end of all, and starts the task while a later run is still at work on a
-/// worker that it has not reached.
+/// Guards against a second run of a task: the successor of a lost dispatcher finds the end of an earlier, interrupted run, takes it
+/// for the end of the last one, and starts the task while a later run is still running on a worker that it has not reached.
 #[rstest]
-#[case::at_work(Found {
-    doubt: Doubt::Open, running: Some(7), ended: None, starts: false, told: None,
+#[case::running(Found {
+    doubt: Doubt::Open, running: Some(7), ended: None, starts: false, reported: None,
 })]
 #[case::done(Found {
     doubt: Doubt::Open, running: None, ended: Some((7, How::Done)), starts: false,
-    told: Some(TaskEnd::Done),
+    reported: Some(TaskEnd::Done),
 })]
 #[case::cut_and_no_later_run(Found {
-    doubt: Doubt::Last, running: None, ended: Some((7, How::Cut)), starts: true, told: None,
+    doubt: Doubt::Last, running: None, ended: Some((7, How::Cut)), starts: true, reported: None,
 })]
 #[case::cut_and_a_later_run(Found {
-    doubt: Doubt::Last, running: None, ended: Some((6, How::Cut)), starts: false, told: None,
+    doubt: Doubt::Last, running: None, ended: Some((6, How::Cut)), starts: false, reported: None,
 })]
 #[case::cut_and_perhaps_a_later_run(Found {
-    doubt: Doubt::Open, running: None, ended: Some((7, How::Cut)), starts: false, told: None,
+    doubt: Doubt::Open, running: None, ended: Some((7, How::Cut)), starts: false, reported: None,
 })]
 #[case::nothing(Found {
-    doubt: Doubt::Open, running: None, ended: None, starts: false, told: None,
+    doubt: Doubt::Open, running: None, ended: None, starts: false, reported: None,
 })]
 fn successor_settles_a_task_in_doubt(#[case] case: Found) {
     let running = case.running.map(|run| RunningRow {
@@ -153,18 +152,18 @@
     rig.submit(step(case.doubt, 7));
     rig.handle(Input::Tick);
     assert_eq!(rig.count_calls(is_start) > 0, case.starts);
-    let told = rig.ends.iter().map(|(_, end)| *end).next();
-    assert_eq!(told, case.told);
-    // Whatever was in doubt is started once no lease can last, and not before.
-    if !case.starts && case.told.is_none() && case.running.is_none() {
+    let reported = rig.ends.iter().map(|(_, end)| *end).next();
+    assert_eq!(reported, case.reported);
+    // A task in doubt is started when every lease must have ended, and not before.
+    if !case.starts && case.reported.is_none() && case.running.is_none() {
         rig.advance(1_430);
-        assert_eq!(rig.count_calls(is_start), 0, "a lease may last");
+        assert_eq!(rig.count_calls(is_start), 0, "a lease may not have ended");
         rig.advance(100);
         assert_eq!(rig.count_calls(is_start), 1);
     }
 }
 
-/// A worker falls silent with a task at work. The task may run until its lease is over, and is
+/// Guards against a second run of a task whose worker has fallen silent: the run may continue until its lease ends, so the task is
 /// started elsewhere only after that.
 #[test]
 fn task_of_a_silent_worker_waits_for_the_end_of_its_lease() {
@@ -188,14 +187,18 @@
         }
         rig.advance(20);
     }
-    assert_eq!(rig.count_calls(is_start), 1, "400 ms: its lease may last");
+    assert_eq!(
+        rig.count_calls(is_start),
+        1,
+        "its lease may not have ended after 400 ms"
+    );
     rig.advance(500);
     assert_eq!(rig.count_calls(is_start), 2);
     assert_eq!(rig.last_call(is_start).worker, "w2");
 }
 
-/// A job whose objective cannot be kept behind the work that is queued is refused at once, and told
-/// when to come back; with room it never is.
+/// Guards against queueing jobs that cannot meet their objective behind the queued work: they are refused at once with a retry
+/// delay. Jobs that fit into the free capacity are never refused.
 #[test]
 fn job_that_cannot_end_in_time_is_refused_at_once() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
@@ -218,11 +221,11 @@
     assert!(refused.len() > 30, "{refused:?}");
 }
 
-/// Two runs of one task: a lost dispatcher had started a run that its origin did not hear of, the
-/// successor gives its own run the same number, and the end of the former, which it finds later, is
-/// taken for the end of the latter. A task that leaves limbo gets a number above all such runs.
+/// Guards against a second run of a task: a lost dispatcher had started a run unknown to the origin, the successor gives its own run
+/// the same number, and the end of the first run, found later, is taken for the end of the second. A task that was in
+/// doubt gets a run number above all such runs.
 #[test]
-fn run_after_limbo_has_a_number_of_its_own() {
+fn run_after_doubt_has_a_new_number() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::Open, 7));
     rig.advance(1_600);
@@ -233,9 +236,9 @@
     assert!(run > RunNumber(100), "{run:?}");
 }
 
-/// Two runs of one task: after a cut, a dispatcher takes a worker over, adopts one of its two runs, and
-/// extends the lease for both. The dispatcher of the other run, cut off from the worker, starts that
-/// task elsewhere when the lease it gave is over.
+/// Guards against a second run of a task: after a network cut, a dispatcher takes over a worker, adopts one of its two runs and
+/// extends the lease of both. The dispatcher of the other run, which is cut off from the worker, starts that task
+/// elsewhere when the lease that it gave has ended.
 #[test]
 fn lease_is_not_extended_while_runs_of_others_are_left() {
     let row = |index| RunningRow {
@@ -251,10 +254,13 @@
         let Order::Look { deadline, .. } = look.order else {
             panic!("{look:?}");
         };
-        assert_eq!(deadline, None, "run 1 belongs to somebody else");
+        assert_eq!(
+            deadline, None,
+            "the run of task 1 belongs to another dispatcher"
+        );
         rig.answer(&look, lists(vec![row(0), row(1)], Vec::new()));
     }
-    assert_eq!(rig.count_calls(is_stop), 1, "nobody wants run 1");
+    assert_eq!(rig.count_calls(is_stop), 1, "no origin wants task 1");
     rig.advance(60);
     let look = rig.last_call(is_look);
     rig.answer(&look, lists(vec![row(0)], Vec::new()));
@@ -264,10 +270,9 @@
     assert!(deadline.is_some());
 }
 
-/// Two runs of one task: a successor adopts a run, the worker misses a call at that moment, and the run
-/// is taken for ended, since the successor itself has not extended its lease yet. The dispatcher
-/// before it may have done so just now, by a reading of the worker's clock that was 4.5 s old, so that the lease
-/// lasts up to 931 ms.
+/// Guards against a second run of a task: a successor adopts a run, the worker then misses a call, and the run counts as ended because
+/// the successor has not extended its lease yet. The earlier dispatcher may have just extended it, from a reading of the
+/// worker's clock that was 4.5 s old, so that the lease lasts up to 931 ms.
 #[test]
 fn adopted_run_has_the_lease_that_another_may_have_given() {
     let row = |index| RunningRow {
@@ -287,27 +292,27 @@
     let look = looks.next_back().expect("a look").clone();
     rig.answer(&look, Answer::Silent);
     rig.advance(930);
-    assert_eq!(rig.count_calls(is_start), 0, "its lease may last");
+    assert_eq!(rig.count_calls(is_start), 0, "its lease may not have ended");
     rig.advance(100);
     assert_eq!(rig.count_calls(is_start), 1);
 }
 
-/// Where a task was since a dispatcher gave it back.
-struct NamedAgain {
-    /// The first time that it was handed in here, for the present stay.
+/// Where a task was after a dispatcher had returned it.
+struct Resubmitted {
+    /// Number of the first of its consecutive submissions to this dispatcher.
     first: u32,
-    /// What the origin is told.
-    told: Option<TaskEnd>,
+    /// The end that is reported to the origin.
+    reported: Option<TaskEnd>,
 }
 
-/// A task runs twice, or waits a second for nothing: there was no room for it, the message that says so
-/// is lost with its link, and the task is named to the dispatcher again. If it was here all the while,
-/// the dispatcher says the same again. If another had it meanwhile, it may be running there, and
-/// waits until that must have ended.
+/// Guards against a second run of a task and against a needless wait of a second. There was no free capacity for the task, the
+/// message that says so is lost with its link, and the task is submitted to the dispatcher again. If no other dispatcher had
+/// it meanwhile, the same end is reported again. Otherwise it may be running elsewhere, and waits until such a run
+/// must have ended.
 #[rstest]
-#[case::here_all_the_while(NamedAgain { first: 1, told: Some(TaskEnd::Full) })]
-#[case::elsewhere_meanwhile(NamedAgain { first: 3, told: None })]
-fn task_without_room_is_named_again(#[case] case: NamedAgain) {
+#[case::only_here(Resubmitted { first: 1, reported: Some(TaskEnd::Full) })]
+#[case::elsewhere_meanwhile(Resubmitted { first: 3, reported: None })]
+fn task_without_capacity_is_submitted_again(#[case] case: Resubmitted) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     for job in 1..=2 {
         let mut order = step(Doubt::None, 10);
@@ -323,34 +328,34 @@
     again.tasks[0].first = case.first;
     again.tasks[0].hand = 4;
     rig.submit(again);
-    let told = rig.ends.first().map(|(_, end)| *end);
-    assert_eq!(told, case.told);
+    let reported = rig.ends.first().map(|(_, end)| *end);
+    assert_eq!(reported, case.reported);
     let starts =
         rig.count_calls(|order| matches!(order, Order::Start { task, .. } if task.job == JOB));
     assert_eq!(starts, 0);
 }
 
-/// What an origin says of a task after its dispatcher has asked.
-struct Named {
-    /// It is handed in again.
+/// What an origin states of a task when its dispatcher resyncs.
+struct Resynced {
+    /// Whether it is submitted again.
     again: bool,
-    /// It may be handed in again yet.
+    /// Whether it may still be submitted again.
     unsure: bool,
-    /// The answer is that to the last question.
+    /// Whether the answer belongs to the last resync.
     last: bool,
     /// Whether the run is stopped.
     stopped: bool,
 }
 
-/// A job runs twice, at two entries: its caller's connection to the first one broke, and the message that
-/// it has left was lost with the link to the dispatcher, where the job goes on. The dispatcher asks after
-/// the break, and stops what its origin does not name.
+/// Guards against running a job twice, for two entries: the caller's connection to the first entry broke, and the message that the
+/// caller has left was lost with the link to the dispatcher, where the job continues. The dispatcher resyncs after the
+/// break and stops the tasks that the origin does not name.
 #[rstest]
-#[case::wanted(Named { again: true, unsure: false, last: true, stopped: false })]
-#[case::perhaps(Named { again: false, unsure: true, last: true, stopped: false })]
-#[case::left(Named { again: false, unsure: false, last: true, stopped: true })]
-#[case::earlier_answer(Named { again: false, unsure: false, last: false, stopped: false })]
-fn what_its_origin_does_not_name_is_stopped(#[case] case: Named) {
+#[case::wanted(Resynced { again: true, unsure: false, last: true, stopped: false })]
+#[case::perhaps(Resynced { again: false, unsure: true, last: true, stopped: false })]
+#[case::left(Resynced { again: false, unsure: false, last: true, stopped: true })]
+#[case::earlier_answer(Resynced { again: false, unsure: false, last: false, stopped: false })]
+fn unnamed_task_is_stopped_after_a_resync(#[case] case: Resynced) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 10));
     rig.handle(Input::ResyncOrigin(ORIGIN));
@@ -367,12 +372,12 @@
     assert_eq!(stops, usize::from(case.stopped));
 }
 
-/// Two runs of one task: its dispatcher was lost, and the successor finds it at work on one worker, and the end
-/// of an earlier run of it on another. That end says nothing of the run at work, which is adopted.
+/// Guards against a second run of a task: its dispatcher was lost, and the successor finds it running on one worker and the end of an
+/// earlier run on another. That end says nothing about the current run, which is adopted.
 #[rstest]
 #[case::of_an_earlier_run(6, 0)]
 #[case::of_the_run_itself(7, 1)]
-fn end_on_another_worker_leaves_a_run_at_work(#[case] run: u64, #[case] serial: u64) {
+fn end_on_another_worker_leaves_a_run_running(#[case] run: u64, #[case] serial: u64) {
     let mut rig = Rig::new(vec![running_row(7)], Vec::new());
     rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
     let look = rig.last_call(is_look);
@@ -384,13 +389,13 @@
     rig.answer(&look, lists(Vec::new(), vec![end]));
     rig.submit(step(Doubt::Open, 7));
     rig.advance(1_700);
-    assert_eq!(rig.count_calls(is_start), 0, "it is at work on w1");
+    assert_eq!(rig.count_calls(is_start), 0, "it is running on w1");
 }
 
-/// Work runs for nobody: a worker carries an order out seconds after it was given up, when its job is
-/// cancelled, or after its dispatcher was lost. What a worker lists and nobody waits for is stopped.
+/// Guards against runs that no origin waits for: a worker carries out a start seconds after the dispatcher gave up on it, after the
+/// job was cancelled or after its dispatcher was lost. A listed run that no origin wants is stopped.
 #[test]
-fn run_that_nobody_knows_is_stopped() {
+fn unknown_run_is_stopped() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.advance(500);
     rig.handle(Input::CheckReachable(rig::DOMAIN));
@@ -405,10 +410,10 @@
     assert_eq!(stop.order, wanted);
 }
 
-/// A result is lost: a worker is given up while a look at it is under way, and taken over again. The late answer
-/// to that look lists an end; to take note of it would hide the end from the look that takes over.
+/// Guards against the loss of a result: a domain is resigned while a poll of its worker is in flight, and acquired again. The late
+/// answer to that poll lists an end; recording it would hide the end from the poll of the takeover.
 #[test]
-fn answer_of_a_worker_that_was_given_up_is_not_taken() {
+fn late_answer_after_resignation_is_ignored() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(Doubt::None, 0));
     let start = rig.last_call(is_start);
