--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -7,8 +7,8 @@
 use celerywinch_pool::{Answer, CallKey, MAX_CLOCK_DRIFT, PoolConfig, PoolEvent};
 use celerywinch_standin::{LeasedWorker, Ran};
 use celerywinch_types::{
-    Beat, DataCentreId, FleetMsg, Incarnation, InstanceId, JobId, Part, Process, Room, TaskId,
-    Time, TimerQueue, WallMs, Without, WorkerNote, score,
+    DataCentreId, DisabledMechanisms, FleetHeartbeat, FleetMsg, Incarnation, InstanceId, JobId,
+    Process, ProcessKind, Resources, TaskId, Time, TimerQueue, WallMs, WorkerAnnouncement, score,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -63,7 +63,7 @@
     /// The most workers that one dispatcher takes.
     pub shard: usize,
     /// Mechanisms of dispatching that are left out.
-    pub without: Without,
+    pub without: DisabledMechanisms,
     /// Bytes a second that the link of a member carries each way; none for no bound.
     pub link: Option<u64>,
     /// How long there is load, in ms.
@@ -114,7 +114,7 @@
     WorkerBack(usize),
     WorkerLeaves(usize, u32),
     Grow(usize, u32),
-    Stale(WorkerNote),
+    Stale(WorkerAnnouncement),
     EndedBy(usize, u32, TaskId),
     Heal(usize),
     AnnounceAll,
@@ -254,7 +254,7 @@
             } else {
                 WORKER_CPU
             };
-            let room = Room {
+            let room = Resources {
                 cpu,
                 memory: 65_536,
                 accelerators: 0,
@@ -398,12 +398,12 @@
         }
         let from = self.process(from);
         let input = match msg {
-            FleetMsg::Beat(beat) => Input::Heartbeat(from, beat),
+            FleetMsg::Heartbeat(beat) => Input::Heartbeat(from, beat),
             FleetMsg::Work(msg) => Input::Work(from, msg),
             FleetMsg::Workers(notes) => Input::Workers(notes),
             FleetMsg::Learned(learned) => Input::Learned(learned),
             FleetMsg::Crashes(told) => Input::Crashes(told),
-            FleetMsg::Careful(queues) => Input::ProbeQueues(queues),
+            FleetMsg::ProbeQueues(queues) => Input::ProbeQueues(queues),
             _ => return,
         };
         self.input(index, input);
@@ -552,7 +552,7 @@
         let host = &self.members[index];
         let config = MemberConfig {
             me,
-            part: Part::Entry,
+            part: ProcessKind::Entry,
             dc: DataCentreId(host.dc),
             dcs: (0..self.options.dcs).map(DataCentreId).collect(),
             shard_size: self.options.shard,
@@ -582,12 +582,12 @@
             }
             let mine = self.beat_of(index, other);
             let theirs = self.beat_of(other, index);
-            self.deliver(index, other, FleetMsg::Beat(mine));
-            self.deliver(other, index, FleetMsg::Beat(theirs));
+            self.deliver(index, other, FleetMsg::Heartbeat(mine));
+            self.deliver(other, index, FleetMsg::Heartbeat(theirs));
         }
     }
 
-    pub(crate) fn beat_of(&self, index: usize, to: usize) -> Beat {
+    pub(crate) fn beat_of(&self, index: usize, to: usize) -> FleetHeartbeat {
         let member = self.members[index].member.as_ref();
         let peer = InstanceId(to as u32 + 1);
         let member = member.expect("a member that is up");
--- a/crates/celerywinch_entry/src/claims.rs
+++ b/crates/celerywinch_entry/src/claims.rs
@@ -147,7 +147,7 @@
                     self.accepted(id, from, ballot, out);
                 }
             }
-            ClaimReply::Outbid {
+            ClaimReply::Preempted {
                 key,
                 ballot,
                 promised,
@@ -388,7 +388,7 @@
 
 fn refusal_reply(key: Key, ballot: Ballot, refused: Rejection) -> ClaimReply {
     match refused {
-        Rejection::Preempted(promised) => ClaimReply::Outbid {
+        Rejection::Preempted(promised) => ClaimReply::Preempted {
             key,
             ballot,
             promised,
--- a/crates/celerywinch_entry/src/settle.rs
+++ b/crates/celerywinch_entry/src/settle.rs
@@ -26,7 +26,7 @@
         if own_earlier_attempt
             || self
                 .peers
-                .gone(holder.process.instance, holder.process.incarnation)
+                .has_ended(holder.process.instance, holder.process.incarnation)
         {
             self.settle(now, id, Ballot::default(), out);
             return;
@@ -112,7 +112,7 @@
                 };
                 self.promised(now, id, me, ballot, promise, out);
             }
-            Some(ClaimReply::Outbid {
+            Some(ClaimReply::Preempted {
                 ballot, promised, ..
             }) => self.outbid(now, id, ballot, promised),
             Some(ClaimReply::Abstained { .. }) => self.abstained(now, id, me, out),
--- a/crates/celerywinch_fleet/src/config.rs
+++ b/crates/celerywinch_fleet/src/config.rs
@@ -7,7 +7,7 @@
 use std::pin::Pin;
 
 use celerywinch_pool::{Answer, Call};
-use celerywinch_types::{DataCentreId, InstanceId, Part, QueueBook, Without};
+use celerywinch_types::{DataCentreId, DisabledMechanisms, InstanceId, ProcessKind, QueueConfig};
 
 /// The checked settings of a process.
 #[derive(Clone, Debug)]
@@ -15,7 +15,7 @@
     /// This instance; its number is its IPv4 address, by which the others reach it.
     pub instance: InstanceId,
     /// What it does.
-    pub part: Part,
+    pub part: ProcessKind,
     /// Its data centre.
     pub dc: DataCentreId,
     /// Cores that the process may use, or the fraction of one.
@@ -37,7 +37,7 @@
     /// Ms by which the time of day is off; other than 0 only in tests.
     pub clock_offset: i64,
     /// Mechanisms of dispatching that are left out.
-    pub without: Without,
+    pub without: DisabledMechanisms,
 }
 
 /// What the host does for the process.
@@ -51,5 +51,5 @@
     /// # Errors
     ///
     /// The document is invalid; none that was accepted is.
-    fn read_book(&self, document: &[u8]) -> anyhow::Result<QueueBook>;
+    fn read_book(&self, document: &[u8]) -> anyhow::Result<QueueConfig>;
 }
--- a/crates/celerywinch_fleet/src/metrics.rs
+++ b/crates/celerywinch_fleet/src/metrics.rs
@@ -6,7 +6,7 @@
 use celerywinch_metrics::Meter;
 use celerywinch_origin::JobEvent;
 use celerywinch_pool::{Order, PoolEvent};
-use celerywinch_types::{FleetMsg, JobEnd, SpreadMsg};
+use celerywinch_types::{ConfigMsg, FleetMsg, JobEnd};
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
 use crate::roster::Heard;
@@ -190,15 +190,15 @@
     /// A message is sent to another process.
     pub(crate) fn sends(&self, msg: &FleetMsg, bytes: usize) {
         let kind = match msg {
-            FleetMsg::Beat(_) => KINDS[0],
+            FleetMsg::Heartbeat(_) => KINDS[0],
             FleetMsg::Contacts(_) => KINDS[1],
             FleetMsg::Log(_) => KINDS[2],
-            FleetMsg::Keep(_) => KINDS[3],
+            FleetMsg::Keeper(_) => KINDS[3],
             FleetMsg::Workers(_) => KINDS[4],
-            FleetMsg::Spread(_) => KINDS[5],
+            FleetMsg::Config(_) => KINDS[5],
             FleetMsg::Work(_) => KINDS[6],
             FleetMsg::Learned(_) => KINDS[7],
-            FleetMsg::Crashes(_) | FleetMsg::Careful(_) => KINDS[8],
+            FleetMsg::Crashes(_) | FleetMsg::ProbeQueues(_) => KINDS[8],
         };
         self.messages.with_label_values(&[kind]).inc();
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
@@ -226,8 +226,8 @@
     }
 
     /// A message of the configuration is sent.
-    pub(crate) fn spreads(&self, msg: &SpreadMsg) {
-        if let SpreadMsg::Piece(piece) = msg {
+    pub(crate) fn spreads(&self, msg: &ConfigMsg) {
+        if let ConfigMsg::Chunk(piece) = msg {
             self.document_bytes.inc_by(piece.bytes.len() as u64);
             if piece.offset == 0 {
                 self.documents.inc();
--- a/crates/celerywinch_fleet/src/store.rs
+++ b/crates/celerywinch_fleet/src/store.rs
@@ -11,7 +11,7 @@
 use celerywinch_registry::{Registry, RegistryOutput, RegistryStatus, Request, VersionedDocument};
 use celerywinch_store::{Disk, Input, KeeperId, Output, RaftConfig, Record, load_file};
 use celerywinch_types::{
-    Evacuations, FleetMsg, InstanceId, KeepMsg, KeeperState, Time, WorkerNote,
+    Evacuations, FleetMsg, InstanceId, KeeperMsg, KeeperState, Time, WorkerAnnouncement,
 };
 use crossbeam_channel::{Receiver, Sender, never, select, unbounded};
 use tokio::sync::mpsc::UnboundedSender;
@@ -43,7 +43,7 @@
     Request(Request),
     Contacts(Vec<InstanceId>),
     /// The workers that are known, to be there again after a restart.
-    Workers(Vec<WorkerNote>),
+    Workers(Vec<WorkerAnnouncement>),
 }
 
 /// What the thread tells the core.
@@ -55,7 +55,7 @@
     EvacuationsChanged(Evacuations),
     Role(RegistryStatus),
     /// The workers that were known before a restart.
-    Workers(Vec<WorkerNote>),
+    Workers(Vec<WorkerAnnouncement>),
 }
 
 struct Store {
@@ -259,11 +259,11 @@
             RegistryOutput::Log(output) => self.log_output(output)?,
             RegistryOutput::Answer(to, id, state) => self.answer(to, id, state),
             RegistryOutput::Forward(to, request) => {
-                let msg = KeepMsg::Propose {
+                let msg = KeeperMsg::Propose {
                     id: request.id,
                     request: request.request,
                 };
-                self.tell(StoreOut::Send(to, FleetMsg::Keep(msg)));
+                self.tell(StoreOut::Send(to, FleetMsg::Keeper(msg)));
             }
             RegistryOutput::Committed(held) => self.tell(StoreOut::Committed(held)),
             RegistryOutput::EvacuationsChanged(evacuations) => {
@@ -278,7 +278,7 @@
             self.tell(StoreOut::Answer(id, state));
             return;
         }
-        let msg = FleetMsg::Keep(KeepMsg::Answer { id, state });
+        let msg = FleetMsg::Keeper(KeeperMsg::Answer { id, state });
         self.tell(StoreOut::Send(to, msg));
     }
 
--- a/crates/celerywinch_member/tests/arrivals.rs
+++ b/crates/celerywinch_member/tests/arrivals.rs
@@ -4,8 +4,8 @@
 use celerywinch_origin::{CallerId, JobEvent, NewJob};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    DataCentreId, Incarnation, InstanceId, JobId, JobPlan, Part, Process, Queue, Room, RunNumber,
-    StepPlan, Time, WallMs,
+    DataCentreId, Incarnation, InstanceId, JobId, JobPlan, Process, ProcessKind, Queue, Resources,
+    RunNumber, StepPlan, Time, WallMs,
 };
 use rstest::rstest;
 
@@ -18,7 +18,7 @@
             instance: InstanceId(1),
             incarnation: Incarnation(1),
         },
-        part: Part::Entry,
+        part: ProcessKind::Entry,
         dc: DataCentreId(0),
         dcs: [DataCentreId(0)].into(),
         shard_size: 80,
@@ -46,7 +46,7 @@
             spec: String::new(),
             steps: vec![StepPlan {
                 count: 1,
-                need: Room::default(),
+                need: Resources::default(),
                 estimate: 200,
                 after: Vec::new(),
                 label: None,
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -5,8 +5,9 @@
 use std::time::Duration;
 
 use celerywinch_types::{
-    DataCentreId, Domain, Doubt, Holding, InstanceId, JobEnd, JobId, JobPlan, Mechanism, Queue,
-    RunNumber, Session, TaskEnd, TaskNews, Time, Without, WorkMsg, domain, identifier,
+    DataCentreId, DisabledMechanisms, Domain, InstanceId, JobEnd, JobId, JobPlan, Mechanism,
+    OwnedDomain, PriorRuns, Queue, RunNumber, Session, TaskEnd, TaskReport, Time, WorkMsg, domain,
+    identifier,
 };
 
 use crate::choice::{Choice, Wanted, choose};
@@ -55,7 +56,7 @@
     /// Who dispatches, and how much room there is.
     Holders(Vec<Holder>),
     /// The room of a dispatcher, where it dispatches for the same domains as before.
-    Loads(InstanceId, Vec<Holding>),
+    Loads(InstanceId, Vec<OwnedDomain>),
     /// Messages to this dispatcher may be lost.
     LinkReset(InstanceId),
     /// A process is not heard any more.
@@ -81,7 +82,7 @@
 #[derive(Debug)]
 pub struct Origin {
     dc: DataCentreId,
-    without: Without,
+    without: DisabledMechanisms,
     pub(crate) holders: Vec<Holder>,
     holders_incomplete: bool,
     /// The domains that a process was last known to dispatch for.
@@ -102,7 +103,7 @@
 impl Origin {
     /// No jobs yet.
     #[must_use]
-    pub fn new(dc: DataCentreId, without: Without) -> Self {
+    pub fn new(dc: DataCentreId, without: DisabledMechanisms) -> Self {
         Self {
             dc,
             without,
@@ -183,7 +184,7 @@
         self.holders_incomplete = false;
     }
 
-    fn set_loads(&mut self, dispatcher: InstanceId, holdings: &[Holding]) {
+    fn set_loads(&mut self, dispatcher: InstanceId, holdings: &[OwnedDomain]) {
         let holders = self.holders.iter_mut();
         for holder in holders.filter(|holder| holder.instance == dispatcher) {
             let told = holdings.iter().find(|h| h.domain == holder.domain);
@@ -248,7 +249,7 @@
         for dispatcher in job.dispatchers() {
             let cancel = WorkMsg::Cancel {
                 job: id,
-                last: self.hands,
+                last_submission: self.hands,
             };
             out.push(Output::Send(dispatcher, cancel));
         }
@@ -281,26 +282,32 @@
                 let job = self.jobs.get_mut(&task.job);
                 let task = job.and_then(|job| job.tasks.get_mut(&(task.step, task.index)));
                 if let Some(task) = task {
-                    task.crashes = task.crashes.with(crashes);
+                    task.crashes = task.crashes.merge(crashes);
                 }
             }
             WorkMsg::Resync(ask) => {
                 self.hand_in_again(now, from, out);
                 let unsure = self.unsure_at(from);
-                out.push(Output::Send(from, WorkMsg::Named { ask, unsure }));
+                out.push(Output::Send(
+                    from,
+                    WorkMsg::ResyncDone {
+                        request: ask,
+                        unsure,
+                    },
+                ));
             }
             // For dispatchers, not for origins.
             WorkMsg::Submit(_)
             | WorkMsg::Cancel { .. }
             | WorkMsg::Drop { .. }
-            | WorkMsg::Named { .. } => {}
+            | WorkMsg::ResyncDone { .. } => {}
         }
     }
 
-    fn ended(&mut self, now: Time, from: InstanceId, news: TaskNews, out: &mut Vec<Output>) {
-        let TaskNews {
+    fn ended(&mut self, now: Time, from: InstanceId, news: TaskReport, out: &mut Vec<Output>) {
+        let TaskReport {
             task: id,
-            hand,
+            submission: hand,
             end,
         } = news;
         let Some(job) = self.jobs.get_mut(&id.job) else {
@@ -312,7 +319,7 @@
         let Place::Out(at, trace) = task.place.clone() else {
             return;
         };
-        if at != from || (news.gives_back() && hand != task.hand) {
+        if at != from || (news.returns_task() && hand != task.hand) {
             return;
         }
         match end {
@@ -323,7 +330,7 @@
                     // run it once more, as a task that is done is named in no cancellation of its job.
                     let drop = WorkMsg::Drop {
                         tasks: vec![id],
-                        last: self.hands,
+                        last_submission: self.hands,
                     };
                     out.push(Output::Send(from, drop));
                 }
@@ -354,7 +361,7 @@
                 task.place = at.map_or(Place::Todo, |at| Place::Unsure(last_run(now, at)));
                 self.wait_for_holder(id.job, from);
             }
-            TaskEnd::Doubtful => {
+            TaskEnd::Undetermined => {
                 job.doubtful = true;
                 let again = task.hand != task.first;
                 let as_it_came = trace.clone().filter(|_| !again);
@@ -512,7 +519,7 @@
                 };
                 task.hand = self.hands;
                 task.first = self.hands;
-                let doubt = trace.as_ref().map_or(Doubt::None, |trace| trace.doubt);
+                let doubt = trace.as_ref().map_or(PriorRuns::None, |trace| trace.doubt);
                 orders.push(task.order(*index, doubt));
                 task.place = Place::Out(holder.instance, trace);
             }
@@ -529,15 +536,15 @@
             tasks: count,
             unsure: orders
                 .iter()
-                .filter(|order| order.doubt != Doubt::None)
+                .filter(|order| order.prior_runs != PriorRuns::None)
                 .count(),
             free: holder.load.free,
         }));
         let session = self.sessions.get(&holder.instance);
         let mut order = job.order(now, step, orders);
         order.session = session.copied().unwrap_or_default();
-        order.fresh = fresh;
-        order.pass = choice.pass && !self.without.lacks(Mechanism::Passing);
+        order.refusable = fresh;
+        order.no_wait = choice.pass && !self.without.contains(Mechanism::Passing);
         out.push(Output::Send(holder.instance, WorkMsg::Submit(order)));
         // Until the next heartbeat tells, the room is believed to be taken.
         let mut taken = u32::try_from(count).unwrap_or(u32::MAX);
@@ -554,7 +561,7 @@
 fn last_run(now: Time, domain: Domain) -> Trace {
     Trace {
         domains: Arc::new(BTreeSet::from([domain])),
-        doubt: Doubt::Last,
+        doubt: PriorRuns::Last,
         since: now,
         at: None,
     }
@@ -567,7 +574,7 @@
     let before = came.iter().flat_map(|trace| trace.domains.iter());
     Trace {
         domains: Arc::new(before.chain(reach).copied().collect()),
-        doubt: Doubt::Open,
+        doubt: PriorRuns::Unknown,
         since: now,
         at: None,
     }
--- a/crates/celerywinch_pool/src/admission.rs
+++ b/crates/celerywinch_pool/src/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_types::{Domain, Load, Mechanism, TaskEnd, TaskNews, Time};
+use celerywinch_types::{Domain, Load, Mechanism, TaskEnd, TaskReport, Time};
 
 use crate::PoolEvent;
 use crate::job::{Batch, BatchKey, TaskState};
@@ -29,7 +29,7 @@
         let workers = self.workers.values();
         let usable =
             workers.filter(|w| self.accepts_tasks(now, w) || self.accepts_after_takeover(w));
-        let speed = |w: &crate::worker::Worker| f64::from(w.note.room.cpu) / w.pace.max(1.0);
+        let speed = |w: &crate::worker::Worker| f64::from(w.note.capacity.cpu) / w.pace.max(1.0);
         usable.map(speed).sum::<f64>() * PACKING_EFFICIENCY
     }
 
@@ -86,7 +86,7 @@
     ) -> bool {
         let disabled = self.config.disabled;
         let room = self.queue.is_empty() && self.free_slots(now, batch) >= tasks;
-        if room || disabled.lacks(Mechanism::Admission) {
+        if room || disabled.contains(Mechanism::Admission) {
             return false;
         }
         if self.all_evacuated(&batch.order.service) {
@@ -94,7 +94,7 @@
             return true;
         }
         let rank = self.rank(BatchKey::default(), batch);
-        let inflow_rate = if disabled.lacks(Mechanism::Inflow) {
+        let inflow_rate = if disabled.contains(Mechanism::Inflow) {
             0.0
         } else {
             self.inflow.rate_above(now, batch.order.priority)
@@ -115,7 +115,7 @@
     }
 
     fn refuse(&mut self, now: Time, batch: &Batch, wait: u32, out: &mut Vec<Output>) {
-        let retry_ms = if self.config.disabled.lacks(Mechanism::RetryTime) {
+        let retry_ms = if self.config.disabled.contains(Mechanism::RetryTime) {
             MIN_RETRY_MS
         } else {
             wait.max(MIN_RETRY_MS)
@@ -126,9 +126,9 @@
             expected: batch.expected.as_millis() as u32,
             left: batch.due.since(now).as_millis() as u32,
         }));
-        let news = TaskNews {
+        let news = TaskReport {
             task: batch.task_id(0),
-            hand: 0,
+            submission: 0,
             end: TaskEnd::Refused(retry_ms),
         };
         out.push(Output::Send(
@@ -141,7 +141,7 @@
     /// their capacity goes to jobs that can. While all workers of a service are in evacuated data centres, its waiting
     /// jobs that may have run are given up too, with an unsure outcome.
     pub(crate) fn shed(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.config.disabled.lacks(Mechanism::Shedding) {
+        if self.config.disabled.contains(Mechanism::Shedding) {
             return;
         }
         for key in self.queue.keys() {
--- a/crates/celerywinch_pool/src/config.rs
+++ b/crates/celerywinch_pool/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_types::{DataCentreId, Without};
+use celerywinch_types::{DataCentreId, DisabledMechanisms};
 
 /// The share of time by which a worker's steady clock may run slow. The user documentation states it.
 pub const MAX_CLOCK_DRIFT: f64 = 0.02;
@@ -61,7 +61,7 @@
     /// The dispatcher's data centre; its workers are preferred.
     pub dc: Option<DataCentreId>,
     /// Mechanisms that are disabled.
-    pub disabled: Without,
+    pub disabled: DisabledMechanisms,
 }
 
 impl Default for PoolConfig {
@@ -83,7 +83,7 @@
             remove_after: Duration::from_secs(20),
             stop_delay: Duration::from_millis(50),
             dc: None,
-            disabled: Without::default(),
+            disabled: DisabledMechanisms::default(),
         }
     }
 }
--- a/crates/celerywinch_pool/src/crashes.rs
+++ b/crates/celerywinch_pool/src/crashes.rs
@@ -83,7 +83,7 @@
     /// A worker fell silent until its lease was over, with this run.
     pub(crate) fn silenced(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
         let note = &self.workers[run.worker].note;
-        let life = note.said.incarnation;
+        let life = note.version.incarnation;
         let silenced = self.crashes.silenced.entry(note.id.clone());
         let silenced = silenced.or_insert_with(|| Silenced {
             life,
@@ -96,7 +96,7 @@
         }
         silenced.at = now;
         silenced.tasks.push(run.task);
-        self.count_crash(now, run.task, out, Crashes::suspect);
+        self.count_crash(now, run.task, out, Crashes::record_suspected);
     }
 
     /// A life of a worker has ended: the tasks that were there when it fell silent may have ended it.
@@ -104,18 +104,20 @@
         let Some(silenced) = self.crashes.silenced.remove(&worker.note.id) else {
             return;
         };
-        if silenced.life != worker.note.said.incarnation {
+        if silenced.life != worker.note.version.incarnation {
             return;
         }
         for task in silenced.tasks {
-            self.count_crash(now, task, out, |crashes| crashes.prove(true));
+            self.count_crash(now, task, out, |crashes| crashes.record_confirmed(true));
         }
     }
 
     /// A run was there as the life of its worker ended.
     pub(crate) fn ended_with(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
         if !run.stopped {
-            self.count_crash(now, run.task, out, |crashes| crashes.prove(false));
+            self.count_crash(now, run.task, out, |crashes| {
+                crashes.record_confirmed(false)
+            });
         }
     }
 
@@ -128,7 +130,7 @@
     ) {
         for (task, crashes) in told {
             let known = self.crashes.tasks.entry(task).or_default();
-            let together = known.0.with(crashes);
+            let together = known.0.merge(crashes);
             *known = (together, now);
             self.take_crashes(now, task, together, out);
         }
@@ -159,12 +161,12 @@
         let batch = &mut self.batches[key];
         let mut waits = false;
         if let Some(task) = batch.tasks.get_mut(&task.index) {
-            task.crashes = task.crashes.with(crashes);
+            task.crashes = task.crashes.merge(crashes);
             waits = task.state == TaskState::Waiting;
         }
         let queue = batch.order.queue.clone();
         let origin = batch.origin;
-        if crashes.are_many() {
+        if crashes.is_likely_cause() {
             self.be_careful(now, queue, out);
         }
         out.push(Output::Send(origin, WorkMsg::Crashed(task, crashes)));
@@ -212,7 +214,7 @@
             .collect();
         self.be_careful(now, queue, out);
         for task in tasks {
-            self.count_crash(now, task, out, Crashes::condemn);
+            self.count_crash(now, task, out, Crashes::raise_to_limit);
         }
         self.give_up_batch(now, key, out);
     }
@@ -260,7 +262,7 @@
             return false;
         };
         let crashes = task.crashes;
-        if !crashes.suffice() {
+        if !crashes.reaches_limit() {
             return false;
         }
         out.push(Output::Event(PoolEvent::GivenUp { task: id, crashes }));
@@ -299,7 +301,7 @@
             .is_some_and(|batch| self.is_careful(batch));
         if let Some(batch) = self.batches.get_mut(key) {
             batch.probe_passed = true;
-            let passes = careful && batch.order.pass;
+            let passes = careful && batch.order.no_wait;
             self.passing.extend(passes.then_some(key));
         }
     }
--- a/crates/celerywinch_pool/src/job.rs
+++ b/crates/celerywinch_pool/src/job.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use celerywinch_types::{Crashes, Doubt, InstanceId, RunNumber, Session, StepOrder, TaskId, Time};
+use celerywinch_types::{
+    Crashes, InstanceId, PriorRuns, RunNumber, Session, StepOrder, TaskId, Time,
+};
 use slotmap::new_key_type;
 
 use crate::run::RunKey;
@@ -35,7 +37,7 @@
     /// The highest run number used so far.
     pub(crate) run: RunNumber,
     /// What is not known of runs under an earlier dispatcher.
-    pub(crate) doubt: Doubt,
+    pub(crate) doubt: PriorRuns,
     /// Number of its latest submission.
     pub(crate) submission: u32,
     /// The session in which its origin submitted it; none after another origin has taken over the job.
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -262,7 +262,7 @@
         let run = self.runs[key];
         let took = now.since(run.started);
         let late = run.expected.mul_f64(LATE_FACTOR) + LATE_MARGIN;
-        let stays = self.config.disabled.lacks(Mechanism::Moving);
+        let stays = self.config.disabled.contains(Mechanism::Moving);
         if run.stopping || took < late || stays {
             return;
         }
@@ -280,10 +280,10 @@
         }
         let usual = usual.as_secs_f64().max(1e-3);
         let worker = &mut self.workers[run.worker];
-        if !self.config.disabled.lacks(Mechanism::Pace) {
+        if !self.config.disabled.contains(Mechanism::Pace) {
             worker.learn_pace(took.as_secs_f64() / done / usual);
         }
-        let set_aside = !self.config.disabled.lacks(Mechanism::Probation);
+        let set_aside = !self.config.disabled.contains(Mechanism::Probation);
         if set_aside && (worker.pace > SLOW_PACE || percent == 0) {
             worker.aside = now + self.config.quarantine;
             worker.probation = true;
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -82,7 +82,7 @@
                 && !self.has_suspended(now, worker)
                 && !self.meets_suspect(task.crashes, worker)
         });
-        let packs = !self.config.disabled.lacks(Mechanism::Packing);
+        let packs = !self.config.disabled.contains(Mechanism::Packing);
         let careful = self.is_careful(batch);
         let cost = |key: WorkerKey, worker: &Worker| {
             let shared = PROBE_COST * self.probe_exposure(worker, careful) as f64;
@@ -102,7 +102,7 @@
     /// and for probe tasks, which may crash their worker and are better kept away from other runs.
     fn locality_cost(&self, worker: &Worker, careful: bool) -> f64 {
         let prefers_local =
-            self.shards > 1 && !careful && !self.config.disabled.lacks(Mechanism::Locality);
+            self.shards > 1 && !careful && !self.config.disabled.contains(Mechanism::Locality);
         let elsewhere = self.config.dc.is_some_and(|dc| dc != worker.note.dc);
         if prefers_local && elsewhere {
             REMOTE_DC_COST
@@ -226,9 +226,9 @@
 
 /// Returns the cost of a task on a worker: the share of the worker left empty, its pace, and whether the task failed there last.
 fn placement_cost(batch: &Batch, task: &Task, key: WorkerKey, worker: &Worker, packs: bool) -> f64 {
-    let left = worker.free().less(batch.order.need).cpu;
+    let left = worker.free().saturating_sub(batch.order.need).cpu;
     let empty = if packs {
-        f64::from(left) / f64::from(worker.note.room.cpu.max(1))
+        f64::from(left) / f64::from(worker.note.capacity.cpu.max(1))
     } else {
         0.0
     };
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -7,7 +7,7 @@
 
 use celerywinch_types::{
     Crashes, DataCentreId, Domain, Fence, Incarnation, InstanceId, JobId, Learned, Mechanism,
-    RunNumber, TaskEnd, TaskId, TaskNews, Time, WorkMsg, WorkerNote, WorkerStage,
+    RunNumber, TaskEnd, TaskId, TaskReport, Time, WorkMsg, WorkerAnnouncement, WorkerStage,
 };
 use slotmap::SlotMap;
 
@@ -45,7 +45,7 @@
     /// Stop being the dispatcher of a domain; its open tasks are returned to their origins.
     Resign(Domain),
     /// Announcements of workers.
-    Workers(Vec<WorkerNote>),
+    Workers(Vec<WorkerAnnouncement>),
     /// Replaces the set of evacuated data centres: their workers get no new tasks, and running tasks
     /// continue.
     EvacuatedDataCentres(BTreeSet<DataCentreId>),
@@ -121,7 +121,7 @@
     /// The ends reported to origins, of tasks that are no longer here.
     pub(crate) sent_ends: BTreeMap<TaskId, Told>,
     /// Ends that are sent to each origin after the current input.
-    pub(crate) unsent_ends: BTreeMap<InstanceId, Vec<TaskNews>>,
+    pub(crate) unsent_ends: BTreeMap<InstanceId, Vec<TaskReport>>,
     /// Batches that lost a task during the current input; the empty ones are removed after it.
     pub(crate) shrunk: Vec<BatchKey>,
     /// Number of the resync that is pending with each origin, and of the last one sent to any.
@@ -197,7 +197,7 @@
         let paces = held.map(|w| (w.note.id.clone(), w.pace as f32));
         Learned {
             queues: self.run_times.learned(),
-            paces: paces.collect(),
+            slowdowns: paces.collect(),
         }
     }
 
@@ -206,7 +206,7 @@
         if self.owned.is_empty() {
             self.run_times.learn_from(learned.queues);
         }
-        for (id, pace) in learned.paces {
+        for (id, pace) in learned.slowdowns {
             if let Some(key) = self.worker_ids.get(&id)
                 && self.workers[*key].grip == Grip::None
             {
@@ -320,34 +320,43 @@
     fn handle_message(&mut self, now: Time, from: InstanceId, msg: WorkMsg, out: &mut Vec<Output>) {
         match msg {
             WorkMsg::Submit(order) => self.submit(now, from, order, out),
-            WorkMsg::Cancel { job, last } => self.cancel(now, from, job, last, out),
-            WorkMsg::Drop { tasks, last } => self.drop_tasks(now, from, &tasks, last, out),
-            WorkMsg::Named { ask, unsure } => self.sweep(now, from, ask, &unsure, out),
+            WorkMsg::Cancel {
+                job,
+                last_submission,
+            } => self.cancel(now, from, job, last_submission, out),
+            WorkMsg::Drop {
+                tasks,
+                last_submission,
+            } => self.drop_tasks(now, from, &tasks, last_submission, out),
+            WorkMsg::ResyncDone { request, unsure } => {
+                self.sweep(now, from, request, &unsure, out);
+            }
             // Addressed to origins, not to dispatchers.
             WorkMsg::Ended(_) | WorkMsg::Crashed(..) | WorkMsg::Resync(_) => {}
         }
     }
 
-    fn worker_announced(&mut self, now: Time, note: WorkerNote, out: &mut Vec<Output>) {
+    fn worker_announced(&mut self, now: Time, note: WorkerAnnouncement, out: &mut Vec<Output>) {
         let gone = note.stage == WorkerStage::Gone;
         if gone {
             self.record_departure(now, &note);
         }
         let Some(key) = self.worker_ids.get(&note.id).copied() else {
             let departed = self.departed.get(&note.id);
-            let has_left = departed.is_some_and(|left| note.said.incarnation <= left.incarnation);
+            let has_left =
+                departed.is_some_and(|left| note.version.incarnation <= left.incarnation);
             if !gone && !has_left {
                 self.add_unknown(now, note, out);
             }
             return;
         };
-        let known = self.workers[key].note.said;
-        match note.said.incarnation.cmp(&known.incarnation) {
+        let known = self.workers[key].note.version;
+        match note.version.incarnation.cmp(&known.incarnation) {
             Ordering::Less if gone => {}
             Ordering::Less => self.other_life_speaks(key, note, out),
             Ordering::Equal if gone => self.worker_left(now, key, out),
             // A delayed announcement must not restore an earlier state.
-            Ordering::Equal if note.said <= known => {}
+            Ordering::Equal if note.version <= known => {}
             Ordering::Equal => self.update_worker(key, note),
             Ordering::Greater => self.replace_worker(now, key, note, out),
         }
@@ -367,8 +376,8 @@
             && !self.evacuated.contains(&worker.note.dc)
     }
 
-    fn record_departure(&mut self, now: Time, note: &WorkerNote) {
-        let incarnation = note.said.incarnation;
+    fn record_departure(&mut self, now: Time, note: &WorkerAnnouncement) {
+        let incarnation = note.version.incarnation;
         let departed = Departed {
             incarnation,
             last_contact: now,
@@ -379,7 +388,7 @@
     }
 
     /// Applies a newer announcement of the known incarnation of a worker.
-    fn update_worker(&mut self, key: WorkerKey, note: WorkerNote) {
+    fn update_worker(&mut self, key: WorkerKey, note: WorkerAnnouncement) {
         let worker = &mut self.workers[key];
         let addr = std::mem::replace(&mut worker.note, note).addr;
         let new = worker.note.addr;
@@ -425,7 +434,7 @@
     pub(crate) fn add_worker(
         &mut self,
         now: Time,
-        note: WorkerNote,
+        note: WorkerAnnouncement,
         lives: u64,
         out: &mut Vec<Output>,
     ) -> WorkerKey {
@@ -481,9 +490,9 @@
         };
         let id = batch.task_id(index);
         let task = batch.tasks.remove(&index);
-        let news = TaskNews {
+        let news = TaskReport {
             task: id,
-            hand: task.map_or(0, |task| task.submission),
+            submission: task.map_or(0, |task| task.submission),
             end,
         };
         let sent = Told {
@@ -496,7 +505,7 @@
         self.shrunk.push(key);
     }
 
-    pub(crate) fn report_end(&mut self, key: BatchKey, news: TaskNews) {
+    pub(crate) fn report_end(&mut self, key: BatchKey, news: TaskReport) {
         if let Some(batch) = self.batches.get(key) {
             self.unsent_ends.entry(batch.origin).or_default().push(news);
         }
@@ -517,12 +526,15 @@
         out: &mut Vec<Output>,
     ) -> Option<CallKey> {
         let callee = &self.workers[worker];
-        let fence = self.owned.get(&callee.domain)?.of_life(callee.lives);
+        let fence = self
+            .owned
+            .get(&callee.domain)?
+            .for_incarnation(callee.lives);
         let shared = self.answer_times.wait(self.config.max_timeout);
         let timeout = match order {
             Order::Look { .. } => order.waits() + self.config.answer_timeout.max(shared),
             Order::Start { .. } | Order::Stop { .. }
-                if self.config.disabled.lacks(Mechanism::Patience) =>
+                if self.config.disabled.contains(Mechanism::Patience) =>
             {
                 self.config.order_timeout
             }
@@ -568,7 +580,7 @@
         let run = self.runs.remove(key)?;
         if let Some(worker) = self.workers.get_mut(run.worker) {
             worker.runs.retain(|other| *other != key);
-            worker.used = worker.used.less(run.need);
+            worker.used = worker.used.saturating_sub(run.need);
         }
         Some(run)
     }
@@ -580,7 +592,7 @@
         let key = self.runs.insert(run);
         let worker = &mut self.workers[worker];
         worker.runs.push(key);
-        worker.used = worker.used.plus(need);
+        worker.used = worker.used.saturating_add(need);
         key
     }
 
--- a/crates/celerywinch_pool/src/queue.rs
+++ b/crates/celerywinch_pool/src/queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use celerywinch_types::{Mechanism, Time, Without};
+use celerywinch_types::{DisabledMechanisms, Mechanism, Time};
 
 use crate::job::{Batch, BatchKey};
 
@@ -16,8 +16,8 @@
 
 impl Rank {
     /// Ranks by priority, then by the end of the latency objective (earliest first).
-    pub(crate) fn new(key: BatchKey, batch: &Batch, disabled: Without) -> Self {
-        let priority = if disabled.lacks(Mechanism::Priority) {
+    pub(crate) fn new(key: BatchKey, batch: &Batch, disabled: DisabledMechanisms) -> Self {
+        let priority = if disabled.contains(Mechanism::Priority) {
             0
         } else {
             batch.order.priority
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -343,11 +343,11 @@
         }
         let usual = run.expected.as_secs_f64() / worker.pace.max(f64::EPSILON);
         let without = self.config.disabled;
-        if !without.lacks(Mechanism::Learning) {
+        if !without.contains(Mechanism::Learning) {
             self.run_times
                 .learn(&order.queue, order.estimate, took.div_f64(worker.pace));
         }
-        if !without.lacks(Mechanism::Pace) {
+        if !without.contains(Mechanism::Pace) {
             worker.learn_pace(took.as_secs_f64() / usual.max(1e-3));
         }
     }
@@ -380,7 +380,7 @@
     fn blame(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let worker = &mut self.workers[key];
         worker.failed();
-        let set_aside = !self.config.disabled.lacks(Mechanism::Probation);
+        let set_aside = !self.config.disabled.contains(Mechanism::Probation);
         if set_aside && worker.failing >= FAILING && worker.note.stage == WorkerStage::Ready {
             worker.aside = now + self.config.quarantine;
             worker.probation = true;
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_types::{
-    Doubt, InstanceId, Session, StepOrder, TaskEnd, TaskId, TaskNews, TaskOrder, Time,
+    InstanceId, PriorRuns, Session, StepOrder, TaskEnd, TaskId, TaskOrder, TaskReport, Time,
 };
 
 use crate::PoolEvent;
@@ -44,7 +44,7 @@
             }
             None => {
                 let batch = self.new_batch(now, from, order);
-                let (fresh, pass) = (batch.order.fresh, batch.order.pass);
+                let (fresh, pass) = (batch.order.refusable, batch.order.no_wait);
                 if fresh && !pass && self.refuse_new(now, &batch, tasks.len(), out) {
                     return;
                 }
@@ -99,16 +99,16 @@
         }
         let batch = &mut self.batches[key];
         let earlier = |task: &Task| task.session != Some(order.session);
-        batch.started |= !order.fresh && batch.tasks.values().any(earlier);
+        batch.started |= !order.refusable && batch.tasks.values().any(earlier);
         true
     }
 
     /// Reports to an origin that another one has taken over the job of a batch.
     fn supersede(&mut self, origin: InstanceId, key: BatchKey) {
         let batch = &self.batches[key];
-        let news = batch.tasks.keys().map(|index| TaskNews {
+        let news = batch.tasks.keys().map(|index| TaskReport {
             task: batch.task_id(*index),
-            hand: 0,
+            submission: 0,
             end: TaskEnd::Superseded,
         });
         self.unsent_ends.entry(origin).or_default().extend(news);
@@ -154,17 +154,17 @@
                 step: order.step,
                 index: task.index,
             };
-            let end = match task.doubt {
-                Doubt::None => TaskEnd::Returned {
+            let end = match task.prior_runs {
+                PriorRuns::None => TaskEnd::Returned {
                     at: None,
                     failures: task.failures,
                     run: task.run,
                 },
-                Doubt::Last | Doubt::Open => TaskEnd::Doubtful,
+                PriorRuns::Last | PriorRuns::Unknown => TaskEnd::Undetermined,
             };
-            let news = TaskNews {
+            let news = TaskReport {
                 task: id,
-                hand: task.hand,
+                submission: task.submission,
                 end,
             };
             self.unsent_ends.entry(to).or_default().push(news);
@@ -174,7 +174,7 @@
     pub(crate) fn new_batch(&self, now: Time, origin: InstanceId, order: StepOrder) -> Batch {
         let ms = Duration::from_millis;
         let expected = self.run_times.expected(&order.queue, order.estimate);
-        let chain = self.run_times.expected(&order.queue, order.chain);
+        let chain = self.run_times.expected(&order.queue, order.critical_path);
         let objective = chain.mul_f64(f64::from(order.slack) / 1e3) + ms(order.target.into());
         let age = ms(order.age.into());
         Batch {
@@ -183,9 +183,9 @@
             due: now + objective - age,
             expected,
             tasks: BTreeMap::new(),
-            started: !order.fresh,
+            started: !order.refusable,
             // Another dispatcher passed the rest of the step on after it had started a part of it.
-            probe_passed: order.pass && !order.fresh,
+            probe_passed: order.no_wait && !order.refusable,
             order,
         }
     }
@@ -201,7 +201,7 @@
         let batch = &mut self.batches[key];
         let id = batch.task_id(order.index);
         if let Some(task) = batch.tasks.get_mut(&order.index) {
-            task.submission = order.hand;
+            task.submission = order.submission;
             task.session = Some(session);
             task.unconfirmed = false;
             return;
@@ -209,8 +209,8 @@
         if let Some(told) = self.sent_ends.get(&id)
             && told.settles(batch.origin, &order)
         {
-            let news = TaskNews {
-                hand: order.hand,
+            let news = TaskReport {
+                submission: order.submission,
                 ..told.news
             };
             self.report_end(key, news);
@@ -219,17 +219,17 @@
         let task = Task {
             state: TaskState::Waiting,
             failures: order.failures,
-            crashes: order.crashes.with(self.crashes.of(id)),
+            crashes: order.crashes.merge(self.crashes.of(id)),
             run: order.run,
-            doubt: order.doubt,
-            submission: order.hand,
+            doubt: order.prior_runs,
+            submission: order.submission,
             session: Some(session),
             unconfirmed: false,
             failed_on: None,
         };
         self.batches[key].tasks.insert(order.index, task);
         // A task that may run elsewhere waits for the end of the longest lease, and so for the end of any run here.
-        if order.doubt != Doubt::None {
+        if order.prior_runs != PriorRuns::None {
             self.settle(now, key, order.index);
         } else if self.may_run_elsewhere(now, key, id) {
             let until = now + self.config.doubt_timeout;
@@ -268,7 +268,7 @@
         let origin = self.batches[key].origin;
         self.sent_ends.get(&id).is_some_and(|told| {
             let recent = now.since(told.at) <= RESEND_WINDOW;
-            recent && told.origin != origin && told.news.gives_back()
+            recent && told.origin != origin && told.news.returns_task()
         })
     }
 }
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use celerywinch_types::{Domain, Doubt, Fence, Mechanism, RunNumber, TaskEnd, TaskId, Time};
+use celerywinch_types::{Domain, Fence, Mechanism, PriorRuns, RunNumber, TaskEnd, TaskId, Time};
 
 use crate::PoolEvent;
 use crate::call::{EndedRow, How, Order, Pending, RunningRow};
@@ -134,12 +134,12 @@
             self.takeover.ends.remove(&id);
             return;
         }
-        let open = task.doubt == Doubt::Open;
+        let open = task.doubt == PriorRuns::Unknown;
         match self.takeover.aliens.get(&id).copied() {
             Some(alien)
                 if !alien.stopped
                     && (open || alien.run == task.run)
-                    && !self.config.disabled.lacks(Mechanism::Adoption) =>
+                    && !self.config.disabled.contains(Mechanism::Adoption) =>
             {
                 self.takeover.aliens.remove(&id);
                 self.adopt_run(now, key, index, alien);
@@ -162,11 +162,11 @@
         how: How,
         run: RunNumber,
     ) -> bool {
-        let long_way = self.config.disabled.lacks(Mechanism::Shortcuts);
+        let long_way = self.config.disabled.contains(Mechanism::Shortcuts);
         let Some(task) = self.batches[key].tasks.get_mut(&index) else {
             return false;
         };
-        let last = task.doubt == Doubt::Last && run == task.run && !long_way;
+        let last = task.doubt == PriorRuns::Last && run == task.run && !long_way;
         match how {
             How::Done => self.finish_task(now, key, index, TaskEnd::Done),
             How::Failed | How::Cut if last => {
@@ -297,7 +297,7 @@
             let due: Vec<u16> = tasks.map(|(index, _)| *index).collect();
             for index in due {
                 if let Some(task) = self.batches[key].tasks.get_mut(&index) {
-                    task.run = task.run.past_unheard();
+                    task.run = task.run.past_unreported();
                 }
                 self.set_task(key, index, TaskState::Waiting);
             }
@@ -347,7 +347,7 @@
     }
 
     fn return_doubtful(&mut self, now: Time, key: BatchKey, index: u16) {
-        self.finish_task(now, key, index, TaskEnd::Doubtful);
+        self.finish_task(now, key, index, TaskEnd::Undetermined);
     }
 
     fn return_queue(&mut self, now: Time) -> usize {
--- a/crates/celerywinch_pool/tests/capacity.rs
+++ b/crates/celerywinch_pool/tests/capacity.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use celerywinch_pool::{Answer, How, Input};
-use celerywinch_types::{Doubt, JobId, Room, Said, WorkerNote};
+use celerywinch_types::{AnnouncementVersion, JobId, PriorRuns, Resources, WorkerAnnouncement};
 use rig::{
     DOMAIN, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step,
     worker_note,
@@ -11,40 +11,40 @@
 use rstest::rstest;
 
 /// Capacity for one of the rig's tasks; `TWO` has capacity for two, `NONE` for none.
-const ONE: Room = Room {
+const ONE: Resources = Resources {
     cpu: 16_000,
     memory: 65_536,
     accelerators: 0,
 };
-const TWO: Room = Room { cpu: 32_000, ..ONE };
-const NONE: Room = Room { cpu: 4_000, ..ONE };
+const TWO: Resources = Resources { cpu: 32_000, ..ONE };
+const NONE: Resources = Resources { cpu: 4_000, ..ONE };
 
 struct Case {
     /// The capacities that the worker announces in turn; two tasks fit at first.
-    rooms: &'static [Room],
+    rooms: &'static [Resources],
     /// Number of tasks started in all: with no task running before the three that are submitted, and with one.
     starts: [usize; 2],
 }
 
-fn announce(rig: &mut Rig, sequence: u64, room: Room) {
+fn announce(rig: &mut Rig, sequence: u64, room: Resources) {
     let first = worker_note("w1", 1);
-    let said = Said {
-        sequence: first.said.sequence + sequence,
-        ..first.said
+    let said = AnnouncementVersion {
+        sequence: first.version.sequence + sequence,
+        ..first.version
     };
-    rig.handle(Input::Workers(vec![WorkerNote {
-        said,
-        room,
+    rig.handle(Input::Workers(vec![WorkerAnnouncement {
+        version: said,
+        capacity: room,
         ..first
     }]));
 }
 
 fn submit(rig: &mut Rig, jobs: std::ops::Range<u64>) {
     for job in jobs {
-        let mut order = step(Doubt::None, 0);
+        let mut order = step(PriorRuns::None, 0);
         order.job = JobId(job);
         // Part of the job may have run, so it waits instead of being refused.
-        order.fresh = false;
+        order.refusable = false;
         rig.submit(order);
     }
 }
@@ -96,14 +96,14 @@
 #[test]
 fn run_that_is_being_stopped_holds_its_capacity() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     announce(&mut rig, 1, ONE);
     let look = rig.last_call(is_look);
     let cancel = celerywinch_types::WorkMsg::Cancel {
         job: rig::JOB,
-        last: u32::MAX,
+        last_submission: u32::MAX,
     };
     rig.handle(Input::Work(rig::ORIGIN, cancel));
     assert_eq!(rig.count_calls(is_stop), 1);
--- a/crates/celerywinch_pool/tests/doubt_timeout.rs
+++ b/crates/celerywinch_pool/tests/doubt_timeout.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use celerywinch_pool::{Grant, Input, Order};
-use celerywinch_types::{Doubt, Incarnation, InstanceId, Session, WorkMsg};
+use celerywinch_types::{Incarnation, InstanceId, PriorRuns, Session, WorkMsg};
 use rig::{Rig, clock, is_start, step};
 use rstest::rstest;
 
@@ -41,8 +41,8 @@
     rig.handle(Input::Granted(REMOTE, grant));
     let late = GRANT_MS - 10;
     rig.advance(late);
-    let mut order = step(Doubt::None, 0);
-    order.fresh = false;
+    let mut order = step(PriorRuns::None, 0);
+    order.refusable = false;
     rig.handle(Input::Work(REMOTE, WorkMsg::Submit(order)));
     let Order::Start { deadline, .. } = rig.last_call(is_start).order else {
         panic!("a start");
@@ -56,7 +56,7 @@
 /// Returns the time from the submission of a task to its start by a successor that finds no run of it, in ms.
 fn first_start() -> u64 {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::Open, 7));
+    rig.submit(step(PriorRuns::Unknown, 7));
     let mut ms = 0;
     while rig.count_calls(is_start) == 0 {
         rig.advance(10);
--- a/crates/celerywinch_pool/tests/evacuated.rs
+++ b/crates/celerywinch_pool/tests/evacuated.rs
@@ -5,7 +5,9 @@
 use std::collections::BTreeSet;
 
 use celerywinch_pool::{Answer, How, Input};
-use celerywinch_types::{DataCentreId, Domain, Doubt, Fence, JobId, TaskEnd, WorkerNote};
+use celerywinch_types::{
+    DataCentreId, Domain, Fence, JobId, PriorRuns, TaskEnd, WorkerAnnouncement,
+};
 use rig::{
     DC, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step, worker_note,
 };
@@ -16,7 +18,7 @@
 /// A dispatcher with one worker in each of two data centres.
 fn two_dcs() -> Rig {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    let far = WorkerNote {
+    let far = WorkerAnnouncement {
         dc: OTHER,
         ..worker_note("w2", 2)
     };
@@ -40,9 +42,9 @@
 /// Submits jobs of one task each that are queued if there is no free capacity.
 fn submit(rig: &mut Rig, jobs: std::ops::Range<u64>) {
     for job in jobs {
-        let mut order = step(Doubt::None, 0);
+        let mut order = step(PriorRuns::None, 0);
         order.job = JobId(job);
-        order.fresh = false;
+        order.refusable = false;
         rig.submit(order);
     }
 }
@@ -83,7 +85,7 @@
 #[rstest]
 fn evacuation_leaves_running_tasks_alone() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     evacuate(&mut rig, &[DC]);
@@ -113,7 +115,7 @@
 #[case::placeable(false)]
 fn waiting_jobs_that_may_have_run_are_given_up(#[case] evacuated: bool) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    let mut full = step(Doubt::None, 0);
+    let mut full = step(PriorRuns::None, 0);
     full.need = rig::ROOM;
     full.job = JobId(1);
     rig.submit(full);
@@ -141,14 +143,14 @@
 #[case::queued_job(false)]
 fn jobs_are_refused_while_all_data_centres_are_evacuated(#[case] new: bool) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    let mut full = step(Doubt::None, 0);
+    let mut full = step(PriorRuns::None, 0);
     full.need = rig::ROOM;
     full.job = JobId(1);
     rig.submit(full);
     if new {
         evacuate(&mut rig, &[DC]);
     }
-    let mut waiting = step(Doubt::None, 0);
+    let mut waiting = step(PriorRuns::None, 0);
     waiting.target = 5_000;
     rig.submit(waiting);
     if !new {
--- a/crates/celerywinch_pool/tests/locality.rs
+++ b/crates/celerywinch_pool/tests/locality.rs
@@ -4,7 +4,8 @@
 
 use celerywinch_pool::{Input, PoolConfig};
 use celerywinch_types::{
-    DataCentreId, Domain, Doubt, Fence, JobId, Mechanism, Room, Without, WorkerNote,
+    DataCentreId, DisabledMechanisms, Domain, Fence, JobId, Mechanism, PriorRuns, Resources,
+    WorkerAnnouncement,
 };
 use rig::{DC, ROOM, Rig, is_look, is_start, lists, step, worker_note};
 use rstest::rstest;
@@ -13,16 +14,16 @@
 
 /// Creates a dispatcher with one worker in its own data centre, which has capacity for two tasks, and two workers elsewhere
 /// that one task nearly fills.
-fn rig(shards: u8, disabled: Without) -> Rig {
+fn rig(shards: u8, disabled: DisabledMechanisms) -> Rig {
     let mut rig = Rig::empty(PoolConfig {
         dc: Some(DC),
         disabled,
         ..PoolConfig::default()
     });
     rig.pool.set_shards(shards);
-    let far = |id: &str, port: u16| WorkerNote {
+    let far = |id: &str, port: u16| WorkerAnnouncement {
         dc: OTHER,
-        room: Room {
+        capacity: Resources {
             cpu: 16_000,
             ..ROOM
         },
@@ -46,7 +47,7 @@
 
 struct Case {
     shards: u8,
-    disabled: Without,
+    disabled: DisabledMechanisms,
     jobs: u64,
     /// How many of them are started in the dispatcher's own data centre.
     near: usize,
@@ -55,14 +56,14 @@
 /// Guards against jobs that lose tasks with each data centre that is cut off: tasks went wherever they left the least capacity
 /// unused, so most jobs of eight tasks had one in each data centre.
 #[rstest]
-#[case::stay(Case { shards: 2, disabled: Without::default(), jobs: 2, near: 2 })]
-#[case::the_rest_goes_elsewhere(Case { shards: 2, disabled: Without::default(), jobs: 4, near: 2 })]
-#[case::one_dispatcher_for_all(Case { shards: 1, disabled: Without::default(), jobs: 2, near: 0 })]
-#[case::disabled(Case { shards: 2, disabled: Without::default().and(Mechanism::Locality), jobs: 2, near: 0 })]
+#[case::stay(Case { shards: 2, disabled: DisabledMechanisms::default(), jobs: 2, near: 2 })]
+#[case::the_rest_goes_elsewhere(Case { shards: 2, disabled: DisabledMechanisms::default(), jobs: 4, near: 2 })]
+#[case::one_dispatcher_for_all(Case { shards: 1, disabled: DisabledMechanisms::default(), jobs: 2, near: 0 })]
+#[case::disabled(Case { shards: 2, disabled: DisabledMechanisms::default().with(Mechanism::Locality), jobs: 2, near: 0 })]
 fn tasks_stay_in_the_data_centre_of_their_dispatcher(#[case] case: Case) {
     let mut rig = rig(case.shards, case.disabled);
     for job in 0..case.jobs {
-        let mut order = step(Doubt::None, 0);
+        let mut order = step(PriorRuns::None, 0);
         order.job = JobId(job);
         rig.submit(order);
     }
--- a/crates/celerywinch_pool/tests/runs.rs
+++ b/crates/celerywinch_pool/tests/runs.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use celerywinch_pool::{Answer, EndedRow, How, Input, Order, Reject, RunningRow};
-use celerywinch_types::{Doubt, JobId, RunNumber, TaskEnd, WorkMsg};
+use celerywinch_types::{JobId, PriorRuns, RunNumber, TaskEnd, WorkMsg};
 use rig::{
     JOB, ORIGIN, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step, task,
     worker_note,
@@ -47,7 +47,7 @@
 })]
 fn answer_to_a_start(#[case] case: Case) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     let before = rig.count_calls(is_check);
     rig.answer(&start, case.answer);
@@ -71,7 +71,7 @@
     #[case] stops: usize,
 ) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Silent);
     let check = rig.last_call(is_check);
@@ -88,9 +88,15 @@
 #[test]
 fn accepted_stop_settles_a_start_without_an_answer() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
-    rig.handle(Input::Work(ORIGIN, WorkMsg::Cancel { job: JOB, last: 1 }));
+    rig.handle(Input::Work(
+        ORIGIN,
+        WorkMsg::Cancel {
+            job: JOB,
+            last_submission: 1,
+        },
+    ));
     let stop = rig.last_call(is_stop);
     rig.answer(&stop, Answer::Taken(clock()));
     rig.answer(&start, Answer::Silent);
@@ -104,7 +110,7 @@
 
 /// What a successor finds of a task that its origin submitted as in doubt.
 struct Found {
-    doubt: Doubt,
+    doubt: PriorRuns,
     running: Option<u64>,
     ended: Option<(u64, How)>,
     /// Whether it is started again at once.
@@ -117,23 +123,23 @@
 /// for the end of the last one, and starts the task while a later run is still running on a worker that it has not reached.
 #[rstest]
 #[case::running(Found {
-    doubt: Doubt::Open, running: Some(7), ended: None, starts: false, reported: None,
+    doubt: PriorRuns::Unknown, running: Some(7), ended: None, starts: false, reported: None,
 })]
 #[case::done(Found {
-    doubt: Doubt::Open, running: None, ended: Some((7, How::Done)), starts: false,
+    doubt: PriorRuns::Unknown, running: None, ended: Some((7, How::Done)), starts: false,
     reported: Some(TaskEnd::Done),
 })]
 #[case::cut_and_no_later_run(Found {
-    doubt: Doubt::Last, running: None, ended: Some((7, How::Cut)), starts: true, reported: None,
+    doubt: PriorRuns::Last, running: None, ended: Some((7, How::Cut)), starts: true, reported: None,
 })]
 #[case::cut_and_a_later_run(Found {
-    doubt: Doubt::Last, running: None, ended: Some((6, How::Cut)), starts: false, reported: None,
+    doubt: PriorRuns::Last, running: None, ended: Some((6, How::Cut)), starts: false, reported: None,
 })]
 #[case::cut_and_perhaps_a_later_run(Found {
-    doubt: Doubt::Open, running: None, ended: Some((7, How::Cut)), starts: false, reported: None,
+    doubt: PriorRuns::Unknown, running: None, ended: Some((7, How::Cut)), starts: false, reported: None,
 })]
 #[case::nothing(Found {
-    doubt: Doubt::Open, running: None, ended: None, starts: false, reported: None,
+    doubt: PriorRuns::Unknown, running: None, ended: None, starts: false, reported: None,
 })]
 fn successor_settles_a_task_in_doubt(#[case] case: Found) {
     let running = case.running.map(|run| RunningRow {
@@ -168,7 +174,7 @@
 #[test]
 fn task_of_a_silent_worker_waits_for_the_end_of_its_lease() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
@@ -203,7 +209,7 @@
 fn job_that_cannot_end_in_time_is_refused_at_once() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     for job in 0..40 {
-        let mut order = step(Doubt::None, 0);
+        let mut order = step(PriorRuns::None, 0);
         order.job = JobId(job);
         rig.submit(order);
     }
@@ -227,7 +233,7 @@
 #[test]
 fn run_after_doubt_has_a_new_number() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::Open, 7));
+    rig.submit(step(PriorRuns::Unknown, 7));
     rig.advance(1_600);
     let start = rig.last_call(is_start);
     let Order::Start { run, .. } = start.order else {
@@ -247,7 +253,7 @@
         percent: 20,
     };
     let mut rig = Rig::new(vec![row(0), row(1)], Vec::new());
-    rig.submit(step(Doubt::Open, 7));
+    rig.submit(step(PriorRuns::Unknown, 7));
     for _ in 0..10 {
         rig.advance(20);
         let look = rig.last_call(is_look);
@@ -284,7 +290,7 @@
     rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
     let other = rig.last_call(is_look);
     rig.answer(&other, lists(Vec::new(), Vec::new()));
-    rig.submit(step(Doubt::Open, 7));
+    rig.submit(step(PriorRuns::Unknown, 7));
     let mut looks = rig
         .calls
         .iter()
@@ -315,18 +321,18 @@
 fn task_without_capacity_is_submitted_again(#[case] case: Resubmitted) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     for job in 1..=2 {
-        let mut order = step(Doubt::None, 10);
+        let mut order = step(PriorRuns::None, 10);
         order.job = JobId(job);
         rig.submit(order);
     }
-    let mut order = step(Doubt::None, 10);
-    order.pass = true;
+    let mut order = step(PriorRuns::None, 10);
+    order.no_wait = true;
     rig.submit(order);
     assert_eq!(rig.ends, [(task(0), TaskEnd::Full)]);
     rig.ends.clear();
-    let mut again = step(Doubt::Open, 10);
-    again.tasks[0].first = case.first;
-    again.tasks[0].hand = 4;
+    let mut again = step(PriorRuns::Unknown, 10);
+    again.tasks[0].first_submission = case.first;
+    again.tasks[0].submission = 4;
     rig.submit(again);
     let reported = rig.ends.first().map(|(_, end)| *end);
     assert_eq!(reported, case.reported);
@@ -357,16 +363,16 @@
 #[case::earlier_answer(Resynced { again: false, unsure: false, last: false, stopped: false })]
 fn unnamed_task_is_stopped_after_a_resync(#[case] case: Resynced) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 10));
+    rig.submit(step(PriorRuns::None, 10));
     rig.handle(Input::ResyncOrigin(ORIGIN));
     if !case.last {
         rig.handle(Input::ResyncOrigin(ORIGIN));
     }
     if case.again {
-        rig.submit(step(Doubt::Open, 10));
+        rig.submit(step(PriorRuns::Unknown, 10));
     }
     let unsure = case.unsure.then_some(task(0)).into_iter().collect();
-    let named = WorkMsg::Named { ask: 1, unsure };
+    let named = WorkMsg::ResyncDone { request: 1, unsure };
     rig.handle(Input::Work(ORIGIN, named));
     let stops = rig.count_calls(|order| matches!(order, Order::Stop { .. }));
     assert_eq!(stops, usize::from(case.stopped));
@@ -387,7 +393,7 @@
         ..ended_row(run, How::Cut)
     };
     rig.answer(&look, lists(Vec::new(), vec![end]));
-    rig.submit(step(Doubt::Open, 7));
+    rig.submit(step(PriorRuns::Unknown, 7));
     rig.advance(1_700);
     assert_eq!(rig.count_calls(is_start), 0, "it is running on w1");
 }
@@ -415,7 +421,7 @@
 #[test]
 fn late_answer_after_resignation_is_ignored() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.submit(step(Doubt::None, 0));
+    rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Taken(clock()));
     let late = rig.last_call(is_look);
@@ -425,7 +431,7 @@
     assert_ne!(look.key, late.key);
     rig.answer(&late, lists(Vec::new(), vec![ended_row(1, How::Done)]));
     rig.answer(&look, lists(Vec::new(), vec![ended_row(1, How::Done)]));
-    rig.submit(step(Doubt::Last, 1));
+    rig.submit(step(PriorRuns::Last, 1));
     let last = rig.ends.last().map(|(_, end)| *end);
     assert_eq!(last, Some(TaskEnd::Done));
 }
