--- a/crates/celerywinch_pool/src/lib.rs
+++ b/crates/celerywinch_pool/src/lib.rs
@@ -12,29 +12,29 @@
 //! [`MAX_CLOCK_DRIFT`].
 
 mod admission;
+mod answer_times;
 mod call;
 mod config;
 mod crashes;
 mod event;
 mod grants;
+mod incarnations;
 mod inflow;
 mod job;
 mod leases;
-mod lives;
 mod origins;
-mod patience;
 mod place;
 mod pool;
 mod queue;
 mod results;
 mod run;
 mod run_times;
+mod sent_ends;
 mod submit;
 mod takeover;
-mod told;
 mod worker;
 
-pub use call::{Answer, Call, CallKey, EndedRow, How, Order, Reject, RunningRow};
+pub use call::{Answer, Call, CallKey, EndedRow, Rejection, Request, RunEnd, RunningRow};
 pub use config::{MAX_CLOCK_DRIFT, PoolConfig};
 pub use event::{Departure, PoolEvent};
 pub use grants::Grant;
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -3,7 +3,7 @@
 use celerywinch_types::{Mechanism, RunNumber, Time};
 
 use crate::PoolEvent;
-use crate::call::{Order, Pending};
+use crate::call::{CallPurpose, Request};
 use crate::job::{Batch, BatchKey, Task, TaskState};
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, Run};
@@ -53,7 +53,7 @@
         let tasks = batch.tasks.iter().filter(|(_, task)| startable(task));
         let mut waiting: Vec<u16> = tasks.map(|(index, _)| *index).collect();
         let mut placed_all = true;
-        if self.is_careful(batch) {
+        if self.needs_probe(batch) {
             let running = |task: &Task| matches!(task.state, TaskState::Running(_));
             let first = !batch.tasks.values().any(running);
             waiting.truncate(usize::from(first));
@@ -80,10 +80,10 @@
             self.accepts_tasks(now, worker)
                 && self.can_run(batch, *key, worker)
                 && !self.has_suspended(now, worker)
-                && !self.meets_suspect(task.crashes, worker)
+                && !self.shares_with_suspect(task.crashes, worker)
         });
         let packs = !self.config.disabled.contains(Mechanism::Packing);
-        let careful = self.is_careful(batch);
+        let careful = self.needs_probe(batch);
         let cost = |key: WorkerKey, worker: &Worker| {
             let shared = PROBE_COST * self.probe_exposure(worker, careful) as f64;
             placement_cost(batch, task, key, worker, packs)
@@ -171,7 +171,7 @@
         let Some(deadline) = worker.deadline(now, lease) else {
             return false;
         };
-        worker.lease = worker.lease.max(worker.bound(now, lease));
+        worker.lease = worker.lease.max(worker.lease_bound(now, lease));
         let pace = worker.pace * rack_factor(&self.batches[key], worker);
         let batch = &self.batches[key];
         let task = batch.tasks[&index];
@@ -183,14 +183,14 @@
             need: batch.order.need,
             started: now,
             expected: batch.expected.mul_f64(pace),
-            phase: Phase::Starting,
+            phase: Phase::Sent,
             suspect: task.crashes.is_suspect(),
-            probe: self.is_careful(batch),
+            probe: self.needs_probe(batch),
             adopted: false,
             stopping: false,
-            stopped: false,
+            stop_accepted: false,
         };
-        let order = Order::Start {
+        let request = Request::Start {
             task: run.task,
             run: run.number,
             spec: batch.order.spec.clone(),
@@ -210,8 +210,8 @@
             task.state = TaskState::Running(run_key);
             task.run = number;
         }
-        self.call(worker_key, Pending::Start(run_key), order, out);
-        self.look(now, worker_key, out);
+        self.call(worker_key, CallPurpose::Start(run_key), request, out);
+        self.poll(now, worker_key, out);
         true
     }
 }
@@ -219,7 +219,7 @@
 /// Returns the factor by which tasks of a batch take longer on a worker because of their distance to the data.
 fn rack_factor(batch: &Batch, worker: &Worker) -> f64 {
     match &batch.order.rack {
-        Some(rack) if !worker.rack_is(rack) => REMOTE_RACK_FACTOR,
+        Some(rack) if !worker.is_in_rack(rack) => REMOTE_RACK_FACTOR,
         _ => 1.0,
     }
 }
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -11,18 +11,18 @@
 };
 use slotmap::SlotMap;
 
-use crate::call::{Answer, Call, CallKey, Order, Pending, Question, Sent};
-use crate::crashes::CrashLog;
+use crate::answer_times::AnswerTimes;
+use crate::call::{Answer, Call, CallKey, CallPurpose, PendingCall, PollKind, Request};
+use crate::crashes::CrashHistory;
 use crate::grants::{Grant, Grants};
 use crate::inflow::Inflow;
 use crate::job::{Batch, BatchKey, TaskState};
-use crate::patience::Patience;
 use crate::queue::{Queue, Rank};
 use crate::run::{Phase, Run, RunKey};
 use crate::run_times::RunTimes;
+use crate::sent_ends::SentEnd;
 use crate::takeover::Takeover;
-use crate::told::Told;
-use crate::worker::{Grip, Worker, WorkerKey, domain_of};
+use crate::worker::{Ownership, Worker, WorkerKey, domain_of};
 use crate::{Departure, PoolConfig, PoolEvent};
 
 /// How long a worker that has left is remembered. A keeper that did not receive its last announcement may report it as ready for
@@ -108,18 +108,18 @@
     pub(crate) batches: SlotMap<BatchKey, Batch>,
     pub(crate) batch_keys: BTreeMap<(JobId, u16), BatchKey>,
     pub(crate) runs: SlotMap<RunKey, Run>,
-    pub(crate) calls: SlotMap<CallKey, Sent>,
+    pub(crate) calls: SlotMap<CallKey, PendingCall>,
     pub(crate) queue: Queue,
     pub(crate) run_times: RunTimes,
     /// Response times of all workers.
-    pub(crate) answer_times: Patience,
+    pub(crate) answer_times: AnswerTimes,
     pub(crate) inflow: Inflow,
     /// Crashes of workers under tasks.
-    pub(crate) crashes: CrashLog,
+    pub(crate) crashes: CrashHistory,
     pub(crate) takeover: Takeover,
     pub(crate) grants: Grants,
     /// The ends reported to origins, of tasks that are no longer here.
-    pub(crate) sent_ends: BTreeMap<TaskId, Told>,
+    pub(crate) sent_ends: BTreeMap<TaskId, SentEnd>,
     /// Ends that are sent to each origin after the current input.
     pub(crate) unsent_ends: BTreeMap<InstanceId, Vec<TaskReport>>,
     /// Batches that lost a task during the current input; the empty ones are removed after it.
@@ -153,9 +153,9 @@
             calls: SlotMap::with_key(),
             queue: Queue::default(),
             run_times: RunTimes::default(),
-            answer_times: Patience::quick(),
+            answer_times: AnswerTimes::zeroed(),
             inflow: Inflow::default(),
-            crashes: CrashLog::default(),
+            crashes: CrashHistory::default(),
             takeover: Takeover::default(),
             grants: Grants::default(),
             sent_ends: BTreeMap::new(),
@@ -186,14 +186,21 @@
     #[must_use]
     pub fn is_reachable(&self, now: Time, domain: Domain, span: Duration) -> bool {
         let mut workers = self.workers.values().filter(|w| w.domain == domain);
-        workers.any(|w| w.grip == Grip::Held && w.silent == 0 && now.since(w.heard) <= span)
+        workers.any(|w| {
+            w.ownership == Ownership::Owned
+                && w.missed_calls == 0
+                && now.since(w.last_contact) <= span
+        })
     }
 
     /// Returns the learned run times and the paces of the workers that this dispatcher controls, for a successor. The paces of
     /// other workers are left out, as they date from the last change of dispatcher.
     #[must_use]
     pub fn learned(&self) -> Learned {
-        let held = self.workers.values().filter(|w| w.grip == Grip::Held);
+        let held = self
+            .workers
+            .values()
+            .filter(|w| w.ownership == Ownership::Owned);
         let paces = held.map(|w| (w.note.id.clone(), w.pace as f32));
         Learned {
             queues: self.run_times.learned(),
@@ -208,7 +215,7 @@
         }
         for (id, pace) in learned.slowdowns {
             if let Some(key) = self.worker_ids.get(&id)
-                && self.workers[*key].grip == Grip::None
+                && self.workers[*key].ownership == Ownership::None
             {
                 self.workers[*key].pace = pace.into();
             }
@@ -223,26 +230,29 @@
             && self
                 .calls
                 .values()
-                .all(|call| self.is_routine(call.pending))
+                .all(|call| self.is_routine(call.purpose))
     }
 
     /// Returns whether a call is a poll of an idle worker.
-    fn is_routine(&self, call: Pending) -> bool {
+    fn is_routine(&self, call: CallPurpose) -> bool {
         match call {
-            Pending::Look(worker, Question::Ends, _) => {
+            CallPurpose::Poll(worker, PollKind::Long, _) => {
                 self.workers.get(worker).is_some_and(Worker::is_settled)
             }
-            Pending::Look(_, Question::Order, _)
-            | Pending::Start(_)
-            | Pending::Stop(_)
-            | Pending::StopAlien(_) => false,
+            CallPurpose::Poll(_, PollKind::Short, _)
+            | CallPurpose::Start(_)
+            | CallPurpose::Stop(_)
+            | CallPurpose::StopForeign(_) => false,
         }
     }
 
     /// Returns the numbers of open steps of jobs, of open runs and of workers that this dispatcher controls.
     #[must_use]
     pub fn counts(&self) -> (usize, usize, usize) {
-        let held = self.workers.values().filter(|w| w.grip == Grip::Held);
+        let held = self
+            .workers
+            .values()
+            .filter(|w| w.ownership == Ownership::Owned);
         (self.batches.len(), self.runs.len(), held.count())
     }
 
@@ -286,13 +296,13 @@
             Input::EvacuatedDataCentres(dcs) => self.evacuated = dcs,
             Input::Work(from, msg) => self.handle_message(now, from, msg, out),
             Input::Granted(origin, grant) => self.granted(now, origin, grant, out),
-            Input::ResyncOrigin(origin) => self.ask_origin(origin, out),
+            Input::ResyncOrigin(origin) => self.request_resync(origin, out),
             Input::OriginLost(origin) => self.drop_origin(now, origin, out),
             Input::Answered(key, answer) => self.answered(now, key, answer, out),
-            Input::AnsweredLate(took) => self.answer_times.learn(took),
-            Input::Crashes(crashes) => self.learn_crashes(now, crashes, out),
-            Input::ProbeQueues(queues) => self.learn_careful(now, queues),
-            Input::CheckReachable(domain) => self.ask(now, domain, out),
+            Input::AnsweredLate(took) => self.answer_times.record(took),
+            Input::Crashes(crashes) => self.merge_crashes(now, crashes, out),
+            Input::ProbeQueues(queues) => self.merge_careful(now, queues),
+            Input::CheckReachable(domain) => self.check_reachable(now, domain, out),
             Input::Tick => self.tick(now, out),
         }
         self.remove_empty();
@@ -304,13 +314,13 @@
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.tend_workers(now, out);
-        self.tend_grants(now, out);
-        self.tend_takeover(now, out);
-        self.tend_runs(now, out);
+        self.tick_workers(now, out);
+        self.tick_grants(now, out);
+        self.tick_takeover(now, out);
+        self.stop_unconfirmed_runs(now, out);
         self.shed(now, out);
-        self.tend_crashes(now, out);
-        self.sent_ends.retain(|_, sent| sent.is_kept(now));
+        self.tick_crashes(now, out);
+        self.sent_ends.retain(|_, sent| sent.is_retained(now));
         self.departed
             .retain(|_, departed| now.since(departed.last_contact) <= DEPARTED_RETENTION);
         self.removed
@@ -329,7 +339,7 @@
                 last_submission,
             } => self.drop_tasks(now, from, &tasks, last_submission, out),
             WorkMsg::ResyncDone { request, unsure } => {
-                self.sweep(now, from, request, &unsure, out);
+                self.drop_unnamed(now, from, request, &unsure, out);
             }
             // Addressed to origins, not to dispatchers.
             WorkMsg::Ended(_) | WorkMsg::Crashed(..) | WorkMsg::Resync(_) => {}
@@ -353,7 +363,7 @@
         let known = self.workers[key].note.version;
         match note.version.incarnation.cmp(&known.incarnation) {
             Ordering::Less if gone => {}
-            Ordering::Less => self.other_life_speaks(key, note, out),
+            Ordering::Less => self.earlier_incarnation_announced(key, note, out),
             Ordering::Equal if gone => self.worker_left(now, key, out),
             // A delayed announcement must not restore an earlier state.
             Ordering::Equal if note.version <= known => {}
@@ -364,13 +374,13 @@
 
     /// Returns whether a worker takes new tasks and its data centre is not evacuated.
     pub(crate) fn accepts_tasks(&self, now: Time, worker: &Worker) -> bool {
-        worker.takes(now) && !self.evacuated.contains(&worker.note.dc)
+        worker.accepts_tasks(now) && !self.evacuated.contains(&worker.note.dc)
     }
 
     /// Returns whether a worker is being taken over and is expected to take new tasks once it has answered the first
     /// poll. False once a poll has timed out.
     pub(crate) fn accepts_after_takeover(&self, worker: &Worker) -> bool {
-        let answering = worker.grip == Grip::Taking && worker.silent == 0;
+        let answering = worker.ownership == Ownership::Acquiring && worker.missed_calls == 0;
         answering
             && worker.note.stage == WorkerStage::Ready
             && !self.evacuated.contains(&worker.note.dc)
@@ -417,7 +427,7 @@
         let worker = &self.workers[key];
         let has_left = worker.note.stage == WorkerStage::Gone && worker.runs.is_empty();
         if has_left {
-            self.forget_worker(now, key, Departure::Left, out);
+            self.remove_worker(now, key, Departure::Left, out);
         }
         has_left
     }
@@ -441,12 +451,12 @@
         let id = note.id.clone();
         *self.addr_counts.entry(note.addr).or_default() += 1;
         let mut worker = Worker::new(now, note, self.shards);
-        worker.lives = lives;
+        worker.restarts = lives;
         let domain = worker.domain;
         let key = self.workers.insert(worker);
         self.worker_ids.insert(id, key);
         if self.owned.contains_key(&domain) {
-            self.take_worker(now, key, out);
+            self.take_over_worker(now, key, out);
         }
         key
     }
@@ -495,8 +505,8 @@
             submission: task.map_or(0, |task| task.submission),
             end,
         };
-        let sent = Told {
-            at: now,
+        let sent = SentEnd {
+            sent_at: now,
             origin: batch.origin,
             news,
         };
@@ -521,38 +531,38 @@
     pub(crate) fn call(
         &mut self,
         worker: WorkerKey,
-        pending: Pending,
-        order: Order,
+        purpose: CallPurpose,
+        request: Request,
         out: &mut Vec<Output>,
     ) -> Option<CallKey> {
         let callee = &self.workers[worker];
         let fence = self
             .owned
             .get(&callee.domain)?
-            .for_incarnation(callee.lives);
-        let shared = self.answer_times.wait(self.config.max_timeout);
-        let timeout = match order {
-            Order::Look { .. } => order.waits() + self.config.answer_timeout.max(shared),
-            Order::Start { .. } | Order::Stop { .. }
+            .for_incarnation(callee.restarts);
+        let shared = self.answer_times.timeout(self.config.max_timeout);
+        let timeout = match request {
+            Request::Poll { .. } => request.max_wait() + self.config.answer_timeout.max(shared),
+            Request::Start { .. } | Request::Stop { .. }
                 if self.config.disabled.contains(Mechanism::Patience) =>
             {
                 self.config.order_timeout
             }
-            Order::Start { .. } | Order::Stop { .. } => {
+            Request::Start { .. } | Request::Stop { .. } => {
                 let wait = self.workers[worker]
-                    .patience
-                    .wait(self.config.order_timeout);
+                    .answer_times
+                    .timeout(self.config.order_timeout);
                 wait.max(shared)
             }
         };
         let callee = &self.workers[worker].note;
-        let key = self.calls.insert(Sent { worker, pending });
+        let key = self.calls.insert(PendingCall { worker, purpose });
         out.push(Output::Call(Call {
             key,
             worker: callee.id.clone(),
             addr: callee.addr,
             fence,
-            order,
+            request,
             timeout,
         }));
         Some(key)
@@ -567,12 +577,12 @@
             return;
         }
         run.stopping = true;
-        let order = Order::Stop {
+        let request = Request::Stop {
             task: run.task,
             run: run.number,
         };
         let worker = run.worker;
-        self.call(worker, Pending::Stop(key), order, out);
+        self.call(worker, CallPurpose::Stop(key), request, out);
     }
 
     /// Removes a run that has ended or certainly never started, and frees its capacity.
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -123,7 +123,7 @@
         let waiting = tasks.filter(|(_, task)| task.state == TaskState::Waiting);
         let waiting: Vec<u16> = waiting.map(|(index, _)| *index).collect();
         let started = batch.tasks.len() - waiting.len();
-        if started > 0 && self.is_careful(batch) {
+        if started > 0 && self.needs_probe(batch) {
             // The other tasks wait for the probe task, not for free capacity.
             return;
         }
@@ -207,7 +207,7 @@
             return;
         }
         if let Some(told) = self.sent_ends.get(&id)
-            && told.settles(batch.origin, &order)
+            && told.answers_resubmission(batch.origin, &order)
         {
             let news = TaskReport {
                 submission: order.submission,
@@ -267,7 +267,7 @@
     fn may_run_elsewhere(&self, now: Time, key: BatchKey, id: TaskId) -> bool {
         let origin = self.batches[key].origin;
         self.sent_ends.get(&id).is_some_and(|told| {
-            let recent = now.since(told.at) <= RESEND_WINDOW;
+            let recent = now.since(told.sent_at) <= RESEND_WINDOW;
             recent && told.origin != origin && told.news.returns_task()
         })
     }
--- a/crates/celerywinch_pool/tests/capacity.rs
+++ b/crates/celerywinch_pool/tests/capacity.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use celerywinch_pool::{Answer, How, Input};
+use celerywinch_pool::{Answer, Input, RunEnd};
 use celerywinch_types::{AnnouncementVersion, JobId, PriorRuns, Resources, WorkerAnnouncement};
 use rig::{
     DOMAIN, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step,
@@ -65,7 +65,7 @@
     if busy {
         submit(&mut rig, 77..78);
         let start = rig.last_call(is_start);
-        rig.answer(&start, Answer::Taken(clock()));
+        rig.answer(&start, Answer::Accepted(clock()));
     }
     for (room, sequence) in case.rooms.iter().zip(1..) {
         announce(&mut rig, sequence, *room);
@@ -98,7 +98,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     announce(&mut rig, 1, ONE);
     let look = rig.last_call(is_look);
     let cancel = celerywinch_types::WorkMsg::Cancel {
@@ -109,13 +109,16 @@
     assert_eq!(rig.count_calls(is_stop), 1);
     // From here on, only its reserved capacity prevents other starts.
     let stop = rig.last_call(is_stop);
-    rig.answer(&stop, Answer::Taken(clock()));
+    rig.answer(&stop, Answer::Accepted(clock()));
     submit(&mut rig, 80..81);
     assert_eq!(rig.count_calls(is_start), 1, "the first run has not ended");
     rig.answer(&look, lists(vec![running_row(1)], Vec::new()));
     assert_eq!(rig.count_calls(is_start), 1);
     let look = rig.last_call(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, How::Cut)]));
+    rig.answer(
+        &look,
+        lists(Vec::new(), vec![ended_row(1, RunEnd::Interrupted)]),
+    );
     assert_eq!(rig.count_calls(is_start), 2);
     submit(&mut rig, 81..82);
     assert_eq!(rig.count_calls(is_start), 2, "one fits, and one is running");
--- a/crates/celerywinch_pool/tests/runs.rs
+++ b/crates/celerywinch_pool/tests/runs.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use celerywinch_pool::{Answer, EndedRow, How, Input, Order, Reject, RunningRow};
+use celerywinch_pool::{Answer, EndedRow, Input, Rejection, Request, RunEnd, RunningRow};
 use celerywinch_types::{JobId, PriorRuns, RunNumber, TaskEnd, WorkMsg};
 use rig::{
     JOB, ORIGIN, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step, task,
@@ -19,10 +19,10 @@
     again: bool,
 }
 
-fn is_check(order: &Order) -> bool {
+fn is_check(order: &Request) -> bool {
     matches!(
         order,
-        Order::Look {
+        Request::Poll {
             deadline: None,
             wait: 0,
             ..
@@ -34,16 +34,16 @@
 /// only a refusal is certain. The worker is polled, and a run that it does not list is stopped, before the task is started
 /// again.
 #[rstest]
-#[case::taken(Case { answer: Answer::Taken(clock()), stops: false, again: false })]
-#[case::silent(Case { answer: Answer::Silent, stops: true, again: false })]
+#[case::taken(Case { answer: Answer::Accepted(clock()), stops: false, again: false })]
+#[case::silent(Case { answer: Answer::NoAnswer, stops: true, again: false })]
 #[case::late(Case {
-    answer: Answer::Rejected(Reject::Late, Some(clock())), stops: false, again: true,
+    answer: Answer::Rejected(Rejection::LeaseExpired, Some(clock())), stops: false, again: true,
 })]
 #[case::old(Case {
-    answer: Answer::Rejected(Reject::Old, Some(clock())), stops: false, again: true,
+    answer: Answer::Rejected(Rejection::StaleRun, Some(clock())), stops: false, again: true,
 })]
 #[case::unwell(Case {
-    answer: Answer::Rejected(Reject::Unwell, None), stops: false, again: false,
+    answer: Answer::Rejected(Rejection::Unhealthy, None), stops: false, again: false,
 })]
 fn answer_to_a_start(#[case] case: Case) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
@@ -65,7 +65,7 @@
 /// worker does not answer the poll either, the run is stopped.
 #[rstest]
 #[case::running(lists(vec![running_row(1)], Vec::new()), 0)]
-#[case::no_answer(Answer::Silent, 1)]
+#[case::no_answer(Answer::NoAnswer, 1)]
 fn order_without_an_answer_is_settled_by_what_the_worker_has(
     #[case] answer: Answer,
     #[case] stops: usize,
@@ -73,7 +73,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
-    rig.answer(&start, Answer::Silent);
+    rig.answer(&start, Answer::NoAnswer);
     let check = rig.last_call(is_check);
     rig.answer(&check, answer);
     rig.handle(Input::Tick);
@@ -98,8 +98,8 @@
         },
     ));
     let stop = rig.last_call(is_stop);
-    rig.answer(&stop, Answer::Taken(clock()));
-    rig.answer(&start, Answer::Silent);
+    rig.answer(&stop, Answer::Accepted(clock()));
+    rig.answer(&start, Answer::NoAnswer);
     for _ in 0..6 {
         rig.advance(60);
         let look = rig.last_call(is_look);
@@ -112,7 +112,7 @@
 struct Found {
     doubt: PriorRuns,
     running: Option<u64>,
-    ended: Option<(u64, How)>,
+    ended: Option<(u64, RunEnd)>,
     /// Whether it is started again at once.
     starts: bool,
     /// The end that is reported to the origin.
@@ -126,17 +126,17 @@
     doubt: PriorRuns::Unknown, running: Some(7), ended: None, starts: false, reported: None,
 })]
 #[case::done(Found {
-    doubt: PriorRuns::Unknown, running: None, ended: Some((7, How::Done)), starts: false,
+    doubt: PriorRuns::Unknown, running: None, ended: Some((7, RunEnd::Done)), starts: false,
     reported: Some(TaskEnd::Done),
 })]
 #[case::cut_and_no_later_run(Found {
-    doubt: PriorRuns::Last, running: None, ended: Some((7, How::Cut)), starts: true, reported: None,
+    doubt: PriorRuns::Last, running: None, ended: Some((7, RunEnd::Interrupted)), starts: true, reported: None,
 })]
 #[case::cut_and_a_later_run(Found {
-    doubt: PriorRuns::Last, running: None, ended: Some((6, How::Cut)), starts: false, reported: None,
+    doubt: PriorRuns::Last, running: None, ended: Some((6, RunEnd::Interrupted)), starts: false, reported: None,
 })]
 #[case::cut_and_perhaps_a_later_run(Found {
-    doubt: PriorRuns::Unknown, running: None, ended: Some((7, How::Cut)), starts: false, reported: None,
+    doubt: PriorRuns::Unknown, running: None, ended: Some((7, RunEnd::Interrupted)), starts: false, reported: None,
 })]
 #[case::nothing(Found {
     doubt: PriorRuns::Unknown, running: None, ended: None, starts: false, reported: None,
@@ -151,7 +151,7 @@
         serial: 1,
         task: task(0),
         run: RunNumber(run),
-        how,
+        end: how,
     });
     let (running, ended) = (running.into_iter().collect(), ended.into_iter().collect());
     let mut rig = Rig::new(running, ended);
@@ -176,7 +176,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
     let other = rig.last_call(is_look);
     assert_eq!(other.worker, "w2");
@@ -185,11 +185,11 @@
         let looks: Vec<_> = rig
             .calls
             .iter()
-            .filter(|c| c.worker == "w1" && is_look(&c.order))
+            .filter(|c| c.worker == "w1" && is_look(&c.request))
             .cloned()
             .collect();
         for look in looks {
-            rig.answer(&look, Answer::Silent);
+            rig.answer(&look, Answer::NoAnswer);
         }
         rig.advance(20);
     }
@@ -236,7 +236,7 @@
     rig.submit(step(PriorRuns::Unknown, 7));
     rig.advance(1_600);
     let start = rig.last_call(is_start);
-    let Order::Start { run, .. } = start.order else {
+    let Request::Start { run, .. } = start.request else {
         panic!("{start:?}");
     };
     assert!(run > RunNumber(100), "{run:?}");
@@ -257,7 +257,7 @@
     for _ in 0..10 {
         rig.advance(20);
         let look = rig.last_call(is_look);
-        let Order::Look { deadline, .. } = look.order else {
+        let Request::Poll { deadline, .. } = look.request else {
             panic!("{look:?}");
         };
         assert_eq!(
@@ -270,7 +270,7 @@
     rig.advance(60);
     let look = rig.last_call(is_look);
     rig.answer(&look, lists(vec![row(0)], Vec::new()));
-    let Order::Look { deadline, .. } = rig.last_call(is_look).order else {
+    let Request::Poll { deadline, .. } = rig.last_call(is_look).request else {
         panic!("a look");
     };
     assert!(deadline.is_some());
@@ -294,9 +294,9 @@
     let mut looks = rig
         .calls
         .iter()
-        .filter(|call| call.worker == "w1" && is_look(&call.order));
+        .filter(|call| call.worker == "w1" && is_look(&call.request));
     let look = looks.next_back().expect("a look").clone();
-    rig.answer(&look, Answer::Silent);
+    rig.answer(&look, Answer::NoAnswer);
     rig.advance(930);
     assert_eq!(rig.count_calls(is_start), 0, "its lease may not have ended");
     rig.advance(100);
@@ -337,7 +337,7 @@
     let reported = rig.ends.first().map(|(_, end)| *end);
     assert_eq!(reported, case.reported);
     let starts =
-        rig.count_calls(|order| matches!(order, Order::Start { task, .. } if task.job == JOB));
+        rig.count_calls(|order| matches!(order, Request::Start { task, .. } if task.job == JOB));
     assert_eq!(starts, 0);
 }
 
@@ -374,7 +374,7 @@
     let unsure = case.unsure.then_some(task(0)).into_iter().collect();
     let named = WorkMsg::ResyncDone { request: 1, unsure };
     rig.handle(Input::Work(ORIGIN, named));
-    let stops = rig.count_calls(|order| matches!(order, Order::Stop { .. }));
+    let stops = rig.count_calls(|order| matches!(order, Request::Stop { .. }));
     assert_eq!(stops, usize::from(case.stopped));
 }
 
@@ -390,7 +390,7 @@
     assert_eq!(look.worker, "w2");
     let end = EndedRow {
         serial: serial + 1,
-        ..ended_row(run, How::Cut)
+        ..ended_row(run, RunEnd::Interrupted)
     };
     rig.answer(&look, lists(Vec::new(), vec![end]));
     rig.submit(step(PriorRuns::Unknown, 7));
@@ -409,11 +409,11 @@
     rig.answer(&look, lists(vec![running_row(3)], Vec::new()));
     rig.advance(200);
     let stop = rig.last_call(is_stop);
-    let wanted = Order::Stop {
+    let wanted = Request::Stop {
         task: task(0),
         run: RunNumber(3),
     };
-    assert_eq!(stop.order, wanted);
+    assert_eq!(stop.request, wanted);
 }
 
 /// Guards against the loss of a result: a domain is resigned while a poll of its worker is in flight, and acquired again. The late
@@ -423,14 +423,14 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
-    rig.answer(&start, Answer::Taken(clock()));
+    rig.answer(&start, Answer::Accepted(clock()));
     let late = rig.last_call(is_look);
     rig.handle(Input::Resign(rig::DOMAIN));
     rig.handle(Input::Acquire(rig::DOMAIN, rig::LATER_FENCE));
     let look = rig.last_call(is_look);
     assert_ne!(look.key, late.key);
-    rig.answer(&late, lists(Vec::new(), vec![ended_row(1, How::Done)]));
-    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, How::Done)]));
+    rig.answer(&late, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
+    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
     rig.submit(step(PriorRuns::Last, 1));
     let last = rig.ends.last().map(|(_, end)| *end);
     assert_eq!(last, Some(TaskEnd::Done));
