--- a/crates/celerywinch_pool/src/admission.rs
+++ b/crates/celerywinch_pool/src/admission.rs
@@ -85,8 +85,8 @@
         out: &mut Vec<Output>,
     ) -> bool {
         let disabled = self.config.disabled;
-        let room = self.queue.is_empty() && self.free_slots(now, batch) >= tasks;
-        if room || disabled.contains(Mechanism::Admission) {
+        let fits_now = self.queue.is_empty() && self.free_slots(now, batch) >= tasks;
+        if fits_now || disabled.contains(Mechanism::Admission) {
             return false;
         }
         if self.all_evacuated(&batch.order.service) {
@@ -126,14 +126,14 @@
             expected: batch.expected.as_millis() as u32,
             left: batch.due.since(now).as_millis() as u32,
         }));
-        let news = TaskReport {
+        let report = TaskReport {
             task: batch.task_id(0),
             submission: 0,
             end: TaskEnd::Refused(retry_ms),
         };
         out.push(Output::Send(
             batch.origin,
-            celerywinch_types::WorkMsg::Ended(vec![news]),
+            celerywinch_types::WorkMsg::Ended(vec![report]),
         ));
     }
 
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -83,12 +83,12 @@
                 && !self.shares_with_suspect(task.crashes, worker)
         });
         let packs = !self.config.disabled.contains(Mechanism::Packing);
-        let careful = self.needs_probe(batch);
+        let probing = self.needs_probe(batch);
         let cost = |key: WorkerKey, worker: &Worker| {
-            let shared = PROBE_COST * self.probe_exposure(worker, careful) as f64;
+            let shared = PROBE_COST * self.probe_exposure(worker, probing) as f64;
             placement_cost(batch, task, key, worker, packs)
                 + shared
-                + self.locality_cost(worker, careful)
+                + self.locality_cost(worker, probing)
         };
         fitting
             .min_by(|a, b| cost(a.0, a.1).total_cmp(&cost(b.0, b.1)))
@@ -100,9 +100,9 @@
     /// A job whose tasks are spread over several data centres loses tasks with each data centre that fails; a local one is
     /// affected by its own only. The cost is zero for the single dispatcher of all workers, whose load belongs to no data centre,
     /// and for probe tasks, which may crash their worker and are better kept away from other runs.
-    fn locality_cost(&self, worker: &Worker, careful: bool) -> f64 {
+    fn locality_cost(&self, worker: &Worker, probing: bool) -> f64 {
         let prefers_local =
-            self.shards > 1 && !careful && !self.config.disabled.contains(Mechanism::Locality);
+            self.shards > 1 && !probing && !self.config.disabled.contains(Mechanism::Locality);
         let elsewhere = self.config.dc.is_some_and(|dc| dc != worker.note.dc);
         if prefers_local && elsewhere {
             REMOTE_DC_COST
@@ -111,11 +111,11 @@
         }
     }
 
-    /// Returns how many runs would share the worker with a probe task: all of its runs if the new task is a probe (`careful`), else
+    /// Returns how many runs would share the worker with a probe task: all of its runs if the new task is a probe (`probing`), else
     /// its unconfirmed probe runs.
-    fn probe_exposure(&self, worker: &Worker, careful: bool) -> usize {
+    fn probe_exposure(&self, worker: &Worker, probing: bool) -> usize {
         let mut runs = worker.runs.iter().map(|run| &self.runs[*run]);
-        if careful {
+        if probing {
             return runs.len();
         }
         let unconfirmed = |run: &&Run| {
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -197,11 +197,11 @@
     /// other workers are left out, as they date from the last change of dispatcher.
     #[must_use]
     pub fn learned(&self) -> Learned {
-        let held = self
+        let owned = self
             .workers
             .values()
             .filter(|w| w.ownership == Ownership::Owned);
-        let paces = held.map(|w| (w.note.id.clone(), w.pace as f32));
+        let paces = owned.map(|w| (w.note.id.clone(), w.pace as f32));
         Learned {
             queues: self.run_times.learned(),
             slowdowns: paces.collect(),
@@ -249,11 +249,11 @@
     /// Returns the numbers of open steps of jobs, of open runs and of workers that this dispatcher controls.
     #[must_use]
     pub fn counts(&self) -> (usize, usize, usize) {
-        let held = self
+        let owned = self
             .workers
             .values()
             .filter(|w| w.ownership == Ownership::Owned);
-        (self.batches.len(), self.runs.len(), held.count())
+        (self.batches.len(), self.runs.len(), owned.count())
     }
 
     /// Describes each open step of a job in one line, with its origin and the states of its tasks, for logs and checks.
@@ -445,13 +445,13 @@
         &mut self,
         now: Time,
         note: WorkerAnnouncement,
-        lives: u64,
+        restarts: u64,
         out: &mut Vec<Output>,
     ) -> WorkerKey {
         let id = note.id.clone();
         *self.addr_counts.entry(note.addr).or_default() += 1;
         let mut worker = Worker::new(now, note, self.shards);
-        worker.restarts = lives;
+        worker.restarts = restarts;
         let domain = worker.domain;
         let key = self.workers.insert(worker);
         self.worker_ids.insert(id, key);
@@ -500,7 +500,7 @@
         };
         let id = batch.task_id(index);
         let task = batch.tasks.remove(&index);
-        let news = TaskReport {
+        let report = TaskReport {
             task: id,
             submission: task.map_or(0, |task| task.submission),
             end,
@@ -508,16 +508,19 @@
         let sent = SentEnd {
             sent_at: now,
             origin: batch.origin,
-            news,
+            news: report,
         };
         self.sent_ends.insert(id, sent);
-        self.report_end(key, news);
+        self.report_end(key, report);
         self.shrunk.push(key);
     }
 
-    pub(crate) fn report_end(&mut self, key: BatchKey, news: TaskReport) {
+    pub(crate) fn report_end(&mut self, key: BatchKey, report: TaskReport) {
         if let Some(batch) = self.batches.get(key) {
-            self.unsent_ends.entry(batch.origin).or_default().push(news);
+            self.unsent_ends
+                .entry(batch.origin)
+                .or_default()
+                .push(report);
         }
     }
 
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -106,12 +106,12 @@
     /// Reports to an origin that another one has taken over the job of a batch.
     fn supersede(&mut self, origin: InstanceId, key: BatchKey) {
         let batch = &self.batches[key];
-        let news = batch.tasks.keys().map(|index| TaskReport {
+        let reports = batch.tasks.keys().map(|index| TaskReport {
             task: batch.task_id(*index),
             submission: 0,
             end: TaskEnd::Superseded,
         });
-        self.unsent_ends.entry(origin).or_default().extend(news);
+        self.unsent_ends.entry(origin).or_default().extend(reports);
     }
 
     /// Returns the tasks of a newly submitted batch that found no free capacity, for another dispatcher to start.
@@ -162,12 +162,12 @@
                 },
                 PriorRuns::Last | PriorRuns::Unknown => TaskEnd::Undetermined,
             };
-            let news = TaskReport {
+            let report = TaskReport {
                 task: id,
                 submission: task.submission,
                 end,
             };
-            self.unsent_ends.entry(to).or_default().push(news);
+            self.unsent_ends.entry(to).or_default().push(report);
         }
     }
 
@@ -206,14 +206,14 @@
             task.unconfirmed = false;
             return;
         }
-        if let Some(told) = self.sent_ends.get(&id)
-            && told.answers_resubmission(batch.origin, &order)
+        if let Some(sent) = self.sent_ends.get(&id)
+            && sent.answers_resubmission(batch.origin, &order)
         {
-            let news = TaskReport {
+            let report = TaskReport {
                 submission: order.submission,
-                ..told.news
+                ..sent.news
             };
-            self.report_end(key, news);
+            self.report_end(key, report);
             return;
         }
         let task = Task {
@@ -241,7 +241,7 @@
 
     /// Assigns a task the run that it still has here and that is being stopped, and returns whether there is one. This happens where
     /// a caller whose connection broke sends its job again before the worker has carried out the stop. The task is
-    /// started anew when the run has ended.
+    /// started again when the run has ended.
     fn reclaim_stopping_run(&mut self, key: BatchKey, index: u16) -> bool {
         let id = self.batches[key].task_id(index);
         let unwanted = |run: &Run| run.task == id && run.batch.is_none();
@@ -266,9 +266,9 @@
     /// to both origins; which of them it has left is not known here until the cancellation arrives.
     fn may_run_elsewhere(&self, now: Time, key: BatchKey, id: TaskId) -> bool {
         let origin = self.batches[key].origin;
-        self.sent_ends.get(&id).is_some_and(|told| {
-            let recent = now.since(told.sent_at) <= RESEND_WINDOW;
-            recent && told.origin != origin && told.news.returns_task()
+        self.sent_ends.get(&id).is_some_and(|sent| {
+            let recent = now.since(sent.sent_at) <= RESEND_WINDOW;
+            recent && sent.origin != origin && sent.news.returns_task()
         })
     }
 }
--- a/crates/celerywinch_pool/tests/capacity.rs
+++ b/crates/celerywinch_pool/tests/capacity.rs
@@ -21,20 +21,20 @@
 
 struct Case {
     /// The capacities that the worker announces in turn; two tasks fit at first.
-    rooms: &'static [Resources],
+    capacities: &'static [Resources],
     /// Number of tasks started in all: with no task running before the three that are submitted, and with one.
     starts: [usize; 2],
 }
 
-fn announce(rig: &mut Rig, sequence: u64, room: Resources) {
+fn announce(rig: &mut Rig, sequence: u64, capacity: Resources) {
     let first = worker_note("w1", 1);
-    let said = AnnouncementVersion {
+    let version = AnnouncementVersion {
         sequence: first.version.sequence + sequence,
         ..first.version
     };
     rig.handle(Input::Workers(vec![WorkerAnnouncement {
-        version: said,
-        capacity: room,
+        version,
+        capacity,
         ..first
     }]));
 }
@@ -53,10 +53,10 @@
 /// and a worker that does not enforce its capacity was overloaded with all of its runs. Running tasks and those being stopped
 /// count; capacity that grows again is used.
 #[rstest]
-#[case::same(Case { rooms: &[TWO], starts: [2, 2] })]
-#[case::shrinks(Case { rooms: &[ONE], starts: [1, 1] })]
-#[case::shrinks_below_running_tasks(Case { rooms: &[NONE], starts: [0, 1] })]
-#[case::shrinks_and_grows(Case { rooms: &[NONE, TWO], starts: [2, 2] })]
+#[case::same(Case { capacities: &[TWO], starts: [2, 2] })]
+#[case::shrinks(Case { capacities: &[ONE], starts: [1, 1] })]
+#[case::shrinks_below_running_tasks(Case { capacities: &[NONE], starts: [0, 1] })]
+#[case::shrinks_and_grows(Case { capacities: &[NONE, TWO], starts: [2, 2] })]
 fn announced_capacity_bounds_the_started_tasks(
     #[case] case: Case,
     #[values(false, true)] busy: bool,
@@ -67,8 +67,8 @@
         let start = rig.last_call(is_start);
         rig.answer(&start, Answer::Accepted(clock()));
     }
-    for (room, sequence) in case.rooms.iter().zip(1..) {
-        announce(&mut rig, sequence, *room);
+    for (capacity, sequence) in case.capacities.iter().zip(1..) {
+        announce(&mut rig, sequence, *capacity);
     }
     submit(&mut rig, 78..81);
     assert_eq!(rig.count_calls(is_start), case.starts[usize::from(busy)]);
@@ -100,7 +100,7 @@
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
     announce(&mut rig, 1, ONE);
-    let look = rig.last_call(is_look);
+    let poll = rig.last_call(is_look);
     let cancel = celerywinch_types::WorkMsg::Cancel {
         job: rig::JOB,
         last_submission: u32::MAX,
@@ -112,11 +112,11 @@
     rig.answer(&stop, Answer::Accepted(clock()));
     submit(&mut rig, 80..81);
     assert_eq!(rig.count_calls(is_start), 1, "the first run has not ended");
-    rig.answer(&look, lists(vec![running_row(1)], Vec::new()));
+    rig.answer(&poll, lists(vec![running_row(1)], Vec::new()));
     assert_eq!(rig.count_calls(is_start), 1);
-    let look = rig.last_call(is_look);
+    let poll = rig.last_call(is_look);
     rig.answer(
-        &look,
+        &poll,
         lists(Vec::new(), vec![ended_row(1, RunEnd::Interrupted)]),
     );
     assert_eq!(rig.count_calls(is_start), 2);
--- a/crates/celerywinch_pool/tests/evacuated.rs
+++ b/crates/celerywinch_pool/tests/evacuated.rs
@@ -28,9 +28,9 @@
         shard: 0,
     };
     rig.handle(Input::Acquire(domain, Fence(5 << 5)));
-    let look = rig.last_call(is_look);
-    assert_eq!(look.worker, "w2");
-    rig.answer(&look, lists(Vec::new(), Vec::new()));
+    let poll = rig.last_call(is_look);
+    assert_eq!(poll.worker, "w2");
+    rig.answer(&poll, lists(Vec::new(), Vec::new()));
     rig
 }
 
@@ -90,13 +90,13 @@
     rig.answer(&start, Answer::Accepted(clock()));
     evacuate(&mut rig, &[DC]);
     for _ in 0..5 {
-        let look = rig.last_call(is_look);
-        rig.answer(&look, lists(vec![running_row(1)], Vec::new()));
+        let poll = rig.last_call(is_look);
+        rig.answer(&poll, lists(vec![running_row(1)], Vec::new()));
         rig.advance(50);
     }
     assert_eq!(rig.count_calls(is_stop), 0);
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
     assert_eq!(rig.ends.last().map(|(_, end)| *end), Some(TaskEnd::Done));
     submit(&mut rig, 1..2);
     assert_eq!(rig.count_calls(is_start), 1, "not started while evacuated");
--- a/crates/celerywinch_pool/tests/locality.rs
+++ b/crates/celerywinch_pool/tests/locality.rs
@@ -39,13 +39,13 @@
             rig.handle(Input::Acquire(Domain { dc, shard }, Fence(5 << 5)));
         }
     }
-    for look in rig
+    for poll in rig
         .calls
         .clone()
         .iter()
         .filter(|call| is_look(&call.request))
     {
-        rig.answer(look, lists(Vec::new(), Vec::new()));
+        rig.answer(poll, lists(Vec::new(), Vec::new()));
     }
     rig
 }
--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -50,7 +50,7 @@
     }
 }
 
-pub(crate) fn step(doubt: PriorRuns, run: u64) -> StepOrder {
+pub(crate) fn step(prior_runs: PriorRuns, run: u64) -> StepOrder {
     StepOrder {
         session: Session(0),
         job: JOB,
@@ -72,14 +72,14 @@
         slack: 1_600,
         target: 60,
         critical_path: 200,
-        refusable: doubt == PriorRuns::None,
+        refusable: prior_runs == PriorRuns::None,
         no_wait: false,
         tasks: vec![TaskOrder {
             index: 0,
             failures: 0,
             crashes: Crashes::default(),
             run: RunNumber(run),
-            prior_runs: doubt,
+            prior_runs,
             submission: 1,
             first_submission: 1,
         }],
@@ -105,8 +105,8 @@
         let mut rig = Self::empty(PoolConfig::default());
         rig.handle(Input::Workers(vec![worker_note("w1", 1)]));
         rig.handle(Input::Acquire(DOMAIN, Fence(5 << 5)));
-        let look = rig.last_call(|order| matches!(order, Request::Poll { .. }));
-        rig.answer(&look, lists(running, ended));
+        let poll = rig.last_call(|order| matches!(order, Request::Poll { .. }));
+        rig.answer(&poll, lists(running, ended));
         rig
     }
 
@@ -132,11 +132,11 @@
         for output in out {
             match output {
                 Output::Call(call) => self.calls.push(call),
-                Output::Send(to, WorkMsg::Ended(news)) => {
+                Output::Send(to, WorkMsg::Ended(reports)) => {
                     self.ends_by_origin
-                        .extend(news.iter().map(|news| (to, news.end)));
+                        .extend(reports.iter().map(|report| (to, report.end)));
                     self.ends
-                        .extend(news.iter().map(|news| (news.task, news.end)));
+                        .extend(reports.iter().map(|report| (report.task, report.end)));
                 }
                 Output::Fenced(_) => self.fenced += 1,
                 Output::Send(..)
@@ -193,9 +193,9 @@
 }
 
 /// Lists of a worker that states its incarnation.
-pub(crate) fn lists_of(life: u64, running: Vec<RunningRow>, ended: Vec<EndedRow>) -> Answer {
+pub(crate) fn lists_of(incarnation: u64, running: Vec<RunningRow>, ended: Vec<EndedRow>) -> Answer {
     Answer::Lists {
-        incarnation: Some(Incarnation(life)),
+        incarnation: Some(Incarnation(incarnation)),
         clock: clock(),
         running,
         ended,
--- a/crates/celerywinch_pool/tests/runs.rs
+++ b/crates/celerywinch_pool/tests/runs.rs
@@ -102,15 +102,15 @@
     rig.answer(&start, Answer::NoAnswer);
     for _ in 0..6 {
         rig.advance(60);
-        let look = rig.last_call(is_look);
-        rig.answer(&look, lists(Vec::new(), Vec::new()));
+        let poll = rig.last_call(is_look);
+        rig.answer(&poll, lists(Vec::new(), Vec::new()));
     }
     assert_eq!(rig.pool.counts().1, 0, "no run is left");
 }
 
 /// What a successor finds of a task that its origin submitted as in doubt.
 struct Found {
-    doubt: PriorRuns,
+    prior_runs: PriorRuns,
     running: Option<u64>,
     ended: Option<(u64, RunEnd)>,
     /// Whether it is started again at once.
@@ -123,23 +123,23 @@
 /// for the end of the last one, and starts the task while a later run is still running on a worker that it has not reached.
 #[rstest]
 #[case::running(Found {
-    doubt: PriorRuns::Unknown, running: Some(7), ended: None, starts: false, reported: None,
+    prior_runs: PriorRuns::Unknown, running: Some(7), ended: None, starts: false, reported: None,
 })]
 #[case::done(Found {
-    doubt: PriorRuns::Unknown, running: None, ended: Some((7, RunEnd::Done)), starts: false,
+    prior_runs: PriorRuns::Unknown, running: None, ended: Some((7, RunEnd::Done)), starts: false,
     reported: Some(TaskEnd::Done),
 })]
 #[case::cut_and_no_later_run(Found {
-    doubt: PriorRuns::Last, running: None, ended: Some((7, RunEnd::Interrupted)), starts: true, reported: None,
+    prior_runs: PriorRuns::Last, running: None, ended: Some((7, RunEnd::Interrupted)), starts: true, reported: None,
 })]
 #[case::cut_and_a_later_run(Found {
-    doubt: PriorRuns::Last, running: None, ended: Some((6, RunEnd::Interrupted)), starts: false, reported: None,
+    prior_runs: PriorRuns::Last, running: None, ended: Some((6, RunEnd::Interrupted)), starts: false, reported: None,
 })]
 #[case::cut_and_perhaps_a_later_run(Found {
-    doubt: PriorRuns::Unknown, running: None, ended: Some((7, RunEnd::Interrupted)), starts: false, reported: None,
+    prior_runs: PriorRuns::Unknown, running: None, ended: Some((7, RunEnd::Interrupted)), starts: false, reported: None,
 })]
 #[case::nothing(Found {
-    doubt: PriorRuns::Unknown, running: None, ended: None, starts: false, reported: None,
+    prior_runs: PriorRuns::Unknown, running: None, ended: None, starts: false, reported: None,
 })]
 fn successor_settles_a_task_in_doubt(#[case] case: Found) {
     let running = case.running.map(|run| RunningRow {
@@ -147,15 +147,15 @@
         run: RunNumber(run),
         percent: 20,
     });
-    let ended = case.ended.map(|(run, how)| EndedRow {
+    let ended = case.ended.map(|(run, end)| EndedRow {
         serial: 1,
         task: task(0),
         run: RunNumber(run),
-        end: how,
+        end,
     });
     let (running, ended) = (running.into_iter().collect(), ended.into_iter().collect());
     let mut rig = Rig::new(running, ended);
-    rig.submit(step(case.doubt, 7));
+    rig.submit(step(case.prior_runs, 7));
     rig.handle(Input::Tick);
     assert_eq!(rig.count_calls(is_start) > 0, case.starts);
     let reported = rig.ends.iter().map(|(_, end)| *end).next();
@@ -182,14 +182,14 @@
     assert_eq!(other.worker, "w2");
     rig.answer(&other, lists(Vec::new(), Vec::new()));
     for _ in 0..20 {
-        let looks: Vec<_> = rig
+        let polls: Vec<_> = rig
             .calls
             .iter()
             .filter(|c| c.worker == "w1" && is_look(&c.request))
             .cloned()
             .collect();
-        for look in looks {
-            rig.answer(&look, Answer::NoAnswer);
+        for poll in polls {
+            rig.answer(&poll, Answer::NoAnswer);
         }
         rig.advance(20);
     }
@@ -256,22 +256,22 @@
     rig.submit(step(PriorRuns::Unknown, 7));
     for _ in 0..10 {
         rig.advance(20);
-        let look = rig.last_call(is_look);
-        let Request::Poll { deadline, .. } = look.request else {
-            panic!("{look:?}");
+        let poll = rig.last_call(is_look);
+        let Request::Poll { deadline, .. } = poll.request else {
+            panic!("{poll:?}");
         };
         assert_eq!(
             deadline, None,
             "the run of task 1 belongs to another dispatcher"
         );
-        rig.answer(&look, lists(vec![row(0), row(1)], Vec::new()));
+        rig.answer(&poll, lists(vec![row(0), row(1)], Vec::new()));
     }
     assert_eq!(rig.count_calls(is_stop), 1, "no origin wants task 1");
     rig.advance(60);
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists(vec![row(0)], Vec::new()));
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists(vec![row(0)], Vec::new()));
     let Request::Poll { deadline, .. } = rig.last_call(is_look).request else {
-        panic!("a look");
+        panic!("a poll");
     };
     assert!(deadline.is_some());
 }
@@ -291,12 +291,12 @@
     let other = rig.last_call(is_look);
     rig.answer(&other, lists(Vec::new(), Vec::new()));
     rig.submit(step(PriorRuns::Unknown, 7));
-    let mut looks = rig
+    let mut polls = rig
         .calls
         .iter()
         .filter(|call| call.worker == "w1" && is_look(&call.request));
-    let look = looks.next_back().expect("a look").clone();
-    rig.answer(&look, Answer::NoAnswer);
+    let poll = polls.next_back().expect("a poll").clone();
+    rig.answer(&poll, Answer::NoAnswer);
     rig.advance(930);
     assert_eq!(rig.count_calls(is_start), 0, "its lease may not have ended");
     rig.advance(100);
@@ -386,13 +386,13 @@
 fn end_on_another_worker_leaves_a_run_running(#[case] run: u64, #[case] serial: u64) {
     let mut rig = Rig::new(vec![running_row(7)], Vec::new());
     rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
-    let look = rig.last_call(is_look);
-    assert_eq!(look.worker, "w2");
+    let poll = rig.last_call(is_look);
+    assert_eq!(poll.worker, "w2");
     let end = EndedRow {
         serial: serial + 1,
         ..ended_row(run, RunEnd::Interrupted)
     };
-    rig.answer(&look, lists(Vec::new(), vec![end]));
+    rig.answer(&poll, lists(Vec::new(), vec![end]));
     rig.submit(step(PriorRuns::Unknown, 7));
     rig.advance(1_700);
     assert_eq!(rig.count_calls(is_start), 0, "it is running on w1");
@@ -405,8 +405,8 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.advance(500);
     rig.handle(Input::CheckReachable(rig::DOMAIN));
-    let look = rig.last_call(is_look);
-    rig.answer(&look, lists(vec![running_row(3)], Vec::new()));
+    let poll = rig.last_call(is_look);
+    rig.answer(&poll, lists(vec![running_row(3)], Vec::new()));
     rig.advance(200);
     let stop = rig.last_call(is_stop);
     let wanted = Request::Stop {
@@ -427,10 +427,10 @@
     let late = rig.last_call(is_look);
     rig.handle(Input::Resign(rig::DOMAIN));
     rig.handle(Input::Acquire(rig::DOMAIN, rig::LATER_FENCE));
-    let look = rig.last_call(is_look);
-    assert_ne!(look.key, late.key);
+    let poll = rig.last_call(is_look);
+    assert_ne!(poll.key, late.key);
     rig.answer(&late, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
-    rig.answer(&look, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
+    rig.answer(&poll, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
     rig.submit(step(PriorRuns::Last, 1));
     let last = rig.ends.last().map(|(_, end)| *end);
     assert_eq!(last, Some(TaskEnd::Done));
