--- a/crates/celerywinch_pool/src/config.rs
+++ b/crates/celerywinch_pool/src/config.rs
@@ -16,9 +16,9 @@
 /// Settings of the dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolConfig {
-    /// How long a worker keeps its runs without hearing from the dispatcher. A shorter lease lets the work of a lost worker start
-    /// elsewhere sooner. It must outlast a change of dispatcher (350 ms of silence, a call, and the time for adoption), or
-    /// running work is lost. The user documentation allows 1,000 ms.
+    /// How long a worker keeps its runs without hearing from the dispatcher. A shorter lease lets the work of a lost
+    /// worker start elsewhere sooner. It must outlast a change of dispatcher (350 ms of silence, a call, and the time
+    /// for adoption), or running work is lost. The user documentation allows 1,000 ms.
     pub lease: Duration,
     /// The longest time that a poll waits at a worker for a run to end. Two missed polls and their timeouts fit into a lease.
     pub poll_wait: Duration,
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -97,9 +97,9 @@
 
     /// Returns the cost of running a task in another data centre than the dispatcher's.
     ///
-    /// A job whose tasks are spread over several data centres loses tasks with each data centre that fails; a local one is
-    /// affected by its own only. The cost is zero for the single dispatcher of all workers, whose load belongs to no data centre,
-    /// and for probe tasks, which may crash their worker and are better kept away from other runs.
+    /// A job whose tasks are spread over several data centres loses tasks with each data centre that fails; a local one
+    /// is affected by its own only. The cost is zero for the single dispatcher of all workers, whose load belongs to no
+    /// data centre, and for probe tasks, which may crash their worker and are better kept away from other runs.
     fn locality_cost(&self, worker: &Worker, probing: bool) -> f64 {
         let prefers_local =
             self.shards > 1 && !probing && !self.config.disabled.contains(Mechanism::Locality);
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Returns how many runs would share the worker with a probe task: all of its runs if the new task is a probe (`probing`), else
-    /// its unconfirmed probe runs.
+    /// Returns how many runs would share the worker with a probe task: all of its runs if the new task is a probe
+    /// (`probing`), else its unconfirmed probe runs.
     fn probe_exposure(&self, worker: &Worker, probing: bool) -> usize {
         let mut runs = worker.runs.iter().map(|run| &self.runs[*run]);
         if probing {
@@ -224,7 +224,8 @@
     }
 }
 
-/// Returns the cost of a task on a worker: the share of the worker left empty, its pace, and whether the task failed there last.
+/// Returns the cost of a task on a worker: the share of the worker left empty, its pace, and whether the task failed
+/// there last.
 fn placement_cost(batch: &Batch, task: &Task, key: WorkerKey, worker: &Worker, packs: bool) -> f64 {
     let left = worker.free().saturating_sub(batch.order.need).cpu;
     let empty = if packs {
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -25,8 +25,8 @@
 use crate::worker::{Ownership, Worker, WorkerKey, domain_of};
 use crate::{Departure, PoolConfig, PoolEvent};
 
-/// How long a worker that has left is remembered. A keeper that did not receive its last announcement may report it as ready for
-/// 20 s after the one before, and a dispatcher that started tasks there would disturb its shutdown.
+/// How long a worker that has left is remembered. A keeper that did not receive its last announcement may report it as
+/// ready for 20 s after the one before, and a dispatcher that started tasks there would disturb its shutdown.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(30);
 
 /// A worker that has left.
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -12,8 +12,8 @@
 use crate::pool::{Output, Pool};
 use crate::run::Run;
 
-/// Within this time a caller whose connection broke while it sent a job sends the job again. A caller whose connection breaks while
-/// it waits for the answer retries only after 1.3 s, when nothing of the first attempt is left.
+/// Within this time a caller whose connection broke while it sent a job sends the job again. A caller whose connection
+/// breaks while it waits for the answer retries only after 1.3 s, when nothing of the first attempt is left.
 const RESEND_WINDOW: Duration = Duration::from_millis(300);
 
 impl Pool {
@@ -72,7 +72,7 @@
     /// submission is superseded.
     ///
     /// A caller that got no answer sends its job to another entry, while the first one may still have it and submits it
-    /// again after each broken link. If the end went to the origin that submitted the job last, the caller at the other one
+    /// again after each broken link. If the job's ends went to the origin that submitted it last, the caller at the other one
     /// would wait until its deadline. So the origin at which the job arrived last keeps it, and the other one is
     /// notified.
     fn resubmit_batch(
@@ -239,9 +239,9 @@
         }
     }
 
-    /// Assigns a task the run that it still has here and that is being stopped, and returns whether there is one. This happens where
-    /// a caller whose connection broke sends its job again before the worker has carried out the stop. The task is
-    /// started again when the run has ended.
+    /// Assigns a task the run that it still has here and that is being stopped, and returns whether there is one. This
+    /// happens where a caller whose connection broke sends its job again before the worker has carried out the stop.
+    /// The task is started again when the run has ended.
     fn reclaim_stopping_run(&mut self, key: BatchKey, index: u16) -> bool {
         let id = self.batches[key].task_id(index);
         let unwanted = |run: &Run| run.task == id && run.batch.is_none();
@@ -262,8 +262,8 @@
         true
     }
 
-    /// Returns whether a task was recently returned to another origin, which may have it run elsewhere. The caller has sent the job
-    /// to both origins; which of them it has left is not known here until the cancellation arrives.
+    /// Returns whether a task was recently returned to another origin, which may have it run elsewhere. The caller has
+    /// sent the job to both origins; which of them it has left is not known here until the cancellation arrives.
     fn may_run_elsewhere(&self, now: Time, key: BatchKey, id: TaskId) -> bool {
         let origin = self.batches[key].origin;
         self.sent_ends.get(&id).is_some_and(|sent| {
--- a/crates/celerywinch_pool/tests/runs.rs
+++ b/crates/celerywinch_pool/tests/runs.rs
@@ -119,8 +119,9 @@
     reported: Option<TaskEnd>,
 }
 
-/// Guards against a second run of a task: the successor of a lost dispatcher finds the end of an earlier, interrupted run, takes it
-/// for the end of the last one, and starts the task while a later run is still running on a worker that it has not reached.
+/// Guards against a second run of a task: the successor of a lost dispatcher finds the end of an earlier, interrupted
+/// run, takes it for the end of the last one, and starts the task while a later run is still running on a worker that
+/// it has not reached.
 #[rstest]
 #[case::running(Found {
     prior_runs: PriorRuns::Unknown, running: Some(7), ended: None, starts: false, reported: None,
@@ -169,8 +170,8 @@
     }
 }
 
-/// Guards against a second run of a task whose worker has fallen silent: the run may continue until its lease ends, so the task is
-/// started elsewhere only after that.
+/// Guards against a second run of a task whose worker has fallen silent: the run may continue until its lease ends, so
+/// the task is started elsewhere only after that.
 #[test]
 fn task_of_a_silent_worker_waits_for_the_end_of_its_lease() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
@@ -227,9 +228,9 @@
     assert!(refused.len() > 30, "{refused:?}");
 }
 
-/// Guards against a second run of a task: a lost dispatcher had started a run unknown to the origin, the successor gives its own run
-/// the same number, and the end of the first run, found later, is taken for the end of the second. A task that was in
-/// doubt gets a run number above all such runs.
+/// Guards against a second run of a task: a lost dispatcher had started a run unknown to the origin, the successor
+/// gives its own run the same number, and the end of the first run, found later, is taken for the end of the second. A
+/// task that was in doubt gets a run number above all such runs.
 #[test]
 fn run_after_doubt_has_a_new_number() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
@@ -276,9 +277,9 @@
     assert!(deadline.is_some());
 }
 
-/// Guards against a second run of a task: a successor adopts a run, the worker then misses a call, and the run counts as ended because
-/// the successor has not extended its lease yet. The earlier dispatcher may have just extended it, from a reading of the
-/// worker's clock that was 4.5 s old, so that the lease lasts up to 931 ms.
+/// Guards against a second run of a task: a successor adopts a run, the worker then misses a call, and the run counts
+/// as ended because the successor has not extended its lease yet. The earlier dispatcher may have just extended it,
+/// from a reading of the worker's clock that was 4.5 s old, so that the lease lasts up to 931 ms.
 #[test]
 fn adopted_run_has_the_lease_that_another_may_have_given() {
     let row = |index| RunningRow {
@@ -353,9 +354,9 @@
     stopped: bool,
 }
 
-/// Guards against running a job twice, for two entries: the caller's connection to the first entry broke, and the message that the
-/// caller has left was lost with the link to the dispatcher, where the job continues. The dispatcher resyncs after the
-/// break and stops the tasks that the origin does not name.
+/// Guards against running a job twice, for two entries: the caller's connection to the first entry broke, and the
+/// message that the caller has left was lost with the link to the dispatcher, where the job continues. The dispatcher
+/// resyncs after the break and stops the tasks that the origin does not name.
 #[rstest]
 #[case::wanted(Resynced { again: true, unsure: false, last: true, stopped: false })]
 #[case::perhaps(Resynced { again: false, unsure: true, last: true, stopped: false })]
@@ -378,8 +379,8 @@
     assert_eq!(stops, usize::from(case.stopped));
 }
 
-/// Guards against a second run of a task: its dispatcher was lost, and the successor finds it running on one worker and the end of an
-/// earlier run on another. That end says nothing about the current run, which is adopted.
+/// Guards against a second run of a task: its dispatcher was lost, and the successor finds it running on one worker and
+/// the end of an earlier run on another. That end says nothing about the current run, which is adopted.
 #[rstest]
 #[case::of_an_earlier_run(6, 0)]
 #[case::of_the_run_itself(7, 1)]
@@ -398,8 +399,8 @@
     assert_eq!(rig.count_calls(is_start), 0, "it is running on w1");
 }
 
-/// Guards against runs that no origin waits for: a worker carries out a start seconds after the dispatcher gave up on it, after the
-/// job was cancelled or after its dispatcher was lost. A listed run that no origin wants is stopped.
+/// Guards against runs that no origin waits for: a worker carries out a start seconds after the dispatcher gave up on
+/// it, after the job was cancelled or after its dispatcher was lost. A listed run that no origin wants is stopped.
 #[test]
 fn unknown_run_is_stopped() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
@@ -416,8 +417,8 @@
     assert_eq!(stop.request, wanted);
 }
 
-/// Guards against the loss of a result: a domain is resigned while a poll of its worker is in flight, and acquired again. The late
-/// answer to that poll lists an end; recording it would hide the end from the poll of the takeover.
+/// Guards against the loss of a result: a domain is resigned while a poll of its worker is in flight, and acquired
+/// again. The late answer to that poll lists an end; recording it would hide the end from the poll of the takeover.
 #[test]
 fn late_answer_after_resignation_is_ignored() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
