--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -1,4 +1,4 @@
-//! A dispatcher, its workers and an origin, for the tests of this folder.
+//! Test rig shared by the tests in this folder: a dispatcher, its workers and an origin.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -15,9 +15,9 @@
 
 pub(crate) const DC: DataCentreId = DataCentreId(0);
 pub(crate) const DOMAIN: Domain = Domain { dc: DC, shard: 0 };
-/// An origin whose grant has no end.
+/// An origin whose grant does not expire.
 pub(crate) const ORIGIN: InstanceId = InstanceId(9);
-/// A fencing token above the one that the dispatcher begins with.
+/// A fencing token above the one that the dispatcher starts with.
 pub(crate) const LATER_FENCE: Fence = Fence(9 << 5);
 pub(crate) const JOB: JobId = JobId(77);
 pub(crate) const ROOM: Resources = Resources {
@@ -50,7 +50,7 @@
     }
 }
 
-pub(crate) fn step(doubt: PriorRuns, run: u64) -> StepOrder {
+pub(crate) fn step(prior_runs: PriorRuns, run: u64) -> StepOrder {
     StepOrder {
         session: Session(0),
         job: JOB,
@@ -72,44 +72,45 @@
         slack: 1_600,
         target: 60,
         critical_path: 200,
-        refusable: doubt == PriorRuns::None,
+        refusable: prior_runs == PriorRuns::None,
         no_wait: false,
         tasks: vec![TaskOrder {
             index: 0,
             failures: 0,
             crashes: Crashes::default(),
             run: RunNumber(run),
-            prior_runs: doubt,
+            prior_runs,
             submission: 1,
             first_submission: 1,
         }],
     }
 }
 
-/// A dispatcher and what it has said.
+/// A dispatcher and its recorded outputs.
 pub(crate) struct Rig {
     pub(crate) pool: Pool,
     pub(crate) now: Time,
     pub(crate) calls: Vec<Call>,
+    /// The ends reported to origins, in order.
     pub(crate) ends: Vec<(TaskId, TaskEnd)>,
-    /// The same with whom it was told.
+    /// The same ends with the origin that each was sent to.
     pub(crate) ends_by_origin: Vec<(InstanceId, TaskEnd)>,
-    /// How often a worker was found to obey another dispatcher.
+    /// How often a worker was found to have seen a higher fencing token.
     pub(crate) fenced: usize,
 }
 
 impl Rig {
-    /// With one worker that was taken over with these lists.
+    /// Creates a dispatcher with one worker, which listed these runs at its takeover.
     pub(crate) fn new(running: Vec<RunningRow>, ended: Vec<EndedRow>) -> Self {
         let mut rig = Self::empty(PoolConfig::default());
         rig.handle(Input::Workers(vec![worker_note("w1", 1)]));
         rig.handle(Input::Acquire(DOMAIN, Fence(5 << 5)));
-        let look = rig.last_call(|order| matches!(order, Request::Poll { .. }));
-        rig.answer(&look, lists(running, ended));
+        let poll = rig.last_call(|order| matches!(order, Request::Poll { .. }));
+        rig.answer(&poll, lists(running, ended));
         rig
     }
 
-    /// Without workers.
+    /// Creates a dispatcher without workers.
     pub(crate) fn empty(config: PoolConfig) -> Self {
         let mut rig = Self {
             pool: Pool::new(config),
@@ -124,17 +125,18 @@
         rig
     }
 
+    /// Passes an input to the pool and records the outputs.
     pub(crate) fn handle(&mut self, input: Input) {
         let mut out = Vec::new();
         self.pool.handle(self.now, input, &mut out);
         for output in out {
             match output {
                 Output::Call(call) => self.calls.push(call),
-                Output::Send(to, WorkMsg::Ended(news)) => {
+                Output::Send(to, WorkMsg::Ended(reports)) => {
                     self.ends_by_origin
-                        .extend(news.iter().map(|news| (to, news.end)));
+                        .extend(reports.iter().map(|report| (to, report.end)));
                     self.ends
-                        .extend(news.iter().map(|news| (news.task, news.end)));
+                        .extend(reports.iter().map(|report| (report.task, report.end)));
                 }
                 Output::Fenced(_) => self.fenced += 1,
                 Output::Send(..)
@@ -146,6 +148,7 @@
         }
     }
 
+    /// Advances the time by `ms`, with a tick every 10 ms.
     pub(crate) fn advance(&mut self, ms: u64) {
         for _ in 0..ms / 10 {
             self.now = self.now + Duration::from_millis(10);
@@ -153,6 +156,7 @@
         }
     }
 
+    /// Returns the last call that fits.
     pub(crate) fn last_call(&self, wanted: impl Fn(&Request) -> bool) -> Call {
         let calls = self.calls.iter().rev();
         let mut fitting = calls.filter(|call| wanted(&call.request));
@@ -188,10 +192,10 @@
     }
 }
 
-/// Lists of a life that says which one it is.
-pub(crate) fn lists_of(life: u64, running: Vec<RunningRow>, ended: Vec<EndedRow>) -> Answer {
+/// Lists of a worker that states its incarnation.
+pub(crate) fn lists_of(incarnation: u64, running: Vec<RunningRow>, ended: Vec<EndedRow>) -> Answer {
     Answer::Lists {
-        incarnation: Some(Incarnation(life)),
+        incarnation: Some(Incarnation(incarnation)),
         clock: clock(),
         running,
         ended,
@@ -210,7 +214,7 @@
     matches!(order, Request::Poll { .. })
 }
 
-/// A run of the task that is at work.
+/// A running run of task 0.
 pub(crate) fn running_row(run: u64) -> RunningRow {
     RunningRow {
         task: task(0),
@@ -219,7 +223,7 @@
     }
 }
 
-/// The first end that a worker lists.
+/// The first end in the list of a worker, of a run of task 0.
 pub(crate) fn ended_row(run: u64, end: RunEnd) -> EndedRow {
     EndedRow {
         serial: 1,
