--- a/crates/celerywinch_member/src/heartbeats.rs
+++ b/crates/celerywinch_member/src/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: what they tell of dispatchers, and who gets them how often.
+//! Heartbeats: what they report of dispatchers, and how often each peer gets one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,63 +13,70 @@
 
 use crate::member::{Member, Output};
 
-/// Between two heartbeats to a process that needs them often.
-const BEAT: Duration = Duration::from_millis(100);
-/// Between two heartbeats of a process that dispatches, among few: the others choose by the room it tells of.
-const HOLDER_BEAT: Duration = Duration::from_millis(50);
-/// Up to so many processes all hear each other that often. With more, only those that work with each other do, or
-/// the cost for each would rise with their number: of 152 processes with 0.12 of a core each, 32 of which
-/// dispatched, each spent more than it had on 90,000 heartbeats a second, and nothing was served in time.
-const FEW: usize = 16;
-/// Between two heartbeats to any other process, at least, ...
-const SLOW_BEAT: Duration = Duration::from_millis(500);
-/// ... and so many heartbeats a second to all of those at most: 0.1% of a core, whatever their number. What has to be
-/// known at once is told to all when it changes.
-const SLOW_RATE: u32 = 20;
-/// A process is waited for as long as three heartbeats and a half: one may be late and one lost with its connection.
-const ALIVE: Duration = Duration::from_millis(350);
-/// A dispatcher may start tasks of an origin for this long after it sent what the origin has heard of it. The
-/// origin takes it for lost `ALIVE` after that at the earliest, or at once where connections are refused. Then
-/// 1,450 ms pass before the tasks are started elsewhere, of which the longest lease and its errors
-/// (931 ms) must be left. In ordinary service heartbeats of both sides lie between, 200 ms. A grant also ends
-/// `ALIVE` after the last heartbeat: a caller whose connection breaks as its entry is cut off sends its job to another
-/// one after 1,300 ms, and what was started here must be over by then (350 + 931 ms).
-const GRANT: Duration = Duration::from_millis(500);
-/// Between two messages to one entry with what a dispatcher has learned; it changes by a few percent meanwhile.
-const TEACH: Duration = Duration::from_secs(1);
-/// An origin hands its jobs to so many dispatchers, if there are more. Each hears from it ten times a second, so that
-/// with all of them the heartbeats rise with the square of the size. With six there is nearly always one
-/// with room: two are drawn for a job, and up to four are tried.
+/// Interval of heartbeats to a process that needs them often.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval of heartbeats of a dispatcher in a small fleet: origins choose among dispatchers by the free room
+/// that they report.
+const DISPATCHER_INTERVAL: Duration = Duration::from_millis(50);
+/// Largest number of peers at which all processes exchange frequent heartbeats. In a larger fleet only those
+/// that work with each other do, or the cost for each process would rise with their number: with 152
+/// processes of 0.12 of a core each, 32 of which dispatched, 90,000 heartbeats a second took more than the
+/// processor had, and nothing was served in time.
+const SMALL_FLEET: usize = 16;
+/// Minimum interval of heartbeats to any other process.
+const SLOW_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum rate of heartbeats to all of these other processes together, per second: 0.1% of a core, whatever
+/// their number. What has to be known at once is broadcast when it changes.
+const MAX_SLOW_RATE: u32 = 20;
+/// Time without a heartbeat after which a process counts as lost: three and a half intervals, as one
+/// heartbeat may be late and one lost with its connection.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(350);
+/// Duration of a grant: for how long a dispatcher may start tasks of an origin, counted from the dispatcher's
+/// heartbeat that the origin echoed. The origin counts the dispatcher as lost `HEARTBEAT_TIMEOUT` after that
+/// heartbeat at the earliest, or at once if a connection is refused, and the tasks are started elsewhere
+/// 1,450 ms later. The longest lease and its errors (931 ms) have to fit between the end of the grant and
+/// that start. In ordinary service the heartbeats of both sides take 200 ms of the grant. A grant also ends
+/// `HEARTBEAT_TIMEOUT` after the origin's last heartbeat: a caller whose connection breaks because its entry
+/// is cut off submits its job to another entry after 1,300 ms, and what was started here has to be over by
+/// then (350 + 931 ms).
+const GRANT_DURATION: Duration = Duration::from_millis(500);
+/// Interval at which one entry gets what a dispatcher has learned, which changes by a few percent meanwhile.
+const LEARNED_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of dispatchers that an origin submits its jobs to, if there are more. Each of them gets ten
+/// heartbeats a second from the origin, so with all dispatchers the heartbeats would rise with the square of
+/// the fleet's size. With six, nearly always one has room: two are drawn for a job, and up to four are tried.
 const DISPATCHERS: usize = 6;
-/// So many of these are in the origin's data centre, if there are as many.
-const NEAR_DISPATCHERS: usize = 3;
-/// All that is heard often of a data centre is silent for so long: two heartbeats are missing.
-const SUSPECT: Duration = Duration::from_millis(200);
-/// Of a process that is silent for longer, silence tells nothing new; and between two rounds of probes.
-const SUSPECT_FOR: Duration = Duration::from_secs(1);
-
-/// Whom this process hears often, and who hears it.
+/// How many of these are in the origin's own data centre, if it has that many.
+const LOCAL_DISPATCHERS: usize = 3;
+/// Time after which the silence of all frequent peers of a data centre makes it suspect: two heartbeats are
+/// missing.
+const SUSPECT_AFTER: Duration = Duration::from_millis(200);
+/// Minimum time between two rounds of probes to a data centre. A peer that has been silent for longer than
+/// this is ignored, as its silence gives no new information.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The peers with which this process exchanges frequent heartbeats.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FrequentPeers {
-    /// Dispatchers that its callers' jobs go to. Only these have grants to start them.
+    /// Dispatchers that its callers' jobs are submitted to. Only these get grants to start them.
     dispatchers: BTreeSet<InstanceId>,
-    /// Those that it would stand in for.
-    ahead: BTreeSet<InstanceId>,
-    /// Those that would stand in for it.
+    /// Dispatchers that it may have to take over from, and entries that would take over before it.
+    predecessors: BTreeSet<InstanceId>,
+    /// Entries that would take over from it.
     successors: BTreeSet<InstanceId>,
-    /// Those that were told to expect frequent heartbeats.
-    promised: BTreeSet<InstanceId>,
-    /// When each data centre was probed.
-    probes: BTreeMap<DataCentreId, Time>,
+    /// Peers whose last heartbeat from here announced frequent ones.
+    announced: BTreeSet<InstanceId>,
+    /// When each data centre was last probed.
+    last_probes: BTreeMap<DataCentreId, Time>,
 }
 
 impl Member {
-    /// Who dispatches for what, by the highest fencing token that is heard.
+    /// Determines the dispatcher of each domain by the highest fencing token that any live peer reports.
     pub(crate) fn update_holders(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.config.part != Part::Entry {
             return;
         }
-        self.stale = false;
+        self.holders_stale = false;
         let mut best: BTreeMap<Domain, (InstanceId, Holding)> = BTreeMap::new();
         let mut add = |instance: InstanceId, holding: Holding| {
             let known = best.get(&holding.domain);
@@ -87,10 +94,11 @@
         }
         let all: BTreeSet<_> = best.values().map(|(instance, _)| *instance).collect();
         self.choose_dispatchers(now, &all, out);
-        // A new dispatcher is told first that it is heard, or it could not start what is handed to it.
-        for peer in std::mem::take(&mut self.changed) {
-            if self.hands_to(peer) {
-                self.send_beat(now, peer, out);
+        // A new dispatcher first gets an echo of its heartbeat, or it could not start what is submitted to
+        // it.
+        for peer in std::mem::take(&mut self.changed_peers) {
+            if self.uses_dispatcher(peer) {
+                self.send_heartbeat(now, peer, out);
             }
         }
         let holders = best
@@ -99,37 +107,38 @@
                 domain,
                 instance,
                 load: holding.load,
-                close: self.counts_on(instance),
-                near: self.is_near(instance),
+                close: self.may_submit_to(instance),
+                near: self.is_local(instance),
             });
         let input = OriginInput::Holders(holders.collect());
         self.origin_input(now, input, out);
     }
 
-    /// The dispatchers that callers' jobs go to: a few by a hash, so that each has its share of the origins, its own,
-    /// and those that have work of these callers.
+    /// Chooses the dispatchers that callers' jobs are submitted to: a few by a hash, so that each dispatcher
+    /// gets its share of the origins, this process if it dispatches, and those that have work of these
+    /// callers.
     fn choose_dispatchers(&mut self, now: Time, all: &BTreeSet<InstanceId>, out: &mut Vec<Output>) {
         let me = self.config.me.instance;
         let mut ranked: Vec<_> = all.iter().copied().collect();
         ranked.sort_by_key(|holder| score(u64::from(me.0), u64::from(holder.0)));
-        let near = ranked.iter().filter(|holder| self.is_near(**holder));
-        let mut chosen: BTreeSet<_> = near.take(NEAR_DISPATCHERS).copied().collect();
+        let local = ranked.iter().filter(|holder| self.is_local(**holder));
+        let mut chosen: BTreeSet<_> = local.take(LOCAL_DISPATCHERS).copied().collect();
         let others: Vec<_> = ranked.iter().filter(|h| !chosen.contains(h)).collect();
         chosen.extend(others.into_iter().take(DISPATCHERS - chosen.len()));
         chosen.extend(all.get(&me));
         chosen.extend(self.origin.dispatchers());
         let new: Vec<_> = chosen
-            .difference(&self.close.dispatchers)
+            .difference(&self.frequent.dispatchers)
             .copied()
             .collect();
-        self.close.dispatchers = chosen;
+        self.frequent.dispatchers = chosen;
         for dispatcher in new {
-            self.greet(now, dispatcher, out);
+            self.request_heartbeat(now, dispatcher, out);
         }
     }
 
-    /// Whether callers' jobs go to a process first, as it is in this data centre.
-    fn is_near(&self, peer: InstanceId) -> bool {
+    /// Whether a process is in this data centre, so that callers' jobs are submitted to it first.
+    fn is_local(&self, peer: InstanceId) -> bool {
         let here = peer == self.config.me.instance
             || self
                 .peers
@@ -138,51 +147,58 @@
         here && !self.config.pool.without.lacks(Mechanism::Locality)
     }
 
-    /// Makes sure that a dispatcher hears often of this origin before it gets work: it starts it only then.
-    pub(crate) fn hand_to(&mut self, now: Time, dispatcher: InstanceId, out: &mut Vec<Output>) {
-        if self.close.dispatchers.insert(dispatcher) {
-            self.greet(now, dispatcher, out);
+    /// Requests frequent heartbeats from a dispatcher before it gets work: it starts the work only with a
+    /// grant.
+    pub(crate) fn prepare_submission(
+        &mut self,
+        now: Time,
+        dispatcher: InstanceId,
+        out: &mut Vec<Output>,
+    ) {
+        if self.frequent.dispatchers.insert(dispatcher) {
+            self.request_heartbeat(now, dispatcher, out);
         }
     }
 
-    /// Asks a process for frequent heartbeats, and for an answer at once: it may be silent since it was heard last,
-    /// seconds ago. Callers' jobs that went to such a dispatcher would wait there for as long, and so would the shard of
-    /// one that such an entry comes before.
-    fn greet(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
+    /// Asks a process for frequent heartbeats and for an immediate answer, as it may have been silent since
+    /// its last heartbeat, seconds ago. Callers' jobs submitted to such a dispatcher would wait there for as
+    /// long, and so would the shard of an entry that precedes this one.
+    fn request_heartbeat(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         let known = self.peers.get(peer).is_some_and(|view| !view.is_close());
-        if known && !self.few() {
-            self.promise(now, peer);
+        if known && !self.is_small_fleet() {
+            self.update_announced(now, peer);
             self.send_probe(now, peer, out);
         }
     }
 
-    /// Takes over whom this entry has to hear, and who has to hear it.
-    pub(crate) fn set_circle(&mut self, now: Time, circle: Circle, out: &mut Vec<Output>) {
+    /// Sets the peers that this entry may take over from, and those that may take over from it.
+    pub(crate) fn set_succession(&mut self, now: Time, circle: Circle, out: &mut Vec<Output>) {
         let new: Vec<_> = circle
             .ahead
-            .difference(&self.close.ahead)
+            .difference(&self.frequent.predecessors)
             .copied()
             .collect();
-        self.close.ahead = circle.ahead;
-        self.close.successors = circle.successors;
+        self.frequent.predecessors = circle.ahead;
+        self.frequent.successors = circle.successors;
         for peer in new {
-            self.greet(now, peer, out);
+            self.request_heartbeat(now, peer, out);
         }
     }
 
-    /// Whether new work may go to a dispatcher: this process, or one that is heard often.
-    fn counts_on(&self, dispatcher: InstanceId) -> bool {
-        let heard = self.peers.get(dispatcher).is_none_or(PeerView::is_close);
-        self.hands_to(dispatcher) && heard
+    /// Whether new work may be submitted to a dispatcher: this process, or one with frequent heartbeats.
+    fn may_submit_to(&self, dispatcher: InstanceId) -> bool {
+        let frequent = self.peers.get(dispatcher).is_none_or(PeerView::is_close);
+        self.uses_dispatcher(dispatcher) && frequent
     }
 
-    /// Whether callers' jobs go to a dispatcher.
-    fn hands_to(&self, dispatcher: InstanceId) -> bool {
-        self.few() || self.close.dispatchers.contains(&dispatcher)
+    /// Whether callers' jobs are submitted to a dispatcher.
+    fn uses_dispatcher(&self, dispatcher: InstanceId) -> bool {
+        self.is_small_fleet() || self.frequent.dispatchers.contains(&dispatcher)
     }
 
-    /// Measures the room of what it dispatches for; once a tick, for it takes a look at each worker.
-    pub(crate) fn measure(&mut self, now: Time) {
+    /// Updates the reported room of the domains it dispatches for. Called once per tick, because it reads the
+    /// state of each worker.
+    pub(crate) fn update_holdings(&mut self, now: Time) {
         let held = self.domains.held().iter();
         let holding = |(domain, fence): (&Domain, &Fence)| Holding {
             domain: *domain,
@@ -192,7 +208,7 @@
         self.holdings = held.map(holding).collect();
     }
 
-    /// The room of a dispatcher that goes on with what it has.
+    /// Updates the room of a dispatcher whose domains did not change.
     pub(crate) fn update_loads(
         &mut self,
         now: Time,
@@ -206,19 +222,21 @@
         }
     }
 
-    /// What this process tells another one of itself.
+    /// Returns the heartbeat of this process for a peer.
     #[must_use]
     pub fn heartbeat_for(&self, now: Time, peer: InstanceId) -> Beat {
         let view = self.peers.get(peer).filter(|view| view.alive(now));
-        let echo = view.filter(|_| self.hands_to(peer)).map(|view| Echo {
-            life: view.process.incarnation,
-            sent: view.beat.sent,
-            session: self.origin.session(peer),
-        });
-        let every = if self.few() || self.close.promised.contains(&peer) {
-            BEAT
+        let echo = view
+            .filter(|_| self.uses_dispatcher(peer))
+            .map(|view| Echo {
+                life: view.process.incarnation,
+                sent: view.beat.sent,
+                session: self.origin.session(peer),
+            });
+        let every = if self.is_small_fleet() || self.frequent.announced.contains(&peer) {
+            HEARTBEAT_INTERVAL
         } else {
-            self.slow_beat()
+            self.slow_interval()
         };
         Beat {
             part: self.config.part,
@@ -232,14 +250,15 @@
             sent: now,
             echo,
             every: every.as_millis() as u32,
-            wants: self.wants(peer),
+            wants: self.needs_frequent(peer),
             probe: false,
         }
     }
 
-    /// The sender of a heartbeat heard this process at a moment that is known here by its own clock: it
-    /// does not take it for lost before [`GRANT`] is over, and until then its tasks may be started.
-    pub(crate) fn take_echo(
+    /// Extends the grant of an origin that has echoed a heartbeat of this process. That heartbeat was sent at
+    /// a time known by the local clock, and the origin does not count this process as lost before
+    /// [`GRANT_DURATION`] after it, so its tasks may be started until then.
+    pub(crate) fn handle_echo(
         &mut self,
         now: Time,
         from: Process,
@@ -251,117 +270,132 @@
             let grant = Grant {
                 life: from.incarnation,
                 session: echo.session,
-                until: (echo.sent + GRANT).min(now + ALIVE),
+                until: (echo.sent + GRANT_DURATION).min(now + HEARTBEAT_TIMEOUT),
             };
             self.pool_input(now, PoolInput::Granted(from.instance, grant), out);
         }
     }
 
-    /// How long the next heartbeat of a process is waited for.
-    pub(crate) fn window(beat: &Beat) -> Duration {
+    /// Returns the time after a heartbeat at which its sender counts as lost if no other one arrives.
+    pub(crate) fn timeout_after(beat: &Beat) -> Duration {
         let every = Duration::from_millis(beat.every.into());
-        ALIVE.max(every.mul_f64(ALIVE.div_duration_f64(BEAT)))
+        HEARTBEAT_TIMEOUT.max(every.mul_f64(HEARTBEAT_TIMEOUT.div_duration_f64(HEARTBEAT_INTERVAL)))
     }
 
-    /// Whether all processes hear each other often.
-    fn few(&self) -> bool {
-        self.peers.count() <= FEW
+    /// Whether the fleet is so small that all processes exchange frequent heartbeats.
+    fn is_small_fleet(&self) -> bool {
+        self.peers.count() <= SMALL_FLEET
     }
 
-    /// Whether a process has to be heard often.
-    fn wants(&self, peer: InstanceId) -> bool {
-        self.few() || self.close.dispatchers.contains(&peer) || self.close.ahead.contains(&peer)
+    /// Whether this process needs frequent heartbeats from a peer.
+    fn needs_frequent(&self, peer: InstanceId) -> bool {
+        self.is_small_fleet()
+            || self.frequent.dispatchers.contains(&peer)
+            || self.frequent.predecessors.contains(&peer)
     }
 
-    /// Whether a process gets frequent heartbeats: for the grants of what is handed to it, or since it asks.
-    fn is_close(&self, now: Time, peer: InstanceId, view: &PeerView) -> bool {
-        self.hands_to(peer) || (view.beat.wants && view.alive(now))
+    /// Whether a peer gets frequent heartbeats: for the grants of the work submitted to it, or because it
+    /// asks for them.
+    fn sends_frequent(&self, now: Time, peer: InstanceId, view: &PeerView) -> bool {
+        self.uses_dispatcher(peer) || (view.beat.wants && view.alive(now))
     }
 
-    /// Between two heartbeats to a process that is not close.
-    fn slow_beat(&self) -> Duration {
+    /// Returns the interval of heartbeats to a peer that does not get frequent ones.
+    fn slow_interval(&self) -> Duration {
         let peers = u32::try_from(self.peers.count()).unwrap_or(u32::MAX);
-        SLOW_BEAT.max(Duration::from_secs(peers.into()) / SLOW_RATE)
+        SLOW_INTERVAL.max(Duration::from_secs(peers.into()) / MAX_SLOW_RATE)
     }
 
-    pub(crate) fn beat_if_due(&mut self, now: Time, out: &mut Vec<Output>) {
-        let often = self.few() && !self.domains.held().is_empty();
-        let interval = if often { HOLDER_BEAT } else { BEAT };
-        if now.since(self.beaten) >= interval {
-            self.beaten = now;
-            self.beat_close(now, out);
+    /// Sends the heartbeats that are due: to frequent peers at once, to the others one after the other.
+    pub(crate) fn send_due_heartbeats(&mut self, now: Time, out: &mut Vec<Output>) {
+        let often = self.is_small_fleet() && !self.domains.held().is_empty();
+        let interval = if often {
+            DISPATCHER_INTERVAL
+        } else {
+            HEARTBEAT_INTERVAL
+        };
+        if now.since(self.heartbeat_sent) >= interval {
+            self.heartbeat_sent = now;
+            self.send_frequent_heartbeats(now, out);
         }
-        let promised = &self.close.promised;
+        let announced = &self.frequent.announced;
         let others = self.peers.all().map(|(peer, _)| peer);
-        let others = others.filter(|peer| !promised.contains(peer)).collect();
-        let span = self.slow_beat();
-        for peer in self.slow_round.due(now, span, others) {
-            self.send_beat(now, peer, out);
+        let others = others.filter(|peer| !announced.contains(peer)).collect();
+        let span = self.slow_interval();
+        for peer in self.slow_peers.due(now, span, others) {
+            self.send_heartbeat(now, peer, out);
         }
     }
 
-    /// Those that were close until now are told that heartbeats become rare, or they would miss them.
-    fn beat_close(&mut self, now: Time, out: &mut Vec<Output>) {
-        let close = |(peer, view): &(InstanceId, &PeerView)| self.is_close(now, *peer, view);
-        let peers = self.peers.all().filter(close).map(|(peer, _)| peer);
-        let due: BTreeSet<_> = peers.chain(self.close.promised.iter().copied()).collect();
+    /// Sends a heartbeat to all frequent peers, and to those that were frequent until now: it announces the
+    /// longer interval, or they would count the next heartbeats as missing.
+    fn send_frequent_heartbeats(&mut self, now: Time, out: &mut Vec<Output>) {
+        let frequent =
+            |(peer, view): &(InstanceId, &PeerView)| self.sends_frequent(now, *peer, view);
+        let peers = self.peers.all().filter(frequent).map(|(peer, _)| peer);
+        let due: BTreeSet<_> = peers
+            .chain(self.frequent.announced.iter().copied())
+            .collect();
         for peer in due {
-            self.send_beat(now, peer, out);
+            self.send_heartbeat(now, peer, out);
         }
     }
 
-    /// Tells all at once what has changed.
-    pub(crate) fn send_beats(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.beaten = now;
+    /// Sends a heartbeat to all peers at once, after a change.
+    pub(crate) fn broadcast_heartbeat(&mut self, now: Time, out: &mut Vec<Output>) {
+        self.heartbeat_sent = now;
         let peers: Vec<_> = self.peers.all().map(|(peer, _)| peer).collect();
         for peer in peers {
-            self.send_beat(now, peer, out);
+            self.send_heartbeat(now, peer, out);
         }
     }
 
-    pub(crate) fn send_beat(&mut self, now: Time, to: InstanceId, out: &mut Vec<Output>) {
-        self.promise(now, to);
+    /// Sends a heartbeat to a peer.
+    pub(crate) fn send_heartbeat(&mut self, now: Time, to: InstanceId, out: &mut Vec<Output>) {
+        self.update_announced(now, to);
         let beat = self.heartbeat_for(now, to);
         out.push(Output::Send(to, FleetMsg::Beat(beat)));
     }
 
-    fn promise(&mut self, now: Time, to: InstanceId) {
+    /// Records whether the next heartbeat to a peer announces frequent ones.
+    fn update_announced(&mut self, now: Time, to: InstanceId) {
         let view = self.peers.get(to);
-        if view.is_some_and(|view| self.is_close(now, to, view)) {
-            self.close.promised.insert(to);
+        if view.is_some_and(|view| self.sends_frequent(now, to, view)) {
+            self.frequent.announced.insert(to);
         } else {
-            self.close.promised.remove(&to);
+            self.frequent.announced.remove(&to);
         }
     }
 
-    /// Asks for a sign of life of all in a data centre, if what is close there has fallen silent.
+    /// Probes all processes of a data centre if the peers with frequent heartbeats there have fallen silent.
     ///
-    /// Processes that hear each other rarely would notice a cut only after seconds: a cut-off entry would go on to
-    /// count on dispatchers, and wait for better placed entries, that are out of reach. A cut of a data
-    /// centre shows at those that are close, of which there are nearly always some. A probe and its
-    /// answer cost one message each; in steady service there are none.
-    pub(crate) fn probe_silent(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.few() {
+    /// Processes that exchange rare heartbeats would notice a network partition only after seconds: meanwhile
+    /// a partitioned entry would rely on dispatchers, and wait for better placed entries, that it cannot
+    /// reach. The partition of a data centre shows at the peers with frequent heartbeats, of which there are
+    /// nearly always some. A probe and its answer cost one message each; in steady service there are none.
+    pub(crate) fn probe_silent_data_centres(&mut self, now: Time, out: &mut Vec<Output>) {
+        if self.is_small_fleet() {
             return;
         }
         let mut silent: BTreeMap<DataCentreId, bool> = BTreeMap::new();
         for (_, view) in self.peers.all() {
             let quiet = now.since(view.heard);
-            if view.is_close() && !view.refused && quiet < SUSPECT_FOR {
+            if view.is_close() && !view.refused && quiet < PROBE_INTERVAL {
                 let all = silent.entry(view.beat.dc).or_insert(true);
-                *all &= quiet >= SUSPECT;
+                *all &= quiet >= SUSPECT_AFTER;
             }
         }
         for (dc, _) in silent.into_iter().filter(|(_, all)| *all) {
-            let last = self.close.probes.get(&dc);
-            if last.is_none_or(|last| now.since(*last) >= SUSPECT_FOR) {
-                self.close.probes.insert(dc, now);
-                self.probe(now, dc, out);
+            let last = self.frequent.last_probes.get(&dc);
+            if last.is_none_or(|last| now.since(*last) >= PROBE_INTERVAL) {
+                self.frequent.last_probes.insert(dc, now);
+                self.probe_data_centre(now, dc, out);
             }
         }
     }
 
-    fn probe(&mut self, now: Time, dc: DataCentreId, out: &mut Vec<Output>) {
+    /// Probes the live peers of a data centre that do not send frequent heartbeats.
+    fn probe_data_centre(&mut self, now: Time, dc: DataCentreId, out: &mut Vec<Output>) {
         let alive = self.peers.alive(now);
         let there = alive.filter(|(_, view)| view.beat.dc == dc && !view.is_close());
         let peers: Vec<_> = there.map(|(peer, _)| peer).collect();
@@ -370,6 +404,7 @@
         }
     }
 
+    /// Sends a heartbeat that asks for an immediate answer.
     fn send_probe(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         self.peers.probed(now, peer);
         let mut beat = self.heartbeat_for(now, peer);
@@ -377,18 +412,20 @@
         out.push(Output::Send(peer, FleetMsg::Beat(beat)));
     }
 
-    /// Tells the entries that would dispatch next what a successor needs to know, one after the other.
-    pub(crate) fn spread_learned(&mut self, now: Time, out: &mut Vec<Output>) {
-        let silent = self.config.pool.without.lacks(Mechanism::Teaching);
-        if self.domains.held().is_empty() || silent {
-            self.teach_round.restart(now);
+    /// Sends what this dispatcher has learned to the entries that would take over from it, one after the
+    /// other.
+    pub(crate) fn send_learned(&mut self, now: Time, out: &mut Vec<Output>) {
+        let disabled = self.config.pool.without.lacks(Mechanism::Teaching);
+        if self.domains.held().is_empty() || disabled {
+            self.learned_round.restart(now);
             return;
         }
         let alive = self.peers.alive(now);
-        let next = |peer: InstanceId| self.few() || self.close.successors.contains(&peer);
+        let next =
+            |peer: InstanceId| self.is_small_fleet() || self.frequent.successors.contains(&peer);
         let entries = alive.filter(|(peer, view)| view.beat.part == Part::Entry && next(*peer));
         let entries = entries.map(|(entry, _)| entry).collect();
-        let due = self.teach_round.due(now, TEACH, entries);
+        let due = self.learned_round.due(now, LEARNED_INTERVAL, entries);
         if due.is_empty() {
             return;
         }
@@ -398,25 +435,27 @@
         }
     }
 
-    /// Tells all that dispatch, and those that would next, of workers that ended under tasks since the last tick.
-    fn spread_crashes_to(&self, peer: InstanceId, view: &PeerView) -> bool {
+    /// Whether a peer has to know of workers that crashed under tasks: it dispatches, or would dispatch next.
+    fn needs_crashes(&self, peer: InstanceId, view: &PeerView) -> bool {
         let dispatches = !view.beat.holdings.is_empty();
-        let next = self.few() || self.close.successors.contains(&peer);
+        let next = self.is_small_fleet() || self.frequent.successors.contains(&peer);
         view.beat.part == Part::Entry && (dispatches || next)
     }
 
-    pub(crate) fn spread_crashes(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// Sends the workers that crashed under tasks since the last tick, and the suspect queues, to the dispatchers and to those
+    /// that would dispatch next.
+    pub(crate) fn send_crashes(&mut self, now: Time, out: &mut Vec<Output>) {
         let crashes: Vec<_> = std::mem::take(&mut self.crashes).into_iter().collect();
-        let careful: Vec<_> = std::mem::take(&mut self.careful).into_iter().collect();
+        let queues: Vec<_> = std::mem::take(&mut self.probe_queues).into_iter().collect();
         for (peer, view) in self.peers.alive(now) {
-            if !self.spread_crashes_to(peer, view) {
+            if !self.needs_crashes(peer, view) {
                 continue;
             }
             if !crashes.is_empty() {
                 out.push(Output::Send(peer, FleetMsg::Crashes(crashes.clone())));
             }
-            if !careful.is_empty() {
-                out.push(Output::Send(peer, FleetMsg::Careful(careful.clone())));
+            if !queues.is_empty() {
+                out.push(Output::Send(peer, FleetMsg::Careful(queues.clone())));
             }
         }
     }
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -1,4 +1,4 @@
-//! The state machine.
+//! The state machine of a member.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -15,89 +15,94 @@
 use crate::heartbeats::FrequentPeers;
 use crate::round_robin::RoundRobin;
 
-/// An entry is ready this long after its start at the earliest: heartbeats of all that are there
-/// have come by then.
-const JOIN: Duration = Duration::from_millis(300);
-/// The same where all that is heard has just started too, and nobody is left to hear of.
-const JOIN_ANEW: Duration = Duration::from_millis(100);
-/// Between two comparisons of who dispatches for what, where no heartbeat gives cause for one.
-const COMPARE: Duration = Duration::from_millis(40);
-/// A data centre is reached if one of its workers answered within this time.
-const WORKERS_HEARD: Duration = Duration::from_secs(1);
-
-/// No worker more was heard of for so long: 1,100 of them come 1.4 ms apart as they start, and the last gaps are longer.
-const SETTLED: Duration = Duration::from_millis(120);
-/// Workers are divided after so long all the same: they announce themselves every 1.5 s. After a loss of all processes this
-/// also lets the entries become ready before they take shards: divided 360 ms after the start in place of 620, so few of
-/// them held so many that 634 callers of the next 2 s failed in place of 161.
-const UNSETTLED: Duration = Duration::from_secs(2);
-/// Between two times that it is found out who stands ready for whom.
-const CIRCLE: Duration = Duration::from_millis(250);
-/// Heartbeats that are waited for no longer than this come often.
-const CLOSE: Duration = Duration::from_millis(350);
-
-/// The most shards.
-const MOST_SHARDS: u8 = 64;
-
-/// What a member is told at its start.
+/// Minimum time from the start of an entry until it is ready: the heartbeats of all live processes have
+/// arrived by then.
+const JOIN_DELAY: Duration = Duration::from_millis(300);
+/// The same if all known peers have just started too, so no others are left to discover.
+const COLD_START_DELAY: Duration = Duration::from_millis(100);
+/// Interval at which an entry re-evaluates which domains it dispatches for, if no heartbeat gives cause for
+/// it earlier.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(40);
+/// A data centre is reachable if one of its workers answered within this time.
+const REACH_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// The set of workers counts as settled if no new one was announced for this long: 1,100 starting workers
+/// come 1.4 ms apart, and the last gaps are longer.
+const SETTLED_AFTER: Duration = Duration::from_millis(120);
+/// Time after which the workers are divided even if the set has not settled: workers announce themselves
+/// every 1.5 s. After a loss of all processes this also lets the entries become ready before they take
+/// shards: when the workers were divided 360 ms after the start instead of 620 ms, so few entries owned so
+/// many shards that 634 callers of the next 2 s failed instead of 161.
+const MAX_SETTLE_TIME: Duration = Duration::from_secs(2);
+/// Interval at which an entry updates which peers it may take over from, and which may take over from it.
+const SUCCESSION_INTERVAL: Duration = Duration::from_millis(250);
+/// Heartbeats with a timeout of at most this are frequent.
+const FREQUENT_WINDOW: Duration = Duration::from_millis(350);
+
+/// Maximum number of shards.
+const MAX_SHARDS: u8 = 64;
+
+/// The configuration of a member.
 #[derive(Clone, Debug)]
 pub struct MemberConfig {
     /// This process.
     pub me: Process,
-    /// What it does.
+    /// Its part in the fleet.
     pub part: Part,
     /// Its data centre.
     pub dc: DataCentreId,
-    /// All data centres.
+    /// All data centres of the fleet.
     pub dcs: BTreeSet<DataCentreId>,
-    /// The most workers that one dispatcher takes.
+    /// Maximum number of workers that one dispatcher takes.
     pub shard_size: usize,
-    /// Limits of the dispatcher.
+    /// The configuration of the dispatcher.
     pub pool: PoolConfig,
 }
 
-/// What happened outside.
+/// An input from the host.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A heartbeat.
+    /// A heartbeat arrived.
     Heartbeat(Process, Beat),
-    /// A machine says that nobody listens there.
+    /// A machine refused a connection because no process listens there.
     ConnectionRefused(InstanceId),
     /// Messages from or to a process may be lost.
     LinkReset(InstanceId),
-    /// Between origins and dispatchers.
+    /// A message between an origin and a dispatcher arrived.
     Work(Process, WorkMsg),
-    /// What workers said of themselves.
+    /// Announcements of workers.
     Workers(Vec<WorkerNote>),
     /// What another dispatcher has learned.
     Learned(Learned),
-    /// Workers that ended under tasks, as another dispatcher knows.
+    /// Workers that crashed under tasks, as reported by another dispatcher.
     Crashes(Vec<(TaskId, Crashes)>),
-    /// Queues whose steps another dispatcher starts with care.
+    /// Queues whose steps another dispatcher starts with a single probe task, because their tasks may crash
+    /// workers.
     ProbeQueues(Vec<String>),
-    /// A caller submits a job; it is handed in at the next `Flush` or `Tick`.
+    /// A caller submits a job; it is taken up at the next `Flush` or `Tick`.
     Submit(CallerId, NewJob),
-    /// A caller waits no more.
+    /// A caller no longer waits for its answer.
     CallerGone(CallerId),
-    /// All that has arrived together was taken.
+    /// All messages that arrived together were passed in.
     Flush,
-    /// What came of a call to a worker.
+    /// The result of a call to a worker.
     Answered(CallKey, Answer),
-    /// A worker's answer came after its time, as the dispatcher is told.
+    /// A worker's answer arrived after the timeout of its call: the time since the call, less the time that the
+    /// worker was told to wait.
     AnsweredLate(Duration),
-    /// This version of the configuration is in force here.
+    /// The version of the configuration that is in force here.
     ConfigVersion(u64),
-    /// The evacuations that the local keeper holds.
+    /// The evacuations stored by the local keeper.
     Evacuations(Evacuations),
     /// A planned stop begins.
     Stop,
-    /// The process stood still.
+    /// The process was suspended and has resumed.
     Paused,
     /// Time passed.
     Tick,
 }
 
-/// What the host is to do.
+/// An output that the host carries out, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Call a worker.
@@ -106,30 +111,30 @@
     Send(InstanceId, FleetMsg),
     /// Answer a caller.
     Answer(CallerId, JobEnd),
-    /// A process was heard that was not known, or another life of one.
+    /// The first heartbeat of a process, or of a new incarnation of a known one, arrived.
     NewPeer(Process),
-    /// A process is heard, for the first time or after a silence: what was told to all that were heard
-    /// meanwhile has not reached it.
+    /// A process is alive, for the first time or after a silence. Messages that were sent to all live
+    /// processes before have not reached it.
     PeerAlive(InstanceId),
-    /// A process was not heard for very long.
+    /// A process has been silent for so long that it is removed.
     RemovePeer(InstanceId),
-    /// This process is at another stage.
+    /// This process entered another stage.
     Stage(Stage),
-    /// For the logs: of the member, the dispatcher, the origin.
+    /// An event of the member, for the logs.
     Member(MemberEvent),
-    /// A decision of the dispatcher.
+    /// An event of the dispatcher, for the logs.
     Dispatch(Note),
-    /// A decision of the origin.
+    /// An event of the origin, for the logs.
     Origin(JobNote),
 }
 
-/// A member of a fleet.
+/// A member of a fleet: its view of the peers, its dispatcher and its origin.
 #[derive(Debug)]
 pub struct Member {
     pub(crate) config: MemberConfig,
     pub(crate) peers: Peers,
     alive: BTreeSet<InstanceId>,
-    /// Those that were heard once and are not now.
+    /// Peers that were alive and count as lost now.
     lost: BTreeSet<InstanceId>,
     pub(crate) domains: Domains,
     pub(crate) pool: Pool,
@@ -138,37 +143,38 @@
     pub(crate) version: u64,
     pub(crate) evacuations: Evacuations,
     started: Time,
-    /// When those that need it often got the last heartbeat.
-    pub(crate) beaten: Time,
-    /// The round of heartbeats to the others.
-    pub(crate) slow_round: RoundRobin,
-    /// The round of telling what was learned.
-    pub(crate) teach_round: RoundRobin,
-    pub(crate) close: FrequentPeers,
-    /// Whether others dispatch than the origin was told last.
-    pub(crate) stale: bool,
-    /// How many workers are known though they are more than the shards can take; since when, and since when just so many.
-    uneven: Option<(usize, Time, Time)>,
-    /// When it was last found out who stands ready for whom.
-    circled: Time,
-    /// When it was last compared who dispatches.
-    compared: Time,
-    /// What it dispatches for, with the room at the last tick.
+    /// When the last frequent heartbeats were sent.
+    pub(crate) heartbeat_sent: Time,
+    /// The round-robin of heartbeats to all other peers.
+    pub(crate) slow_peers: RoundRobin,
+    /// The round-robin of messages with what this dispatcher has learned.
+    pub(crate) learned_round: RoundRobin,
+    pub(crate) frequent: FrequentPeers,
+    /// Whether the origin's view of who dispatches is out of date.
+    pub(crate) holders_stale: bool,
+    /// The number of known workers while it calls for more shards, the time since when it does, and the time
+    /// since when the number has not changed.
+    unsettled: Option<(usize, Time, Time)>,
+    /// When the peers that may take over from each other were last determined.
+    succession_updated: Time,
+    /// When the domains to dispatch for were last evaluated.
+    domains_updated: Time,
+    /// The domains it dispatches for, with their room at the last tick.
     pub(crate) holdings: Vec<Holding>,
-    /// Workers that ended under tasks, which other dispatchers have to know.
+    /// Workers that crashed under tasks, to be reported to other dispatchers.
     pub(crate) crashes: BTreeMap<TaskId, Crashes>,
-    /// Queues that are started with care, which other dispatchers have to know.
-    pub(crate) careful: BTreeSet<String>,
-    /// Work of this process for itself.
-    own: VecDeque<WorkMsg>,
-    /// Jobs that were submitted since the last flush.
+    /// Queues that are started with a probe task, to be reported to other dispatchers.
+    pub(crate) probe_queues: BTreeSet<String>,
+    /// Messages from this process to itself.
+    local_work: VecDeque<WorkMsg>,
+    /// Jobs submitted since the last flush.
     arrivals: Vec<(CallerId, NewJob)>,
-    /// Processes that hold other domains since the last flush.
-    pub(crate) changed: BTreeSet<InstanceId>,
+    /// Peers whose domains have changed since the last flush.
+    pub(crate) changed_peers: BTreeSet<InstanceId>,
 }
 
 impl Member {
-    /// Starts; the wall clock makes fencing tokens rise over restarts of all members.
+    /// Creates a member. The wall clock makes fencing tokens increase over restarts of all members.
     #[must_use]
     pub fn new(config: MemberConfig, now: Time, wall: WallMs) -> Self {
         let stage = match config.part {
@@ -196,55 +202,55 @@
             version: 0,
             evacuations: Evacuations::default(),
             started: now,
-            beaten: Time::default(),
-            slow_round: RoundRobin::default(),
-            teach_round: RoundRobin::default(),
-            close: FrequentPeers::default(),
-            stale: true,
-            uneven: None,
-            circled: Time::default(),
-            compared: Time::default(),
+            heartbeat_sent: Time::default(),
+            slow_peers: RoundRobin::default(),
+            learned_round: RoundRobin::default(),
+            frequent: FrequentPeers::default(),
+            holders_stale: true,
+            unsettled: None,
+            succession_updated: Time::default(),
+            domains_updated: Time::default(),
             holdings: Vec::new(),
             crashes: BTreeMap::new(),
-            careful: BTreeSet::new(),
-            own: VecDeque::new(),
+            probe_queues: BTreeSet::new(),
+            local_work: VecDeque::new(),
             arrivals: Vec::new(),
-            changed: BTreeSet::new(),
+            changed_peers: BTreeSet::new(),
             config,
         }
     }
 
-    /// The other processes.
+    /// Returns the known peers.
     #[must_use]
     pub fn peers(&self) -> &Peers {
         &self.peers
     }
 
-    /// Whether a process is told of all others as a link to it opens.
+    /// Whether this process sends a peer its list of all processes when a link to it opens.
     ///
-    /// One that was there before is told by keepers only: from each to each, the lists would take bytes by the cube of the
-    /// number of processes where all links to a data centre open anew. One that has just started is told by all, or it would
-    /// divide the workers among the few that it knows.
+    /// Only keepers send it to a peer that was running before: if all processes did, the bytes would grow
+    /// with the cube of their number when all links to a data centre reopen. A peer that has just started
+    /// gets the list from all, or it would divide the workers among the few entries that it knows.
     #[must_use]
     pub fn sends_contacts(&self, peer: InstanceId) -> bool {
         let was_there = self.peers.get(peer).is_some_and(|view| !view.is_new());
         self.config.part == Part::Keeper || !was_there
     }
 
-    /// How many jobs of callers are open.
+    /// Returns the number of callers' jobs that are open.
     #[must_use]
     pub fn open_jobs(&self) -> usize {
         self.origin.open_jobs() + self.arrivals.len()
     }
 
-    /// Whether something waits for the next flush.
+    /// Whether inputs wait for the next flush.
     #[must_use]
     pub fn needs_flush(&self) -> bool {
-        !self.arrivals.is_empty() || !self.changed.is_empty()
+        !self.arrivals.is_empty() || !self.changed_peers.is_empty()
     }
 
-    /// Whether callers should be sent here: it knows the configuration, does not leave, and there is a
-    /// dispatcher to hand their jobs to.
+    /// Whether callers may be routed here: the configuration is known, the process is not leaving, and there
+    /// is a dispatcher for their jobs.
     #[must_use]
     pub fn is_ready(&self, now: Time) -> bool {
         self.stage == Stage::Ready && self.origin.has_dispatcher(now)
@@ -256,7 +262,8 @@
         !self.pool.is_idle() || self.open_jobs() > 0
     }
 
-    /// The open work, of callers and as dispatcher, a line for each job or step. For logs and checks.
+    /// Describes the open work, of callers and as dispatcher, with one line for each job or step. For logs
+    /// and checks.
     #[must_use]
     pub fn open_work(&self, now: Time) -> Vec<String> {
         let mut lines = self.origin.open_places();
@@ -264,49 +271,50 @@
         lines
     }
 
-    /// The dispatcher, for figures.
+    /// Returns the dispatcher, for its metrics.
     #[must_use]
     pub fn pool(&self) -> &Pool {
         &self.pool
     }
 
-    /// The evacuations with the highest revision known to this member.
+    /// Returns the evacuations with the highest revision known to this member.
     #[must_use]
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Takes an input and appends what the host is to do.
+    /// Handles an input and appends the outputs that the host has to carry out.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
-        self.take(now, input, out);
+        self.handle_input(now, input, out);
         let me = self.config.me;
-        while let Some(msg) = self.own.pop_front() {
-            self.work(now, me, msg, out);
+        while let Some(msg) = self.local_work.pop_front() {
+            self.handle_work(now, me, msg, out);
         }
     }
 
-    fn take(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
+    fn handle_input(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Heartbeat(from, beat) => self.beat(now, from, beat, out),
+            Input::Heartbeat(from, beat) => self.handle_heartbeat(now, from, beat, out),
             Input::ConnectionRefused(peer) => {
                 self.peers.refused(peer);
-                self.compare_alive(now, out);
+                self.update_alive(now, out);
             }
             Input::LinkReset(peer) => {
-                // What it has handed in since it names by itself, as its own link has broken. Asking also without
-                // having any of it would be six messages for each two processes of a deployment as they start.
+                // The peer resends its own recent submissions, as its link broke as well. Resyncing even
+                // without work of it would take six messages for each pair of processes when a deployment
+                // starts.
                 if self.pool.has_work_of(peer) {
                     self.pool_input(now, PoolInput::AskOrigin(peer), out);
                 }
                 self.origin_input(now, OriginInput::LinkReset(peer), out);
             }
-            Input::Work(from, msg) => self.work(now, from, msg, out),
+            Input::Work(from, msg) => self.handle_work(now, from, msg, out),
             Input::Workers(notes) => self.pool_input(now, PoolInput::Workers(notes), out),
             Input::Learned(learned) => self.pool.learn_from(learned),
-            Input::Crashes(told) => self.pool_input(now, PoolInput::Crashes(told), out),
+            Input::Crashes(crashes) => self.pool_input(now, PoolInput::Crashes(crashes), out),
             Input::ProbeQueues(queues) => self.pool_input(now, PoolInput::Careful(queues), out),
             Input::Submit(caller, job) => self.arrivals.push((caller, job)),
-            Input::CallerGone(caller) => self.caller_gone(now, caller, out),
+            Input::CallerGone(caller) => self.handle_caller_gone(now, caller, out),
             Input::Flush => self.flush(now, out),
             Input::Answered(key, answer) => {
                 self.pool_input(now, PoolInput::Answered(key, answer), out);
@@ -318,30 +326,30 @@
             Input::Evacuations(evacuations) => {
                 let adopted = self.adopt_evacuations(now, &evacuations, out);
                 if adopted && self.config.part == Part::Keeper {
-                    self.send_beats(now, out);
+                    self.broadcast_heartbeat(now, out);
                 }
             }
             Input::Stop => {
                 self.set_stage(Stage::Leaving, out);
-                self.compare_domains(now, out);
-                self.send_beats(now, out);
+                self.update_domains(now, out);
+                self.broadcast_heartbeat(now, out);
             }
-            Input::Paused => self.paused(now, out),
+            Input::Paused => self.handle_pause(now, out),
             Input::Tick => self.tick(now, out),
         }
     }
 
-    /// Takes up the jobs that were submitted since the last time.
+    /// Takes up the changes and the jobs that have arrived since the last flush.
     ///
-    /// A request that arrived on a connection which has broken since is read together with the break. Its caller
-    /// sends the job again at once, to another entry: handed in here first, it would run beside that until the
+    /// A request is read together with the close of its connection if both have arrived. Its caller submits
+    /// the job again at once, to another entry: if it were submitted here first, it would run twice until the
     /// worker has carried out the stop.
     ///
-    /// Before that, changes of who dispatches are taken up, once for all that were heard of together: a data centre that
-    /// is cut off or heard again has hundreds, each of which takes a look at all processes and domains.
+    /// Changes of dispatchers come first, once for all that arrived together: when a data centre is cut off
+    /// or reachable again there are hundreds, and each evaluation visits all processes and domains.
     fn flush(&mut self, now: Time, out: &mut Vec<Output>) {
-        if !self.changed.is_empty() {
-            self.compare_domains(now, out);
+        if !self.changed_peers.is_empty() {
+            self.update_domains(now, out);
             self.update_holders(now, out);
         }
         for (caller, job) in std::mem::take(&mut self.arrivals) {
@@ -349,7 +357,7 @@
         }
     }
 
-    fn caller_gone(&mut self, now: Time, caller: CallerId, out: &mut Vec<Output>) {
+    fn handle_caller_gone(&mut self, now: Time, caller: CallerId, out: &mut Vec<Output>) {
         let arrived = self.arrivals.iter().position(|(other, _)| *other == caller);
         match arrived {
             Some(index) => {
@@ -374,101 +382,103 @@
         }));
     }
 
-    /// A process that stood still must not act on what it knew before: its leases are over, and
-    /// others may dispatch in its place.
-    fn paused(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// Drops what was known before a suspension: the leases have expired, and others may dispatch in this
+    /// process's place.
+    fn handle_pause(&mut self, now: Time, out: &mut Vec<Output>) {
         let mut changes = Vec::new();
         self.domains.paused(now, &mut changes);
-        self.change_domains(now, changes, out);
+        self.apply_changes(now, changes, out);
         self.origin_input(now, OriginInput::Paused, out);
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
         self.flush(now, out);
-        self.compare_alive(now, out);
+        self.update_alive(now, out);
         for peer in self.peers.forget(now) {
             self.lost.remove(&peer);
             out.push(Output::RemovePeer(peer));
         }
         if self.config.part == Part::Entry {
-            self.join(now, out);
-            if now.since(self.compared) >= COMPARE {
-                self.compare_domains(now, out);
+            self.join_when_ready(now, out);
+            if now.since(self.domains_updated) >= UPDATE_INTERVAL {
+                self.update_domains(now, out);
             }
-            self.measure(now);
-            if self.stale || self.origin.misses_holder() {
+            self.update_holdings(now);
+            if self.holders_stale || self.origin.misses_holder() {
                 self.update_holders(now, out);
             } else {
                 let me = self.config.me.instance;
                 self.update_loads(now, me, self.holdings.clone(), out);
             }
-            self.spread_learned(now, out);
-            self.spread_crashes(now, out);
+            self.send_learned(now, out);
+            self.send_crashes(now, out);
             self.pool_input(now, PoolInput::Tick, out);
             self.origin_input(now, OriginInput::Tick, out);
         }
-        self.probe_silent(now, out);
-        self.beat_if_due(now, out);
+        self.probe_silent_data_centres(now, out);
+        self.send_due_heartbeats(now, out);
     }
 
-    /// Becomes ready once it knows the configuration and had time to hear the others.
-    fn join(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// Becomes ready once the configuration is known and the heartbeats of the others had time to arrive.
+    fn join_when_ready(&mut self, now: Time, out: &mut Vec<Output>) {
         let short = !self.config.pool.without.lacks(Mechanism::ShortListening);
         let wait = if short && self.is_undivided() && self.peers.all_new(now) {
-            JOIN_ANEW
+            COLD_START_DELAY
         } else {
-            JOIN
+            JOIN_DELAY
         };
         let known = self.version > 0 && now.since(self.started) >= wait;
         if self.stage == Stage::Joining && known {
             self.set_stage(Stage::Ready, out);
-            self.send_beats(now, out);
+            self.broadcast_heartbeat(now, out);
         }
     }
 
-    fn beat(&mut self, now: Time, from: Process, beat: Beat, out: &mut Vec<Output>) {
-        // Work of a process that is silent is dropped. Where it is heard again before the next tick its silence has to be noticed
-        // first, or neither side would ask for what was dropped, and a caller wait for it in vain.
+    /// Handles a heartbeat, and drops it if it is older than the last one of its sender.
+    fn handle_heartbeat(&mut self, now: Time, from: Process, beat: Beat, out: &mut Vec<Output>) {
+        // Work from a silent process is dropped. If its heartbeat arrives before the next tick, its silence
+        // has to be recorded first: otherwise neither side would ask for the dropped work, and a caller would
+        // wait in vain.
         let known = self.peers.get(from.instance);
         if known.is_some_and(|view| !view.alive(now)) && self.alive.contains(&from.instance) {
-            self.compare_alive(now, out);
+            self.update_alive(now, out);
         }
         let before = self.peers.get(from.instance);
-        let life = before.map(|view| view.process.incarnation);
-        let held = |beat: &Beat| -> Vec<_> {
+        let incarnation = before.map(|view| view.process.incarnation);
+        let domains = |beat: &Beat| -> Vec<_> {
             let holdings = beat.holdings.iter();
             holdings.map(|h| (h.domain, h.fence)).collect()
         };
-        let held_before = before.map(|view| held(&view.beat));
+        let holdings_before = before.map(|view| domains(&view.beat));
         let evacuations = beat.evacuations.clone();
-        let hurried = before.is_some_and(PeerView::is_close);
-        let holdings = held(&beat);
+        let was_frequent = before.is_some_and(PeerView::is_close);
+        let holdings = domains(&beat);
         self.domains.observe(beat.fence);
-        let window = Self::window(&beat);
+        let window = Self::timeout_after(&beat);
         let (echo, loads) = (beat.echo, beat.holdings.clone());
         let answer = beat.probe;
         if !self.peers.heard(now, from, beat, window) {
             return;
         }
-        if life != Some(from.incarnation) {
-            self.new_life(now, from, out);
+        if incarnation != Some(from.incarnation) {
+            self.new_incarnation(now, from, out);
         }
         if self.alive.insert(from.instance) {
-            self.found(now, from.instance, out);
+            self.peer_found(now, from.instance, out);
         }
         self.adopt_evacuations(now, &evacuations, out);
-        self.take_echo(now, from, echo, out);
-        // A hand-over is taken up with the next flush, and not with the next tick.
-        if held_before.is_none_or(|held| held != holdings) {
-            self.changed.insert(from.instance);
+        self.handle_echo(now, from, echo, out);
+        // A handover is taken up at the next flush, before the next tick.
+        if holdings_before.is_none_or(|before| before != holdings) {
+            self.changed_peers.insert(from.instance);
         } else {
             self.update_loads(now, from.instance, loads, out);
-            // The first frequent heartbeat of a process that was asked for them is answered at once: it
-            // may wait for what it hears of itself by that to start what was handed to it.
-            let close = window <= CLOSE && !hurried;
-            self.stale |= close;
-            if answer || close {
-                self.send_beat(now, from.instance, out);
+            // The first frequent heartbeat of a process that was asked for them is answered at once: it may
+            // need the echo to start what was submitted to it.
+            let now_frequent = window <= FREQUENT_WINDOW && !was_frequent;
+            self.holders_stale |= now_frequent;
+            if answer || now_frequent {
+                self.send_heartbeat(now, from.instance, out);
             }
         }
     }
@@ -496,47 +506,47 @@
         true
     }
 
-    fn new_life(&mut self, now: Time, from: Process, out: &mut Vec<Output>) {
+    fn new_incarnation(&mut self, now: Time, from: Process, out: &mut Vec<Output>) {
         out.push(Output::Member(MemberEvent::PeerHeard {
             peer: from.instance,
             incarnation: from.incarnation,
         }));
         if self.alive.contains(&from.instance) {
-            // What the earlier life had is lost, though its silence was too short to notice.
-            self.lose_peer(now, from.instance, out);
+            // The state of the earlier incarnation is lost, even if its silence was too short to notice.
+            self.peer_lost(now, from.instance, out);
         }
         out.push(Output::NewPeer(from));
     }
 
-    /// Finds out who is lost since the last time.
-    fn compare_alive(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// Updates which peers are alive, and handles those that were lost or found since the last update.
+    fn update_alive(&mut self, now: Time, out: &mut Vec<Output>) {
         let alive: BTreeSet<_> = self.peers.alive(now).map(|(id, _)| id).collect();
         let lost: Vec<_> = self.alive.difference(&alive).copied().collect();
         let found: Vec<_> = alive.difference(&self.alive).copied().collect();
         self.alive = alive;
-        self.stale |= !found.is_empty() || !lost.is_empty();
+        self.holders_stale |= !found.is_empty() || !lost.is_empty();
         for peer in found {
-            self.found(now, peer, out);
+            self.peer_found(now, peer, out);
         }
         for peer in lost {
-            self.lose_peer(now, peer, out);
+            self.peer_lost(now, peer, out);
         }
     }
 
-    fn found(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
-        self.stale = true;
+    fn peer_found(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
+        self.holders_stale = true;
         if self.peers.get(peer).is_some_and(|view| !view.is_new()) {
             self.domains.found(now);
         }
         out.push(Output::PeerAlive(peer));
-        self.send_beat(now, peer, out);
-        // What it handed in while it was taken for lost was not taken.
+        self.send_heartbeat(now, peer, out);
+        // Its submissions were dropped while it counted as lost.
         if self.lost.remove(&peer) {
             self.pool_input(now, PoolInput::AskOrigin(peer), out);
         }
     }
 
-    fn lose_peer(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
+    fn peer_lost(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         self.lost.insert(peer);
         let view = self.peers.get(peer);
         let silent = view.map_or(Duration::ZERO, |view| now.since(view.heard));
@@ -549,75 +559,77 @@
         self.origin_input(now, OriginInput::PeerLost(peer), out);
     }
 
-    fn compare_domains(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn update_domains(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.config.part != Part::Entry {
             return;
         }
-        self.compared = now;
-        // Idle workers are not called. Without asking them, a data centre whose processes are all
-        // silent would be given up as soon as there is nothing to do, and tried again and again.
+        self.domains_updated = now;
+        // Idle workers get no calls. Without a check, a data centre whose processes are all silent would be
+        // resigned as soon as it is idle, and acquired again, over and over.
         for domain in self.domains.unheard(now, &self.peers) {
             self.pool_input(now, PoolInput::Ask(domain), out);
         }
         let mut changes = Vec::new();
-        self.divide(now, &mut changes, out);
+        self.update_shards(now, &mut changes, out);
         let short = !self.config.pool.without.lacks(Mechanism::ShortListening);
         self.domains.set_undivided(short && self.is_undivided());
         self.domains
-            .set_unsettled(self.uneven.is_some() && self.domains.shards() == 1);
-        let held = self.domains.held().keys().copied();
-        let reached = held.filter(|domain| self.pool.reaches(now, *domain, WORKERS_HEARD));
+            .set_unsettled(self.unsettled.is_some() && self.domains.shards() == 1);
+        let owned = self.domains.held().keys().copied();
+        let reached = owned.filter(|domain| self.pool.reaches(now, *domain, REACH_TIMEOUT));
         self.domains
             .tick(now, &self.peers, &reached.collect(), &mut changes);
-        self.change_domains(now, changes, out);
-        self.update_circle(now, out);
+        self.apply_changes(now, changes, out);
+        self.update_succession(now, out);
     }
 
-    /// Finds out who stands ready for whom, often enough that those who have just come or gone are counted.
-    fn update_circle(&mut self, now: Time, out: &mut Vec<Output>) {
-        if now.since(self.circled) < CIRCLE {
+    /// Updates which peers may take over from each other, often enough to include those that have just joined
+    /// or left.
+    fn update_succession(&mut self, now: Time, out: &mut Vec<Output>) {
+        if now.since(self.succession_updated) < SUCCESSION_INTERVAL {
             return;
         }
-        self.circled = now;
+        self.succession_updated = now;
         let circle = self.domains.circle(now, &self.peers);
-        self.set_circle(now, circle, out);
+        self.set_succession(now, circle, out);
     }
 
-    /// Whether workers are known, and one dispatcher suffices for all of them.
+    /// Whether workers are known and one dispatcher suffices for all of them.
     fn is_undivided(&self) -> bool {
         self.pool.known_workers() > 0 && self.domains.shards() == 1
     }
 
-    /// Divides the workers in as many shards as their number wants, or as others have found. The
-    /// number only rises, so that all come to the same one.
-    fn divide(&mut self, now: Time, changes: &mut Vec<Change>, out: &mut Vec<Output>) {
-        let wanted = shards(self.pool.known_workers(), self.config.shard_size);
-        let told = self.peers.alive(now).map(|(_, view)| view.beat.shards);
-        let told = told.max();
-        let shards = told.unwrap_or(1).max(wanted);
+    /// Divides the workers into as many shards as their number requires, or as a peer reports. The number of
+    /// shards only rises, so all members arrive at the same one.
+    fn update_shards(&mut self, now: Time, changes: &mut Vec<Change>, out: &mut Vec<Output>) {
+        let needed = shard_count(self.pool.known_workers(), self.config.shard_size);
+        let reported = self.peers.alive(now).map(|(_, view)| view.beat.shards);
+        let reported = reported.max();
+        let shards = reported.unwrap_or(1).max(needed);
         if shards <= self.domains.shards() {
-            self.uneven = None;
+            self.unsettled = None;
             return;
         }
-        // All that are there announce themselves within a moment of each other, and each division gives up all that
-        // is held: they divide once, when no more are heard of.
+        // All workers announce themselves within a short time, and each division resigns all owned domains.
+        // So the workers are divided once, when no more are announced.
         let known = self.pool.known_workers();
-        let uneven = self.uneven.get_or_insert((known, now, now));
-        if uneven.0 != known {
-            (uneven.0, uneven.2) = (known, now);
+        let unsettled = self.unsettled.get_or_insert((known, now, now));
+        if unsettled.0 != known {
+            (unsettled.0, unsettled.2) = (known, now);
         }
-        let settled = now.since(uneven.2) >= SETTLED || now.since(uneven.1) >= UNSETTLED;
-        if told.is_none_or(|told| told < shards) && !settled {
+        let settled =
+            now.since(unsettled.2) >= SETTLED_AFTER || now.since(unsettled.1) >= MAX_SETTLE_TIME;
+        if reported.is_none_or(|reported| reported < shards) && !settled {
             return;
         }
-        self.uneven = None;
+        self.unsettled = None;
         self.domains.set_shards(shards, changes);
-        self.change_domains(now, std::mem::take(changes), out);
+        self.apply_changes(now, std::mem::take(changes), out);
         self.pool.set_shards(shards);
         out.push(Output::Member(MemberEvent::Divided { shards }));
     }
 
-    fn change_domains(&mut self, now: Time, changes: Vec<Change>, out: &mut Vec<Output>) {
+    fn apply_changes(&mut self, now: Time, changes: Vec<Change>, out: &mut Vec<Output>) {
         if changes.is_empty() {
             return;
         }
@@ -628,13 +640,13 @@
             };
             self.pool_input(now, input, out);
         }
-        self.measure(now);
+        self.update_holdings(now);
         self.update_holders(now, out);
-        self.send_beats(now, out);
+        self.broadcast_heartbeat(now, out);
     }
 
-    fn work(&mut self, now: Time, from: Process, msg: WorkMsg, out: &mut Vec<Output>) {
-        if !self.speaks_now(now, from) {
+    fn handle_work(&mut self, now: Time, from: Process, msg: WorkMsg, out: &mut Vec<Output>) {
+        if !self.is_current(now, from) {
             return;
         }
         let from = from.instance;
@@ -651,10 +663,10 @@
         }
     }
 
-    /// Whether a message is of a process that is alive. One that was on its way when its sender
-    /// died would start work that nobody stops any more, while its caller sends the job again.
-    /// What is dropped of one that lives on is asked for again when it is heard.
-    fn speaks_now(&self, now: Time, from: Process) -> bool {
+    /// Whether a message comes from the current incarnation of a live process. One that was in flight when
+    /// its sender died would start work that nobody stops any more, while its caller submits the job again.
+    /// What is dropped from a process that lives on is requested again when its heartbeat arrives.
+    fn is_current(&self, now: Time, from: Process) -> bool {
         let view = self.peers.get(from.instance);
         let alive = view.is_some_and(|view| view.process == from && view.alive(now));
         from == self.config.me || alive
@@ -670,18 +682,18 @@
                 celerywinch_pool::Output::Outbid(domain) => {
                     let mut changes = Vec::new();
                     self.domains.outbid(now, domain, &mut changes);
-                    self.change_domains(now, changes, out);
+                    self.apply_changes(now, changes, out);
                 }
                 celerywinch_pool::Output::UsedUp(domain) => {
                     let mut changes = Vec::new();
                     self.domains.renew(domain, &mut changes);
-                    self.change_domains(now, changes, out);
+                    self.apply_changes(now, changes, out);
                 }
                 celerywinch_pool::Output::Crashed(task, crashes) => {
                     self.crashes.insert(task, crashes);
                 }
                 celerywinch_pool::Output::Careful(queue) => {
-                    self.careful.insert(queue);
+                    self.probe_queues.insert(queue);
                 }
                 celerywinch_pool::Output::Note(note) => out.push(Output::Dispatch(note)),
             }
@@ -695,7 +707,7 @@
             match output {
                 celerywinch_origin::Output::Send(to, msg) => {
                     if matches!(msg, WorkMsg::Submit(_)) {
-                        self.hand_to(now, to, out);
+                        self.prepare_submission(now, to, out);
                     }
                     self.send_work(to, msg, out);
                 }
@@ -709,16 +721,17 @@
 
     fn send_work(&mut self, to: InstanceId, msg: WorkMsg, out: &mut Vec<Output>) {
         if to == self.config.me.instance {
-            // Not at once: the state machine that said it is still at work.
-            self.own.push_back(msg);
+            // Queued, as the state machine that sent the message is still being handled.
+            self.local_work.push_back(msg);
         } else {
             out.push(Output::Send(to, FleetMsg::Work(msg)));
         }
     }
 }
 
-/// A power of two, so that it changes rarely as workers come and go.
-fn shards(workers: usize, most: usize) -> u8 {
-    let wanted = workers.div_ceil(most.max(1)).next_power_of_two();
-    u8::try_from(wanted).unwrap_or(MOST_SHARDS).min(MOST_SHARDS)
+/// Returns the number of shards for a number of workers: a power of two, so that it changes rarely as workers
+/// join and leave.
+fn shard_count(workers: usize, max: usize) -> u8 {
+    let needed = workers.div_ceil(max.max(1)).next_power_of_two();
+    u8::try_from(needed).unwrap_or(MAX_SHARDS).min(MAX_SHARDS)
 }
--- a/crates/celerywinch_member/src/round_robin.rs
+++ b/crates/celerywinch_member/src/round_robin.rs
@@ -1,45 +1,45 @@
-//! Going round many processes at a steady rate.
+//! Round-robin selection of many processes at a steady rate.
 
 use std::time::Duration;
 
 use celerywinch_types::{InstanceId, Time};
 
-/// At most one process in so many is due at once, also after a pause; ticks are 10 to 40 ms apart.
-const PARTS: usize = 20;
+/// A round takes at least this many batches, also after a pause; ticks are 10 to 40 ms apart.
+const MIN_BATCHES: usize = 20;
 
-/// A round over processes, one after the other by their numbers. All at once would hold up what is urgent: the
-/// processor for tens of ms on a small machine, and a narrow link likewise.
+/// A round-robin over processes in the order of their ids. All at once would delay urgent work: they take the
+/// processor of a small machine for tens of ms, and fill a narrow link for as long.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RoundRobin {
-    at: Time,
-    last: InstanceId,
+    last_time: Time,
+    last_id: InstanceId,
 }
 
 impl RoundRobin {
-    /// Begins anew: nothing is due for what went before.
+    /// Restarts the interval: nothing is due for the time before `now`.
     pub(crate) fn restart(&mut self, now: Time) {
-        self.at = now;
+        self.last_time = now;
     }
 
-    /// Those of `all`, in rising order, whose turn it is if a whole round takes `span`.
+    /// Returns those of `all`, given in ascending order, that are due if a whole round takes `span`.
     pub(crate) fn due(
         &mut self,
         now: Time,
         span: Duration,
         mut all: Vec<InstanceId>,
     ) -> Vec<InstanceId> {
-        let passed = now.since(self.at).as_micros() * all.len() as u128;
-        let most = all.len().div_ceil(PARTS);
-        let due = usize::try_from(passed / span.as_micros()).unwrap_or(most);
-        let due = due.min(most);
+        let elapsed = now.since(self.last_time).as_micros() * all.len() as u128;
+        let max = all.len().div_ceil(MIN_BATCHES);
+        let due = usize::try_from(elapsed / span.as_micros()).unwrap_or(max);
+        let due = due.min(max);
         if due == 0 {
             return Vec::new();
         }
-        let next = all.partition_point(|instance| *instance <= self.last);
+        let next = all.partition_point(|instance| *instance <= self.last_id);
         all.rotate_left(next);
         all.truncate(due);
-        self.at = now;
-        self.last = all.last().copied().unwrap_or_default();
+        self.last_time = now;
+        self.last_id = all.last().copied().unwrap_or_default();
         all
     }
 }
