--- a/crates/celerywinch_member/tests/arrivals.rs
+++ b/crates/celerywinch_member/tests/arrivals.rs
@@ -1,4 +1,4 @@
-//! Jobs whose callers are gone before they are handed in.
+//! Jobs whose callers disconnect before the jobs are submitted.
 
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_origin::{CallerId, JobNote, NewJob};
@@ -59,28 +59,28 @@
 }
 
 struct Case {
-    /// What happens to the caller before all that has arrived with its request was taken.
-    gone: bool,
+    /// Whether the caller disconnects before the flush.
+    disconnected: bool,
     submitted: usize,
 }
 
-/// Guards against two runs of one task at once: a request is read together with the break of its connection, and its caller has
-/// sent the job to another entry.
+/// Guards against two concurrent runs of one task: a request is read together with the close of its
+/// connection, and its caller has already submitted the job to another entry.
 #[rstest]
-#[case::gone(Case { gone: true, submitted: 0 })]
-#[case::there(Case { gone: false, submitted: 1 })]
-fn job_whose_caller_is_gone_is_not_handed_in(#[case] case: Case) {
+#[case::disconnected(Case { disconnected: true, submitted: 0 })]
+#[case::connected(Case { disconnected: false, submitted: 1 })]
+fn job_of_a_disconnected_caller_is_not_submitted(#[case] case: Case) {
     let mut member = member();
     let mut out = Vec::new();
     member.handle(Time(1), Input::Submit(CALLER, job()), &mut out);
     assert!(member.needs_flush() && member.is_busy());
-    if case.gone {
+    if case.disconnected {
         member.handle(Time(2), Input::CallerGone(CALLER), &mut out);
     }
     member.handle(Time(3), Input::Flush, &mut out);
     let submitted = |output: &&Output| matches!(output, Output::Origin(JobNote::Submitted { .. }));
     assert_eq!(out.iter().filter(submitted).count(), case.submitted);
     let left = Output::Origin(JobNote::CallerLeft { job: JOB, took: 0 });
-    assert_eq!(out.contains(&left), case.gone);
+    assert_eq!(out.contains(&left), case.disconnected);
     assert_eq!(member.open_jobs(), case.submitted);
 }
--- a/crates/celerywinch_member/tests/contacts.rs
+++ b/crates/celerywinch_member/tests/contacts.rs
@@ -1,4 +1,4 @@
-//! Who tells whom of all other processes.
+//! Which process sends its list of all processes to which peer.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,21 +16,21 @@
 const NOW: Time = Time(10_000_000);
 
 struct Case {
-    /// What the process under test is.
+    /// The part of the process under test.
     part: Part,
-    /// How long the other had run when it was heard, in ms; none if it was not.
-    ran: Option<u64>,
-    told: bool,
+    /// How long the peer had run at its last heartbeat, in ms; `None` if there was none.
+    uptime: Option<u64>,
+    sent: bool,
 }
 
-/// Guards against workers that are divided among a few after a restart of all, as entries know few others then; and against lists
-/// that fill the links of a data centre as it is heard again.
+/// Guards against two faults: after a restart of all processes the workers are divided among the few entries
+/// that each entry knows by then; and the lists fill the links of a data centre that is reachable again.
 #[rstest]
-#[case::unknown(Case { part: Part::Entry, ran: None, told: true })]
-#[case::just_started(Case { part: Part::Entry, ran: Some(200), told: true })]
-#[case::there_before(Case { part: Part::Entry, ran: Some(30_000), told: false })]
-#[case::by_a_keeper(Case { part: Part::Keeper, ran: Some(30_000), told: true })]
-fn who_is_told_of_all_others(#[case] case: Case) {
+#[case::unknown(Case { part: Part::Entry, uptime: None, sent: true })]
+#[case::just_started(Case { part: Part::Entry, uptime: Some(200), sent: true })]
+#[case::running_before(Case { part: Part::Entry, uptime: Some(30_000), sent: false })]
+#[case::by_a_keeper(Case { part: Part::Keeper, uptime: Some(30_000), sent: true })]
+fn which_peers_get_all_contacts(#[case] case: Case) {
     let me = Process {
         instance: InstanceId(1),
         incarnation: Incarnation(1),
@@ -44,7 +44,7 @@
         pool: PoolConfig::default(),
     };
     let mut member = Member::new(config, NOW, WallMs(1_700_000_000_000));
-    if let Some(ran) = case.ran {
+    if let Some(uptime) = case.uptime {
         let beat = Beat {
             part: Part::Entry,
             dc: DC,
@@ -54,7 +54,7 @@
             version: 1,
             evacuations: Evacuations::default(),
             shards: 1,
-            sent: Time(0) + Duration::from_millis(ran),
+            sent: Time(0) + Duration::from_millis(uptime),
             echo: None,
             every: 100,
             wants: false,
@@ -66,5 +66,5 @@
         };
         member.handle(NOW, Input::Heartbeat(peer, beat), &mut Vec::new());
     }
-    assert_eq!(member.sends_contacts(PEER), case.told);
+    assert_eq!(member.sends_contacts(PEER), case.sent);
 }
--- a/crates/celerywinch_member/tests/evacuations.rs
+++ b/crates/celerywinch_member/tests/evacuations.rs
@@ -57,7 +57,7 @@
     Member::new(config, Time(0), WallMs(0))
 }
 
-/// The receivers of the heartbeats that were sent, with the revision of the evacuations in each.
+/// Returns the receivers of the heartbeats that were sent, with the revision of the evacuations in each.
 fn sent_revisions(out: &[Output]) -> BTreeSet<(InstanceId, u64)> {
     let beats = out.iter().filter_map(|output| match output {
         Output::Send(to, FleetMsg::Beat(beat)) => Some((*to, beat.evacuations.revision)),
@@ -90,8 +90,8 @@
     assert_eq!(beat.evacuations, evacuations(case.known.0, case.known.1));
 }
 
-/// Guards against evacuations that spread only with the slow round of heartbeats, which takes seconds in a
-/// large deployment.
+/// Guards against evacuations that spread only with the slow heartbeats, which take seconds to reach all
+/// peers of a large deployment.
 #[test]
 fn keeper_sends_evacuations_to_all_at_once() {
     let mut member = member(Part::Keeper);
--- a/crates/celerywinch_member/tests/hand_overs.rs
+++ b/crates/celerywinch_member/tests/handovers.rs
@@ -1,4 +1,4 @@
-//! What an entry of a large deployment does when many domains change hands at once.
+//! An entry of a large deployment when many domains change their dispatchers at once.
 
 use std::collections::BTreeSet;
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// An entry that hears so many others, none of which dispatches.
+/// Returns an entry that knows `others` peers, none of which dispatches.
 fn member(now: Time, others: u32) -> Member {
     let config = MemberConfig {
         me: process(1),
@@ -67,12 +67,13 @@
     member
 }
 
-/// Guards against processes that have no time for callers as a data centre is cut off or heard again: each of hundreds of changes
-/// of hands was answered with a heartbeat, and took a look at all processes and domains.
+/// Guards against processes without time for callers when a data centre is cut off or reachable again: each
+/// of hundreds of changed dispatchers was answered with a heartbeat, and caused a pass over all processes and
+/// domains.
 #[rstest]
-#[case::of_today(64, 235)]
-#[case::of_tomorrow(64, 520)]
-fn changes_that_arrive_together_are_taken_up_together(#[case] changes: u32, #[case] others: u32) {
+#[case::peers_235(64, 235)]
+#[case::peers_520(64, 520)]
+fn changes_that_arrive_together_are_handled_together(#[case] changes: u32, #[case] others: u32) {
     let now = Time(10_000_000);
     let mut member = member(now, others);
     let later = Time(now.0 + 500_000);
@@ -80,15 +81,16 @@
     let mut out = Vec::new();
     for change in 0..changes {
         let shard = u8::try_from(change).expect("a shard");
-        let told = beat(later, Some(shard));
-        member.handle(later, Input::Heartbeat(process(2 + change), told), &mut out);
+        let beat = beat(later, Some(shard));
+        member.handle(later, Input::Heartbeat(process(2 + change), beat), &mut out);
     }
     assert!(out.is_empty() && member.needs_flush());
     member.handle(later, Input::Flush, &mut out);
     let beats = out
         .iter()
         .filter(|output| matches!(output, Output::Send(_, FleetMsg::Beat(_))));
-    // Those that callers' jobs go to from now on, and whom it may have to stand in for.
+    // The receivers are the dispatchers that callers' jobs are submitted to now, and the peers that it may
+    // take over from.
     let beats = beats.count();
     assert!(beats <= 24, "{beats} heartbeats for {changes} changes");
     assert!(!member.needs_flush());
--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -1,4 +1,4 @@
-//! A dispatcher that has nothing to do.
+//! A dispatcher that owns an idle data centre.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -53,10 +53,10 @@
     }
 }
 
-/// A member far from a data centre that it dispatches for, and that data centre's workers. All
-/// processes there fall silent after `heard` steps of 10 ms, and with them the first `dead` of its workers. The
-/// answer is how often the dispatcher gave the data centre up in the 5 s of the run.
-fn times_given_up(heard: u64, dead: u16, workers: u16) -> usize {
+/// Simulates a member that dispatches for the workers of a remote data centre. All processes there fall
+/// silent after `live_steps` steps of 10 ms, together with the first `dead` of its workers. Returns how often the
+/// dispatcher resigned the data centre in the 5 s of the run.
+fn count_resignations(live_steps: u64, dead: u16, workers: u16) -> usize {
     let config = MemberConfig {
         me: process(1),
         part: Part::Entry,
@@ -69,11 +69,11 @@
     let mut member = Member::new(config, now, WallMs(1_700_000_000_000));
     let notes = (0..workers).map(worker).collect();
     let mut inputs = vec![Input::ConfigVersion(1), Input::Workers(notes)];
-    let mut given_up = 0;
+    let mut resignations = 0;
     for step in 0..500 {
         now = now + Duration::from_millis(10);
-        let cut = step >= heard;
-        if !cut {
+        let silent = step >= live_steps;
+        if !silent {
             inputs.push(Input::Heartbeat(process(3), beat(1)));
         }
         inputs.push(Input::Heartbeat(process(2), beat(0)));
@@ -90,43 +90,45 @@
                             running: Vec::new(),
                             ended: Vec::new(),
                         };
-                        let lost = cut && (0..dead).any(|index| call.worker == format!("w{index}"));
+                        let lost =
+                            silent && (0..dead).any(|index| call.worker == format!("w{index}"));
                         let answer = if lost { Answer::Silent } else { lists };
                         inputs.push(Input::Answered(call.key, answer));
                     }
-                    Output::Dispatch(Note::Resigned { .. }) => given_up += 1,
+                    Output::Dispatch(Note::Resigned { .. }) => resignations += 1,
                     _ => {}
                 }
             }
         }
     }
-    given_up
+    resignations
 }
 
-/// Callers wait for a change of hands that nobody needs: all processes of a data centre are silent, its
-/// workers answer, but there is no work, so none is called, and after 1 s the dispatcher takes the
-/// data centre for cut off. It gives it up, tries it again 3 s later, and so on.
+/// Guards against needless changes of the dispatcher, for which callers wait: the processes of a data centre
+/// are silent and its workers answer, but none is called as there is no work. After 1 s the dispatcher takes
+/// the data centre for cut off, resigns it, acquires it again 3 s later, and so on.
 #[test]
 fn idle_data_centre_is_kept_while_its_workers_answer() {
-    assert_eq!(times_given_up(150, 0, 1), 0);
+    assert_eq!(count_resignations(150, 0, 1), 0);
 }
 
-/// The same where some of its workers died with the processes: one of the others is found before the
-/// second is over, whichever is asked first.
+/// As above, but some workers died with the processes: whichever worker is asked first, one of the others
+/// answers within the second.
 #[test]
 fn idle_data_centre_is_kept_while_some_of_its_workers_answer() {
-    assert_eq!(times_given_up(150, 3, 5), 0);
+    assert_eq!(count_resignations(150, 3, 5), 0);
 }
 
-/// A data centre that is cut off as a whole is given up, so that its own entries dispatch there without
-/// being outbid.
+/// A data centre that is cut off as a whole is resigned, so that its own entries can dispatch there without being fenced
+/// by a higher token.
 #[test]
-fn data_centre_is_given_up_when_nothing_there_answers() {
-    assert!(times_given_up(150, 5, 5) >= 1);
+fn data_centre_is_resigned_when_nothing_there_answers() {
+    assert!(count_resignations(150, 5, 5) >= 1);
 }
 
-/// The same where nobody has called the workers for long when the processes fall silent: they are asked first.
+/// As above, but the workers have not been called for a long time when the processes fall silent: they are
+/// asked first.
 #[test]
-fn data_centre_that_was_idle_for_long_is_kept_while_its_workers_answer() {
-    assert_eq!(times_given_up(350, 0, 1), 0);
+fn long_idle_data_centre_is_kept_while_its_workers_answer() {
+    assert_eq!(count_resignations(350, 0, 1), 0);
 }
--- a/crates/celerywinch_member/tests/teach.rs
+++ b/crates/celerywinch_member/tests/learned.rs
@@ -1,4 +1,4 @@
-//! How dispatchers tell what they have learned.
+//! How dispatchers share what they have learned.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use rstest::rstest;
 
 const DC: DataCentreId = DataCentreId(0);
-/// The process under test.
+/// The id of the process under test.
 const ME: u32 = 1;
 
 fn process(instance: u32) -> Process {
@@ -22,7 +22,7 @@
     }
 }
 
-/// When the others are ready: until then none of them dispatches in its place.
+/// The time at which the other entries become ready; none of them can take over before.
 const READY: Time = Time(2_500_000);
 
 fn beat(now: Time) -> Beat {
@@ -47,27 +47,28 @@
     }
 }
 
-/// A dispatcher among so many other entries, with ticks so far apart.
+/// A dispatcher with `others` other entries and a tick interval of `tick` ms.
 struct Case {
     others: u32,
     tick: u64,
-    /// The most that are told at once.
-    most: usize,
-    /// How many are told.
-    told: usize,
+    /// The maximum number of messages at once.
+    max_batch: usize,
+    /// The number of receivers.
+    receivers: usize,
 }
 
-/// Callers: the start of a task is late, once a second, at whatever the dispatcher does then. It tells all other entries at the
-/// same moment what it has learned: 27 times 8 KB with 350 workers and 45 queues are 70 ms of its link, in front of its
-/// orders and heartbeats. One after the other, each is told as often, and one message is all that is waited for. Among
-/// many only the four are told that would dispatch next.
+/// Guards against late starts of tasks, once a second, when a dispatcher sends what it has learned to all
+/// other entries at the same moment: with 350 workers and 45 queues, 27 messages of 8 KB take its link for 70
+/// ms, before its own orders and heartbeats. If they are sent one after the other, each entry gets them as
+/// often, and other messages wait for one of them at most. Among many entries only the four that would
+/// dispatch next get them.
 #[rstest]
-#[case::alone_with_one(Case { others: 1, tick: 10, most: 1, told: 1 })]
-#[case::small(Case { others: 6, tick: 10, most: 1, told: 6 })]
-#[case::grown(Case { others: 27, tick: 10, most: 1, told: 4 })]
-#[case::grown_and_idle(Case { others: 27, tick: 40, most: 1, told: 4 })]
-#[case::many(Case { others: 100, tick: 40, most: 1, told: 4 })]
-fn learned_is_told_one_after_the_other(#[case] case: Case) {
+#[case::alone_with_one(Case { others: 1, tick: 10, max_batch: 1, receivers: 1 })]
+#[case::small(Case { others: 6, tick: 10, max_batch: 1, receivers: 6 })]
+#[case::large(Case { others: 27, tick: 10, max_batch: 1, receivers: 4 })]
+#[case::large_with_slow_ticks(Case { others: 27, tick: 40, max_batch: 1, receivers: 4 })]
+#[case::many(Case { others: 100, tick: 40, max_batch: 1, receivers: 4 })]
+fn learned_is_sent_to_one_entry_after_the_other(#[case] case: Case) {
     let config = MemberConfig {
         me: process(ME),
         part: Part::Entry,
@@ -79,8 +80,8 @@
     let mut now = Time(1_000_000);
     let mut member = Member::new(config, now, WallMs(1_700_000_000_000));
     member.handle(now, Input::ConfigVersion(1), &mut Vec::new());
-    let mut told: BTreeMap<InstanceId, Vec<Time>> = BTreeMap::new();
-    let mut most = 0;
+    let mut receivers: BTreeMap<InstanceId, Vec<Time>> = BTreeMap::new();
+    let mut max_batch = 0;
     let end = now + Duration::from_secs(8);
     while now < end {
         now = now + Duration::from_millis(case.tick);
@@ -94,20 +95,20 @@
             _ => None,
         });
         let learned: Vec<_> = learned.collect();
-        most = most.max(learned.len());
+        max_batch = max_batch.max(learned.len());
         for to in learned {
-            told.entry(to).or_default().push(now);
+            receivers.entry(to).or_default().push(now);
         }
     }
-    let gaps = told.values().flat_map(|times| times.windows(2));
+    let gaps = receivers.values().flat_map(|times| times.windows(2));
     let longest = gaps.map(|two| two[1].since(two[0])).max();
     assert_eq!(
-        told.len(),
-        case.told,
-        "those that may dispatch next are told"
+        receivers.len(),
+        case.receivers,
+        "entries that may dispatch next get a message"
     );
     assert!(
-        most <= case.most && longest <= Some(Duration::from_millis(1_600)),
-        "{most} at once, {longest:?} between two"
+        max_batch <= case.max_batch && longest <= Some(Duration::from_millis(1_600)),
+        "{max_batch} at once, {longest:?} between two messages"
     );
 }
--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -1,4 +1,4 @@
-//! Work of origins that are gone.
+//! Work of origins that are lost.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 
 const DC: DataCentreId = DataCentreId(0);
 
-fn process(instance: u32, life: u64) -> Process {
+fn process(instance: u32, incarnation: u64) -> Process {
     Process {
         instance: InstanceId(instance),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
     }
 }
 
-/// The process under test, in the one data centre.
+/// Returns the member under test, in the only data centre.
 fn member(now: Time, part: Part) -> Member {
     let config = MemberConfig {
         me: process(1, 1),
@@ -34,12 +34,12 @@
     Member::new(config, now, WallMs(1_700_000_000_000))
 }
 
-/// Of a process that has heard the member under test just now.
+/// Returns a heartbeat whose sender has just received one from the member under test.
 fn beat(now: Time) -> Beat {
     Beat {
         part: Part::Entry,
         dc: DC,
-        // It does not dispatch itself, whatever its rank.
+        // This process does not dispatch, whatever its rank.
         stage: Stage::Joining,
         holdings: Vec::new(),
         fence: Fence(0),
@@ -91,23 +91,23 @@
     }
 }
 
-/// What became of the origin before its message arrived.
+/// The state of the origin when its message arrives.
 #[derive(Clone, Copy)]
 enum Origin {
     Alive,
     Refused,
     Silent,
-    OtherLife,
+    OtherIncarnation,
 }
 
-/// A caller's job runs twice: its entry dies while a task is on its way to the dispatcher, the task is
-/// started though nobody is left to stop it, and the caller has sent the job to another entry.
+/// Guards against running a job twice: its entry dies while a task is in flight to the dispatcher, which
+/// starts the task although nobody is left to stop it, and the caller has submitted the job to another entry.
 #[rstest]
 #[case::alive(Origin::Alive, true)]
 #[case::refused(Origin::Refused, false)]
 #[case::silent(Origin::Silent, false)]
-#[case::other_life(Origin::OtherLife, false)]
-fn work_of_an_origin_that_is_gone_is_dropped(#[case] origin: Origin, #[case] taken: bool) {
+#[case::other_incarnation(Origin::OtherIncarnation, false)]
+fn work_of_a_lost_origin_is_dropped(#[case] origin: Origin, #[case] taken: bool) {
     let mut now = Time(1_000_000);
     let mut member = member(now, Part::Entry);
     let mut out = Vec::new();
@@ -121,7 +121,7 @@
         Origin::Alive => {}
         Origin::Refused => member.handle(now, Input::ConnectionRefused(InstanceId(2)), &mut out),
         Origin::Silent => now = now + Duration::from_millis(400),
-        Origin::OtherLife => {
+        Origin::OtherIncarnation => {
             member.handle(now, Input::Heartbeat(process(2, 2), beat(now)), &mut out);
         }
     }
@@ -130,10 +130,10 @@
     assert_eq!(member.is_busy(), taken);
 }
 
-/// Work that was dropped since its origin was thought to be gone is asked for when it is heard again,
-/// or the caller would wait for ever.
+/// Guards against a caller that waits until its deadline: work is dropped while its origin counts as lost,
+/// and has to be requested when the origin's next heartbeat arrives.
 #[test]
-fn origin_that_is_heard_again_is_asked_for_its_work() {
+fn origin_that_is_alive_again_is_asked_for_its_work() {
     let mut now = Time(1_000_000);
     let mut member = member(now, Part::Entry);
     let mut out = Vec::new();
@@ -146,11 +146,12 @@
     assert!(out.contains(&resync), "{out:?}");
 }
 
-/// A caller waits until its deadline for a job that nobody has: its entry and its dispatcher do not hear each other for a moment, what
-/// the dispatcher gives back is dropped as of one that is lost, and a heartbeat comes before the tick that would notice the silence. So
-/// neither takes the other for lost, and nobody asks for what was dropped.
+/// Guards against a caller that waits until its deadline for a job that nobody has. Its entry and its
+/// dispatcher get no heartbeats of each other for a moment. What the dispatcher returns is dropped, as its
+/// sender counts as lost, and a heartbeat arrives before the tick that would detect the silence. So neither
+/// counts the other as lost, and nobody requests what was dropped.
 #[test]
-fn silence_that_ends_between_two_ticks_is_noticed() {
+fn silence_that_ends_between_two_ticks_is_detected() {
     let mut now = Time(1_000_000);
     let mut member = member(now, Part::Entry);
     let mut out = Vec::new();
@@ -168,30 +169,30 @@
     assert!(out.iter().any(asks), "{out:?}");
 }
 
-/// Workers stay idle while callers are refused: a keeper tells each new worker to the entries that it
-/// hears, and one whose heartbeat had not come yet, or that was silent for a moment, never learns of
-/// them. So the host hears of each process that is heard, for the first time and again.
+/// Guards against idle workers while callers are refused. A keeper reports each new worker to the entries
+/// that are alive; an entry whose first heartbeat has not arrived, or that is silent for a moment, never
+/// learns of it. So the host is notified of each process that is alive for the first time or again.
 #[test]
-fn host_hears_of_each_process_that_is_heard() {
+fn host_is_notified_of_each_process_that_is_alive() {
     let now = Time(1_000_000);
     let mut member = member(now, Part::Keeper);
-    let mut heard = Vec::new();
-    for (ms, said) in [(0, true), (100, true), (460, false), (500, true)] {
+    let mut notified = Vec::new();
+    for (ms, arrived) in [(0, true), (100, true), (460, false), (500, true)] {
         let now = now + Duration::from_millis(ms);
         let mut out = Vec::new();
-        if said {
+        if arrived {
             member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
         }
         member.handle(now, Input::Tick, &mut out);
-        heard.push(out.contains(&Output::PeerAlive(InstanceId(2))));
+        notified.push(out.contains(&Output::PeerAlive(InstanceId(2))));
     }
-    assert_eq!(heard, [true, false, false, true]);
+    assert_eq!(notified, [true, false, false, true]);
 }
 
-/// A dispatcher starts tasks of an origin that has taken it for lost, since old heartbeats, held up on a
-/// connection that both have given up, come after newer ones. They are not taken.
+/// Guards against a dispatcher that starts tasks of an origin that counts it as lost: old heartbeats, delayed
+/// on a connection that both have closed, arrive after newer ones. They are dropped.
 #[test]
-fn heartbeat_that_was_held_up_is_not_heard() {
+fn delayed_heartbeat_is_dropped() {
     let now = Time(1_000_000);
     let mut member = member(now, Part::Entry);
     let mut out = Vec::new();
@@ -209,10 +210,10 @@
     assert_eq!(view.map(|view| view.beat.version), Some(7));
 }
 
-/// A heartbeat names what its sender has heard of the receiver, so that the receiver knows by its own clock
-/// until when it may start the sender's tasks; nothing once the receiver counts as lost.
+/// A heartbeat echoes the receiver's last one, so that the receiver knows by its own clock until when it may
+/// start the sender's tasks. There is no echo once the receiver counts as lost.
 #[rstest]
-#[case::heard(100, true)]
+#[case::alive(100, true)]
 #[case::lost(400, false)]
 fn heartbeat_echoes_the_last_one(#[case] ms: u64, #[case] echoed: bool) {
     let now = Time(1_000_000);
@@ -229,7 +230,7 @@
     assert_eq!(echo, echoed.then_some(wanted));
 }
 
-/// What a worker lists; no run is at work.
+/// Returns a worker's answer to a poll; nothing runs there.
 fn lists(ended: Vec<EndedRow>) -> Answer {
     Answer::Lists {
         incarnation: None,
@@ -247,14 +248,15 @@
     calls.collect()
 }
 
-/// A caller's job runs twice: its entry is cut off from a dispatcher as the caller's connection to it breaks, and the
-/// caller sends the job to another entry 1.3 s later. The dispatcher drops what it has of an origin that it does
-/// not hear with its next tick; but it stands still for a moment, and the first thing that it does then is to start
-/// a waiting task on the worker that has room. Its lease would end after the caller has come again.
+/// Guards against running a job twice. Its entry is cut off from a dispatcher when the caller's connection to
+/// the entry breaks, and the caller submits the job to another entry 1.3 s later. The dispatcher drops the
+/// work of a silent origin at its next tick; but it is suspended for a moment, and its first action
+/// afterwards is to start a waiting task on the worker that has room. The lease of that task would end after
+/// the caller's second submission.
 #[rstest]
-#[case::heard_lately(300, true)]
-#[case::not_heard_for_as_long_as_the_living_are(360, false)]
-fn nothing_is_started_for_an_origin_that_is_not_heard(#[case] silent: u64, #[case] starts: bool) {
+#[case::within_the_timeout(300, true)]
+#[case::after_the_timeout(360, false)]
+fn nothing_is_started_for_a_silent_origin(#[case] silent: u64, #[case] starts: bool) {
     let mut now = Time(1_000_000);
     let mut member = member(now, Part::Entry);
     let cpu = 16_000;
@@ -289,7 +291,7 @@
         }
     }
     out.clear();
-    // The first fills the worker, the second waits for it.
+    // The first job fills the worker, the second waits for it.
     for job in [7, 8] {
         let mut order = order();
         order.job = JobId(job);
@@ -305,12 +307,12 @@
     let (key, task, run) = start.expect("the first is started");
     let taken = Input::Answered(key, Answer::Taken(WorkerClock(5_000)));
     member.handle(now, taken, &mut out);
-    let looks = calls(&out);
-    let look = looks
+    let polls = calls(&out);
+    let poll = polls
         .iter()
         .rev()
         .find(|call| matches!(call.order, Order::Look { .. }));
-    let look = look.expect("a look").key;
+    let poll = poll.expect("a poll").key;
     now = now + Duration::from_millis(silent);
     out.clear();
     let ended = EndedRow {
@@ -319,7 +321,7 @@
         run,
         how: How::Done,
     };
-    member.handle(now, Input::Answered(look, lists(vec![ended])), &mut out);
+    member.handle(now, Input::Answered(poll, lists(vec![ended])), &mut out);
     let started = calls(&out)
         .iter()
         .any(|call| matches!(call.order, Order::Start { .. }));
--- a/crates/celerywinch_member/tests/probes.rs
+++ b/crates/celerywinch_member/tests/probes.rs
@@ -1,4 +1,4 @@
-//! How an entry of a large deployment notices that a data centre is cut off.
+//! How an entry of a large deployment detects that a data centre is cut off.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 
 const HERE: DataCentreId = DataCentreId(0);
 const THERE: DataCentreId = DataCentreId(1);
-/// The two that dispatch, each in another data centre: the entry under test hears both often.
+/// The two dispatchers, one in each data centre: the entry under test gets frequent heartbeats from both.
 const DISPATCHERS: [u32; 2] = [2, 22];
-/// Others in the other data centre, which it hears every half second.
+/// Other processes in the remote data centre, which send a heartbeat every 500 ms.
 const OTHERS: std::ops::RangeInclusive<u32> = 3..=21;
 const STEP: Duration = Duration::from_millis(10);
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// The entry under test.
+/// Returns the entry under test.
 fn member(now: Time) -> Member {
     let config = MemberConfig {
         me: process(1),
@@ -72,7 +72,7 @@
     member
 }
 
-/// A job of two tasks.
+/// Returns a job of two tasks.
 fn job(id: u64) -> NewJob {
     NewJob {
         id: JobId(id),
@@ -104,37 +104,38 @@
     }
 }
 
-/// Who speaks on after the first second, and what follows from that.
+/// Which processes send heartbeats after the first second, and the expected result.
 struct Case {
-    /// Dispatchers that fall silent, by their place.
+    /// Indices of the dispatchers that fall silent.
     silent: &'static [usize],
-    /// Whether the others in the other data centre answer when they are asked.
-    answer: bool,
-    /// Whether those in the other data centre are asked.
-    asked: bool,
-    /// Whether they count as alive 600 ms after the silence began.
+    /// Whether the other processes of the remote data centre answer probes.
+    answers: bool,
+    /// Whether these processes are probed.
+    probed: bool,
+    /// Whether these processes count as alive 600 ms after the silence began.
     alive: bool,
 }
 
-/// Callers of an entry that is cut off wait in vain, and so do those of a data centre whose dispatcher is cut off: entries
-/// that hear each other rarely would take each other for alive for seconds. When all that is close in a data centre is
-/// silent the others there are asked, and do not count without an answer.
+/// Guards against callers that wait in vain at an entry that is cut off, or in a data centre whose dispatcher
+/// is cut off: entries with rare heartbeats would count each other as alive for seconds. When all frequent
+/// peers of a data centre are silent, the other processes there are probed, and count as lost without an
+/// answer.
 #[rstest]
-#[case::cut_off(Case { silent: &[0], answer: false, asked: true, alive: false })]
-#[case::its_dispatcher_alone_is_lost(Case { silent: &[0], answer: true, asked: true, alive: true })]
-#[case::another_data_centre(Case { silent: &[1], answer: false, asked: false, alive: true })]
-#[case::nobody(Case { silent: &[], answer: false, asked: false, alive: true })]
-fn others_are_asked_when_all_that_is_close_is_silent(#[case] case: Case) {
+#[case::cut_off(Case { silent: &[0], answers: false, probed: true, alive: false })]
+#[case::only_its_dispatcher_is_lost(Case { silent: &[0], answers: true, probed: true, alive: true })]
+#[case::another_data_centre(Case { silent: &[1], answers: false, probed: false, alive: true })]
+#[case::none_silent(Case { silent: &[], answers: false, probed: false, alive: true })]
+fn others_are_probed_when_all_frequent_peers_are_silent(#[case] case: Case) {
     let mut now = Time(1_000_000);
     let mut member = member(now);
     let cut = Time(2_000_000);
-    let mut asked = BTreeSet::new();
+    let mut probed = BTreeSet::new();
     while now < cut + Duration::from_millis(600) {
         now = now + STEP;
         let mut out = Vec::new();
-        for (place, dispatcher) in DISPATCHERS.into_iter().enumerate() {
-            let speaks = now < cut || !case.silent.contains(&place);
-            if speaks && now.0.is_multiple_of(100_000) {
+        for (index, dispatcher) in DISPATCHERS.into_iter().enumerate() {
+            let sends = now < cut || !case.silent.contains(&index);
+            if sends && now.0.is_multiple_of(100_000) {
                 let beat = beat(now, dispatcher);
                 member.handle(now, Input::Heartbeat(process(dispatcher), beat), &mut out);
             }
@@ -154,16 +155,16 @@
                 && sent.probe
                 && OTHERS.contains(&to.0)
             {
-                asked.insert(to.0);
-                if case.answer {
+                probed.insert(to.0);
+                if case.answers {
                     let beat = beat(now, to.0);
                     member.handle(now, Input::Heartbeat(process(to.0), beat), &mut Vec::new());
                 }
             }
         }
     }
-    let expected: BTreeSet<_> = OTHERS.filter(|_| case.asked).collect();
-    assert_eq!(asked, expected);
+    let expected: BTreeSet<_> = OTHERS.filter(|_| case.probed).collect();
+    assert_eq!(probed, expected);
     let mut others = OTHERS;
     let alive: BTreeSet<_> = member.peers().alive(now).map(|(id, _)| id.0).collect();
     assert!(
@@ -172,28 +173,29 @@
     );
 }
 
-/// Callers wait for seconds: their jobs go to a dispatcher that has been silent since it was heard last, as one that is
-/// heard rarely is known to be lost only after several of its heartbeats. It gets work only once it has answered.
+/// Guards against callers that wait for seconds because their jobs go to a dispatcher that has been silent
+/// since its last heartbeat: a process with rare heartbeats counts as lost only after several of them are
+/// missing. A dispatcher gets work only once it has answered.
 #[rstest]
 #[case::first_answers(&[2], &[2])]
 #[case::second_answers(&[22], &[22])]
-#[case::both_answer_and_one_is_nearer(&[2, 22], &[22])]
-fn work_goes_to_dispatchers_that_have_answered(#[case] answer: &[u32], #[case] gets: &[u32]) {
+#[case::both_answer_and_one_is_local(&[2, 22], &[22])]
+fn work_goes_to_dispatchers_that_have_answered(#[case] answer: &[u32], #[case] expected: &[u32]) {
     let mut now = Time(1_000_000);
     let mut member = member(now);
-    let mut heard = Vec::new();
+    let mut pending = Vec::new();
     for instance in OTHERS.chain(DISPATCHERS) {
-        let rarely = Beat {
+        let rare = Beat {
             every: 500,
             ..beat(now, instance)
         };
-        member.handle(now, Input::Heartbeat(process(instance), rarely), &mut heard);
+        member.handle(now, Input::Heartbeat(process(instance), rare), &mut pending);
     }
-    let mut asked = BTreeSet::new();
-    let mut handed = BTreeSet::new();
+    let mut probed = BTreeSet::new();
+    let mut submitted = BTreeSet::new();
     for step in 0..40 {
         now = now + STEP;
-        let mut out = std::mem::take(&mut heard);
+        let mut out = std::mem::take(&mut pending);
         member.handle(now, Input::Tick, &mut out);
         if step >= 20 {
             let job = job(u64::from(step as u32));
@@ -205,13 +207,13 @@
                 continue;
             };
             if matches!(&msg, FleetMsg::Beat(sent) if sent.probe) {
-                asked.insert(to.0);
+                probed.insert(to.0);
             }
             if matches!(msg, FleetMsg::Work(WorkMsg::Submit(_))) {
-                handed.insert(to.0);
+                submitted.insert(to.0);
             }
         }
-        for instance in answer.iter().filter(|instance| asked.contains(*instance)) {
+        for instance in answer.iter().filter(|instance| probed.contains(*instance)) {
             let beat = beat(now, *instance);
             member.handle(
                 now,
@@ -223,12 +225,12 @@
     assert!(
         DISPATCHERS
             .iter()
-            .all(|dispatcher| asked.contains(dispatcher))
+            .all(|dispatcher| probed.contains(dispatcher))
     );
-    assert_eq!(handed.into_iter().collect::<Vec<_>>(), gets);
-    let still = DISPATCHERS.into_iter().filter(|dispatcher| {
+    assert_eq!(submitted.into_iter().collect::<Vec<_>>(), expected);
+    let alive = DISPATCHERS.into_iter().filter(|dispatcher| {
         let view = member.peers().get(InstanceId(*dispatcher));
         view.is_some_and(|view| view.alive(now))
     });
-    assert_eq!(still.collect::<Vec<_>>(), answer);
+    assert_eq!(alive.collect::<Vec<_>>(), answer);
 }
--- a/crates/celerywinch_member/tests/restarts.rs
+++ b/crates/celerywinch_member/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Peers that start again.
+//! Peers that restart.
 
 use std::collections::BTreeSet;
 
@@ -54,11 +54,12 @@
     after: u64,
 }
 
-/// Heartbeats of a keeper that starts again after its clock was set back are dropped, and its entries go on with old routes.
+/// Guards against dropping all heartbeats of a keeper that restarts after its clock was set back, which
+/// leaves its entries with stale routes.
 #[rstest]
-#[case::clock_goes_on(Restart { before: 7, after: 9 })]
+#[case::clock_advances(Restart { before: 7, after: 9 })]
 #[case::clock_set_back(Restart { before: 9, after: 7 })]
-fn heartbeats_of_a_restarted_peer_count(#[case] case: Restart) {
+fn heartbeats_of_a_restarted_peer_are_accepted(#[case] case: Restart) {
     let mut entry = entry();
     let mut out = Vec::new();
     let before = Input::Heartbeat(process(2, case.before), beat(5, 90_000_000));
