--- a/crates/celerywinch_registry/src/lib.rs
+++ b/crates/celerywinch_registry/src/lib.rs
@@ -1,10 +1,11 @@
-//! The operators' configuration and evacuations on the replicated log: a document with a version, of
-//! which the highest is held, and the set of evacuated data centres with a revision.
+//! The operators' configuration and the evacuations on the replicated log. Of the configuration, a
+//! document with a version, the one with the highest version is stored; the set of evacuated data
+//! centres has a revision.
 //!
-//! [`Registry`] is a state machine without clock, socket or disk, like the log under it. The host
-//! carries out its outputs as those of the log, and guarantees that a document was checked before it
-//! is proposed. A read is confirmed by a majority of the keepers: what it answers was the newest at some
-//! moment after it was asked, also where the keeper was frozen or cut off meanwhile.
+//! [`Registry`] is a state machine without clock, socket or disk, like the log below it. The host
+//! carries out its outputs as those of the log, and guarantees that a document was validated before it
+//! is proposed. Reads are confirmed by a majority of the keepers: an answer was current at some moment
+//! after the request, even if the keeper was suspended or partitioned meanwhile.
 
 mod registry;
 
--- a/crates/celerywinch_registry/src/registry.rs
+++ b/crates/celerywinch_registry/src/registry.rs
@@ -1,4 +1,4 @@
-//! The state machine.
+//! The state machine of the registry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,20 +13,20 @@
 };
 
 domain! {
-    /// What is held: the document with the highest version.
+    /// A document and its version.
     #[derive(Default)]
     pub struct VersionedDocument {
-        /// The version; 0 before the first document.
+        /// Its version; 0 before the first document.
         pub version: u64,
-        /// As the operator sent it.
+        /// Its bytes, as sent by the operator.
         pub document: Vec<u8>,
     }
 
     /// A request of an operator.
     pub struct Request {
-        /// Who waits for the answer.
+        /// The instance that waits for the answer.
         pub from: InstanceId,
-        /// Names the request there.
+        /// The id of the request at that instance.
         pub id: u64,
         /// The operation.
         pub request: KeeperRequest,
@@ -41,111 +41,111 @@
     }
 }
 
-/// What the host is to do, strictly in this order.
+/// An output that the host carries out, strictly in the order given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistryOutput {
-    /// An output of the log; `Apply`, `Restore` and `Compact` never come out.
+    /// An output of the log, except `Apply`, `Restore` and `Compact`, which are handled here.
     Log(Output),
-    /// Answer a request; none if it is not known what became of it.
+    /// Answer a request; `None` if its outcome is not known.
     Answer(InstanceId, u64, Option<KeeperState>),
-    /// Pass a request to the instance that leads.
+    /// Forward a request to the leader's instance.
     Forward(InstanceId, Request),
-    /// A higher version is held.
+    /// A document with a higher version was committed.
     Committed(VersionedDocument),
-    /// A higher revision of the evacuations is held.
+    /// A higher revision of the evacuations was applied.
     EvacuationsChanged(Evacuations),
 }
 
-/// RegistryStatus for operators and logs.
+/// The status of a keeper, for operators and logs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegistryStatus {
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// What this keeper does.
+    /// The role of this keeper.
     pub role: Role,
-    /// How far the log is committed.
+    /// The index of the last committed entry.
     pub commit: u64,
-    /// How many keepers count for majorities.
+    /// The number of keepers that count for majorities.
     pub voters: usize,
-    /// How many are learning.
+    /// The number of keepers that are still learning the log.
     pub learners: usize,
-    /// The version held.
+    /// The version of the stored document.
     pub version: u64,
 }
 
-/// How long a request is waited for: callers of the keepers move on after a second, and try another one.
+/// Time limit of a request: callers of the keepers give up after a second and try another keeper.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(850);
 
-/// A request whose entry is not committed yet.
+/// A request whose log entry or read is not complete yet.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     term: u64,
     from: InstanceId,
     id: u64,
-    asked: Time,
-    /// Whether the document is asked for.
-    read: bool,
+    received: Time,
+    /// Whether the answer has to contain the document.
+    wants_document: bool,
 }
 
-/// A keeper of the configuration.
+/// The replicated configuration and evacuations of one keeper.
 #[derive(Debug)]
 pub struct Registry {
     me: KeeperId,
     raft: Raft,
     document: VersionedDocument,
     evacuations: Evacuations,
-    /// Requests by the entry that they wait for.
+    /// Requests by the index of the log entry that they wait for.
     pending: BTreeMap<u64, Vec<Pending>>,
-    /// Reads that wait for the log, by their numbers there.
-    reads: BTreeMap<u64, Pending>,
+    /// Reads that wait for the confirmation of a majority, by read number.
+    pending_reads: BTreeMap<u64, Pending>,
     next_read: u64,
-    /// The index of the last entry that was proposed here.
-    proposed: u64,
-    /// Orders to propose once more.
-    repeats: Vec<EvacuationOrder>,
+    /// The index of the last entry proposed here.
+    last_proposed: u64,
+    /// Orders to be proposed once more.
+    reproposals: Vec<EvacuationOrder>,
 }
 
 impl Registry {
-    /// Starts from what the disk holds.
+    /// Restores the state from the disk.
     ///
     /// # Errors
     ///
     /// The snapshot cannot be read.
     pub fn new(config: RaftConfig, now: Time, loaded: Loaded) -> anyhow::Result<Self> {
-        let (document, evacuations) = read_state(&loaded.snapshot)?;
+        let (document, evacuations) = decode_state(&loaded.snapshot)?;
         let last = loaded.entries.last();
-        let proposed = last.map_or(loaded.snapshot.index, |entry| entry.index);
+        let last_proposed = last.map_or(loaded.snapshot.index, |entry| entry.index);
         Ok(Self {
             me: config.me,
             raft: Raft::new(config, now, loaded.vote, loaded.snapshot, loaded.entries),
             document,
             evacuations,
             pending: BTreeMap::new(),
-            reads: BTreeMap::new(),
+            pending_reads: BTreeMap::new(),
             next_read: 0,
-            proposed,
-            repeats: Vec::new(),
+            last_proposed,
+            reproposals: Vec::new(),
         })
     }
 
-    /// What is held, as far as this keeper knows; others may hold a higher version.
+    /// Returns the document applied by this keeper; others may have a higher version.
     #[must_use]
     pub fn document(&self) -> &VersionedDocument {
         &self.document
     }
 
-    /// The evacuations applied by this keeper; others may hold a higher revision.
+    /// Returns the evacuations applied by this keeper; others may have a higher revision.
     #[must_use]
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Other instances at which the group may be found.
+    /// Sets other instances at which the group may be found.
     pub fn set_contacts(&mut self, contacts: Vec<InstanceId>) {
         self.raft.set_contacts(contacts);
     }
 
-    /// RegistryStatus for operators and logs.
+    /// Returns the status of this keeper, for operators and logs.
     #[must_use]
     pub fn status(&self) -> RegistryStatus {
         let group = self.raft.group();
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Takes an input of the log.
+    /// Handles an input of the log.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<RegistryOutput>) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
@@ -169,7 +169,7 @@
                 self.output(now, output, &mut inputs, out);
             }
         }
-        for order in std::mem::take(&mut self.repeats) {
+        for order in std::mem::take(&mut self.reproposals) {
             let index = self.propose(now, &Command::Evacuate(order), out);
             // Requests that are sent again find the entry here.
             self.pending.entry(index).or_default();
@@ -193,26 +193,29 @@
                 inputs.push(Input::State { index, state });
             }
             Output::Readable(read) => {
-                if let Some(pending) = self.reads.remove(&read) {
-                    let state = Some(self.state(pending.read));
+                if let Some(pending) = self.pending_reads.remove(&read) {
+                    let state = Some(self.state(pending.wants_document));
                     out.push(RegistryOutput::Answer(pending.from, pending.id, state));
                 }
             }
             Output::Role(role) => {
                 if role != Role::Leader {
-                    self.lose_pending(out);
+                    self.fail_pending(out);
                 }
                 out.push(RegistryOutput::Log(Output::Role(role)));
             }
             Output::Persist(entries) => {
-                self.proposed = entries.last().map_or(self.proposed, |entry| entry.index);
+                self.last_proposed = entries
+                    .last()
+                    .map_or(self.last_proposed, |entry| entry.index);
                 out.push(RegistryOutput::Log(Output::Persist(entries)));
             }
             other => out.push(RegistryOutput::Log(other)),
         }
     }
 
-    /// Takes a request; a keeper that does not lead passes its own on, and refuses others'.
+    /// Handles a request. A keeper that does not lead forwards the requests of its own instance to the
+    /// leader, and rejects those of others.
     pub fn request(&mut self, now: Time, request: Request, out: &mut Vec<RegistryOutput>) {
         if self.raft.role() != Role::Leader {
             let leader = self.raft.leader().map(|keeper| keeper.instance);
@@ -228,16 +231,16 @@
             term: self.raft.term(),
             from: request.from,
             id: request.id,
-            asked: now,
-            read: request.request == KeeperRequest::ReadDocument,
+            received: now,
+            wants_document: request.request == KeeperRequest::ReadDocument,
         };
         let command = match request.request {
             KeeperRequest::ReadDocument | KeeperRequest::ReadEvacuations => {
                 self.read(now, pending, out);
                 return;
             }
-            // Changes nothing. Where it was sent again, as its commit took longer than its caller waits, a commit of its own
-            // would take as long.
+            // Has no effect, so it is answered like a read. If it was sent again because its commit took
+            // longer than its caller waits, a commit of its own would take as long.
             KeeperRequest::PutDocument(version, _) if version <= self.document.version => {
                 self.read(now, pending, out);
                 return;
@@ -251,17 +254,17 @@
         self.pending.entry(index).or_default().push(pending);
     }
 
-    /// Answers with what is held, once a majority has confirmed that this keeper leads.
+    /// Answers a request with the current state, once a majority has confirmed that this keeper leads.
     fn read(&mut self, now: Time, pending: Pending, out: &mut Vec<RegistryOutput>) {
         self.next_read += 1;
-        self.reads.insert(self.next_read, pending);
+        self.pending_reads.insert(self.next_read, pending);
         self.handle(now, Input::Read(self.next_read), out);
     }
 
-    /// Proposes a command; the index of its entry.
+    /// Proposes a command and returns the index of its entry.
     ///
-    /// A request that is sent again, as its commit takes longer than its caller waits, shares the entry of the first one: each
-    /// with an entry of its own would wait as long again, and none might ever be answered.
+    /// A request that is sent again, because its commit takes longer than its caller waits, shares the entry
+    /// of the first one: with an entry of its own it would wait as long again, and might never be answered.
     fn propose(&mut self, now: Time, command: &Command, out: &mut Vec<RegistryOutput>) -> u64 {
         let command = bincode::serde::encode_to_vec(command, standard());
         let command = command.expect("plain data encodes");
@@ -269,7 +272,7 @@
         let same = open.find(|index| self.raft.open_command(*index) == Some(&command));
         same.unwrap_or_else(|| {
             self.handle(now, Input::Propose(command), out);
-            self.proposed
+            self.last_proposed
         })
     }
 
@@ -279,31 +282,37 @@
         };
         let waiting = self.pending.remove(&entry.index).unwrap_or_default();
         match bincode::serde::decode_from_slice(command, standard()) {
-            Ok((Command::PutDocument(version, document), _)) => self.hold(version, document, out),
+            Ok((Command::PutDocument(version, document), _)) => {
+                self.apply_document(version, document, out)
+            }
             Ok((Command::Evacuate(order), _)) => {
-                if self.evacuate(order, out) {
-                    self.repeat(now, order, &waiting);
+                if self.apply_order(order, out) {
+                    self.repropose_if_late(now, order, &waiting);
                 }
             }
             Ok((Command::Read, _)) => {}
-            Err(error) => log::error!("registry: Entry {} is no command: {error}.", entry.index),
+            Err(error) => log::error!(
+                "registry: Cannot decode the command of entry {}: {error}.",
+                entry.index
+            ),
         }
         for pending in waiting {
-            let state = (pending.term == entry.term).then(|| self.state(pending.read));
+            let state = (pending.term == entry.term).then(|| self.state(pending.wants_document));
             out.push(RegistryOutput::Answer(pending.from, pending.id, state));
         }
     }
 
-    /// Proposes an order that was applied once more if nobody waits for its commit any more.
+    /// Proposes an applied order once more if all its callers have given up before the commit.
     ///
-    /// Its caller sends it again. That order rests on the revision which this one has led to, and needs a commit of its own:
-    /// where each takes longer than its caller waits, none would ever be acknowledged. This one is under way by then.
-    fn repeat(&mut self, now: Time, order: EvacuationOrder, waiting: &[Pending]) {
-        let late = |pending: &Pending| now.since(pending.asked) >= REQUEST_TIMEOUT;
+    /// The caller sends it again, based on the revision that this order has led to, and that order needs a
+    /// commit of its own: if each commit takes longer than its caller waits, no order would ever be
+    /// acknowledged. The commit of the one proposed here is in progress by then.
+    fn repropose_if_late(&mut self, now: Time, order: EvacuationOrder, waiting: &[Pending]) {
+        let late = |pending: &Pending| now.since(pending.received) >= REQUEST_TIMEOUT;
         let leads = self.raft.role() == Role::Leader;
         if leads && !waiting.is_empty() && waiting.iter().all(late) {
             let base = self.evacuations.revision;
-            self.repeats.push(EvacuationOrder { base, ..order });
+            self.reproposals.push(EvacuationOrder { base, ..order });
         }
     }
 
@@ -320,21 +329,21 @@
         }
     }
 
-    /// Only a higher version replaces what is held, so a change sent again or overtaken has no
-    /// effect, and other content under the version held is never obeyed.
-    fn hold(&mut self, version: u64, document: Vec<u8>, out: &mut Vec<RegistryOutput>) {
+    /// Stores a document if its version is higher than the stored one. So a change that was sent again or
+    /// overtaken has no effect, and neither has other content with the same version.
+    fn apply_document(&mut self, version: u64, document: Vec<u8>, out: &mut Vec<RegistryOutput>) {
         if version > self.document.version {
             self.document = VersionedDocument { version, document };
             out.push(RegistryOutput::Committed(self.document.clone()));
         }
     }
 
-    /// Applies an order if it is based on the current revision; false if it is void.
+    /// Applies an order if it is based on the current revision; returns false if it is void.
     ///
-    /// Orders are resent through other keepers, and a delayed copy may be committed after a later
-    /// order was acknowledged. Each applied order raises the revision, even if it changes nothing
-    /// else, which voids all orders based on an earlier revision.
-    fn evacuate(&mut self, order: EvacuationOrder, out: &mut Vec<RegistryOutput>) -> bool {
+    /// Orders are resent through other keepers, and a delayed copy may be committed after a later order was
+    /// acknowledged. Each applied order raises the revision, even if it changes nothing else, which voids all
+    /// orders based on an earlier revision.
+    fn apply_order(&mut self, order: EvacuationOrder, out: &mut Vec<RegistryOutput>) -> bool {
         if order.base != self.evacuations.revision {
             return false;
         }
@@ -349,8 +358,8 @@
     }
 
     fn restore(&mut self, snapshot: &Snapshot, out: &mut Vec<RegistryOutput>) {
-        match read_state(snapshot) {
-            Ok((held, evacuations)) => {
+        match decode_state(snapshot) {
+            Ok((document, evacuations)) => {
                 // Evacuations come before the document, so that the evacuations known to a process are
                 // never older than its configuration.
                 let changed = evacuations.revision > self.evacuations.revision;
@@ -358,19 +367,19 @@
                 if changed {
                     out.push(RegistryOutput::EvacuationsChanged(self.evacuations.clone()));
                 }
-                let higher = held.version > self.document.version;
-                self.document = held;
+                let higher = document.version > self.document.version;
+                self.document = document;
                 if higher {
                     out.push(RegistryOutput::Committed(self.document.clone()));
                 }
             }
-            Err(error) => log::error!("registry: A snapshot was dropped: {error:#}."),
+            Err(error) => log::error!("registry: Ignored an unreadable snapshot: {error:#}."),
         }
     }
 
-    fn lose_pending(&mut self, out: &mut Vec<RegistryOutput>) {
+    fn fail_pending(&mut self, out: &mut Vec<RegistryOutput>) {
         let pending = std::mem::take(&mut self.pending).into_values().flatten();
-        let reads = std::mem::take(&mut self.reads).into_values();
+        let reads = std::mem::take(&mut self.pending_reads).into_values();
         for pending in pending.chain(reads) {
             out.push(RegistryOutput::Answer(pending.from, pending.id, None));
         }
@@ -391,11 +400,11 @@
         celerywinch_store::encode(self.me, to, msg)
     }
 
-    /// Takes an encoded message; one for an earlier disk of this instance is dropped.
+    /// Decodes and handles a message of the log; one for an earlier disk of this instance is dropped.
     ///
     /// # Errors
     ///
-    /// The bytes are no message.
+    /// The bytes cannot be decoded.
     pub fn handle_encoded(
         &mut self,
         now: Time,
@@ -410,17 +419,17 @@
 }
 
 /// Decodes a snapshot. Those of releases without evacuations end after the document.
-fn read_state(snapshot: &Snapshot) -> anyhow::Result<(VersionedDocument, Evacuations)> {
+fn decode_state(snapshot: &Snapshot) -> anyhow::Result<(VersionedDocument, Evacuations)> {
     let state = &snapshot.state;
     if state.is_empty() {
         return Ok(Default::default());
     }
     let decoded = bincode::serde::decode_from_slice(state, standard());
-    let (held, length) = decoded.context("registry: cannot read the snapshot's document")?;
+    let (document, length) = decoded.context("registry: cannot read the snapshot's document")?;
     if length == state.len() {
-        return Ok((held, Evacuations::default()));
+        return Ok((document, Evacuations::default()));
     }
     let decoded = bincode::serde::decode_from_slice(&state[length..], standard());
     let (evacuations, _) = decoded.context("registry: cannot read the snapshot's evacuations")?;
-    Ok((held, evacuations))
+    Ok((document, evacuations))
 }
--- a/crates/celerywinch_registry/tests/evacuations.rs
+++ b/crates/celerywinch_registry/tests/evacuations.rs
@@ -1,6 +1,6 @@
 //! Which orders to evacuate take effect, and how evacuations are restored after a restart.
 
-mod rig;
+mod harness;
 
 use std::collections::BTreeSet;
 
@@ -8,19 +8,19 @@
 use celerywinch_registry::VersionedDocument;
 use celerywinch_store::{Entry, Loaded, Payload};
 use celerywinch_types::{DataCentreId, EvacuationOrder, KeeperRequest};
-use rig::Rig;
+use harness::Harness;
 use rstest::rstest;
 
 /// The data centre, whether it is to be evacuated, and the revision that the order is based on.
 type Order = (u8, bool, u64);
 
-fn order(rig: &mut Rig, id: u64, (dc, evacuated, base): Order) {
+fn order(harness: &mut Harness, id: u64, (dc, evacuated, base): Order) {
     let order = EvacuationOrder {
         dc: DataCentreId(dc),
         evacuated,
         base,
     };
-    rig.request(id, KeeperRequest::Evacuate(order));
+    harness.request(id, KeeperRequest::Evacuate(order));
 }
 
 struct Case {
@@ -47,12 +47,12 @@
     dcs: &[3, 4],
 })]
 fn delayed_orders_are_void(#[case] case: Case) {
-    let mut rig = Rig::new(Loaded::default());
+    let mut harness = Harness::new(Loaded::default());
     for (id, each) in (1..).zip(case.orders) {
-        order(&mut rig, id, *each);
+        order(&mut harness, id, *each);
     }
-    rig.request(99, KeeperRequest::ReadEvacuations);
-    let state = rig.answers.last().expect("an answer").1.clone();
+    harness.request(99, KeeperRequest::ReadEvacuations);
+    let state = harness.answers.last().expect("an answer").1.clone();
     let evacuations = state.expect("a known state").evacuations;
     let dcs: BTreeSet<_> = case.dcs.iter().copied().map(DataCentreId).collect();
     assert_eq!(
@@ -66,16 +66,16 @@
 #[case::from_the_log(0)]
 #[case::from_a_snapshot(9)]
 fn restarted_keeper_knows_evacuations(#[case] documents: u64) {
-    let mut rig = Rig::new(Loaded::default());
-    order(&mut rig, 1, (1, true, 0));
+    let mut harness = Harness::new(Loaded::default());
+    order(&mut harness, 1, (1, true, 0));
     for version in 1..=documents {
         let document = KeeperRequest::PutDocument(version, b"text".to_vec());
-        rig.request(1 + version, document);
+        harness.request(1 + version, document);
     }
-    assert_eq!(rig.disk.snapshot.index > 0, documents > 0);
-    let mut rig = Rig::new(rig.disk);
-    rig.request(99, KeeperRequest::ReadEvacuations);
-    let state = rig.answers.last().expect("an answer").1.clone();
+    assert_eq!(harness.disk.snapshot.index > 0, documents > 0);
+    let mut harness = Harness::new(harness.disk);
+    harness.request(99, KeeperRequest::ReadEvacuations);
+    let state = harness.answers.last().expect("an answer").1.clone();
     let evacuations = state.expect("a known state").evacuations;
     assert_eq!(evacuations.dcs, [DataCentreId(1)].into());
 }
@@ -87,18 +87,19 @@
     let encode = |command: &Option<(u64, Vec<u8>)>| {
         bincode::serde::encode_to_vec(command, standard()).expect("plain data")
     };
-    let mut rig = Rig::new(Loaded::default());
+    let mut harness = Harness::new(Loaded::default());
     for version in 1..=9 {
-        rig.request(version, KeeperRequest::PutDocument(version, b"a".to_vec()));
+        harness.request(version, KeeperRequest::PutDocument(version, b"a".to_vec()));
     }
-    let mut loaded = rig.disk;
+    let mut loaded = harness.disk;
     let (index, term) = (loaded.snapshot.index, loaded.snapshot.term);
     assert!(index > 0);
-    let held = VersionedDocument {
+    let document = VersionedDocument {
         version: 9,
         document: b"a".to_vec(),
     };
-    loaded.snapshot.state = bincode::serde::encode_to_vec(&held, standard()).expect("plain data");
+    loaded.snapshot.state =
+        bincode::serde::encode_to_vec(&document, standard()).expect("plain data");
     loaded.entries = [None, Some((12, b"b".to_vec()))]
         .iter()
         .zip(index + 1..)
@@ -108,9 +109,9 @@
             payload: Payload::Command(encode(command)),
         })
         .collect();
-    let mut rig = Rig::new(loaded);
-    rig.request(1, KeeperRequest::ReadDocument);
-    let state = rig.answers.last().expect("an answer").1.clone();
+    let mut harness = Harness::new(loaded);
+    harness.request(1, KeeperRequest::ReadDocument);
+    let state = harness.answers.last().expect("an answer").1.clone();
     let state = state.expect("a known state");
     assert_eq!((state.version, state.document), (12, b"b".to_vec()));
     assert_eq!(state.evacuations.revision, 0);
--- a/crates/celerywinch_registry/tests/rig/mod.rs
+++ b/crates/celerywinch_registry/tests/harness/mod.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// A leader of a group of one, which carries out its own outputs.
-pub(crate) struct Rig {
+/// The leader of a group of one keeper, whose outputs are carried out at once.
+pub(crate) struct Harness {
     pub(crate) registry: Registry,
     pub(crate) now: Time,
     pub(crate) answers: Vec<(u64, Option<KeeperState>)>,
@@ -35,24 +35,24 @@
     pub(crate) disk: Loaded,
 }
 
-impl Rig {
+impl Harness {
     pub(crate) fn new(disk: Loaded) -> Self {
         let now = Time(10_000_000);
         let registry = Registry::new(config(), now, disk.clone()).expect("a readable disk");
-        let mut rig = Self {
+        let mut harness = Self {
             registry,
             now,
             answers: Vec::new(),
             disk,
         };
         for _ in 0..10 {
-            rig.now = rig.now + Duration::from_millis(100);
+            harness.now = harness.now + Duration::from_millis(100);
             let mut out = Vec::new();
-            rig.registry.handle(rig.now, Input::Tick, &mut out);
-            rig.carry_out(out);
+            harness.registry.handle(harness.now, Input::Tick, &mut out);
+            harness.carry_out(out);
         }
-        assert_eq!(rig.registry.status().role, Role::Leader);
-        rig
+        assert_eq!(harness.registry.status().role, Role::Leader);
+        harness
     }
 
     fn carry_out(&mut self, mut out: Vec<RegistryOutput>) {
