--- a/crates/celerywinch_member/src/heartbeats.rs
+++ b/crates/celerywinch_member/src/heartbeats.rs
@@ -107,8 +107,8 @@
                 domain,
                 instance,
                 load: holding.load,
-                close: self.may_submit_to(instance),
-                near: self.is_local(instance),
+                preferred: self.may_submit_to(instance),
+                local: self.is_local(instance),
             });
         let input = OriginInput::Holders(holders.collect());
         self.origin_input(now, input, out);
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_domains::{Change, Domains, Me, PeerView, Peers};
-use celerywinch_origin::{CallerId, Input as OriginInput, JobNote, NewJob, Origin};
+use celerywinch_origin::{CallerId, Input as OriginInput, JobEvent, NewJob, Origin};
 use celerywinch_pool::{Answer, Call, CallKey, Grant, Input as PoolInput, Note, Pool, PoolConfig};
 use celerywinch_types::{
     Beat, Crashes, DataCentreId, Evacuations, FleetMsg, Holding, InstanceId, JobEnd, Learned,
@@ -125,7 +125,7 @@
     /// An event of the dispatcher, for the logs.
     Dispatch(Note),
     /// An event of the origin, for the logs.
-    Origin(JobNote),
+    Origin(JobEvent),
 }
 
 /// A member of a fleet: its view of the peers, its dispatcher and its origin.
@@ -266,7 +266,7 @@
     /// and checks.
     #[must_use]
     pub fn open_work(&self, now: Time) -> Vec<String> {
-        let mut lines = self.origin.open_places();
+        let mut lines = self.origin.describe_jobs();
         lines.extend(self.pool.open_steps(now));
         lines
     }
@@ -362,11 +362,11 @@
         match arrived {
             Some(index) => {
                 let (_, job) = self.arrivals.remove(index);
-                let note = JobNote::CallerLeft {
+                let event = JobEvent::CallerLeft {
                     job: job.id,
                     took: 0,
                 };
-                out.push(Output::Origin(note));
+                out.push(Output::Origin(event));
             }
             None => self.origin_input(now, OriginInput::CallerGone(caller), out),
         }
@@ -404,7 +404,7 @@
                 self.update_domains(now, out);
             }
             self.update_holdings(now);
-            if self.holders_stale || self.origin.misses_holder() {
+            if self.holders_stale || self.origin.holders_incomplete() {
                 self.update_holders(now, out);
             } else {
                 let me = self.config.me.instance;
@@ -714,7 +714,7 @@
                 celerywinch_origin::Output::Answer(caller, end) => {
                     out.push(Output::Answer(caller, end));
                 }
-                celerywinch_origin::Output::Note(note) => out.push(Output::Origin(note)),
+                celerywinch_origin::Output::Event(event) => out.push(Output::Origin(event)),
             }
         }
     }
