--- a/crates/celerywinch_links/src/incoming.rs
+++ b/crates/celerywinch_links/src/incoming.rs
@@ -16,17 +16,17 @@
     TICKET_HEADER, Ticket, frame,
 };
 
-/// The latest streams of all instances; links live on one thread.
+/// The latest streams of all instances; all links of a process run on one thread.
 type Streams = Rc<RefCell<LatestStreams>>;
 
-/// A stream and who sends on it.
+/// The sender of a stream, and the stream's ticket.
 #[derive(Clone, Copy, Debug)]
 struct Sender {
     process: Process,
     ticket: Ticket,
 }
 
-/// Accepts links until the process ends; called on the core thread.
+/// Accepts links until the process ends. Has to be called on the core thread.
 pub async fn listen<M: Message, H: Host<M>>(listener: TcpListener, host: H, config: LinkConfig) {
     let streams = Streams::default();
     loop {
@@ -35,12 +35,12 @@
                 let (host, config, streams) = (host.clone(), config.clone(), streams.clone());
                 ntex::rt::spawn(async move {
                     if let Err(error) = serve(socket, host, &config, streams).await {
-                        log::debug!("link: An incoming link ended: {error:#}.");
+                        log::debug!("link: Incoming connection ended: {error:#}.");
                     }
                 });
             }
             Err(error) => {
-                log::warn!("link: Cannot accept a link: {error}.");
+                log::warn!("link: Cannot accept a connection: {error}.");
                 tokio::time::sleep(std::time::Duration::from_millis(50)).await;
             }
         }
@@ -77,28 +77,28 @@
             let from = Sender { process, ticket };
             if let Err(error) = receive(request.into_body(), from, &host, &streams).await {
                 let peer = process.instance;
-                log::debug!("link: Receiving from {peer} ended: {error:#}.");
+                log::debug!("link: Stream from {peer} ended: {error:#}.");
             }
         });
     }
     Ok(())
 }
 
-/// Who sends, if the secret is the right one.
+/// Returns the sender of a request if it presents the right secret.
 fn identify(request: &Request<RecvStream>, config: &LinkConfig) -> Option<Process> {
     let headers = request.headers();
-    let shown = headers.get(SECRET_HEADER)?.as_bytes();
-    if !bool::from(shown.ct_eq(config.secret.as_bytes())) {
-        log::warn!("link: Refused a link with a wrong secret.");
+    let presented = headers.get(SECRET_HEADER)?.as_bytes();
+    if !bool::from(presented.ct_eq(config.secret.as_bytes())) {
+        log::warn!("link: Rejected a connection with a wrong secret.");
         return None;
     }
     Some(Process {
-        instance: InstanceId(number(headers, INSTANCE_HEADER)?),
-        incarnation: Incarnation(number(headers, INCARNATION_HEADER)?),
+        instance: InstanceId(parse_header(headers, INSTANCE_HEADER)?),
+        incarnation: Incarnation(parse_header(headers, INCARNATION_HEADER)?),
     })
 }
 
-fn number<T: std::str::FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
+fn parse_header<T: std::str::FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
@@ -132,7 +132,7 @@
     Ok(())
 }
 
-/// The sender has sent its ticket back, so it is there now, and the stream counts.
+/// Confirms a stream whose sender has returned the ticket, and so has received the response.
 fn confirm<M: Message, H: Host<M>>(
     ticket: Ticket,
     from: Sender,
@@ -141,7 +141,7 @@
 ) -> anyhow::Result<()> {
     ensure!(
         ticket == from.ticket,
-        "it begins with another ticket; do both run the same release?"
+        "the stream begins with another ticket; do both processes run the same release?"
     );
     if !streams.borrow_mut().confirm(from.process, ticket) {
         return reject(from, host, streams);
@@ -150,7 +150,7 @@
     Ok(())
 }
 
-/// Ends a stream that is not the latest of its instance.
+/// Closes a stream that is not the latest one of its instance.
 fn reject<M: Message, H: Host<M>>(from: Sender, host: &H, streams: &Streams) -> anyhow::Result<()> {
     if let Some(current) = streams.borrow().current(from.process.instance) {
         host.rejected(from.process, current);
--- a/crates/celerywinch_links/src/outgoing.rs
+++ b/crates/celerywinch_links/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! The sending side of a link.
+//! The sending side of links.
 
 use std::cell::Cell;
 use std::io::ErrorKind;
@@ -20,29 +20,29 @@
 use tokio::time::{sleep, timeout};
 
 use crate::{
-    Host, INCARNATION_HEADER, INSTANCE_HEADER, LinkConfig, LinkEvent, LinkMsg, Message,
+    Host, INCARNATION_HEADER, INSTANCE_HEADER, LinkCommand, LinkConfig, LinkEvent, Message,
     SECRET_HEADER, TICKET_HEADER, Ticket, frame,
 };
 
-/// How long connecting may take. A machine without power, or behind a cut, answers nothing, and
-/// the system sends the opening packet again only after 1 s: what was begun before the machine is
-/// back must be given up, or a peer is found up to that time later than it could be. Connecting
-/// takes 10 ms between data centres, and tens of ms on a small machine that is busy.
-const CONNECT: Duration = Duration::from_millis(300);
-/// How long the peer may take to accept a stream on a connection. Its machine has answered, so it is busy; where many processes
-/// start at once and none has time for all, to begin anew only adds to that.
-const ACCEPT: Duration = Duration::from_secs(1);
-/// Between two attempts.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Between two pings on a link in use, at least, ...
-const PING_EVERY: Duration = Duration::from_millis(300);
-/// ... and so much for each link of the process: with 150 links and a third of them in use, 70 pings a second and their
-/// answers, a tenth of its heartbeats.
-const PING_SHARE: Duration = Duration::from_millis(5);
-/// A connection whose ping is not answered for this long is replaced.
+/// Time limit for connecting. A machine that is off or cut off answers nothing, and the kernel sends the SYN
+/// again only after 1 s: an attempt that began before the machine is back has to be abandoned, or the peer is
+/// found up to 1 s later than possible. Connecting takes 10 ms between data centres, and tens of ms on a
+/// small machine that is busy.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time limit for the peer to accept a stream on a connection. Its machine has answered, so it is only busy;
+/// if many processes start at once and none has time for all others, starting over only adds to the load.
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay between two attempts to connect.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Minimum interval of pings on a link in use.
+const MIN_PING_INTERVAL: Duration = Duration::from_millis(300);
+/// The interval is also at least this time multiplied by the number of links of the process. With 150 links, a
+/// third of them in use, that gives 70 pings a second and their answers, a tenth of the process's heartbeats.
+const PING_INTERVAL_PER_LINK: Duration = Duration::from_millis(5);
+/// A connection is replaced if a ping is not answered within this time.
 const PING_TIMEOUT: Duration = Duration::from_millis(700);
-/// The most messages in one piece.
-const BATCH: usize = 256;
+/// Maximum number of messages in one write.
+const MAX_BATCH: usize = 256;
 
 /// The sending side of the link to one instance.
 pub(super) struct Link<M, H> {
@@ -50,19 +50,19 @@
     config: LinkConfig,
     peer: InstanceId,
     addr: SocketAddr,
-    /// How many links the process has.
-    count: Rc<Cell<u32>>,
-    /// Why the last attempt to open the link failed; empty after one that succeeded.
+    /// The number of links of the process.
+    link_count: Rc<Cell<u32>>,
+    /// Why the last attempt to connect failed; empty after a successful one.
     failure: String,
     messages: PhantomData<M>,
 }
 
-/// A connection that answered a ping.
-struct Open {
+/// A stream on a connection on which the peer has answered a ping.
+struct OpenStream {
     stream: SendStream<bytes::Bytes>,
     broken: UnboundedReceiver<()>,
-    /// Told of each piece that is sent.
-    used: Rc<Notify>,
+    /// Notified of each write.
+    activity: Rc<Notify>,
 }
 
 impl<M: Message, H: Host<M>> Link<M, H> {
@@ -78,14 +78,14 @@
             config,
             peer,
             addr,
-            count,
+            link_count: count,
             failure: String::new(),
             messages: PhantomData,
         }
     }
 
-    /// Keeps a connection open and sends what comes.
-    pub(super) async fn run(mut self, mut inbox: UnboundedReceiver<LinkMsg<M>>) {
+    /// Keeps a connection open and sends the queued messages on it.
+    pub(super) async fn run(mut self, mut inbox: UnboundedReceiver<LinkCommand<M>>) {
         loop {
             match self.open().await {
                 Ok(open) => {
@@ -95,13 +95,15 @@
                     }
                     self.event(LinkEvent::Opened);
                     let opened = Instant::now();
-                    match self.pump(open, &mut inbox).await {
+                    match self.send_messages(open, &mut inbox).await {
                         Ok(()) => return,
                         Err(error) => {
-                            log::info!("link: Lost the link to {}: {error:#}.", self.peer);
+                            log::info!("link: Lost the connection to {}: {error:#}.", self.peer);
                             self.event(LinkEvent::Lost);
-                            // A peer that accepts and closes would be called without end.
-                            if opened.elapsed() < PAUSE && !self.pause(&mut inbox).await {
+                            // A peer that accepts and closes at once would be called in a busy loop.
+                            if opened.elapsed() < RETRY_DELAY
+                                && !self.wait_before_retry(&mut inbox).await
+                            {
                                 return;
                             }
                         }
@@ -109,8 +111,8 @@
                 }
                 Err(error) => {
                     self.log_failure(&error);
-                    self.report(&error);
-                    if !self.pause(&mut inbox).await {
+                    self.report_refusal(&error);
+                    if !self.wait_before_retry(&mut inbox).await {
                         return;
                     }
                 }
@@ -118,36 +120,38 @@
         }
     }
 
-    /// Logs why the link cannot be opened, once for each reason in a row: attempts are repeated without end.
+    /// Logs why the link cannot be opened, once for a series of equal reasons, as attempts are repeated
+    /// without limit.
     fn log_failure(&mut self, error: &anyhow::Error) {
         let failure = format!("{error:#}");
         if failure != self.failure {
-            log::info!("link: Cannot open the link to {}: {failure}.", self.peer);
+            log::info!("link: Cannot connect to {}: {failure}.", self.peer);
             self.failure = failure;
         }
     }
 
-    /// A refused connection shows that the process is gone; anything else may be the network.
-    fn report(&self, error: &anyhow::Error) {
+    /// Reports a refused connection, which shows that the process is gone; any other error may be due to the
+    /// network.
+    fn report_refusal(&self, error: &anyhow::Error) {
         let cause = error.downcast_ref::<std::io::Error>();
         if cause.is_some_and(|cause| cause.kind() == ErrorKind::ConnectionRefused) {
             self.event(LinkEvent::Refused);
         }
     }
 
-    async fn pause(&self, inbox: &mut UnboundedReceiver<LinkMsg<M>>) -> bool {
-        sleep(PAUSE).await;
+    async fn wait_before_retry(&self, inbox: &mut UnboundedReceiver<LinkCommand<M>>) -> bool {
+        sleep(RETRY_DELAY).await;
         drop_queued(inbox)
     }
 
-    async fn open(&self) -> anyhow::Result<Open> {
-        let socket = timeout(CONNECT, TcpStream::connect(self.addr)).await;
-        let socket = socket.context("link: no connection in time")??;
-        let open = timeout(ACCEPT, self.open_stream(socket)).await;
-        open.context("link: no stream in time")?
+    async fn open(&self) -> anyhow::Result<OpenStream> {
+        let socket = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.addr)).await;
+        let socket = socket.context("link: connecting timed out")??;
+        let open = timeout(ACCEPT_TIMEOUT, self.open_stream(socket)).await;
+        open.context("link: opening a stream timed out")?
     }
 
-    async fn open_stream(&self, socket: TcpStream) -> anyhow::Result<Open> {
+    async fn open_stream(&self, socket: TcpStream) -> anyhow::Result<OpenStream> {
         socket.set_nodelay(true)?;
         let (sender, mut connection) = h2::client::Builder::new()
             .initial_window_size(self.config.window)
@@ -155,20 +159,23 @@
             .handshake(socket)
             .await
             .context("link: the HTTP/2 handshake failed")?;
-        let ping = connection.ping_pong().context("link: no ping")?;
+        let ping = connection
+            .ping_pong()
+            .context("link: the connection has no ping handle")?;
         let (broken_tx, broken) = unbounded_channel();
-        ntex::rt::spawn(drive(connection, broken_tx.clone()));
+        ntex::rt::spawn(drive_connection(connection, broken_tx.clone()));
         let stream = self.request(sender).await?;
-        // The handshake alone proves nothing: a relay may accept for a process that is frozen.
+        // The handshake alone does not show that the peer is alive: a relay may accept for a suspended
+        // process.
         let mut ping = ping;
         ping.ping(Ping::opaque()).await?;
-        let used = Rc::new(Notify::new());
-        let links = self.count.get();
-        ntex::rt::spawn(watch(ping, links, used.clone(), broken_tx));
-        Ok(Open {
+        let activity = Rc::new(Notify::new());
+        let links = self.link_count.get();
+        ntex::rt::spawn(monitor(ping, links, activity.clone(), broken_tx));
+        Ok(OpenStream {
             stream,
             broken,
-            used,
+            activity,
         })
     }
 
@@ -189,20 +196,20 @@
         let response = response.await?;
         let status = response.status();
         if !status.is_success() {
-            bail!("link: the peer answers {status}; do both use the same secret?");
+            bail!("link: the peer answered {status}; do both processes use the same secret?");
         }
-        let ticket = ticket(&response).context("link: the peer's answer has no ticket")?;
+        let ticket = ticket(&response).context("link: the peer's response has no valid ticket")?;
         let mut buffer = BytesMut::new();
         frame::encode_ticket(&mut buffer, ticket);
         stream.send_data(buffer.freeze(), false)?;
         Ok(stream)
     }
 
-    /// Sends until the connection breaks, or the process ends (`Ok`).
-    async fn pump(
+    /// Sends messages until the connection breaks, or until the process ends (`Ok`).
+    async fn send_messages(
         &self,
-        mut open: Open,
-        inbox: &mut UnboundedReceiver<LinkMsg<M>>,
+        mut open: OpenStream,
+        inbox: &mut UnboundedReceiver<LinkCommand<M>>,
     ) -> anyhow::Result<()> {
         let mut buffer = BytesMut::new();
         loop {
@@ -211,28 +218,28 @@
                     let Some(msg) = msg else {
                         return Ok(());
                     };
-                    let mut probe = self.add(&mut buffer, msg)?;
-                    for _ in 1..BATCH {
+                    let mut probe = self.encode(&mut buffer, msg)?;
+                    for _ in 1..MAX_BATCH {
                         let Ok(msg) = inbox.try_recv() else {
                             break;
                         };
-                        probe |= self.add(&mut buffer, msg)?;
+                        probe |= self.encode(&mut buffer, msg)?;
                     }
                     self.flush(&mut open, &mut buffer)?;
                     if probe {
                         open = self.replace(open, inbox).await?;
                     }
                 }
-                _ = open.broken.recv() => bail!("no answer to a ping, or closed"),
+                _ = open.broken.recv() => bail!("connection closed, or ping not answered"),
             }
         }
     }
 
-    /// Encodes a message; tells whether it asks for a probe.
-    fn add(&self, buffer: &mut BytesMut, msg: LinkMsg<M>) -> anyhow::Result<bool> {
+    /// Encodes a message; returns true for a command to probe the connection.
+    fn encode(&self, buffer: &mut BytesMut, msg: LinkCommand<M>) -> anyhow::Result<bool> {
         match msg {
-            LinkMsg::Probe => Ok(true),
-            LinkMsg::Send(msg) => {
+            LinkCommand::Probe => Ok(true),
+            LinkCommand::Send(msg) => {
                 let before = buffer.len();
                 frame::encode(buffer, self.host.stamp(), &msg)?;
                 self.host.sent(&msg, buffer.len() - before);
@@ -241,23 +248,23 @@
         }
     }
 
-    fn flush(&self, open: &mut Open, buffer: &mut BytesMut) -> anyhow::Result<()> {
+    fn flush(&self, open: &mut OpenStream, buffer: &mut BytesMut) -> anyhow::Result<()> {
         if buffer.is_empty() {
             return Ok(());
         }
         let data = buffer.split().freeze();
-        open.used.notify_one();
+        open.activity.notify_one();
         open.stream
             .send_data(data, false)
-            .context("link: cannot send")
+            .context("link: cannot send on the stream")
     }
 
-    /// Opens a new connection while the old one is silent, and uses it if it answers.
+    /// Opens a new connection while the old one is silent, and switches to it if it answers.
     async fn replace(
         &self,
-        old: Open,
-        inbox: &mut UnboundedReceiver<LinkMsg<M>>,
-    ) -> anyhow::Result<Open> {
+        old: OpenStream,
+        inbox: &mut UnboundedReceiver<LinkCommand<M>>,
+    ) -> anyhow::Result<OpenStream> {
         match self.open().await {
             Ok(new) => {
                 drop_queued(inbox);
@@ -265,7 +272,7 @@
                 Ok(new)
             }
             Err(error) => {
-                self.report(&error);
+                self.report_refusal(&error);
                 Ok(old)
             }
         }
@@ -276,10 +283,11 @@
     }
 }
 
-/// Drops the messages queued while a connection was being opened or retried; returns false if the queue is closed.
-/// Peers send their state again after `Opened` or `Replaced`. If a queued request and its cancellation were delivered
-/// together, the peer could run the request although the sender had already reassigned it to another peer.
-fn drop_queued<M>(inbox: &mut UnboundedReceiver<LinkMsg<M>>) -> bool {
+/// Drops the messages queued while a connection was being opened or retried; returns false if the queue is
+/// closed. Peers send their state again after `Opened` or `Replaced`. If a queued request and its
+/// cancellation were delivered together, the peer could run the request although the sender had already
+/// reassigned it to another peer.
+fn drop_queued<M>(inbox: &mut UnboundedReceiver<LinkCommand<M>>) -> bool {
     loop {
         match inbox.try_recv() {
             Ok(_) => {}
@@ -289,25 +297,33 @@
     }
 }
 
-/// The ticket that a stream has to begin with.
+/// Returns the ticket that the stream has to begin with.
 fn ticket<T>(response: &Response<T>) -> Option<Ticket> {
     let value = response.headers().get(TICKET_HEADER)?;
     value.to_str().ok()?.parse().ok().map(Ticket)
 }
 
-async fn drive(connection: Connection<TcpStream, bytes::Bytes>, broken: UnboundedSender<()>) {
+async fn drive_connection(
+    connection: Connection<TcpStream, bytes::Bytes>,
+    broken: UnboundedSender<()>,
+) {
     let _ = connection.await;
     let _ = broken.send(());
 }
 
-/// Pings until no answer comes. The kernel may take minutes to report a connection that something
-/// between the two ends has lost track of; until then all that is sent on it disappears. Where nothing was sent
-/// since the last ping nothing can have: of 151 links of a process a tenth are in constant use, and pings on the
-/// others would be 500 a second, and as many answers.
-async fn watch(mut ping: PingPong, links: u32, used: Rc<Notify>, broken: UnboundedSender<()>) {
-    let every = PING_EVERY.max(PING_SHARE * links);
+/// Sends pings until one is not answered. The kernel may take minutes to report a connection that a device
+/// between the two ends has dropped; until then all that is sent on it is lost. If nothing was sent since the
+/// last ping, nothing can be lost: of a process's 151 links a tenth are in constant use, and pings on the
+/// others would be 500 a second, with as many answers.
+async fn monitor(
+    mut ping: PingPong,
+    links: u32,
+    activity: Rc<Notify>,
+    broken: UnboundedSender<()>,
+) {
+    let every = MIN_PING_INTERVAL.max(PING_INTERVAL_PER_LINK * links);
     loop {
-        used.notified().await;
+        activity.notified().await;
         sleep(every).await;
         match timeout(PING_TIMEOUT, ping.ping(Ping::opaque())).await {
             Ok(Ok(_)) if !broken.is_closed() => {}
--- a/crates/celerywinch_links/src/streams.rs
+++ b/crates/celerywinch_links/src/streams.rs
@@ -1,25 +1,27 @@
-//! Which stream of an instance is its latest one.
+//! The latest stream of each instance.
 
 use std::collections::BTreeMap;
 
 use celerywinch_types::{InstanceId, Process, identifier};
 
 identifier! {
-    /// Numbers a stream, by its receiver's count of all that were asked for.
+    /// The number of a stream: how many streams its receiver had been asked for.
     pub struct Ticket(pub u64);
 }
 
-/// The latest stream of each instance.
+/// Tracks the latest stream of each instance.
 ///
-/// A sender gives up a connection whose pings are not answered and goes on over a new one, or ends and is replaced
-/// by another process at its address; what was sent on the earlier stream may still arrive, seconds later. A hand-in of
-/// work after the message that cancelled it, say, would be done for nobody, or twice. So what comes on an
-/// earlier stream than the latest is dropped. It counts as lost, as all on a broken connection does.
+/// A sender that gets no answers to its pings replaces the connection, and a process that ends may be
+/// replaced by another one at its address. What was sent on the earlier stream may still arrive seconds
+/// later. For example, a submission that arrives after the message that cancelled it would be run for nobody,
+/// or twice. So messages from a stream other than the latest one are dropped; they count as lost, like all
+/// messages on a broken connection.
 ///
-/// The order rests on nothing that the sender counts: it remembers no count over a restart, and its time of day may have been
-/// set back. The receiver answers each request with a ticket, and a stream counts from the moment its sender has sent that back.
-/// A sender opens one stream after the other, and processes at one address follow each other; so a ticket that
-/// was sent back was issued before its sender, or its successor, asked for the next one.
+/// The order does not depend on any counter of the sender: it keeps none over a restart, and its wall clock
+/// may have been set back. The receiver answers each request with a ticket, and a stream counts once its
+/// sender has returned that ticket. A sender opens its streams one after the other, and the processes at one
+/// address follow each other, so a returned ticket was issued before its sender, or the sender's successor,
+/// requested the next one.
 #[derive(Debug, Default)]
 pub struct LatestStreams {
     issued: u64,
@@ -27,13 +29,14 @@
 }
 
 impl LatestStreams {
-    /// A ticket for a stream that is asked for.
+    /// Issues the ticket for a requested stream.
     pub fn issue(&mut self) -> Ticket {
         self.issued += 1;
         Ticket(self.issued)
     }
 
-    /// The sender of a stream has sent its ticket back; false if a later stream of its instance counts.
+    /// Records that the sender of a stream has returned its ticket; returns false if a later stream of its
+    /// instance is already confirmed.
     pub fn confirm(&mut self, from: Process, ticket: Ticket) -> bool {
         let latest = self.latest.entry(from.instance).or_insert((from, ticket));
         if latest.1 < ticket {
@@ -42,7 +45,7 @@
         *latest == (from, ticket)
     }
 
-    /// The process whose stream is the latest of its instance.
+    /// Returns the process whose stream is the latest of its instance.
     #[must_use]
     pub fn current(&self, instance: InstanceId) -> Option<Process> {
         self.latest.get(&instance).map(|(process, _)| *process)
--- a/crates/celerywinch_links/tests/restart.rs
+++ b/crates/celerywinch_links/tests/restart.rs
@@ -1,4 +1,4 @@
-//! Links of a peer that starts again, or is busy.
+//! Links to a peer that restarts, or whose machine is busy.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,8 +15,8 @@
 
 const PEER: InstanceId = InstanceId(4);
 const RECEIVER: InstanceId = InstanceId(5);
-/// Attempts are repeated every 100 ms.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Attempts to connect are repeated every 100 ms.
+const TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Records received messages and link events.
 #[derive(Clone, Default)]
@@ -55,12 +55,12 @@
     }
 }
 
-/// Sends a message over new links until it arrives; false if it does not.
-async fn is_heard(from: LinkConfig, to: SocketAddr, msg: u32, receiver: &Recorder) -> bool {
+/// Sends a message over new links until it arrives; returns false if it does not.
+async fn delivers(from: LinkConfig, to: SocketAddr, msg: u32, receiver: &Recorder) -> bool {
     let expected = (from.me, msg);
     let mut links = Links::new(Recorder::default(), from);
     links.open(RECEIVER, to);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while Instant::now() < until {
         links.send(RECEIVER, msg);
         sleep(Duration::from_millis(20)).await;
@@ -76,34 +76,35 @@
     after: u64,
 }
 
-/// A peer that starts again after its clock was set back is ignored for as long as the receiver runs.
+/// Guards against ignoring a peer that restarts after its clock was set back, for as long as the receiver
+/// runs.
 #[rstest]
-#[case::clock_goes_on(Restart { before: 7, after: 9 })]
+#[case::clock_advances(Restart { before: 7, after: 9 })]
 #[case::clock_set_back(Restart { before: 9, after: 7 })]
 #[case::same_reading(Restart { before: 7, after: 7 })]
-fn restarted_peer_is_heard(#[case] case: Restart) {
+fn restarted_peer_is_accepted(#[case] case: Restart) {
     let system = System::build().name("restart").build(DefaultRuntime);
     system.block_on(async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("its address");
         let receiver = Recorder::default();
         ntex::rt::spawn(listen(listener, receiver.clone(), config(RECEIVER, 1)));
-        assert!(is_heard(config(PEER, case.before), addr, 1, &receiver).await);
-        assert!(is_heard(config(PEER, case.after), addr, 2, &receiver).await);
+        assert!(delivers(config(PEER, case.before), addr, 1, &receiver).await);
+        assert!(delivers(config(PEER, case.after), addr, 2, &receiver).await);
     });
 }
 
-/// What a busy peer takes for each piece that it gets or sends: opening a stream takes two round trips.
-const BUSY: Duration = Duration::from_millis(150);
+/// How long the relay delays each read; opening a stream takes two round trips.
+const RELAY_DELAY: Duration = Duration::from_millis(150);
 
-/// Processes that start together on busy machines never reach each other, as each gives up what the other was about to answer and
-/// begins anew.
+/// Guards against processes that start together on busy machines and never connect, because each abandons the
+/// attempt that the other is about to answer, and starts over.
 #[test]
 fn busy_peer_is_waited_for() {
     let system = System::build().name("busy").build(DefaultRuntime);
     system.block_on(async {
         let (addr, receiver) = listen_behind_slow_relay().await;
-        assert!(is_heard(config(PEER, 7), addr, 1, &receiver).await);
+        assert!(delivers(config(PEER, 7), addr, 1, &receiver).await);
     });
 }
 
@@ -117,7 +118,7 @@
         let mut links = Links::new(sender.clone(), config(PEER, 7));
         links.open(RECEIVER, addr);
         links.send(RECEIVER, 1);
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         while Instant::now() < until && !sender.1.borrow().contains(&LinkEvent::Opened) {
             sleep(Duration::from_millis(20)).await;
         }
@@ -125,36 +126,36 @@
         while Instant::now() < until && receiver.0.borrow().is_empty() {
             sleep(Duration::from_millis(20)).await;
         }
-        sleep(BUSY * 2).await;
+        sleep(RELAY_DELAY * 2).await;
         let received: Vec<_> = receiver.0.borrow().iter().map(|(_, msg)| *msg).collect();
         assert_eq!(received, [2]);
     });
 }
 
-/// Starts a receiver behind a relay that delays each read by [`BUSY`]; returns the relay's address and the receiver.
+/// Starts a receiver behind a relay that delays each read by [`RELAY_DELAY`]; returns the relay's address and the receiver.
 async fn listen_behind_slow_relay() -> (SocketAddr, Recorder) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let target = listener.local_addr().expect("its address");
     let receiver = Recorder::default();
     ntex::rt::spawn(listen(listener, receiver.clone(), config(RECEIVER, 1)));
-    let busy = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = busy.local_addr().expect("its address");
+    let relay = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let addr = relay.local_addr().expect("its address");
     ntex::rt::spawn(async move {
-        while let Ok((socket, _)) = busy.accept().await {
+        while let Ok((socket, _)) = relay.accept().await {
             let peer = TcpStream::connect(target).await.expect("the peer");
             let (from_caller, to_caller) = socket.into_split();
             let (from_peer, to_peer) = peer.into_split();
-            ntex::rt::spawn(pass_slowly(from_caller, to_peer));
-            ntex::rt::spawn(pass_slowly(from_peer, to_caller));
+            ntex::rt::spawn(relay_slowly(from_caller, to_peer));
+            ntex::rt::spawn(relay_slowly(from_peer, to_caller));
         }
     });
     (addr, receiver)
 }
 
-async fn pass_slowly(mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin) {
+async fn relay_slowly(mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin) {
     let mut buffer = vec![0; 64 << 10];
     while let Ok(count) = from.read(&mut buffer).await {
-        sleep(BUSY).await;
+        sleep(RELAY_DELAY).await;
         if count == 0 || to.write_all(&buffer[..count]).await.is_err() {
             return;
         }
--- a/crates/celerywinch_links/tests/streams.rs
+++ b/crates/celerywinch_links/tests/streams.rs
@@ -1,10 +1,10 @@
-//! Messages of connections that were given up.
+//! Streams of connections that were replaced.
 
 use celerywinch_links::{LatestStreams, Ticket};
 use celerywinch_types::{Incarnation, InstanceId, Process};
 use rstest::rstest;
 
-/// The clock of the second was set back: its number is lower.
+/// `SECOND` restarted after its clock was set back, so its incarnation is lower.
 const FIRST: Process = process(9);
 const SECOND: Process = process(1);
 
@@ -15,13 +15,13 @@
     }
 }
 
-/// What happens to streams, in order; they are numbered as they are asked for, from 1 on.
+/// An event of a stream. Streams are numbered from 1 in the order in which they are requested.
 #[derive(Clone, Copy)]
 enum Step {
-    Asked,
+    Requested,
     Confirmed(Process, u64),
 }
-use Step::{Asked, Confirmed};
+use Step::{Confirmed, Requested};
 
 struct Case {
     steps: &'static [Step],
@@ -29,42 +29,42 @@
     dropped: &'static [(Process, u64)],
 }
 
-/// A task runs though its caller was told that it does not: the connection on which it was handed in
-/// falls silent, its sender opens another one and cancels the task there, and then the first one
-/// delivers what it held.
+/// Guards against running a task whose caller was told that it would not run: the connection that carries its
+/// submission falls silent, the sender opens another connection and cancels the task there, and then the
+/// first connection delivers the submission.
 #[rstest]
 #[case::one_stream(Case {
-    steps: &[Asked, Confirmed(FIRST, 1)],
+    steps: &[Requested, Confirmed(FIRST, 1)],
     latest: (FIRST, 1),
     dropped: &[],
 })]
 #[case::replaced(Case {
-    steps: &[Asked, Confirmed(FIRST, 1), Asked, Confirmed(FIRST, 2)],
+    steps: &[Requested, Confirmed(FIRST, 1), Requested, Confirmed(FIRST, 2)],
     latest: (FIRST, 2),
     dropped: &[(FIRST, 1)],
 })]
-#[case::given_up_before_its_answer(Case {
-    steps: &[Asked, Asked, Confirmed(FIRST, 1)],
+#[case::abandoned_before_its_response(Case {
+    steps: &[Requested, Requested, Confirmed(FIRST, 1)],
     latest: (FIRST, 1),
     dropped: &[(FIRST, 2)],
 })]
 #[case::confirmed_late(Case {
-    steps: &[Asked, Asked, Confirmed(FIRST, 2), Confirmed(FIRST, 1)],
+    steps: &[Requested, Requested, Confirmed(FIRST, 2), Confirmed(FIRST, 1)],
     latest: (FIRST, 2),
     dropped: &[(FIRST, 1)],
 })]
 #[case::restarted(Case {
-    steps: &[Asked, Confirmed(FIRST, 1), Asked, Confirmed(SECOND, 2)],
+    steps: &[Requested, Confirmed(FIRST, 1), Requested, Confirmed(SECOND, 2)],
     latest: (SECOND, 2),
     dropped: &[(FIRST, 1)],
 })]
-#[case::confirmed_late_by_a_process_that_is_gone(Case {
-    steps: &[Asked, Asked, Confirmed(SECOND, 2), Confirmed(FIRST, 1)],
+#[case::confirmed_late_by_an_ended_process(Case {
+    steps: &[Requested, Requested, Confirmed(SECOND, 2), Confirmed(FIRST, 1)],
     latest: (SECOND, 2),
     dropped: &[(FIRST, 1)],
 })]
-#[case::asked_for_by_a_process_that_is_gone(Case {
-    steps: &[Asked, Confirmed(SECOND, 1), Asked],
+#[case::requested_by_an_ended_process(Case {
+    steps: &[Requested, Confirmed(SECOND, 1), Requested],
     latest: (SECOND, 1),
     dropped: &[(FIRST, 2)],
 })]
@@ -72,7 +72,7 @@
     let mut latest = LatestStreams::default();
     for step in case.steps {
         match step {
-            Asked => {
+            Requested => {
                 latest.issue();
             }
             Confirmed(from, ticket) => {
@@ -88,9 +88,9 @@
     }
 }
 
-/// A stream whose confirmation was held up is not told to the host as a new one.
+/// Guards against reporting a stream to the host as a new one when its confirmation was delayed.
 #[test]
-fn late_confirmation_is_refused() {
+fn late_confirmation_is_rejected() {
     let mut latest = LatestStreams::default();
     let (first, second) = (latest.issue(), latest.issue());
     assert!(latest.confirm(SECOND, second));
