--- a/crates/celerywinch_links/src/outgoing.rs
+++ b/crates/celerywinch_links/src/outgoing.rs
@@ -98,7 +98,7 @@
                     match self.send_messages(open, &mut inbox).await {
                         Ok(()) => return,
                         Err(error) => {
-                            log::info!("link: Lost the connection to {}: {error:#}.", self.peer);
+                            log::info!("link: Lost the link to {}: {error:#}.", self.peer);
                             self.event(LinkEvent::Lost);
                             // A peer that accepts and closes at once would be called in a busy loop.
                             if opened.elapsed() < RETRY_DELAY
@@ -125,7 +125,7 @@
     fn log_failure(&mut self, error: &anyhow::Error) {
         let failure = format!("{error:#}");
         if failure != self.failure {
-            log::info!("link: Cannot connect to {}: {failure}.", self.peer);
+            log::info!("link: Cannot open the link to {}: {failure}.", self.peer);
             self.failure = failure;
         }
     }
