--- a/crates/celerywinch_domains/src/domains.rs
+++ b/crates/celerywinch_domains/src/domains.rs
@@ -5,7 +5,7 @@
 
 use celerywinch_types::{DataCentreId, Domain, Fence, InstanceId, Stage, Time, WallMs};
 
-use crate::survey::{Circle, Standing, Survey};
+use crate::survey::{Standing, Succession, Survey};
 use crate::{PeerView, Peers};
 
 /// An entry listens this long after its start, and after a pause of its process, before it takes a
@@ -39,7 +39,7 @@
 
 /// This entry.
 #[derive(Clone, Copy, Debug)]
-pub struct Me {
+pub struct LocalEntry {
     /// Its number.
     pub instance: InstanceId,
     /// Its data centre.
@@ -60,7 +60,7 @@
 /// The state machine.
 #[derive(Debug)]
 pub struct Domains {
-    me: Me,
+    me: LocalEntry,
     /// All data centres.
     dcs: BTreeSet<DataCentreId>,
     /// In how many shards the workers are divided.
@@ -86,7 +86,7 @@
 impl Domains {
     /// Starts; the wall clock makes tokens rise over restarts of all entries.
     #[must_use]
-    pub fn new(now: Time, wall: WallMs, me: Me, dcs: BTreeSet<DataCentreId>) -> Self {
+    pub fn new(now: Time, wall: WallMs, me: LocalEntry, dcs: BTreeSet<DataCentreId>) -> Self {
         let epoch = wall.0 / 1000;
         Self {
             me,
@@ -107,7 +107,7 @@
 
     /// The domains that it dispatches for.
     #[must_use]
-    pub fn held(&self) -> &BTreeMap<Domain, Fence> {
+    pub fn owned(&self) -> &BTreeMap<Domain, Fence> {
         &self.held
     }
 
@@ -125,18 +125,18 @@
 
     /// Says whether workers are known, and one dispatcher suffices for all of them. Where there are several,
     /// all entries have to be ready before they divide the shards, or a few hold most of them.
-    pub fn set_undivided(&mut self, undivided: bool) {
+    pub fn set_single_dispatcher(&mut self, undivided: bool) {
         self.undivided = undivided;
     }
 
     /// Says whether the workers are about to be divided: what is not held yet is not taken before.
-    pub fn set_unsettled(&mut self, unsettled: bool) {
+    pub fn set_resharding(&mut self, unsettled: bool) {
         self.unsettled = unsettled;
     }
 
     /// The highest fencing token that it knows of.
     #[must_use]
-    pub fn top(&self) -> Fence {
+    pub fn highest_fence(&self) -> Fence {
         self.top
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// A process is heard, for the first time or after a silence, that has run for some time: it may hold domains.
-    pub fn found(&mut self, now: Time) {
+    pub fn peer_found(&mut self, now: Time) {
         self.found = now;
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// A worker has seen a higher token than the one this process holds its domain under.
-    pub fn outbid(&mut self, now: Time, domain: Domain, out: &mut Vec<Change>) {
+    pub fn fenced(&mut self, now: Time, domain: Domain, out: &mut Vec<Change>) {
         let Some(fence) = self.held.remove(&domain) else {
             return;
         };
@@ -228,9 +228,9 @@
     /// Whom this entry has to hear often, to notice at once when it has to dispatch in their place, and who
     /// would do so in its place; nobody before it serves.
     #[must_use]
-    pub fn circle(&self, now: Time, peers: &Peers) -> Circle {
+    pub fn succession(&self, now: Time, peers: &Peers) -> Succession {
         if self.me.stage != Stage::Ready {
-            return Circle::default();
+            return Succession::default();
         }
         Survey::new(now, peers).circle(self.shards, &self.standing())
     }
@@ -301,7 +301,7 @@
 
     /// How long a holder that is alive may be silent to this entry.
     fn listen(&self, now: Time, peers: &Peers) -> Duration {
-        if peers.all_new(now) && (self.undivided || peers.all_entries_ready(now)) {
+        if peers.all_just_started(now) && (self.undivided || peers.all_entries_ready(now)) {
             LISTEN_ANEW
         } else {
             LISTEN
@@ -326,14 +326,14 @@
     /// Whether the workers of a data centre can be reached, as far as its processes show. Across a
     /// cut they cannot, and its own entries dispatch there.
     fn hears(&self, now: Time, dc: DataCentreId, peers: &Peers) -> bool {
-        let there = |view: &PeerView| view.beat.dc == dc && (view.alive(now) || view.refused);
+        let there = |view: &PeerView| view.heartbeat.dc == dc && (view.alive(now) || view.refused);
         dc == self.me.dc || peers.all().any(|(_, view)| there(view))
     }
 
     /// The domains held here of whose data centres no process is heard: whether they are kept is
     /// up to their workers, that is to `reached`.
     #[must_use]
-    pub fn unheard(&self, now: Time, peers: &Peers) -> Vec<Domain> {
+    pub fn silent_domains(&self, now: Time, peers: &Peers) -> Vec<Domain> {
         let held = self.held.keys().copied();
         held.filter(|domain| !self.hears(now, domain.dc, peers))
             .collect()
--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -16,8 +16,8 @@
 use celerywinch_origin::{CallerId, NewJob};
 use celerywinch_pool::{Answer, CallKey, PoolConfig};
 use celerywinch_types::{
-    EvacuationOrder, Evacuations, FleetMsg, Incarnation, InstanceId, JobEnd, KeeperRequest,
-    KeeperState, Part, Process, Said, Time, WorkerNote, WorkerStage,
+    AnnouncementVersion, EvacuationOrder, Evacuations, FleetMsg, Incarnation, InstanceId, JobEnd,
+    KeeperRequest, KeeperState, Process, ProcessKind, Time, WorkerAnnouncement, WorkerStage,
 };
 use crossbeam_channel::Sender;
 use serde::Serialize;
@@ -69,7 +69,7 @@
     CallerGone(CallerId),
     Answered(CallKey, Answer),
     AnsweredLate(Duration),
-    Announce(WorkerNote, oneshot::Sender<bool>),
+    Announce(WorkerAnnouncement, oneshot::Sender<bool>),
     Leave(String, Option<Incarnation>, oneshot::Sender<bool>),
     Keep(KeeperRequest, oneshot::Sender<Option<KeeperState>>),
     Store(StoreOut),
@@ -110,14 +110,14 @@
     },
     Announced {
         worker: String,
-        said: Said,
+        said: AnnouncementVersion,
         stage: WorkerStage,
         known: usize,
     },
     /// An announcement that changes nothing here, as the worker has said something later.
     NotTaken {
         worker: String,
-        said: Said,
+        said: AnnouncementVersion,
         stage: WorkerStage,
         heard: Heard,
     },
@@ -171,7 +171,7 @@
     spread: Spread,
     roster: Roster,
     /// Workers that the entries have to hear of with the next tick.
-    untold: Vec<WorkerNote>,
+    untold: Vec<WorkerAnnouncement>,
     store: Option<Sender<StoreIn>>,
     keeping: HashMap<u64, (RequestKind, oneshot::Sender<Option<KeeperState>>)>,
     next_keep: u64,
@@ -217,8 +217,8 @@
         links::config(me),
     ));
     let store = match config.part {
-        Part::Keeper => Some(store::start(&config, clock, sender.clone())?),
-        Part::Entry => None,
+        ProcessKind::Keeper => Some(store::start(&config, clock, sender.clone())?),
+        ProcessKind::Entry => None,
     };
     let snapshot = Arc::new(Snapshot::default());
     let core = Core::new(Parts {
@@ -434,10 +434,10 @@
 
     fn peer(&mut self, now: Time, from: Process, msg: FleetMsg) {
         match msg {
-            FleetMsg::Beat(beat) => {
+            FleetMsg::Heartbeat(beat) => {
                 let told = SpreadInput::Heard(Told {
                     instance: from.instance,
-                    part: beat.part,
+                    part: beat.kind,
                     dc: beat.dc,
                     version: beat.version,
                 });
@@ -449,13 +449,13 @@
                 self.learn(&instances);
             }
             FleetMsg::Log(bytes) => self.to_store(StoreIn::Log(from.instance, bytes)),
-            FleetMsg::Keep(msg) => self.keep_msg(from.instance, msg),
+            FleetMsg::Keeper(msg) => self.keep_msg(from.instance, msg),
             FleetMsg::Workers(notes) => self.input(now, Input::Workers(notes)),
-            FleetMsg::Spread(msg) => self.spread(now, SpreadInput::Message(from.instance, msg)),
+            FleetMsg::Config(msg) => self.spread(now, SpreadInput::Message(from.instance, msg)),
             FleetMsg::Work(msg) => self.input(now, Input::Work(from, msg)),
             FleetMsg::Learned(learned) => self.input(now, Input::Learned(learned)),
             FleetMsg::Crashes(told) => self.input(now, Input::Crashes(told)),
-            FleetMsg::Careful(queues) => self.input(now, Input::ProbeQueues(queues)),
+            FleetMsg::ProbeQueues(queues) => self.input(now, Input::ProbeQueues(queues)),
         }
     }
 
--- a/crates/celerywinch_fleet/src/roster.rs
+++ b/crates/celerywinch_fleet/src/roster.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use celerywinch_types::{Incarnation, Said, Time, WorkerNote, WorkerStage};
+use celerywinch_types::{AnnouncementVersion, Incarnation, Time, WorkerAnnouncement, WorkerStage};
 use serde::Serialize;
 
 /// A worker that did not announce itself for this long is forgotten by its keeper. Dispatchers find
@@ -18,7 +18,7 @@
 /// A worker and when it was heard last.
 #[derive(Clone, Debug)]
 struct Known {
-    note: WorkerNote,
+    note: WorkerAnnouncement,
     heard: Time,
 }
 
@@ -31,10 +31,10 @@
     /// Nothing but that the worker is there.
     Nothing,
     /// It is not taken, as this later one is known.
-    Late(Said),
+    Late(AnnouncementVersion),
     /// The same of a life that counts as an earlier one. The others hear of it all the same: if the worker's clock was set
     /// back between two starts it is the later one, which only the worker itself can show.
-    OtherLife(Said),
+    OtherLife(AnnouncementVersion),
     /// It is not taken, as this life has left.
     Left,
 }
@@ -50,23 +50,23 @@
 
 impl Roster {
     /// Takes an announcement.
-    pub fn heard(&mut self, now: Time, note: WorkerNote) -> Heard {
+    pub fn heard(&mut self, now: Time, note: WorkerAnnouncement) -> Heard {
         let Some(known) = self.workers.get_mut(&note.id) else {
             let name = note.id.clone();
             self.workers.insert(name, Known { note, heard: now });
             self.changed = true;
             return Heard::News;
         };
-        let last = known.note.said;
-        if note.said.incarnation < last.incarnation {
+        let last = known.note.version;
+        if note.version.incarnation < last.incarnation {
             return Heard::OtherLife(last);
         }
-        let same_life = note.said.incarnation == last.incarnation;
+        let same_life = note.version.incarnation == last.incarnation;
         if same_life && known.note.stage == WorkerStage::Gone {
             return Heard::Left;
         }
         known.heard = now;
-        if same_life && note.said <= last {
+        if same_life && note.version <= last {
             return Heard::Late(last);
         }
         let news = differs(&known.note, &note);
@@ -77,9 +77,14 @@
 
     /// A worker has left; `life` is none where it does not say which of its lives did. None if a later one is known: the word was
     /// held up, and a worker that serves would get no work for as long as that is remembered.
-    pub fn left(&mut self, now: Time, id: &str, life: Option<Incarnation>) -> Option<WorkerNote> {
+    pub fn left(
+        &mut self,
+        now: Time,
+        id: &str,
+        life: Option<Incarnation>,
+    ) -> Option<WorkerAnnouncement> {
         let known = self.workers.get_mut(id)?;
-        let said = &mut known.note.said;
+        let said = &mut known.note.version;
         if life.is_some_and(|life| life < said.incarnation) {
             return None;
         }
@@ -110,20 +115,20 @@
 
     /// All that are known, also those that have left lately.
     #[must_use]
-    pub fn all(&self) -> Vec<WorkerNote> {
+    pub fn all(&self) -> Vec<WorkerAnnouncement> {
         let workers = self.workers.values();
         workers.map(|known| known.note.clone()).collect()
     }
 
     /// Those that serve, if that has changed since the last time and `SAVE` is over: each list costs
     /// the disk two syncs.
-    pub fn to_save(&mut self, now: Time) -> Option<Vec<WorkerNote>> {
+    pub fn to_save(&mut self, now: Time) -> Option<Vec<WorkerAnnouncement>> {
         if !self.changed || now.since(self.saved) < SAVE {
             return None;
         }
         self.changed = false;
         self.saved = now;
-        let ready = |note: &WorkerNote| note.stage == WorkerStage::Ready;
+        let ready = |note: &WorkerAnnouncement| note.stage == WorkerStage::Ready;
         let notes = self.all().into_iter().filter(ready);
         Some(notes.collect())
     }
@@ -142,10 +147,13 @@
 }
 
 /// Whether something changed but the count of announcements.
-fn differs(a: &WorkerNote, b: &WorkerNote) -> bool {
-    let said = Said {
-        sequence: a.said.sequence,
-        ..b.said
+fn differs(a: &WorkerAnnouncement, b: &WorkerAnnouncement) -> bool {
+    let said = AnnouncementVersion {
+        sequence: a.version.sequence,
+        ..b.version
     };
-    *a != WorkerNote { said, ..b.clone() }
+    *a != WorkerAnnouncement {
+        version: said,
+        ..b.clone()
+    }
 }
--- a/crates/celerywinch_fleet/tests/roster.rs
+++ b/crates/celerywinch_fleet/tests/roster.rs
@@ -3,30 +3,33 @@
 use std::time::Duration;
 
 use celerywinch_fleet::{Heard, Roster};
-use celerywinch_types::{DataCentreId, Incarnation, Room, Said, Time, WorkerNote, WorkerStage};
+use celerywinch_types::{
+    AnnouncementVersion, DataCentreId, Incarnation, Resources, Time, WorkerAnnouncement,
+    WorkerStage,
+};
 use rstest::rstest;
 
-fn said(incarnation: u64, sequence: u64) -> Said {
-    Said {
+fn said(incarnation: u64, sequence: u64) -> AnnouncementVersion {
+    AnnouncementVersion {
         incarnation: Incarnation(incarnation),
         sequence,
     }
 }
 
-fn note(id: &str, stage: WorkerStage, sequence: u64) -> WorkerNote {
-    WorkerNote {
+fn note(id: &str, stage: WorkerStage, sequence: u64) -> WorkerAnnouncement {
+    WorkerAnnouncement {
         id: id.to_owned(),
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], 1).into(),
         dc: DataCentreId(0),
-        room: Room::default(),
+        capacity: Resources::default(),
         labels: Vec::new(),
         stage,
-        said: said(1, sequence),
+        version: said(1, sequence),
     }
 }
 
-fn names(notes: Option<Vec<WorkerNote>>) -> Option<Vec<String>> {
+fn names(notes: Option<Vec<WorkerAnnouncement>>) -> Option<Vec<String>> {
     let mut names: Vec<_> = notes?.into_iter().map(|note| note.id).collect();
     names.sort();
     Some(names)
@@ -77,8 +80,8 @@
     let mut roster = Roster::default();
     roster.heard(now, note("a", WorkerStage::Ready, 1));
     roster.heard(now, note("a", WorkerStage::Ready, 20));
-    let leaves = WorkerNote {
-        said: said(2, 3),
+    let leaves = WorkerAnnouncement {
+        version: said(2, 3),
         ..note("a", WorkerStage::Draining, 3)
     };
     assert_eq!(roster.heard(now, leaves), Heard::News);
@@ -93,8 +96,8 @@
     let mut roster = Roster::default();
     roster.heard(now, note("a", WorkerStage::Ready, 7));
     roster.left(now, "a", None);
-    let again = WorkerNote {
-        said: said(2, 1),
+    let again = WorkerAnnouncement {
+        version: said(2, 1),
         ..note("a", WorkerStage::Ready, 1)
     };
     assert_eq!(roster.heard(now, again), Heard::News);
@@ -110,8 +113,8 @@
 fn leave_counts_for_its_own_life(#[case] life: Option<u64>, #[case] stage: WorkerStage) {
     let now = Time(10_000_000);
     let mut roster = Roster::default();
-    let second = WorkerNote {
-        said: said(2, 1),
+    let second = WorkerAnnouncement {
+        version: said(2, 1),
         ..note("a", WorkerStage::Ready, 1)
     };
     roster.heard(now, second);
--- a/crates/celerywinch_member/src/heartbeats.rs
+++ b/crates/celerywinch_member/src/heartbeats.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use celerywinch_domains::{Circle, PeerView};
+use celerywinch_domains::{PeerView, Succession};
 use celerywinch_origin::{Holder, Input as OriginInput};
 use celerywinch_pool::{Grant, Input as PoolInput};
 use celerywinch_types::{
-    Beat, DataCentreId, Domain, Echo, Fence, FleetMsg, Holding, InstanceId, Mechanism, Part,
-    Process, Time, score,
+    DataCentreId, Domain, Echo, Fence, FleetHeartbeat, FleetMsg, InstanceId, Mechanism,
+    OwnedDomain, Process, ProcessKind, Time, score,
 };
 
 use crate::member::{Member, Output};
@@ -73,12 +73,12 @@
 impl Member {
     /// Determines the dispatcher of each domain by the highest fencing token that any live peer reports.
     pub(crate) fn update_holders(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.config.part != Part::Entry {
+        if self.config.part != ProcessKind::Entry {
             return;
         }
         self.holders_stale = false;
-        let mut best: BTreeMap<Domain, (InstanceId, Holding)> = BTreeMap::new();
-        let mut add = |instance: InstanceId, holding: Holding| {
+        let mut best: BTreeMap<Domain, (InstanceId, OwnedDomain)> = BTreeMap::new();
+        let mut add = |instance: InstanceId, holding: OwnedDomain| {
             let known = best.get(&holding.domain);
             if known.is_none_or(|(_, other)| other.fence < holding.fence) {
                 best.insert(holding.domain, (instance, holding));
@@ -88,7 +88,7 @@
             add(self.config.me.instance, *holding);
         }
         for (instance, view) in self.peers.alive(now) {
-            for holding in &view.beat.holdings {
+            for holding in &view.heartbeat.owned_domains {
                 add(instance, *holding);
             }
         }
@@ -143,8 +143,8 @@
             || self
                 .peers
                 .get(peer)
-                .is_some_and(|view| view.beat.dc == self.config.dc);
-        here && !self.config.pool.without.lacks(Mechanism::Locality)
+                .is_some_and(|view| view.heartbeat.dc == self.config.dc);
+        here && !self.config.pool.without.contains(Mechanism::Locality)
     }
 
     /// Requests frequent heartbeats from a dispatcher before it gets work: it starts the work only with a
@@ -164,7 +164,10 @@
     /// its last heartbeat, seconds ago. Callers' jobs submitted to such a dispatcher would wait there for as
     /// long, and so would the shard of an entry that precedes this one.
     fn request_heartbeat(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
-        let known = self.peers.get(peer).is_some_and(|view| !view.is_close());
+        let known = self
+            .peers
+            .get(peer)
+            .is_some_and(|view| !view.has_short_timeout());
         if known && !self.is_small_fleet() {
             self.update_announced(now, peer);
             self.send_probe(now, peer, out);
@@ -172,13 +175,13 @@
     }
 
     /// Sets the peers that this entry may take over from, and those that may take over from it.
-    pub(crate) fn set_succession(&mut self, now: Time, circle: Circle, out: &mut Vec<Output>) {
+    pub(crate) fn set_succession(&mut self, now: Time, circle: Succession, out: &mut Vec<Output>) {
         let new: Vec<_> = circle
-            .ahead
+            .predecessors
             .difference(&self.frequent.predecessors)
             .copied()
             .collect();
-        self.frequent.predecessors = circle.ahead;
+        self.frequent.predecessors = circle.predecessors;
         self.frequent.successors = circle.successors;
         for peer in new {
             self.request_heartbeat(now, peer, out);
@@ -187,7 +190,10 @@
 
     /// Whether new work may be submitted to a dispatcher: this process, or one with frequent heartbeats.
     fn may_submit_to(&self, dispatcher: InstanceId) -> bool {
-        let frequent = self.peers.get(dispatcher).is_none_or(PeerView::is_close);
+        let frequent = self
+            .peers
+            .get(dispatcher)
+            .is_none_or(PeerView::has_short_timeout);
         self.uses_dispatcher(dispatcher) && frequent
     }
 
@@ -199,8 +205,8 @@
     /// Updates the reported room of the domains it dispatches for. Called once per tick, because it reads the
     /// state of each worker.
     pub(crate) fn update_holdings(&mut self, now: Time) {
-        let held = self.domains.held().iter();
-        let holding = |(domain, fence): (&Domain, &Fence)| Holding {
+        let held = self.domains.owned().iter();
+        let holding = |(domain, fence): (&Domain, &Fence)| OwnedDomain {
             domain: *domain,
             fence: *fence,
             load: self.pool.load(now, *domain),
@@ -213,10 +219,10 @@
         &mut self,
         now: Time,
         dispatcher: InstanceId,
-        holdings: Vec<Holding>,
+        holdings: Vec<OwnedDomain>,
         out: &mut Vec<Output>,
     ) {
-        if self.config.part == Part::Entry && !holdings.is_empty() {
+        if self.config.part == ProcessKind::Entry && !holdings.is_empty() {
             let input = OriginInput::Loads(dispatcher, holdings);
             self.origin_input(now, input, out);
         }
@@ -224,13 +230,13 @@
 
     /// Returns the heartbeat of this process for a peer.
     #[must_use]
-    pub fn heartbeat_for(&self, now: Time, peer: InstanceId) -> Beat {
+    pub fn heartbeat_for(&self, now: Time, peer: InstanceId) -> FleetHeartbeat {
         let view = self.peers.get(peer).filter(|view| view.alive(now));
         let echo = view
             .filter(|_| self.uses_dispatcher(peer))
             .map(|view| Echo {
-                life: view.process.incarnation,
-                sent: view.beat.sent,
+                incarnation: view.process.incarnation,
+                sent: view.heartbeat.sent,
                 session: self.origin.session(peer),
             });
         let every = if self.is_small_fleet() || self.frequent.announced.contains(&peer) {
@@ -238,19 +244,19 @@
         } else {
             self.slow_interval()
         };
-        Beat {
-            part: self.config.part,
+        FleetHeartbeat {
+            kind: self.config.part,
             dc: self.config.dc,
             stage: self.stage,
-            holdings: self.holdings.clone(),
-            fence: self.domains.top(),
+            owned_domains: self.holdings.clone(),
+            fence: self.domains.highest_fence(),
             version: self.version,
             evacuations: self.evacuations.clone(),
             shards: self.domains.shards(),
             sent: now,
             echo,
-            every: every.as_millis() as u32,
-            wants: self.needs_frequent(peer),
+            interval_ms: every.as_millis() as u32,
+            wants_frequent: self.needs_frequent(peer),
             probe: false,
         }
     }
@@ -265,7 +271,7 @@
         echo: Option<Echo>,
         out: &mut Vec<Output>,
     ) {
-        let own = |echo: &Echo| echo.life == self.config.me.incarnation;
+        let own = |echo: &Echo| echo.incarnation == self.config.me.incarnation;
         if let Some(echo) = echo.filter(own) {
             let grant = Grant {
                 life: from.incarnation,
@@ -277,8 +283,8 @@
     }
 
     /// Returns the time after a heartbeat at which its sender counts as lost if no other one arrives.
-    pub(crate) fn timeout_after(beat: &Beat) -> Duration {
-        let every = Duration::from_millis(beat.every.into());
+    pub(crate) fn timeout_after(beat: &FleetHeartbeat) -> Duration {
+        let every = Duration::from_millis(beat.interval_ms.into());
         HEARTBEAT_TIMEOUT.max(every.mul_f64(HEARTBEAT_TIMEOUT.div_duration_f64(HEARTBEAT_INTERVAL)))
     }
 
@@ -297,7 +303,7 @@
     /// Whether a peer gets frequent heartbeats: for the grants of the work submitted to it, or because it
     /// asks for them.
     fn sends_frequent(&self, now: Time, peer: InstanceId, view: &PeerView) -> bool {
-        self.uses_dispatcher(peer) || (view.beat.wants && view.alive(now))
+        self.uses_dispatcher(peer) || (view.heartbeat.wants_frequent && view.alive(now))
     }
 
     /// Returns the interval of heartbeats to a peer that does not get frequent ones.
@@ -308,7 +314,7 @@
 
     /// Sends the heartbeats that are due: to frequent peers at once, to the others one after the other.
     pub(crate) fn send_due_heartbeats(&mut self, now: Time, out: &mut Vec<Output>) {
-        let often = self.is_small_fleet() && !self.domains.held().is_empty();
+        let often = self.is_small_fleet() && !self.domains.owned().is_empty();
         let interval = if often {
             DISPATCHER_INTERVAL
         } else {
@@ -354,7 +360,7 @@
     pub(crate) fn send_heartbeat(&mut self, now: Time, to: InstanceId, out: &mut Vec<Output>) {
         self.update_announced(now, to);
         let beat = self.heartbeat_for(now, to);
-        out.push(Output::Send(to, FleetMsg::Beat(beat)));
+        out.push(Output::Send(to, FleetMsg::Heartbeat(beat)));
     }
 
     /// Records whether the next heartbeat to a peer announces frequent ones.
@@ -379,9 +385,9 @@
         }
         let mut silent: BTreeMap<DataCentreId, bool> = BTreeMap::new();
         for (_, view) in self.peers.all() {
-            let quiet = now.since(view.heard);
-            if view.is_close() && !view.refused && quiet < PROBE_INTERVAL {
-                let all = silent.entry(view.beat.dc).or_insert(true);
+            let quiet = now.since(view.last_contact);
+            if view.has_short_timeout() && !view.refused && quiet < PROBE_INTERVAL {
+                let all = silent.entry(view.heartbeat.dc).or_insert(true);
                 *all &= quiet >= SUSPECT_AFTER;
             }
         }
@@ -397,7 +403,7 @@
     /// Probes the live peers of a data centre that do not send frequent heartbeats.
     fn probe_data_centre(&mut self, now: Time, dc: DataCentreId, out: &mut Vec<Output>) {
         let alive = self.peers.alive(now);
-        let there = alive.filter(|(_, view)| view.beat.dc == dc && !view.is_close());
+        let there = alive.filter(|(_, view)| view.heartbeat.dc == dc && !view.has_short_timeout());
         let peers: Vec<_> = there.map(|(peer, _)| peer).collect();
         for peer in peers {
             self.send_probe(now, peer, out);
@@ -406,24 +412,25 @@
 
     /// Sends a heartbeat that asks for an immediate answer.
     fn send_probe(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
-        self.peers.probed(now, peer);
+        self.peers.record_probe(now, peer);
         let mut beat = self.heartbeat_for(now, peer);
         beat.probe = true;
-        out.push(Output::Send(peer, FleetMsg::Beat(beat)));
+        out.push(Output::Send(peer, FleetMsg::Heartbeat(beat)));
     }
 
     /// Sends what this dispatcher has learned to the entries that would take over from it, one after the
     /// other.
     pub(crate) fn send_learned(&mut self, now: Time, out: &mut Vec<Output>) {
-        let disabled = self.config.pool.without.lacks(Mechanism::Teaching);
-        if self.domains.held().is_empty() || disabled {
+        let disabled = self.config.pool.without.contains(Mechanism::Teaching);
+        if self.domains.owned().is_empty() || disabled {
             self.learned_round.restart(now);
             return;
         }
         let alive = self.peers.alive(now);
         let next =
             |peer: InstanceId| self.is_small_fleet() || self.frequent.successors.contains(&peer);
-        let entries = alive.filter(|(peer, view)| view.beat.part == Part::Entry && next(*peer));
+        let entries =
+            alive.filter(|(peer, view)| view.heartbeat.kind == ProcessKind::Entry && next(*peer));
         let entries = entries.map(|(entry, _)| entry).collect();
         let due = self.learned_round.due(now, LEARNED_INTERVAL, entries);
         if due.is_empty() {
@@ -437,9 +444,9 @@
 
     /// Whether a peer has to know of workers that crashed under tasks: it dispatches, or would dispatch next.
     fn needs_crashes(&self, peer: InstanceId, view: &PeerView) -> bool {
-        let dispatches = !view.beat.holdings.is_empty();
+        let dispatches = !view.heartbeat.owned_domains.is_empty();
         let next = self.is_small_fleet() || self.frequent.successors.contains(&peer);
-        view.beat.part == Part::Entry && (dispatches || next)
+        view.heartbeat.kind == ProcessKind::Entry && (dispatches || next)
     }
 
     /// Sends the workers that crashed under tasks since the last tick, and the suspect queues, to the dispatchers and to those
@@ -455,7 +462,7 @@
                 out.push(Output::Send(peer, FleetMsg::Crashes(crashes.clone())));
             }
             if !queues.is_empty() {
-                out.push(Output::Send(peer, FleetMsg::Careful(queues.clone())));
+                out.push(Output::Send(peer, FleetMsg::ProbeQueues(queues.clone())));
             }
         }
     }
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -3,12 +3,13 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use celerywinch_domains::{Change, Domains, Me, PeerView, Peers};
+use celerywinch_domains::{Change, Domains, LocalEntry, PeerView, Peers};
 use celerywinch_origin::{CallerId, Input as OriginInput, JobEvent, NewJob, Origin};
 use celerywinch_pool::{Answer, Call, CallKey, Grant, Input as PoolInput, Note, Pool, PoolConfig};
 use celerywinch_types::{
-    Beat, Crashes, DataCentreId, Evacuations, FleetMsg, Holding, InstanceId, JobEnd, Learned,
-    Mechanism, Part, Process, Stage, TaskId, Time, WallMs, WorkMsg, WorkerNote,
+    Crashes, DataCentreId, Evacuations, FleetHeartbeat, FleetMsg, InstanceId, JobEnd, Learned,
+    Mechanism, OwnedDomain, Process, ProcessKind, Stage, TaskId, Time, WallMs, WorkMsg,
+    WorkerAnnouncement,
 };
 
 use crate::MemberEvent;
@@ -48,7 +49,7 @@
     /// This process.
     pub me: Process,
     /// Its part in the fleet.
-    pub part: Part,
+    pub part: ProcessKind,
     /// Its data centre.
     pub dc: DataCentreId,
     /// All data centres of the fleet.
@@ -63,7 +64,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A heartbeat arrived.
-    Heartbeat(Process, Beat),
+    Heartbeat(Process, FleetHeartbeat),
     /// A machine refused a connection because no process listens there.
     ConnectionRefused(InstanceId),
     /// Messages from or to a process may be lost.
@@ -71,7 +72,7 @@
     /// A message between an origin and a dispatcher arrived.
     Work(Process, WorkMsg),
     /// Announcements of workers.
-    Workers(Vec<WorkerNote>),
+    Workers(Vec<WorkerAnnouncement>),
     /// What another dispatcher has learned.
     Learned(Learned),
     /// Workers that crashed under tasks, as reported by another dispatcher.
@@ -160,7 +161,7 @@
     /// When the domains to dispatch for were last evaluated.
     domains_updated: Time,
     /// The domains it dispatches for, with their room at the last tick.
-    pub(crate) holdings: Vec<Holding>,
+    pub(crate) holdings: Vec<OwnedDomain>,
     /// Workers that crashed under tasks, to be reported to other dispatchers.
     pub(crate) crashes: BTreeMap<TaskId, Crashes>,
     /// Queues that are started with a probe task, to be reported to other dispatchers.
@@ -178,10 +179,10 @@
     #[must_use]
     pub fn new(config: MemberConfig, now: Time, wall: WallMs) -> Self {
         let stage = match config.part {
-            Part::Entry => Stage::Joining,
-            Part::Keeper => Stage::Ready,
+            ProcessKind::Entry => Stage::Joining,
+            ProcessKind::Keeper => Stage::Ready,
         };
-        let me = Me {
+        let me = LocalEntry {
             instance: config.me.instance,
             dc: config.dc,
             stage,
@@ -233,8 +234,11 @@
     /// gets the list from all, or it would divide the workers among the few entries that it knows.
     #[must_use]
     pub fn sends_contacts(&self, peer: InstanceId) -> bool {
-        let was_there = self.peers.get(peer).is_some_and(|view| !view.is_new());
-        self.config.part == Part::Keeper || !was_there
+        let was_there = self
+            .peers
+            .get(peer)
+            .is_some_and(|view| !view.just_started());
+        self.config.part == ProcessKind::Keeper || !was_there
     }
 
     /// Returns the number of callers' jobs that are open.
@@ -296,7 +300,7 @@
         match input {
             Input::Heartbeat(from, beat) => self.handle_heartbeat(now, from, beat, out),
             Input::ConnectionRefused(peer) => {
-                self.peers.refused(peer);
+                self.peers.record_refusal(peer);
                 self.update_alive(now, out);
             }
             Input::LinkReset(peer) => {
@@ -325,7 +329,7 @@
             Input::ConfigVersion(version) => self.version = version,
             Input::Evacuations(evacuations) => {
                 let adopted = self.adopt_evacuations(now, &evacuations, out);
-                if adopted && self.config.part == Part::Keeper {
+                if adopted && self.config.part == ProcessKind::Keeper {
                     self.broadcast_heartbeat(now, out);
                 }
             }
@@ -394,11 +398,11 @@
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
         self.flush(now, out);
         self.update_alive(now, out);
-        for peer in self.peers.forget(now) {
+        for peer in self.peers.remove_expired(now) {
             self.lost.remove(&peer);
             out.push(Output::RemovePeer(peer));
         }
-        if self.config.part == Part::Entry {
+        if self.config.part == ProcessKind::Entry {
             self.join_when_ready(now, out);
             if now.since(self.domains_updated) >= UPDATE_INTERVAL {
                 self.update_domains(now, out);
@@ -421,8 +425,8 @@
 
     /// Becomes ready once the configuration is known and the heartbeats of the others had time to arrive.
     fn join_when_ready(&mut self, now: Time, out: &mut Vec<Output>) {
-        let short = !self.config.pool.without.lacks(Mechanism::ShortListening);
-        let wait = if short && self.is_undivided() && self.peers.all_new(now) {
+        let short = !self.config.pool.without.contains(Mechanism::ShortListening);
+        let wait = if short && self.is_undivided() && self.peers.all_just_started(now) {
             COLD_START_DELAY
         } else {
             JOIN_DELAY
@@ -435,7 +439,13 @@
     }
 
     /// Handles a heartbeat, and drops it if it is older than the last one of its sender.
-    fn handle_heartbeat(&mut self, now: Time, from: Process, beat: Beat, out: &mut Vec<Output>) {
+    fn handle_heartbeat(
+        &mut self,
+        now: Time,
+        from: Process,
+        beat: FleetHeartbeat,
+        out: &mut Vec<Output>,
+    ) {
         // Work from a silent process is dropped. If its heartbeat arrives before the next tick, its silence
         // has to be recorded first: otherwise neither side would ask for the dropped work, and a caller would
         // wait in vain.
@@ -445,19 +455,19 @@
         }
         let before = self.peers.get(from.instance);
         let incarnation = before.map(|view| view.process.incarnation);
-        let domains = |beat: &Beat| -> Vec<_> {
-            let holdings = beat.holdings.iter();
+        let domains = |beat: &FleetHeartbeat| -> Vec<_> {
+            let holdings = beat.owned_domains.iter();
             holdings.map(|h| (h.domain, h.fence)).collect()
         };
-        let holdings_before = before.map(|view| domains(&view.beat));
+        let holdings_before = before.map(|view| domains(&view.heartbeat));
         let evacuations = beat.evacuations.clone();
-        let was_frequent = before.is_some_and(PeerView::is_close);
+        let was_frequent = before.is_some_and(PeerView::has_short_timeout);
         let holdings = domains(&beat);
         self.domains.observe(beat.fence);
         let window = Self::timeout_after(&beat);
-        let (echo, loads) = (beat.echo, beat.holdings.clone());
+        let (echo, loads) = (beat.echo, beat.owned_domains.clone());
         let answer = beat.probe;
-        if !self.peers.heard(now, from, beat, window) {
+        if !self.peers.record_heartbeat(now, from, beat, window) {
             return;
         }
         if incarnation != Some(from.incarnation) {
@@ -535,8 +545,12 @@
 
     fn peer_found(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         self.holders_stale = true;
-        if self.peers.get(peer).is_some_and(|view| !view.is_new()) {
-            self.domains.found(now);
+        if self
+            .peers
+            .get(peer)
+            .is_some_and(|view| !view.just_started())
+        {
+            self.domains.peer_found(now);
         }
         out.push(Output::PeerAlive(peer));
         self.send_heartbeat(now, peer, out);
@@ -549,7 +563,7 @@
     fn peer_lost(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         self.lost.insert(peer);
         let view = self.peers.get(peer);
-        let silent = view.map_or(Duration::ZERO, |view| now.since(view.heard));
+        let silent = view.map_or(Duration::ZERO, |view| now.since(view.last_contact));
         out.push(Output::Member(MemberEvent::PeerLost {
             peer,
             silent_ms: u32::try_from(silent.as_millis()).unwrap_or(u32::MAX),
@@ -560,22 +574,23 @@
     }
 
     fn update_domains(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.config.part != Part::Entry {
+        if self.config.part != ProcessKind::Entry {
             return;
         }
         self.domains_updated = now;
         // Idle workers get no calls. Without a check, a data centre whose processes are all silent would be
         // resigned as soon as it is idle, and acquired again, over and over.
-        for domain in self.domains.unheard(now, &self.peers) {
+        for domain in self.domains.silent_domains(now, &self.peers) {
             self.pool_input(now, PoolInput::Ask(domain), out);
         }
         let mut changes = Vec::new();
         self.update_shards(now, &mut changes, out);
-        let short = !self.config.pool.without.lacks(Mechanism::ShortListening);
-        self.domains.set_undivided(short && self.is_undivided());
+        let short = !self.config.pool.without.contains(Mechanism::ShortListening);
+        self.domains
+            .set_single_dispatcher(short && self.is_undivided());
         self.domains
-            .set_unsettled(self.unsettled.is_some() && self.domains.shards() == 1);
-        let owned = self.domains.held().keys().copied();
+            .set_resharding(self.unsettled.is_some() && self.domains.shards() == 1);
+        let owned = self.domains.owned().keys().copied();
         let reached = owned.filter(|domain| self.pool.reaches(now, *domain, REACH_TIMEOUT));
         self.domains
             .tick(now, &self.peers, &reached.collect(), &mut changes);
@@ -590,7 +605,7 @@
             return;
         }
         self.succession_updated = now;
-        let circle = self.domains.circle(now, &self.peers);
+        let circle = self.domains.succession(now, &self.peers);
         self.set_succession(now, circle, out);
     }
 
@@ -603,7 +618,7 @@
     /// shards only rises, so all members arrive at the same one.
     fn update_shards(&mut self, now: Time, changes: &mut Vec<Change>, out: &mut Vec<Output>) {
         let needed = shard_count(self.pool.known_workers(), self.config.shard_size);
-        let reported = self.peers.alive(now).map(|(_, view)| view.beat.shards);
+        let reported = self.peers.alive(now).map(|(_, view)| view.heartbeat.shards);
         let reported = reported.max();
         let shards = reported.unwrap_or(1).max(needed);
         if shards <= self.domains.shards() {
@@ -654,7 +669,7 @@
             WorkMsg::Submit(_)
             | WorkMsg::Cancel { .. }
             | WorkMsg::Drop { .. }
-            | WorkMsg::Named { .. } => {
+            | WorkMsg::ResyncDone { .. } => {
                 self.pool_input(now, PoolInput::Work(from, msg), out);
             }
             WorkMsg::Ended(_) | WorkMsg::Crashed(..) | WorkMsg::Resync(_) => {
@@ -681,7 +696,7 @@
                 celerywinch_pool::Output::Send(to, msg) => self.send_work(to, msg, out),
                 celerywinch_pool::Output::Outbid(domain) => {
                     let mut changes = Vec::new();
-                    self.domains.outbid(now, domain, &mut changes);
+                    self.domains.fenced(now, domain, &mut changes);
                     self.apply_changes(now, changes, out);
                 }
                 celerywinch_pool::Output::UsedUp(domain) => {
--- a/crates/celerywinch_member/tests/contacts.rs
+++ b/crates/celerywinch_member/tests/contacts.rs
@@ -6,8 +6,8 @@
 use celerywinch_member::{Input, Member, MemberConfig};
 use celerywinch_pool::PoolConfig;
 use celerywinch_types::{
-    Beat, DataCentreId, Evacuations, Fence, Incarnation, InstanceId, Part, Process, Stage, Time,
-    WallMs,
+    DataCentreId, Evacuations, Fence, FleetHeartbeat, Incarnation, InstanceId, Process,
+    ProcessKind, Stage, Time, WallMs,
 };
 use rstest::rstest;
 
@@ -17,7 +17,7 @@
 
 struct Case {
     /// The part of the process under test.
-    part: Part,
+    part: ProcessKind,
     /// How long the peer had run at its last heartbeat, in ms; `None` if there was none.
     uptime: Option<u64>,
     sent: bool,
@@ -26,10 +26,10 @@
 /// Guards against two faults: after a restart of all processes the workers are divided among the few entries
 /// that each entry knows by then; and the lists fill the links of a data centre that is reachable again.
 #[rstest]
-#[case::unknown(Case { part: Part::Entry, uptime: None, sent: true })]
-#[case::just_started(Case { part: Part::Entry, uptime: Some(200), sent: true })]
-#[case::running_before(Case { part: Part::Entry, uptime: Some(30_000), sent: false })]
-#[case::by_a_keeper(Case { part: Part::Keeper, uptime: Some(30_000), sent: true })]
+#[case::unknown(Case { part: ProcessKind::Entry, uptime: None, sent: true })]
+#[case::just_started(Case { part: ProcessKind::Entry, uptime: Some(200), sent: true })]
+#[case::running_before(Case { part: ProcessKind::Entry, uptime: Some(30_000), sent: false })]
+#[case::by_a_keeper(Case { part: ProcessKind::Keeper, uptime: Some(30_000), sent: true })]
 fn which_peers_get_all_contacts(#[case] case: Case) {
     let me = Process {
         instance: InstanceId(1),
@@ -45,19 +45,19 @@
     };
     let mut member = Member::new(config, NOW, WallMs(1_700_000_000_000));
     if let Some(uptime) = case.uptime {
-        let beat = Beat {
-            part: Part::Entry,
+        let beat = FleetHeartbeat {
+            kind: ProcessKind::Entry,
             dc: DC,
             stage: Stage::Ready,
-            holdings: Vec::new(),
+            owned_domains: Vec::new(),
             fence: Fence(0),
             version: 1,
             evacuations: Evacuations::default(),
             shards: 1,
             sent: Time(0) + Duration::from_millis(uptime),
             echo: None,
-            every: 100,
-            wants: false,
+            interval_ms: 100,
+            wants_frequent: false,
             probe: false,
         };
         let peer = Process {
--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -6,9 +6,10 @@
 use celerywinch_member::{Input, Member, MemberConfig, Output};
 use celerywinch_pool::{Answer, Call, EndedRow, How, Order, PoolConfig};
 use celerywinch_types::{
-    Beat, Crashes, DataCentreId, Doubt, Echo, Evacuations, Fence, FleetMsg, Incarnation,
-    InstanceId, JobId, Part, Process, Room, RunNumber, Said, Session, Stage, StepOrder, TaskOrder,
-    Time, WallMs, WorkMsg, WorkerClock, WorkerNote, WorkerStage,
+    AnnouncementVersion, Crashes, DataCentreId, Echo, Evacuations, Fence, FleetHeartbeat, FleetMsg,
+    Incarnation, InstanceId, JobId, PriorRuns, Process, ProcessKind, Resources, RunNumber, Session,
+    Stage, StepOrder, TaskOrder, Time, WallMs, WorkMsg, WorkerAnnouncement, WorkerClock,
+    WorkerStage,
 };
 use rstest::rstest;
 
@@ -22,7 +23,7 @@
 }
 
 /// Returns the member under test, in the only data centre.
-fn member(now: Time, part: Part) -> Member {
+fn member(now: Time, part: ProcessKind) -> Member {
     let config = MemberConfig {
         me: process(1, 1),
         part,
@@ -35,25 +36,25 @@
 }
 
 /// Returns a heartbeat whose sender has just received one from the member under test.
-fn beat(now: Time) -> Beat {
-    Beat {
-        part: Part::Entry,
+fn beat(now: Time) -> FleetHeartbeat {
+    FleetHeartbeat {
+        kind: ProcessKind::Entry,
         dc: DC,
         // This process does not dispatch, whatever its rank.
         stage: Stage::Joining,
-        holdings: Vec::new(),
+        owned_domains: Vec::new(),
         fence: Fence(0),
         version: 1,
         evacuations: Evacuations::default(),
         shards: 1,
         sent: now,
         echo: Some(Echo {
-            life: Incarnation(1),
+            incarnation: Incarnation(1),
             sent: now,
             session: Session(0),
         }),
-        every: 100,
-        wants: true,
+        interval_ms: 100,
+        wants_frequent: true,
         probe: false,
     }
 }
@@ -68,7 +69,7 @@
         service: "s".to_owned(),
         priority: 0,
         attempts: 3,
-        need: Room::default(),
+        need: Resources::default(),
         estimate: 200,
         label: None,
         rack: None,
@@ -76,17 +77,17 @@
         age: 0,
         slack: 1_600,
         target: 60,
-        chain: 200,
-        fresh: false,
-        pass: false,
+        critical_path: 200,
+        refusable: false,
+        no_wait: false,
         tasks: vec![TaskOrder {
             index: 0,
             failures: 0,
             crashes: Crashes::default(),
             run: RunNumber(1),
-            doubt: Doubt::None,
-            hand: 1,
-            first: 1,
+            prior_runs: PriorRuns::None,
+            submission: 1,
+            first_submission: 1,
         }],
     }
 }
@@ -109,7 +110,7 @@
 #[case::other_incarnation(Origin::OtherIncarnation, false)]
 fn work_of_a_lost_origin_is_dropped(#[case] origin: Origin, #[case] taken: bool) {
     let mut now = Time(1_000_000);
-    let mut member = member(now, Part::Entry);
+    let mut member = member(now, ProcessKind::Entry);
     let mut out = Vec::new();
     member.handle(now, Input::ConfigVersion(1), &mut out);
     for _ in 0..60 {
@@ -135,7 +136,7 @@
 #[test]
 fn origin_that_is_alive_again_is_asked_for_its_work() {
     let mut now = Time(1_000_000);
-    let mut member = member(now, Part::Entry);
+    let mut member = member(now, ProcessKind::Entry);
     let mut out = Vec::new();
     member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
     member.handle(now, Input::ConnectionRefused(InstanceId(2)), &mut out);
@@ -153,7 +154,7 @@
 #[test]
 fn silence_that_ends_between_two_ticks_is_detected() {
     let mut now = Time(1_000_000);
-    let mut member = member(now, Part::Entry);
+    let mut member = member(now, ProcessKind::Entry);
     let mut out = Vec::new();
     member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
     member.handle(now, Input::Tick, &mut out);
@@ -175,7 +176,7 @@
 #[test]
 fn host_is_notified_of_each_process_that_is_alive() {
     let now = Time(1_000_000);
-    let mut member = member(now, Part::Keeper);
+    let mut member = member(now, ProcessKind::Keeper);
     let mut notified = Vec::new();
     for (ms, arrived) in [(0, true), (100, true), (460, false), (500, true)] {
         let now = now + Duration::from_millis(ms);
@@ -194,20 +195,20 @@
 #[test]
 fn delayed_heartbeat_is_dropped() {
     let now = Time(1_000_000);
-    let mut member = member(now, Part::Entry);
+    let mut member = member(now, ProcessKind::Entry);
     let mut out = Vec::new();
-    let newer = Beat {
+    let newer = FleetHeartbeat {
         version: 7,
         ..beat(now)
     };
     member.handle(now, Input::Heartbeat(process(2, 1), newer), &mut out);
-    let older = Beat {
+    let older = FleetHeartbeat {
         sent: Time(900_000),
         ..beat(now)
     };
     member.handle(now, Input::Heartbeat(process(2, 1), older), &mut out);
     let view = member.peers().get(InstanceId(2));
-    assert_eq!(view.map(|view| view.beat.version), Some(7));
+    assert_eq!(view.map(|view| view.heartbeat.version), Some(7));
 }
 
 /// A heartbeat echoes the receiver's last one, so that the receiver knows by its own clock until when it may
@@ -217,13 +218,13 @@
 #[case::lost(400, false)]
 fn heartbeat_echoes_the_last_one(#[case] ms: u64, #[case] echoed: bool) {
     let now = Time(1_000_000);
-    let mut member = member(now, Part::Entry);
+    let mut member = member(now, ProcessKind::Entry);
     let mut out = Vec::new();
     member.handle(now, Input::Heartbeat(process(2, 3), beat(now)), &mut out);
     let later = now + Duration::from_millis(ms);
     let echo = member.heartbeat_for(later, InstanceId(2)).echo;
     let wanted = Echo {
-        life: Incarnation(3),
+        incarnation: Incarnation(3),
         sent: now,
         session: Session(0),
     };
@@ -258,21 +259,21 @@
 #[case::after_the_timeout(360, false)]
 fn nothing_is_started_for_a_silent_origin(#[case] silent: u64, #[case] starts: bool) {
     let mut now = Time(1_000_000);
-    let mut member = member(now, Part::Entry);
+    let mut member = member(now, ProcessKind::Entry);
     let cpu = 16_000;
-    let room = Room {
+    let room = Resources {
         cpu,
-        ..Room::default()
+        ..Resources::default()
     };
-    let worker = WorkerNote {
+    let worker = WorkerAnnouncement {
         id: "w1".to_owned(),
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], 1).into(),
         dc: DC,
-        room,
+        capacity: room,
         labels: Vec::new(),
         stage: WorkerStage::Ready,
-        said: Said {
+        version: AnnouncementVersion {
             incarnation: Incarnation(1),
             sequence: 1,
         },
--- a/crates/celerywinch_pool/src/lives.rs
+++ b/crates/celerywinch_pool/src/lives.rs
@@ -5,7 +5,9 @@
 
 use std::collections::BTreeMap;
 
-use celerywinch_types::{Incarnation, MOST_LIVES, Said, Time, WorkerNote, WorkerStage};
+use celerywinch_types::{
+    AnnouncementVersion, Incarnation, MAX_INCARNATIONS, Time, WorkerAnnouncement, WorkerStage,
+};
 
 use crate::call::RunningRow;
 use crate::leases::Loss;
@@ -19,13 +21,13 @@
 
 /// The last words of lives of a worker, other than the one that is known.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct OtherLives(BTreeMap<Incarnation, WorkerNote>);
+pub(crate) struct OtherLives(BTreeMap<Incarnation, WorkerAnnouncement>);
 
 impl OtherLives {
-    fn keep(&mut self, note: WorkerNote) {
-        let life = note.said.incarnation;
+    fn keep(&mut self, note: WorkerAnnouncement) {
+        let life = note.version.incarnation;
         let known = self.0.get(&life);
-        if known.is_none_or(|known| known.said < note.said) {
+        if known.is_none_or(|known| known.version < note.version) {
             self.0.insert(life, note);
         }
         while self.0.len() > MOST_OTHERS {
@@ -33,7 +35,7 @@
         }
     }
 
-    fn of(&self, life: Incarnation) -> Option<WorkerNote> {
+    fn of(&self, life: Incarnation) -> Option<WorkerAnnouncement> {
         self.0.get(&life).cloned()
     }
 }
@@ -48,7 +50,7 @@
         &mut self,
         now: Time,
         key: WorkerKey,
-        note: WorkerNote,
+        note: WorkerAnnouncement,
         out: &mut Vec<Output>,
     ) {
         let Some(mut earlier) = self.workers.remove(key) else {
@@ -80,18 +82,23 @@
             self.inherit(now, later, run, moved, out);
         }
         self.life_ended(now, &earlier, out);
-        if lives > MOST_LIVES {
+        if lives > MAX_INCARNATIONS {
             out.push(Output::UsedUp(self.workers[later].domain));
         }
     }
 
     /// A worker is heard of that is not known. If it was forgotten lately, as it had left or was silent, an order to that life may
     /// still be on its way, and would be obeyed under the same token.
-    pub(crate) fn add_unknown(&mut self, now: Time, note: WorkerNote, out: &mut Vec<Output>) {
+    pub(crate) fn add_unknown(
+        &mut self,
+        now: Time,
+        note: WorkerAnnouncement,
+        out: &mut Vec<Output>,
+    ) {
         let forgotten = self.forgotten.remove(&note.id);
         let lives = forgotten.map_or(0, |(lives, _)| lives + 1);
         let key = self.add_worker(now, note, lives, out);
-        if lives > MOST_LIVES {
+        if lives > MAX_INCARNATIONS {
             out.push(Output::UsedUp(self.workers[key].domain));
         }
     }
@@ -105,14 +112,17 @@
         out: &mut Vec<Output>,
     ) {
         let worker = &self.workers[key];
-        let note = worker.others.of(life).unwrap_or_else(|| WorkerNote {
-            stage: WorkerStage::Ready,
-            said: Said {
-                incarnation: life,
-                sequence: 0,
-            },
-            ..worker.note.clone()
-        });
+        let note = worker
+            .others
+            .of(life)
+            .unwrap_or_else(|| WorkerAnnouncement {
+                stage: WorkerStage::Ready,
+                version: AnnouncementVersion {
+                    incarnation: life,
+                    sequence: 0,
+                },
+                ..worker.note.clone()
+            });
         self.replace_worker(now, key, note, out);
     }
 
@@ -122,7 +132,7 @@
     pub(crate) fn other_life_speaks(
         &mut self,
         key: WorkerKey,
-        note: WorkerNote,
+        note: WorkerAnnouncement,
         out: &mut Vec<Output>,
     ) {
         self.workers[key].others.keep(note);
@@ -149,7 +159,7 @@
         let need = run.need;
         let worker = &mut self.workers[later];
         worker.runs.push(key);
-        worker.used = worker.used.plus(need);
+        worker.used = worker.used.saturating_add(need);
         worker.lease = worker.lease.max(longest);
         if moved {
             self.lose_inherited(now, key, out);
--- a/crates/celerywinch_pool/src/told.rs
+++ b/crates/celerywinch_pool/src/told.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_types::{Doubt, InstanceId, TaskEnd, TaskNews, TaskOrder, Time};
+use celerywinch_types::{InstanceId, PriorRuns, TaskEnd, TaskOrder, TaskReport, Time};
 
 /// Ends are kept for this long, for origins that did not hear of them.
 const REMEMBER: Duration = Duration::from_secs(3);
@@ -12,7 +12,7 @@
 pub(crate) struct Told {
     pub(crate) at: Time,
     pub(crate) origin: InstanceId,
-    pub(crate) news: TaskNews,
+    pub(crate) news: TaskReport,
 }
 
 impl Told {
@@ -27,10 +27,14 @@
     /// the while: it has not been started since. If another had it meanwhile, it may run there.
     pub(crate) fn settles(&self, origin: InstanceId, order: &TaskOrder) -> bool {
         match self.news.end {
-            TaskEnd::Done | TaskEnd::Failed | TaskEnd::GivenUp => order.doubt != Doubt::None,
-            TaskEnd::Full => self.origin == origin && self.news.hand >= order.first,
+            TaskEnd::Done | TaskEnd::Failed | TaskEnd::GivenUp => {
+                order.prior_runs != PriorRuns::None
+            }
+            TaskEnd::Full => {
+                self.origin == origin && self.news.submission >= order.first_submission
+            }
             TaskEnd::Returned { .. }
-            | TaskEnd::Doubtful
+            | TaskEnd::Undetermined
             | TaskEnd::Refused(_)
             | TaskEnd::Superseded
             | TaskEnd::Unplaced => false,
--- a/crates/celerywinch_pool/src/worker.rs
+++ b/crates/celerywinch_pool/src/worker.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use celerywinch_types::{
-    Domain, Incarnation, Room, Time, WorkerClock, WorkerNote, WorkerStage, stable_hash,
+    Domain, Incarnation, Resources, Time, WorkerAnnouncement, WorkerClock, WorkerStage, stable_hash,
 };
 use slotmap::new_key_type;
 
@@ -40,7 +40,7 @@
 /// A worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
-    pub(crate) note: WorkerNote,
+    pub(crate) note: WorkerAnnouncement,
     /// The last words of other lives. One of them may be the life that is there.
     pub(crate) others: OtherLives,
     /// How the life before this one ended, if there was one here.
@@ -52,7 +52,7 @@
     pub(crate) lives: u64,
     pub(crate) runs: Vec<RunKey>,
     /// What its runs need, those too whose end is not listed yet.
-    pub(crate) used: Room,
+    pub(crate) used: Resources,
     /// Runs of another dispatcher that were neither adopted nor seen to end.
     pub(crate) aliens: usize,
     /// The last end that was taken note of, and the last that the worker was told of.
@@ -88,10 +88,10 @@
 }
 
 impl Worker {
-    pub(crate) fn new(now: Time, note: WorkerNote, shards: u8) -> Self {
+    pub(crate) fn new(now: Time, note: WorkerAnnouncement, shards: u8) -> Self {
         Self {
             domain: domain_of(&note, shards),
-            used: Room::default(),
+            used: Resources::default(),
             note,
             others: OtherLives::default(),
             before: None,
@@ -123,7 +123,7 @@
         self.grip = Grip::None;
         self.lives = 0;
         self.runs.clear();
-        self.used = Room::default();
+        self.used = Resources::default();
         self.aliens = 0;
         self.cursor = 0;
         self.acknowledged = 0;
@@ -141,7 +141,7 @@
 
     /// Whether an answer is of another life of the worker than the one that is known.
     pub(crate) fn is_other(&self, life: Incarnation) -> bool {
-        let known = self.note.said.incarnation;
+        let known = self.note.version.incarnation;
         known != Incarnation::default() && life != known
     }
 
@@ -215,8 +215,8 @@
 
     /// What is free. Nothing where its room has shrunk below what is at work there: that ends as it would, and what
     /// comes next waits.
-    pub(crate) fn free(&self) -> Room {
-        self.note.room.less(self.used)
+    pub(crate) fn free(&self) -> Resources {
+        self.note.capacity.saturating_sub(self.used)
     }
 
     /// Whether a new task may be sent there.
@@ -256,7 +256,7 @@
 }
 
 /// By the address, which a worker keeps over its lives.
-pub(crate) fn domain_of(note: &WorkerNote, shards: u8) -> Domain {
+pub(crate) fn domain_of(note: &WorkerAnnouncement, shards: u8) -> Domain {
     let hash = stable_hash(note.addr.to_string().as_bytes());
     Domain {
         dc: note.dc,
--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -8,9 +8,9 @@
     Answer, Call, EndedRow, Grant, How, Input, Order, Output, Pool, PoolConfig, RunningRow,
 };
 use celerywinch_types::{
-    Crashes, DataCentreId, Domain, Doubt, Fence, Incarnation, InstanceId, JobId, Room, RunNumber,
-    Said, Session, StepOrder, TaskEnd, TaskId, TaskOrder, Time, WorkMsg, WorkerClock, WorkerNote,
-    WorkerStage,
+    AnnouncementVersion, Crashes, DataCentreId, Domain, Fence, Incarnation, InstanceId, JobId,
+    PriorRuns, Resources, RunNumber, Session, StepOrder, TaskEnd, TaskId, TaskOrder, Time, WorkMsg,
+    WorkerAnnouncement, WorkerClock, WorkerStage,
 };
 
 pub(crate) const DC: DataCentreId = DataCentreId(0);
@@ -20,7 +20,7 @@
 /// A fencing token above the one that the dispatcher begins with.
 pub(crate) const LATER_FENCE: Fence = Fence(9 << 5);
 pub(crate) const JOB: JobId = JobId(77);
-pub(crate) const ROOM: Room = Room {
+pub(crate) const ROOM: Resources = Resources {
     cpu: 32_000,
     memory: 65_536,
     accelerators: 0,
@@ -34,23 +34,23 @@
     }
 }
 
-pub(crate) fn note(id: &str, port: u16) -> WorkerNote {
-    WorkerNote {
+pub(crate) fn note(id: &str, port: u16) -> WorkerAnnouncement {
+    WorkerAnnouncement {
         id: id.to_owned(),
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], port).into(),
         dc: DC,
-        room: ROOM,
+        capacity: ROOM,
         labels: Vec::new(),
         stage: WorkerStage::Ready,
-        said: Said {
+        version: AnnouncementVersion {
             incarnation: Incarnation(1),
             sequence: 1,
         },
     }
 }
 
-pub(crate) fn step(doubt: Doubt, run: u64) -> StepOrder {
+pub(crate) fn step(doubt: PriorRuns, run: u64) -> StepOrder {
     StepOrder {
         session: Session(0),
         job: JOB,
@@ -60,9 +60,9 @@
         service: "s".to_owned(),
         priority: 0,
         attempts: 3,
-        need: Room {
+        need: Resources {
             cpu: 14_000,
-            ..Room::default()
+            ..Resources::default()
         },
         estimate: 200,
         label: None,
@@ -71,17 +71,17 @@
         age: 0,
         slack: 1_600,
         target: 60,
-        chain: 200,
-        fresh: doubt == Doubt::None,
-        pass: false,
+        critical_path: 200,
+        refusable: doubt == PriorRuns::None,
+        no_wait: false,
         tasks: vec![TaskOrder {
             index: 0,
             failures: 0,
             crashes: Crashes::default(),
             run: RunNumber(run),
-            doubt,
-            hand: 1,
-            first: 1,
+            prior_runs: doubt,
+            submission: 1,
+            first_submission: 1,
         }],
     }
 }
--- a/crates/celerywinch_types/src/queue.rs
+++ b/crates/celerywinch_types/src/queue.rs
@@ -41,18 +41,18 @@
     #[derive(Copy, Default)]
     pub struct Bounds {
         /// Bytes of a request's head.
-        pub head: u32,
+        pub head_bytes: u32,
         /// Bytes of a body.
-        pub body: u32,
+        pub body_bytes: u32,
         /// Ms in which a head must arrive.
-        pub head_time: u32,
+        pub head_timeout: u32,
         /// Ms after which an idle connection is closed.
-        pub idle_time: u32,
+        pub idle_timeout: u32,
     }
 
     /// One version of the operators' configuration.
     #[derive(Default)]
-    pub struct QueueBook {
+    pub struct QueueConfig {
         /// The version; the highest is in force.
         pub version: u64,
         /// The queues.
@@ -64,7 +64,7 @@
     }
 }
 
-impl QueueBook {
+impl QueueConfig {
     /// The queue of a request: of those of its host, the one with the longest matching prefix.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Queue> {
