--- a/crates/celerywinch_member/src/heartbeats.rs
+++ b/crates/celerywinch_member/src/heartbeats.rs
@@ -78,18 +78,18 @@
         }
         self.holders_stale = false;
         let mut best: BTreeMap<Domain, (InstanceId, OwnedDomain)> = BTreeMap::new();
-        let mut add = |instance: InstanceId, holding: OwnedDomain| {
-            let known = best.get(&holding.domain);
-            if known.is_none_or(|(_, other)| other.fence < holding.fence) {
-                best.insert(holding.domain, (instance, holding));
+        let mut add = |instance: InstanceId, owned: OwnedDomain| {
+            let known = best.get(&owned.domain);
+            if known.is_none_or(|(_, other)| other.fence < owned.fence) {
+                best.insert(owned.domain, (instance, owned));
             }
         };
-        for holding in &self.holdings {
-            add(self.config.me.instance, *holding);
+        for owned in &self.owned_domains {
+            add(self.config.me.instance, *owned);
         }
         for (instance, view) in self.peers.alive(now) {
-            for holding in &view.heartbeat.owned_domains {
-                add(instance, *holding);
+            for owned in &view.heartbeat.owned_domains {
+                add(instance, *owned);
             }
         }
         let all: BTreeSet<_> = best.values().map(|(instance, _)| *instance).collect();
@@ -101,15 +101,13 @@
                 self.send_heartbeat(now, peer, out);
             }
         }
-        let holders = best
-            .into_iter()
-            .map(|(domain, (instance, holding))| Holder {
-                domain,
-                instance,
-                load: holding.load,
-                preferred: self.may_submit_to(instance),
-                local: self.is_local(instance),
-            });
+        let holders = best.into_iter().map(|(domain, (instance, owned))| Holder {
+            domain,
+            instance,
+            load: owned.load,
+            preferred: self.may_submit_to(instance),
+            local: self.is_local(instance),
+        });
         let input = OriginInput::Holders(holders.collect());
         self.origin_input(now, input, out);
     }
@@ -204,14 +202,14 @@
 
     /// Updates the reported room of the domains it dispatches for. Called once per tick, because it reads the
     /// state of each worker.
-    pub(crate) fn update_holdings(&mut self, now: Time) {
-        let held = self.domains.owned().iter();
-        let holding = |(domain, fence): (&Domain, &Fence)| OwnedDomain {
+    pub(crate) fn update_owned_domains(&mut self, now: Time) {
+        let owned = self.domains.owned().iter();
+        let report = |(domain, fence): (&Domain, &Fence)| OwnedDomain {
             domain: *domain,
             fence: *fence,
             load: self.pool.load(now, *domain),
         };
-        self.holdings = held.map(holding).collect();
+        self.owned_domains = owned.map(report).collect();
     }
 
     /// Updates the room of a dispatcher whose domains did not change.
@@ -219,11 +217,11 @@
         &mut self,
         now: Time,
         dispatcher: InstanceId,
-        holdings: Vec<OwnedDomain>,
+        owned_domains: Vec<OwnedDomain>,
         out: &mut Vec<Output>,
     ) {
-        if self.config.part == ProcessKind::Entry && !holdings.is_empty() {
-            let input = OriginInput::Loads(dispatcher, holdings);
+        if self.config.part == ProcessKind::Entry && !owned_domains.is_empty() {
+            let input = OriginInput::Loads(dispatcher, owned_domains);
             self.origin_input(now, input, out);
         }
     }
@@ -239,7 +237,7 @@
                 sent: view.heartbeat.sent,
                 session: self.origin.session(peer),
             });
-        let every = if self.is_small_fleet() || self.frequent.announced.contains(&peer) {
+        let interval = if self.is_small_fleet() || self.frequent.announced.contains(&peer) {
             HEARTBEAT_INTERVAL
         } else {
             self.slow_interval()
@@ -248,14 +246,14 @@
             kind: self.config.part,
             dc: self.config.dc,
             stage: self.stage,
-            owned_domains: self.holdings.clone(),
+            owned_domains: self.owned_domains.clone(),
             fence: self.domains.highest_fence(),
             version: self.version,
             evacuations: self.evacuations.clone(),
             shards: self.domains.shards(),
             sent: now,
             echo,
-            interval_ms: every.as_millis() as u32,
+            interval_ms: interval.as_millis() as u32,
             wants_frequent: self.needs_frequent(peer),
             probe: false,
         }
@@ -283,9 +281,10 @@
     }
 
     /// Returns the time after a heartbeat at which its sender counts as lost if no other one arrives.
-    pub(crate) fn timeout_after(beat: &FleetHeartbeat) -> Duration {
-        let every = Duration::from_millis(beat.interval_ms.into());
-        HEARTBEAT_TIMEOUT.max(every.mul_f64(HEARTBEAT_TIMEOUT.div_duration_f64(HEARTBEAT_INTERVAL)))
+    pub(crate) fn timeout_after(heartbeat: &FleetHeartbeat) -> Duration {
+        let interval = Duration::from_millis(heartbeat.interval_ms.into());
+        HEARTBEAT_TIMEOUT
+            .max(interval.mul_f64(HEARTBEAT_TIMEOUT.div_duration_f64(HEARTBEAT_INTERVAL)))
     }
 
     /// Whether the fleet is so small that all processes exchange frequent heartbeats.
@@ -359,8 +358,8 @@
     /// Sends a heartbeat to a peer.
     pub(crate) fn send_heartbeat(&mut self, now: Time, to: InstanceId, out: &mut Vec<Output>) {
         self.update_announced(now, to);
-        let beat = self.heartbeat_for(now, to);
-        out.push(Output::Send(to, FleetMsg::Heartbeat(beat)));
+        let heartbeat = self.heartbeat_for(now, to);
+        out.push(Output::Send(to, FleetMsg::Heartbeat(heartbeat)));
     }
 
     /// Records whether the next heartbeat to a peer announces frequent ones.
@@ -413,9 +412,9 @@
     /// Sends a heartbeat that asks for an immediate answer.
     fn send_probe(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         self.peers.record_probe(now, peer);
-        let mut beat = self.heartbeat_for(now, peer);
-        beat.probe = true;
-        out.push(Output::Send(peer, FleetMsg::Heartbeat(beat)));
+        let mut heartbeat = self.heartbeat_for(now, peer);
+        heartbeat.probe = true;
+        out.push(Output::Send(peer, FleetMsg::Heartbeat(heartbeat)));
     }
 
     /// Sends what this dispatcher has learned to the entries that would take over from it, one after the
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -38,7 +38,7 @@
 /// Interval at which an entry updates which peers it may take over from, and which may take over from it.
 const SUCCESSION_INTERVAL: Duration = Duration::from_millis(250);
 /// Heartbeats with a timeout of at most this are frequent.
-const FREQUENT_WINDOW: Duration = Duration::from_millis(350);
+const FREQUENT_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// Maximum number of shards.
 const MAX_SHARDS: u8 = 64;
@@ -161,7 +161,7 @@
     /// When the domains to dispatch for were last evaluated.
     domains_updated: Time,
     /// The domains it dispatches for, with their room at the last tick.
-    pub(crate) holdings: Vec<OwnedDomain>,
+    pub(crate) owned_domains: Vec<OwnedDomain>,
     /// Workers that crashed under tasks, to be reported to other dispatchers.
     pub(crate) crashes: BTreeMap<TaskId, Crashes>,
     /// Queues that are started with a probe task, to be reported to other dispatchers.
@@ -211,7 +211,7 @@
             unsettled: None,
             succession_updated: Time::default(),
             domains_updated: Time::default(),
-            holdings: Vec::new(),
+            owned_domains: Vec::new(),
             crashes: BTreeMap::new(),
             probe_queues: BTreeSet::new(),
             local_work: VecDeque::new(),
@@ -298,7 +298,7 @@
 
     fn handle_input(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Heartbeat(from, beat) => self.handle_heartbeat(now, from, beat, out),
+            Input::Heartbeat(from, heartbeat) => self.handle_heartbeat(now, from, heartbeat, out),
             Input::ConnectionRefused(peer) => {
                 self.peers.record_refusal(peer);
                 self.update_alive(now, out);
@@ -407,12 +407,12 @@
             if now.since(self.domains_updated) >= UPDATE_INTERVAL {
                 self.update_domains(now, out);
             }
-            self.update_holdings(now);
+            self.update_owned_domains(now);
             if self.holders_stale || self.origin.holders_incomplete() {
                 self.update_holders(now, out);
             } else {
                 let me = self.config.me.instance;
-                self.update_loads(now, me, self.holdings.clone(), out);
+                self.update_loads(now, me, self.owned_domains.clone(), out);
             }
             self.send_learned(now, out);
             self.send_crashes(now, out);
@@ -443,7 +443,7 @@
         &mut self,
         now: Time,
         from: Process,
-        beat: FleetHeartbeat,
+        heartbeat: FleetHeartbeat,
         out: &mut Vec<Output>,
     ) {
         // Work from a silent process is dropped. If its heartbeat arrives before the next tick, its silence
@@ -455,19 +455,19 @@
         }
         let before = self.peers.get(from.instance);
         let incarnation = before.map(|view| view.process.incarnation);
-        let domains = |beat: &FleetHeartbeat| -> Vec<_> {
-            let holdings = beat.owned_domains.iter();
-            holdings.map(|h| (h.domain, h.fence)).collect()
+        let domains = |heartbeat: &FleetHeartbeat| -> Vec<_> {
+            let owned_domains = heartbeat.owned_domains.iter();
+            owned_domains.map(|h| (h.domain, h.fence)).collect()
         };
-        let holdings_before = before.map(|view| domains(&view.heartbeat));
-        let evacuations = beat.evacuations.clone();
+        let owned_before = before.map(|view| domains(&view.heartbeat));
+        let evacuations = heartbeat.evacuations.clone();
         let was_frequent = before.is_some_and(PeerView::has_short_timeout);
-        let holdings = domains(&beat);
-        self.domains.observe(beat.fence);
-        let window = Self::timeout_after(&beat);
-        let (echo, loads) = (beat.echo, beat.owned_domains.clone());
-        let answer = beat.probe;
-        if !self.peers.record_heartbeat(now, from, beat, window) {
+        let owned_domains = domains(&heartbeat);
+        self.domains.observe(heartbeat.fence);
+        let timeout = Self::timeout_after(&heartbeat);
+        let (echo, loads) = (heartbeat.echo, heartbeat.owned_domains.clone());
+        let answer = heartbeat.probe;
+        if !self.peers.record_heartbeat(now, from, heartbeat, timeout) {
             return;
         }
         if incarnation != Some(from.incarnation) {
@@ -479,13 +479,13 @@
         self.adopt_evacuations(now, &evacuations, out);
         self.handle_echo(now, from, echo, out);
         // A handover is taken up at the next flush, before the next tick.
-        if holdings_before.is_none_or(|before| before != holdings) {
+        if owned_before.is_none_or(|before| before != owned_domains) {
             self.changed_peers.insert(from.instance);
         } else {
             self.update_loads(now, from.instance, loads, out);
             // The first frequent heartbeat of a process that was asked for them is answered at once: it may
             // need the echo to start what was submitted to it.
-            let now_frequent = window <= FREQUENT_WINDOW && !was_frequent;
+            let now_frequent = timeout <= FREQUENT_TIMEOUT && !was_frequent;
             self.holders_stale |= now_frequent;
             if answer || now_frequent {
                 self.send_heartbeat(now, from.instance, out);
@@ -655,7 +655,7 @@
             };
             self.pool_input(now, input, out);
         }
-        self.update_holdings(now);
+        self.update_owned_domains(now);
         self.update_holders(now, out);
         self.broadcast_heartbeat(now, out);
     }
--- a/crates/celerywinch_member/tests/contacts.rs
+++ b/crates/celerywinch_member/tests/contacts.rs
@@ -45,7 +45,7 @@
     };
     let mut member = Member::new(config, NOW, WallMs(1_700_000_000_000));
     if let Some(uptime) = case.uptime {
-        let beat = FleetHeartbeat {
+        let heartbeat = FleetHeartbeat {
             kind: ProcessKind::Entry,
             dc: DC,
             stage: Stage::Ready,
@@ -64,7 +64,7 @@
             instance: PEER,
             incarnation: Incarnation(7),
         };
-        member.handle(NOW, Input::Heartbeat(peer, beat), &mut Vec::new());
+        member.handle(NOW, Input::Heartbeat(peer, heartbeat), &mut Vec::new());
     }
     assert_eq!(member.sends_contacts(PEER), case.sent);
 }
--- a/crates/celerywinch_member/tests/evacuations.rs
+++ b/crates/celerywinch_member/tests/evacuations.rs
@@ -27,7 +27,7 @@
     }
 }
 
-fn beat(evacuations: Evacuations) -> FleetHeartbeat {
+fn heartbeat(evacuations: Evacuations) -> FleetHeartbeat {
     FleetHeartbeat {
         kind: ProcessKind::Entry,
         dc: DataCentreId(0),
@@ -59,11 +59,13 @@
 
 /// Returns the receivers of the heartbeats that were sent, with the revision of the evacuations in each.
 fn sent_revisions(out: &[Output]) -> BTreeSet<(InstanceId, u64)> {
-    let beats = out.iter().filter_map(|output| match output {
-        Output::Send(to, FleetMsg::Heartbeat(beat)) => Some((*to, beat.evacuations.revision)),
+    let heartbeats = out.iter().filter_map(|output| match output {
+        Output::Send(to, FleetMsg::Heartbeat(heartbeat)) => {
+            Some((*to, heartbeat.evacuations.revision))
+        }
         _ => None,
     });
-    beats.collect()
+    heartbeats.collect()
 }
 
 struct Case {
@@ -83,11 +85,18 @@
     let mut member = member(ProcessKind::Entry);
     let mut out = Vec::new();
     for (peer, (revision, dcs)) in (2..).zip(case.received) {
-        let beat = beat(evacuations(*revision, dcs));
-        member.handle(Time(0), Input::Heartbeat(process(peer), beat), &mut out);
+        let heartbeat = heartbeat(evacuations(*revision, dcs));
+        member.handle(
+            Time(0),
+            Input::Heartbeat(process(peer), heartbeat),
+            &mut out,
+        );
     }
-    let beat = member.heartbeat_for(Time(0), InstanceId(9));
-    assert_eq!(beat.evacuations, evacuations(case.known.0, case.known.1));
+    let heartbeat = member.heartbeat_for(Time(0), InstanceId(9));
+    assert_eq!(
+        heartbeat.evacuations,
+        evacuations(case.known.0, case.known.1)
+    );
 }
 
 /// Guards against evacuations that spread only with the slow heartbeats, which take seconds to reach all
@@ -97,14 +106,18 @@
     let mut member = member(ProcessKind::Keeper);
     let mut out = Vec::new();
     for peer in 2..60 {
-        let beat = beat(Evacuations::default());
-        member.handle(Time(0), Input::Heartbeat(process(peer), beat), &mut out);
+        let heartbeat = heartbeat(Evacuations::default());
+        member.handle(
+            Time(0),
+            Input::Heartbeat(process(peer), heartbeat),
+            &mut out,
+        );
     }
     let now = Time(0) + Duration::from_millis(10);
     out.clear();
     member.handle(now, Input::Evacuations(evacuations(1, &[1])), &mut out);
-    let wanted = (2..60).map(|peer| (InstanceId(peer), 1)).collect();
-    assert_eq!(sent_revisions(&out), wanted);
+    let expected = (2..60).map(|peer| (InstanceId(peer), 1)).collect();
+    assert_eq!(sent_revisions(&out), expected);
     out.clear();
     member.handle(now, Input::Evacuations(evacuations(1, &[1])), &mut out);
     assert!(sent_revisions(&out).is_empty(), "once for each revision");
--- a/crates/celerywinch_member/tests/handovers.rs
+++ b/crates/celerywinch_member/tests/handovers.rs
@@ -20,8 +20,8 @@
     }
 }
 
-fn beat(now: Time, shard: Option<u8>) -> FleetHeartbeat {
-    let holding = |shard| OwnedDomain {
+fn heartbeat(now: Time, shard: Option<u8>) -> FleetHeartbeat {
+    let owned_domain = |shard| OwnedDomain {
         domain: Domain { dc: THERE, shard },
         fence: Fence(5),
         load: Load::default(),
@@ -30,7 +30,7 @@
         kind: ProcessKind::Entry,
         dc: THERE,
         stage: Stage::Ready,
-        owned_domains: shard.map(holding).into_iter().collect(),
+        owned_domains: shard.map(owned_domain).into_iter().collect(),
         fence: Fence(5),
         version: 1,
         evacuations: Evacuations::default(),
@@ -59,7 +59,7 @@
     for other in 2..2 + others {
         member.handle(
             now,
-            Input::Heartbeat(process(other), beat(now, None)),
+            Input::Heartbeat(process(other), heartbeat(now, None)),
             &mut out,
         );
     }
@@ -81,17 +81,21 @@
     let mut out = Vec::new();
     for change in 0..changes {
         let shard = u8::try_from(change).expect("a shard");
-        let beat = beat(later, Some(shard));
-        member.handle(later, Input::Heartbeat(process(2 + change), beat), &mut out);
+        let heartbeat = heartbeat(later, Some(shard));
+        member.handle(
+            later,
+            Input::Heartbeat(process(2 + change), heartbeat),
+            &mut out,
+        );
     }
     assert!(out.is_empty() && member.needs_flush());
     member.handle(later, Input::Flush, &mut out);
-    let beats = out
+    let heartbeats = out
         .iter()
         .filter(|output| matches!(output, Output::Send(_, FleetMsg::Heartbeat(_))));
     // The receivers are the dispatchers that callers' jobs are submitted to now, and the peers that it may
     // take over from.
-    let beats = beats.count();
-    assert!(beats <= 24, "{beats} heartbeats for {changes} changes");
+    let count = heartbeats.count();
+    assert!(count <= 24, "{count} heartbeats for {changes} changes");
     assert!(!member.needs_flush());
 }
--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn beat(dc: u8) -> FleetHeartbeat {
+fn heartbeat(dc: u8) -> FleetHeartbeat {
     FleetHeartbeat {
         kind: ProcessKind::Keeper,
         dc: DataCentreId(dc),
@@ -75,9 +75,9 @@
         now = now + Duration::from_millis(10);
         let silent = step >= live_steps;
         if !silent {
-            inputs.push(Input::Heartbeat(process(3), beat(1)));
+            inputs.push(Input::Heartbeat(process(3), heartbeat(1)));
         }
-        inputs.push(Input::Heartbeat(process(2), beat(0)));
+        inputs.push(Input::Heartbeat(process(2), heartbeat(0)));
         inputs.push(Input::Tick);
         for input in std::mem::take(&mut inputs) {
             let mut out = Vec::new();
--- a/crates/celerywinch_member/tests/learned.rs
+++ b/crates/celerywinch_member/tests/learned.rs
@@ -25,7 +25,7 @@
 /// The time at which the other entries become ready; none of them can take over before.
 const READY: Time = Time(2_500_000);
 
-fn beat(now: Time) -> FleetHeartbeat {
+fn heartbeat(now: Time) -> FleetHeartbeat {
     FleetHeartbeat {
         kind: ProcessKind::Entry,
         dc: DC,
@@ -87,7 +87,11 @@
         now = now + Duration::from_millis(case.tick);
         let mut out = Vec::new();
         for other in ME + 1..=ME + case.others {
-            member.handle(now, Input::Heartbeat(process(other), beat(now)), &mut out);
+            member.handle(
+                now,
+                Input::Heartbeat(process(other), heartbeat(now)),
+                &mut out,
+            );
         }
         member.handle(now, Input::Tick, &mut out);
         let learned = out.into_iter().filter_map(|output| match output {
--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -36,7 +36,7 @@
 }
 
 /// Returns a heartbeat whose sender has just received one from the member under test.
-fn beat(now: Time) -> FleetHeartbeat {
+fn heartbeat(now: Time) -> FleetHeartbeat {
     FleetHeartbeat {
         kind: ProcessKind::Entry,
         dc: DC,
@@ -115,7 +115,11 @@
     member.handle(now, Input::ConfigVersion(1), &mut out);
     for _ in 0..60 {
         now = now + Duration::from_millis(10);
-        member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
+        member.handle(
+            now,
+            Input::Heartbeat(process(2, 1), heartbeat(now)),
+            &mut out,
+        );
         member.handle(now, Input::Tick, &mut out);
     }
     match origin {
@@ -123,7 +127,11 @@
         Origin::Refused => member.handle(now, Input::ConnectionRefused(InstanceId(2)), &mut out),
         Origin::Silent => now = now + Duration::from_millis(400),
         Origin::OtherIncarnation => {
-            member.handle(now, Input::Heartbeat(process(2, 2), beat(now)), &mut out);
+            member.handle(
+                now,
+                Input::Heartbeat(process(2, 2), heartbeat(now)),
+                &mut out,
+            );
         }
     }
     let msg = WorkMsg::Submit(order());
@@ -138,11 +146,19 @@
     let mut now = Time(1_000_000);
     let mut member = member(now, ProcessKind::Entry);
     let mut out = Vec::new();
-    member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
+    member.handle(
+        now,
+        Input::Heartbeat(process(2, 1), heartbeat(now)),
+        &mut out,
+    );
     member.handle(now, Input::ConnectionRefused(InstanceId(2)), &mut out);
     out.clear();
     now = now + Duration::from_millis(10);
-    member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
+    member.handle(
+        now,
+        Input::Heartbeat(process(2, 1), heartbeat(now)),
+        &mut out,
+    );
     let resync = Output::Send(InstanceId(2), FleetMsg::Work(WorkMsg::Resync(1)));
     assert!(out.contains(&resync), "{out:?}");
 }
@@ -156,7 +172,11 @@
     let mut now = Time(1_000_000);
     let mut member = member(now, ProcessKind::Entry);
     let mut out = Vec::new();
-    member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
+    member.handle(
+        now,
+        Input::Heartbeat(process(2, 1), heartbeat(now)),
+        &mut out,
+    );
     member.handle(now, Input::Tick, &mut out);
     now = now + Duration::from_millis(360);
     let msg = WorkMsg::Submit(order());
@@ -164,7 +184,11 @@
     assert!(!member.is_busy(), "dropped");
     out.clear();
     now = now + Duration::from_millis(1);
-    member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
+    member.handle(
+        now,
+        Input::Heartbeat(process(2, 1), heartbeat(now)),
+        &mut out,
+    );
     let asks =
         |output: &Output| matches!(output, Output::Send(_, FleetMsg::Work(WorkMsg::Resync(_))));
     assert!(out.iter().any(asks), "{out:?}");
@@ -182,7 +206,11 @@
         let now = now + Duration::from_millis(ms);
         let mut out = Vec::new();
         if arrived {
-            member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
+            member.handle(
+                now,
+                Input::Heartbeat(process(2, 1), heartbeat(now)),
+                &mut out,
+            );
         }
         member.handle(now, Input::Tick, &mut out);
         notified.push(out.contains(&Output::PeerAlive(InstanceId(2))));
@@ -199,12 +227,12 @@
     let mut out = Vec::new();
     let newer = FleetHeartbeat {
         version: 7,
-        ..beat(now)
+        ..heartbeat(now)
     };
     member.handle(now, Input::Heartbeat(process(2, 1), newer), &mut out);
     let older = FleetHeartbeat {
         sent: Time(900_000),
-        ..beat(now)
+        ..heartbeat(now)
     };
     member.handle(now, Input::Heartbeat(process(2, 1), older), &mut out);
     let view = member.peers().get(InstanceId(2));
@@ -220,15 +248,19 @@
     let now = Time(1_000_000);
     let mut member = member(now, ProcessKind::Entry);
     let mut out = Vec::new();
-    member.handle(now, Input::Heartbeat(process(2, 3), beat(now)), &mut out);
+    member.handle(
+        now,
+        Input::Heartbeat(process(2, 3), heartbeat(now)),
+        &mut out,
+    );
     let later = now + Duration::from_millis(ms);
     let echo = member.heartbeat_for(later, InstanceId(2)).echo;
-    let wanted = Echo {
+    let expected = Echo {
         incarnation: Incarnation(3),
         sent: now,
         session: Session(0),
     };
-    assert_eq!(echo, echoed.then_some(wanted));
+    assert_eq!(echo, echoed.then_some(expected));
 }
 
 /// Returns a worker's answer to a poll; nothing runs there.
@@ -284,7 +316,11 @@
     for _ in 0..100 {
         now = now + Duration::from_millis(10);
         out.clear();
-        member.handle(now, Input::Heartbeat(process(2, 1), beat(now)), &mut out);
+        member.handle(
+            now,
+            Input::Heartbeat(process(2, 1), heartbeat(now)),
+            &mut out,
+        );
         member.handle(now, Input::Tick, &mut out);
         for call in calls(&out) {
             let answer = Input::Answered(call.key, lists(Vec::new()));
--- a/crates/celerywinch_member/tests/probes.rs
+++ b/crates/celerywinch_member/tests/probes.rs
@@ -28,14 +28,14 @@
     }
 }
 
-fn beat(now: Time, instance: u32) -> FleetHeartbeat {
+fn heartbeat(now: Time, instance: u32) -> FleetHeartbeat {
     let dispatches = DISPATCHERS.contains(&instance);
     let dc = if instance <= *OTHERS.end() {
         THERE
     } else {
         HERE
     };
-    let holding = OwnedDomain {
+    let owned_domain = OwnedDomain {
         domain: Domain { dc, shard: 0 },
         fence: Fence(5),
         load: Load::default(),
@@ -44,7 +44,7 @@
         kind: ProcessKind::Entry,
         dc,
         stage: Stage::Ready,
-        owned_domains: dispatches.then_some(holding).into_iter().collect(),
+        owned_domains: dispatches.then_some(owned_domain).into_iter().collect(),
         fence: Fence(5),
         version: 1,
         evacuations: Evacuations::default(),
@@ -136,15 +136,19 @@
         for (index, dispatcher) in DISPATCHERS.into_iter().enumerate() {
             let sends = now < cut || !case.silent.contains(&index);
             if sends && now.0.is_multiple_of(100_000) {
-                let beat = beat(now, dispatcher);
-                member.handle(now, Input::Heartbeat(process(dispatcher), beat), &mut out);
+                let heartbeat = heartbeat(now, dispatcher);
+                member.handle(
+                    now,
+                    Input::Heartbeat(process(dispatcher), heartbeat),
+                    &mut out,
+                );
             }
         }
         for other in OTHERS.chain(23..=24) {
             if now < cut && now.0.is_multiple_of(500_000) {
                 member.handle(
                     now,
-                    Input::Heartbeat(process(other), beat(now, other)),
+                    Input::Heartbeat(process(other), heartbeat(now, other)),
                     &mut out,
                 );
             }
@@ -157,8 +161,12 @@
             {
                 probed.insert(to.0);
                 if case.answers {
-                    let beat = beat(now, to.0);
-                    member.handle(now, Input::Heartbeat(process(to.0), beat), &mut Vec::new());
+                    let heartbeat = heartbeat(now, to.0);
+                    member.handle(
+                        now,
+                        Input::Heartbeat(process(to.0), heartbeat),
+                        &mut Vec::new(),
+                    );
                 }
             }
         }
@@ -187,7 +195,7 @@
     for instance in OTHERS.chain(DISPATCHERS) {
         let rare = FleetHeartbeat {
             interval_ms: 500,
-            ..beat(now, instance)
+            ..heartbeat(now, instance)
         };
         member.handle(now, Input::Heartbeat(process(instance), rare), &mut pending);
     }
@@ -214,10 +222,10 @@
             }
         }
         for instance in answer.iter().filter(|instance| probed.contains(*instance)) {
-            let beat = beat(now, *instance);
+            let heartbeat = heartbeat(now, *instance);
             member.handle(
                 now,
-                Input::Heartbeat(process(*instance), beat),
+                Input::Heartbeat(process(*instance), heartbeat),
                 &mut Vec::new(),
             );
         }
--- a/crates/celerywinch_member/tests/restarts.rs
+++ b/crates/celerywinch_member/tests/restarts.rs
@@ -31,7 +31,7 @@
     Member::new(config, Time(0), WallMs(1_700_000_000_000))
 }
 
-fn beat(version: u64, sent: u64) -> FleetHeartbeat {
+fn heartbeat(version: u64, sent: u64) -> FleetHeartbeat {
     FleetHeartbeat {
         kind: ProcessKind::Keeper,
         dc: DC,
@@ -62,13 +62,13 @@
 fn heartbeats_of_a_restarted_peer_are_accepted(#[case] case: Restart) {
     let mut entry = entry();
     let mut out = Vec::new();
-    let before = Input::Heartbeat(process(2, case.before), beat(5, 90_000_000));
+    let before = Input::Heartbeat(process(2, case.before), heartbeat(5, 90_000_000));
     entry.handle(Time(1_000_000), before, &mut out);
     out.clear();
     let present = process(2, case.after);
     entry.handle(
         Time(2_000_000),
-        Input::Heartbeat(present, beat(6, 40_000)),
+        Input::Heartbeat(present, heartbeat(6, 40_000)),
         &mut out,
     );
     assert!(out.contains(&Output::NewPeer(present)), "{out:#?}");
