--- a/crates/celerywinch_member/src/heartbeats.rs
+++ b/crates/celerywinch_member/src/heartbeats.rs
@@ -160,7 +160,7 @@
 
     /// Asks a process for frequent heartbeats and for an immediate answer, as it may have been silent since
     /// its last heartbeat, seconds ago. Callers' jobs submitted to such a dispatcher would wait there for as
-    /// long, and so would the shard of an entry that precedes this one.
+    /// long, and so would a shard whose takeover waits for such an entry because it ranks before this one.
     fn request_heartbeat(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         let known = self
             .peers
@@ -173,14 +173,19 @@
     }
 
     /// Sets the peers that this entry may take over from, and those that may take over from it.
-    pub(crate) fn set_succession(&mut self, now: Time, circle: Succession, out: &mut Vec<Output>) {
-        let new: Vec<_> = circle
+    pub(crate) fn set_succession(
+        &mut self,
+        now: Time,
+        succession: Succession,
+        out: &mut Vec<Output>,
+    ) {
+        let new: Vec<_> = succession
             .predecessors
             .difference(&self.frequent.predecessors)
             .copied()
             .collect();
-        self.frequent.predecessors = circle.predecessors;
-        self.frequent.successors = circle.successors;
+        self.frequent.predecessors = succession.predecessors;
+        self.frequent.successors = succession.successors;
         for peer in new {
             self.request_heartbeat(now, peer, out);
         }
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -19,7 +19,7 @@
 /// Minimum time from the start of an entry until it is ready: the heartbeats of all live processes have
 /// arrived by then.
 const JOIN_DELAY: Duration = Duration::from_millis(300);
-/// The same if all known peers have just started too, so no others are left to discover.
+/// The same minimum if all known peers have just started too, so no others are left to discover.
 const COLD_START_DELAY: Duration = Duration::from_millis(100);
 /// Interval at which an entry re-evaluates which domains it dispatches for, if no heartbeat gives cause for
 /// it earlier.
@@ -48,7 +48,7 @@
 pub struct MemberConfig {
     /// This process.
     pub me: Process,
-    /// Its part in the fleet.
+    /// Whether it is an entry or a keeper.
     pub part: ProcessKind,
     /// Its data centre.
     pub dc: DataCentreId,
@@ -425,8 +425,8 @@
 
     /// Becomes ready once the configuration is known and the heartbeats of the others had time to arrive.
     fn join_when_ready(&mut self, now: Time, out: &mut Vec<Output>) {
-        let short = !self.config.pool.without.contains(Mechanism::ShortListening);
-        let wait = if short && self.is_undivided() && self.peers.all_just_started(now) {
+        let short_listening = !self.config.pool.without.contains(Mechanism::ShortListening);
+        let wait = if short_listening && self.is_undivided() && self.peers.all_just_started(now) {
             COLD_START_DELAY
         } else {
             JOIN_DELAY
@@ -543,6 +543,7 @@
         }
     }
 
+    /// Handles a peer that is alive for the first time, or again.
     fn peer_found(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         self.holders_stale = true;
         if self
@@ -560,6 +561,7 @@
         }
     }
 
+    /// Handles the loss of a peer, as an origin and as a dispatcher.
     fn peer_lost(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         self.lost.insert(peer);
         let view = self.peers.get(peer);
@@ -573,6 +575,7 @@
         self.origin_input(now, OriginInput::PeerLost(peer), out);
     }
 
+    /// Re-evaluates which domains this entry dispatches for, and applies the changes.
     fn update_domains(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.config.part != ProcessKind::Entry {
             return;
@@ -585,9 +588,9 @@
         }
         let mut changes = Vec::new();
         self.update_shards(now, &mut changes, out);
-        let short = !self.config.pool.without.contains(Mechanism::ShortListening);
+        let short_listening = !self.config.pool.without.contains(Mechanism::ShortListening);
         self.domains
-            .set_single_dispatcher(short && self.is_undivided());
+            .set_single_dispatcher(short_listening && self.is_undivided());
         self.domains
             .set_resharding(self.unsettled.is_some() && self.domains.shards() == 1);
         let owned = self.domains.owned().keys().copied();
@@ -605,8 +608,8 @@
             return;
         }
         self.succession_updated = now;
-        let circle = self.domains.succession(now, &self.peers);
-        self.set_succession(now, circle, out);
+        let succession = self.domains.succession(now, &self.peers);
+        self.set_succession(now, succession, out);
     }
 
     /// Whether workers are known and one dispatcher suffices for all of them.
@@ -644,6 +647,7 @@
         out.push(Output::Member(MemberEvent::Divided { shards }));
     }
 
+    /// Acquires and resigns domains, and reports the result to all peers.
     fn apply_changes(&mut self, now: Time, changes: Vec<Change>, out: &mut Vec<Output>) {
         if changes.is_empty() {
             return;
