--- a/crates/celerywinch_member/src/heartbeats.rs
+++ b/crates/celerywinch_member/src/heartbeats.rs
@@ -142,7 +142,7 @@
                 .peers
                 .get(peer)
                 .is_some_and(|view| view.heartbeat.dc == self.config.dc);
-        here && !self.config.pool.without.contains(Mechanism::Locality)
+        here && !self.config.pool.disabled.contains(Mechanism::Locality)
     }
 
     /// Requests frequent heartbeats from a dispatcher before it gets work: it starts the work only with a
@@ -277,7 +277,7 @@
         let own = |echo: &Echo| echo.incarnation == self.config.me.incarnation;
         if let Some(echo) = echo.filter(own) {
             let grant = Grant {
-                life: from.incarnation,
+                incarnation: from.incarnation,
                 session: echo.session,
                 until: (echo.sent + GRANT_DURATION).min(now + HEARTBEAT_TIMEOUT),
             };
@@ -425,7 +425,7 @@
     /// Sends what this dispatcher has learned to the entries that would take over from it, one after the
     /// other.
     pub(crate) fn send_learned(&mut self, now: Time, out: &mut Vec<Output>) {
-        let disabled = self.config.pool.without.contains(Mechanism::Teaching);
+        let disabled = self.config.pool.disabled.contains(Mechanism::Teaching);
         if self.domains.owned().is_empty() || disabled {
             self.learned_round.restart(now);
             return;
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -5,7 +5,9 @@
 
 use celerywinch_domains::{Change, Domains, LocalEntry, PeerView, Peers};
 use celerywinch_origin::{CallerId, Input as OriginInput, JobEvent, NewJob, Origin};
-use celerywinch_pool::{Answer, Call, CallKey, Grant, Input as PoolInput, Note, Pool, PoolConfig};
+use celerywinch_pool::{
+    Answer, Call, CallKey, Grant, Input as PoolInput, Pool, PoolConfig, PoolEvent,
+};
 use celerywinch_types::{
     Crashes, DataCentreId, Evacuations, FleetHeartbeat, FleetMsg, InstanceId, JobEnd, Learned,
     Mechanism, OwnedDomain, Process, ProcessKind, Stage, TaskId, Time, WallMs, WorkMsg,
@@ -124,7 +126,7 @@
     /// An event of the member, for the logs.
     Member(MemberEvent),
     /// An event of the dispatcher, for the logs.
-    Dispatch(Note),
+    Dispatch(PoolEvent),
     /// An event of the origin, for the logs.
     Origin(JobEvent),
 }
@@ -191,14 +193,14 @@
             dc: Some(config.dc),
             ..config.pool
         });
-        pool.trust(me.instance, Grant::without_end(config.me.incarnation));
+        pool.set_permanent_grant(me.instance, Grant::unlimited(config.me.incarnation));
         Self {
             peers: Peers::default(),
             alive: BTreeSet::new(),
             lost: BTreeSet::new(),
             domains: Domains::new(now, wall, me, config.dcs.clone()),
             pool,
-            origin: Origin::new(config.dc, config.pool.without),
+            origin: Origin::new(config.dc, config.pool.disabled),
             stage,
             version: 0,
             evacuations: Evacuations::default(),
@@ -308,7 +310,7 @@
                 // without work of it would take six messages for each pair of processes when a deployment
                 // starts.
                 if self.pool.has_work_of(peer) {
-                    self.pool_input(now, PoolInput::AskOrigin(peer), out);
+                    self.pool_input(now, PoolInput::ResyncOrigin(peer), out);
                 }
                 self.origin_input(now, OriginInput::LinkReset(peer), out);
             }
@@ -316,7 +318,7 @@
             Input::Workers(notes) => self.pool_input(now, PoolInput::Workers(notes), out),
             Input::Learned(learned) => self.pool.learn_from(learned),
             Input::Crashes(crashes) => self.pool_input(now, PoolInput::Crashes(crashes), out),
-            Input::ProbeQueues(queues) => self.pool_input(now, PoolInput::Careful(queues), out),
+            Input::ProbeQueues(queues) => self.pool_input(now, PoolInput::ProbeQueues(queues), out),
             Input::Submit(caller, job) => self.arrivals.push((caller, job)),
             Input::CallerGone(caller) => self.handle_caller_gone(now, caller, out),
             Input::Flush => self.flush(now, out),
@@ -425,7 +427,11 @@
 
     /// Becomes ready once the configuration is known and the heartbeats of the others had time to arrive.
     fn join_when_ready(&mut self, now: Time, out: &mut Vec<Output>) {
-        let short_listening = !self.config.pool.without.contains(Mechanism::ShortListening);
+        let short_listening = !self
+            .config
+            .pool
+            .disabled
+            .contains(Mechanism::ShortListening);
         let wait = if short_listening && self.is_undivided() && self.peers.all_just_started(now) {
             COLD_START_DELAY
         } else {
@@ -557,7 +563,7 @@
         self.send_heartbeat(now, peer, out);
         // Its submissions were dropped while it counted as lost.
         if self.lost.remove(&peer) {
-            self.pool_input(now, PoolInput::AskOrigin(peer), out);
+            self.pool_input(now, PoolInput::ResyncOrigin(peer), out);
         }
     }
 
@@ -584,17 +590,21 @@
         // Idle workers get no calls. Without a check, a data centre whose processes are all silent would be
         // resigned as soon as it is idle, and acquired again, over and over.
         for domain in self.domains.silent_domains(now, &self.peers) {
-            self.pool_input(now, PoolInput::Ask(domain), out);
+            self.pool_input(now, PoolInput::CheckReachable(domain), out);
         }
         let mut changes = Vec::new();
         self.update_shards(now, &mut changes, out);
-        let short_listening = !self.config.pool.without.contains(Mechanism::ShortListening);
+        let short_listening = !self
+            .config
+            .pool
+            .disabled
+            .contains(Mechanism::ShortListening);
         self.domains
             .set_single_dispatcher(short_listening && self.is_undivided());
         self.domains
             .set_resharding(self.unsettled.is_some() && self.domains.shards() == 1);
         let owned = self.domains.owned().keys().copied();
-        let reached = owned.filter(|domain| self.pool.reaches(now, *domain, REACH_TIMEOUT));
+        let reached = owned.filter(|domain| self.pool.is_reachable(now, *domain, REACH_TIMEOUT));
         self.domains
             .tick(now, &self.peers, &reached.collect(), &mut changes);
         self.apply_changes(now, changes, out);
@@ -698,12 +708,12 @@
             match output {
                 celerywinch_pool::Output::Call(call) => out.push(Output::Call(call)),
                 celerywinch_pool::Output::Send(to, msg) => self.send_work(to, msg, out),
-                celerywinch_pool::Output::Outbid(domain) => {
+                celerywinch_pool::Output::Fenced(domain) => {
                     let mut changes = Vec::new();
                     self.domains.fenced(now, domain, &mut changes);
                     self.apply_changes(now, changes, out);
                 }
-                celerywinch_pool::Output::UsedUp(domain) => {
+                celerywinch_pool::Output::TokenExhausted(domain) => {
                     let mut changes = Vec::new();
                     self.domains.renew(domain, &mut changes);
                     self.apply_changes(now, changes, out);
@@ -711,10 +721,10 @@
                 celerywinch_pool::Output::Crashed(task, crashes) => {
                     self.crashes.insert(task, crashes);
                 }
-                celerywinch_pool::Output::Careful(queue) => {
+                celerywinch_pool::Output::ProbeQueue(queue) => {
                     self.probe_queues.insert(queue);
                 }
-                celerywinch_pool::Output::Note(note) => out.push(Output::Dispatch(note)),
+                celerywinch_pool::Output::Event(event) => out.push(Output::Dispatch(event)),
             }
         }
     }
--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_member::{Input, Member, MemberConfig, Output};
-use celerywinch_pool::{Answer, Note, PoolConfig};
+use celerywinch_pool::{Answer, PoolConfig, PoolEvent};
 use celerywinch_types::{
     AnnouncementVersion, DataCentreId, Evacuations, Fence, FleetHeartbeat, Incarnation, InstanceId,
     Process, ProcessKind, Resources, Stage, Time, WallMs, WorkerAnnouncement, WorkerClock,
@@ -93,10 +93,10 @@
                         };
                         let lost =
                             silent && (0..dead).any(|index| call.worker == format!("w{index}"));
-                        let answer = if lost { Answer::Silent } else { lists };
+                        let answer = if lost { Answer::NoAnswer } else { lists };
                         inputs.push(Input::Answered(call.key, answer));
                     }
-                    Output::Dispatch(Note::Resigned { .. }) => resignations += 1,
+                    Output::Dispatch(PoolEvent::Resigned { .. }) => resignations += 1,
                     _ => {}
                 }
             }
--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_member::{Input, Member, MemberConfig, Output};
-use celerywinch_pool::{Answer, Call, EndedRow, How, Order, PoolConfig};
+use celerywinch_pool::{Answer, Call, EndedRow, PoolConfig, Request, RunEnd};
 use celerywinch_types::{
     AnnouncementVersion, Crashes, DataCentreId, Echo, Evacuations, Fence, FleetHeartbeat, FleetMsg,
     Incarnation, InstanceId, JobId, PriorRuns, Process, ProcessKind, Resources, RunNumber, Session,
@@ -337,18 +337,18 @@
         member.handle(now, Input::Work(process(2, 1), msg), &mut out);
     }
     let sent = calls(&out);
-    let start = sent.iter().find_map(|call| match &call.order {
-        Order::Start { task, run, .. } => Some((call.key, *task, *run)),
-        Order::Stop { .. } | Order::Look { .. } => None,
+    let start = sent.iter().find_map(|call| match &call.request {
+        Request::Start { task, run, .. } => Some((call.key, *task, *run)),
+        Request::Stop { .. } | Request::Poll { .. } => None,
     });
     let (key, task, run) = start.expect("the first is started");
-    let taken = Input::Answered(key, Answer::Taken(WorkerClock(5_000)));
+    let taken = Input::Answered(key, Answer::Accepted(WorkerClock(5_000)));
     member.handle(now, taken, &mut out);
     let polls = calls(&out);
     let poll = polls
         .iter()
         .rev()
-        .find(|call| matches!(call.order, Order::Look { .. }));
+        .find(|call| matches!(call.request, Request::Poll { .. }));
     let poll = poll.expect("a poll").key;
     now = now + Duration::from_millis(silent);
     out.clear();
@@ -356,11 +356,11 @@
         serial: 1,
         task,
         run,
-        how: How::Done,
+        end: RunEnd::Done,
     };
     member.handle(now, Input::Answered(poll, lists(vec![ended])), &mut out);
     let started = calls(&out)
         .iter()
-        .any(|call| matches!(call.order, Order::Start { .. }));
+        .any(|call| matches!(call.request, Request::Start { .. }));
     assert_eq!(started, starts);
 }
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -3,18 +3,18 @@
 use celerywinch_types::{Mechanism, RunNumber, TaskEnd, Time, WorkerClock, WorkerStage};
 
 use crate::call::{
-    Answer, CallKey, EndedRow, How, LookKind, Pending, Question, Reject, RunningRow,
+    Answer, CallKey, CallPurpose, EndedRow, PollContext, PollKind, Rejection, RunEnd, RunningRow,
 };
 use crate::job::BatchKey;
 use crate::pool::{Output, Pool};
 use crate::run::{Phase, Run, RunKey};
-use crate::worker::{Grip, WorkerKey};
-use crate::{Departure, Note};
+use crate::worker::{Ownership, WorkerKey};
+use crate::{Departure, PoolEvent};
 
 /// Added to a run number that a worker calls old: past any that an earlier origin can have used.
 const RUN_LEAP: u64 = 1 << 20;
 /// A worker that missed so many calls in a row may be gone.
-pub(crate) const SILENT_LOOKS: u32 = 2;
+pub(crate) const SILENT_AFTER: u32 = 2;
 /// A worker that failed this share of its last tasks gets none for a while.
 const FAILING: f64 = 0.5;
 
@@ -30,20 +30,20 @@
         let Some(sent) = sent.filter(|sent| self.workers.contains_key(sent.worker)) else {
             return;
         };
-        match sent.pending {
-            Pending::Start(run) => self.start_answered(now, run, answer, out),
-            Pending::Stop(run) => self.stop_answered(now, run, &answer, out),
-            Pending::StopAlien(worker) => {
+        match sent.purpose {
+            CallPurpose::Start(run) => self.start_answered(now, run, answer, out),
+            CallPurpose::Stop(run) => self.stop_answered(now, run, &answer, out),
+            CallPurpose::StopForeign(worker) => {
                 if let Some(clock) = clock_of(&answer) {
                     self.read_clock(now, worker, clock);
                 }
             }
             // Of a worker that was given up meanwhile the lists tell of another dispatcher's work, and to
             // take note of ends would hide them when the worker is taken over again.
-            Pending::Look(worker, question, kind) => {
+            CallPurpose::Poll(worker, kind, context) => {
                 let looked = self.workers.get_mut(worker);
-                if looked.is_some_and(|worker| *worker.asked(question) == Some(key)) {
-                    self.look_answered(now, worker, question, kind, answer, out);
+                if looked.is_some_and(|worker| *worker.outstanding_poll(kind) == Some(key)) {
+                    self.poll_answered(now, worker, kind, context, answer, out);
                 }
             }
         }
@@ -62,28 +62,30 @@
         if let Some(clock) = clock_of(&answer) {
             self.read_clock(now, run.worker, clock);
             if let Some(worker) = self.workers.get_mut(run.worker) {
-                worker.patience.learn(now.since(run.started));
+                worker.answer_times.record(now.since(run.started));
             }
-            self.answers.learn(now.since(run.started));
+            self.answer_times.record(now.since(run.started));
         }
-        let heard = Phase::Running(self.inputs);
+        let confirmed = Phase::Running(self.input_count);
         match answer {
-            Answer::Taken(_) | Answer::Lists { .. } => self.set_phase(key, heard),
+            Answer::Accepted(_) | Answer::Lists { .. } => self.set_phase(key, confirmed),
             Answer::Rejected(reject, _) => self.start_rejected(now, key, run, reject, out),
-            Answer::OtherLife => self.forget_worker(now, run.worker, Departure::OtherLife, out),
-            Answer::Refused => {
+            Answer::OtherIncarnation => {
+                self.remove_worker(now, run.worker, Departure::OtherIncarnation, out)
+            }
+            Answer::ConnectionRefused => {
                 self.not_started(now, key, out);
                 self.missed(now, run.worker, out);
             }
-            Answer::Silent => {
+            Answer::NoAnswer => {
                 self.missed(now, run.worker, out);
-                if run.stopped {
+                if run.stop_accepted {
                     // Whether it runs or not, it is not started after that; the next look shows it.
-                    self.set_phase(key, heard);
+                    self.set_phase(key, confirmed);
                 } else {
                     // It may have started, or start later.
-                    self.set_phase(key, Phase::Doubtful);
-                    self.check(run.worker, out);
+                    self.set_phase(key, Phase::Unconfirmed);
+                    self.short_poll(run.worker, out);
                 }
             }
         }
@@ -94,50 +96,54 @@
         now: Time,
         key: RunKey,
         run: Run,
-        reject: Reject,
+        reject: Rejection,
         out: &mut Vec<Output>,
     ) {
         let worker = &mut self.workers[run.worker];
         match reject {
-            Reject::Fence => {
-                out.push(Output::Outbid(worker.domain));
+            Rejection::StaleFence => {
+                out.push(Output::Fenced(worker.domain));
                 // Left as it is: the data centre is resigned, and the task goes to its holder.
                 return;
             }
-            Reject::Unwell => {
-                worker.aside = now + self.config.aside;
+            Rejection::Unhealthy => {
+                worker.quarantined_until = now + self.config.quarantine;
                 worker.probation = true;
                 let why = "it says that it is not well";
                 let worker = worker.note.id.clone();
-                out.push(Output::Note(Note::WorkerAside { worker, why }));
+                out.push(Output::Event(PoolEvent::WorkerAside { worker, why }));
             }
-            Reject::Room => {
+            Rejection::NoCapacity => {
                 // It has more to do than is known here; the next look tells.
-                worker.aside = now + self.config.stop;
-                worker.look_at = now;
+                worker.quarantined_until = now + self.config.stop_delay;
+                worker.next_poll = now;
             }
-            Reject::Malformed => {
+            Rejection::Malformed => {
                 if let Some(batch) = run.batch {
-                    self.release(key);
-                    self.finish(now, batch, run.task.index, TaskEnd::Failed);
+                    self.remove_run(key);
+                    self.finish_task(now, batch, run.task.index, TaskEnd::Failed);
                 }
                 return;
             }
-            Reject::Old | Reject::Late => {}
+            Rejection::StaleRun | Rejection::LeaseExpired => {}
         }
-        let leap = if reject == Reject::Old { RUN_LEAP } else { 0 };
-        self.release(key);
+        let leap = if reject == Rejection::StaleRun {
+            RUN_LEAP
+        } else {
+            0
+        };
+        self.remove_run(key);
         if let Some(batch) = run.batch {
-            self.back_to_queue(batch, run.task.index, RunNumber(run.number.0 + leap));
+            self.requeue_task(batch, run.task.index, RunNumber(run.number.0 + leap));
         }
     }
 
     /// The order surely had no effect.
     fn not_started(&mut self, _now: Time, key: RunKey, _out: &mut Vec<Output>) {
-        if let Some(run) = self.release(key)
+        if let Some(run) = self.remove_run(key)
             && let Some(batch) = run.batch
         {
-            self.back_to_queue(batch, run.task.index, run.number);
+            self.requeue_task(batch, run.task.index, run.number);
         }
     }
 
@@ -151,56 +157,58 @@
             self.read_clock(now, worker, clock);
         }
         match answer {
-            Answer::Taken(_) | Answer::Lists { .. } => {
+            Answer::Accepted(_) | Answer::Lists { .. } => {
                 // Refused from now on if it was not there; else its end is listed soon.
-                let heard = Phase::Running(self.inputs);
+                let confirmed = Phase::Running(self.input_count);
                 let mut doubtful = false;
                 if let Some(run) = self.runs.get_mut(key) {
                     run.stopping = true;
-                    run.stopped = true;
-                    doubtful = run.phase == Phase::Doubtful;
+                    run.stop_accepted = true;
+                    doubtful = run.phase == Phase::Unconfirmed;
                     if doubtful {
-                        run.phase = heard;
+                        run.phase = confirmed;
                     }
                 }
                 if doubtful {
-                    self.check(worker, out);
+                    self.short_poll(worker, out);
                 }
-                self.workers[worker].look_at = now + self.config.stop;
-                self.look(now, worker, out);
+                self.workers[worker].next_poll = now + self.config.stop_delay;
+                self.poll(now, worker, out);
             }
-            Answer::OtherLife => self.forget_worker(now, worker, Departure::OtherLife, out),
-            Answer::Rejected(Reject::Fence, _) => {
+            Answer::OtherIncarnation => {
+                self.remove_worker(now, worker, Departure::OtherIncarnation, out)
+            }
+            Answer::Rejected(Rejection::StaleFence, _) => {
                 let domain = self.workers[worker].domain;
-                out.push(Output::Outbid(domain));
+                out.push(Output::Fenced(domain));
             }
             // Tried again with the next tick, until the lease is over.
-            Answer::Rejected(..) | Answer::Refused | Answer::Silent => {
-                self.set_phase(key, Phase::Doubtful);
+            Answer::Rejected(..) | Answer::ConnectionRefused | Answer::NoAnswer => {
+                self.set_phase(key, Phase::Unconfirmed);
                 self.missed(now, worker, out);
             }
         }
     }
 
-    fn look_answered(
+    fn poll_answered(
         &mut self,
         now: Time,
         key: WorkerKey,
-        question: Question,
-        kind: LookKind,
+        kind: PollKind,
+        context: PollContext,
         answer: Answer,
         out: &mut Vec<Output>,
     ) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
-        *worker.asked(question) = None;
+        *worker.outstanding_poll(kind) = None;
         match answer {
             Answer::Lists {
                 incarnation: Some(life),
                 ..
-            } if worker.is_other(life) => {
-                self.other_life_answers(now, key, life, out);
+            } if worker.is_other_incarnation(life) => {
+                self.other_incarnation_answered(now, key, life, out);
                 return;
             }
             Answer::Lists {
@@ -210,20 +218,25 @@
                 ..
             } => {
                 worker.read_clock(now, clock);
-                worker.acknowledged = worker.acknowledged.max(kind.cursor);
-                self.take_lists(now, key, kind, &running, &ended, out);
-                if question == Question::Order {
+                worker.acked_cursor = worker.acked_cursor.max(context.cursor);
+                self.take_lists(now, key, context, &running, &ended, out);
+                if kind == PollKind::Short {
                     // What is still in doubt was not there: a stop keeps it from starting later.
-                    self.tend_runs(now, out);
+                    self.stop_unconfirmed_runs(now, out);
                 }
             }
-            Answer::Rejected(Reject::Fence, _) => out.push(Output::Outbid(worker.domain)),
-            Answer::OtherLife => self.forget_worker(now, key, Departure::OtherLife, out),
-            Answer::Taken(_) | Answer::Rejected(..) | Answer::Refused | Answer::Silent => {
+            Answer::Rejected(Rejection::StaleFence, _) => out.push(Output::Fenced(worker.domain)),
+            Answer::OtherIncarnation => {
+                self.remove_worker(now, key, Departure::OtherIncarnation, out)
+            }
+            Answer::Accepted(_)
+            | Answer::Rejected(..)
+            | Answer::ConnectionRefused
+            | Answer::NoAnswer => {
                 self.missed(now, key, out);
             }
         }
-        self.look(now, key, out);
+        self.poll(now, key, out);
     }
 
     /// A call had no answer.
@@ -231,17 +244,17 @@
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
-        worker.miss(now);
-        let retry = if worker.silent <= 2 && !worker.runs.is_empty() {
+        worker.record_miss(now);
+        let retry = if worker.missed_calls <= 2 && !worker.runs.is_empty() {
             std::time::Duration::ZERO
         } else {
-            self.config.retry
+            self.config.retry_delay
         };
-        worker.look_at = now + retry;
-        if worker.silent == SILENT_LOOKS {
-            let looks = worker.silent;
+        worker.next_poll = now + retry;
+        if worker.missed_calls == SILENT_AFTER {
+            let looks = worker.missed_calls;
             let worker = worker.note.id.clone();
-            out.push(Output::Note(Note::WorkerSilent { worker, looks }));
+            out.push(Output::Event(PoolEvent::WorkerSilent { worker, looks }));
             self.suspect_runs(now, key, out);
         }
     }
@@ -250,7 +263,7 @@
         &mut self,
         now: Time,
         key: WorkerKey,
-        kind: LookKind,
+        context: PollContext,
         running: &[RunningRow],
         ended: &[EndedRow],
         out: &mut Vec<Output>,
@@ -258,24 +271,24 @@
         for row in ended {
             self.take_end(now, key, row, out);
         }
-        if self.workers[key].grip == Grip::Taking {
-            self.taken_over(now, key, running, out);
+        if self.workers[key].ownership == Ownership::Acquiring {
+            self.worker_taken_over(now, key, running, out);
             return;
         }
         // A list that was asked for before one that was read already may show what is over.
-        if self.workers[key].listed <= kind.input {
-            self.workers[key].listed = kind.input;
-            self.check_aliens(now, key, running);
+        if self.workers[key].list_input <= context.input {
+            self.workers[key].list_input = context.input;
+            self.update_foreign_runs(now, key, running);
         }
         for run in self.workers[key].runs.clone() {
-            self.compare(now, run, kind, running, out);
+            self.compare(now, run, context, running, out);
         }
         let worker = &mut self.workers[key];
-        let idle = worker.runs.is_empty() && worker.aliens == 0;
-        worker.look_at = if idle && worker.cursor > worker.acknowledged {
-            now + self.config.tidy
+        let idle = worker.runs.is_empty() && worker.foreign_runs == 0;
+        worker.next_poll = if idle && worker.cursor > worker.acked_cursor {
+            now + self.config.ack_delay
         } else if idle {
-            now + worker.idle_wait(self.config.idle)
+            now + worker.idle_interval(self.config.idle_interval)
         } else {
             now
         };
@@ -292,13 +305,13 @@
             run.task == row.task && run.number == row.run
         });
         match known {
-            Some(run) => self.run_ended(now, run, row.how, out),
-            None => self.alien_ended(now, key, row),
+            Some(run) => self.run_ended(now, run, row.end, out),
+            None => self.foreign_run_ended(now, key, row),
         }
     }
 
-    fn run_ended(&mut self, now: Time, key: RunKey, how: How, out: &mut Vec<Output>) {
-        let Some(run) = self.release(key) else {
+    fn run_ended(&mut self, now: Time, key: RunKey, how: RunEnd, out: &mut Vec<Output>) {
+        let Some(run) = self.remove_run(key) else {
             return;
         };
         self.note_end(now, &run, how, out);
@@ -306,23 +319,23 @@
             return;
         };
         match how {
-            How::Done => {
-                self.prove_batch(Some(batch));
+            RunEnd::Done => {
+                self.mark_probe_passed(Some(batch));
                 self.learn(now, &run, batch);
-                self.finish(now, batch, run.task.index, TaskEnd::Done);
+                self.finish_task(now, batch, run.task.index, TaskEnd::Done);
             }
-            How::Failed => self.run_failed(now, &run, batch, out),
-            How::Cut => self.back_to_queue(batch, run.task.index, run.number),
+            RunEnd::Failed => self.run_failed(now, &run, batch, out),
+            RunEnd::Interrupted => self.requeue_task(batch, run.task.index, run.number),
         }
     }
 
-    fn note_end(&self, now: Time, run: &Run, how: How, out: &mut Vec<Output>) {
+    fn note_end(&self, now: Time, run: &Run, how: RunEnd, out: &mut Vec<Output>) {
         let how = match how {
-            How::Done => "done",
-            How::Failed => "failed",
-            How::Cut => "cut",
+            RunEnd::Done => "done",
+            RunEnd::Failed => "failed",
+            RunEnd::Interrupted => "cut",
         };
-        out.push(Output::Note(Note::RunEnded {
+        out.push(Output::Event(PoolEvent::RunEnded {
             task: run.task,
             run: run.number,
             worker: self.workers[run.worker].note.id.clone(),
@@ -335,14 +348,14 @@
         let took = now.since(run.started);
         let order = &self.batches[batch].order;
         let worker = &mut self.workers[run.worker];
-        worker.succeeded();
+        worker.record_success();
         if run.adopted {
             return;
         }
         let usual = run.expected.as_secs_f64() / worker.pace.max(f64::EPSILON);
-        let without = self.config.without;
+        let without = self.config.disabled;
         if !without.contains(Mechanism::Learning) {
-            self.times
+            self.run_times
                 .learn(&order.queue, order.estimate, took.div_f64(worker.pace));
         }
         if !without.contains(Mechanism::Pace) {
@@ -358,33 +371,33 @@
             return;
         };
         task.failures += 1;
-        let earlier = task.avoid.replace(run.worker);
+        let earlier = task.failed_on.replace(run.worker);
         let failures = task.failures;
         match earlier {
             Some(other) if other != run.worker => {
                 if let Some(other) = self.workers.get_mut(other) {
-                    other.forgive();
+                    other.retract_failure();
                 }
             }
             _ => self.blame(now, run.worker, out),
         }
         if failures >= self.batches[batch].order.attempts {
-            self.finish(now, batch, index, TaskEnd::Failed);
+            self.finish_task(now, batch, index, TaskEnd::Failed);
         } else {
-            self.back_to_queue(batch, index, run.number);
+            self.requeue_task(batch, index, run.number);
         }
     }
 
     fn blame(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let worker = &mut self.workers[key];
-        worker.failed();
-        let set_aside = !self.config.without.contains(Mechanism::Probation);
-        if set_aside && worker.failing >= FAILING && worker.note.stage == WorkerStage::Ready {
-            worker.aside = now + self.config.aside;
+        worker.record_failure();
+        let set_aside = !self.config.disabled.contains(Mechanism::Probation);
+        if set_aside && worker.failure_rate >= FAILING && worker.note.stage == WorkerStage::Ready {
+            worker.quarantined_until = now + self.config.quarantine;
             worker.probation = true;
             let worker = worker.note.id.clone();
             let why = "it fails tasks";
-            out.push(Output::Note(Note::WorkerAside { worker, why }));
+            out.push(Output::Event(PoolEvent::WorkerAside { worker, why }));
         }
     }
 
@@ -393,7 +406,7 @@
         &mut self,
         now: Time,
         key: RunKey,
-        kind: LookKind,
+        context: PollContext,
         running: &[RunningRow],
         out: &mut Vec<Output>,
     ) {
@@ -405,16 +418,16 @@
             .find(|row| row.task == run.task && row.run == run.number);
         match (row, run.phase) {
             (Some(row), Phase::Running(_)) => {
-                self.seen_at_work(now, &run);
-                self.watch_progress(now, key, row.percent, out);
+                self.seen_running(now, &run);
+                self.check_progress(now, key, row.percent, out);
             }
-            (Some(_), Phase::Starting | Phase::Doubtful) => {
-                self.seen_at_work(now, &run);
-                self.set_phase(key, Phase::Running(self.inputs));
+            (Some(_), Phase::Sent | Phase::Unconfirmed) => {
+                self.seen_running(now, &run);
+                self.set_phase(key, Phase::Running(self.input_count));
             }
             // Confirmed before the look was sent, and neither at work nor ended: it is gone.
-            (None, Phase::Running(heard)) if heard <= kind.input => {
-                self.run_ended(now, key, How::Cut, out);
+            (None, Phase::Running(confirmed)) if confirmed <= context.input => {
+                self.run_ended(now, key, RunEnd::Interrupted, out);
             }
             (None, _) => {}
         }
@@ -423,8 +436,8 @@
 
 fn clock_of(answer: &Answer) -> Option<WorkerClock> {
     match answer {
-        Answer::Taken(clock) | Answer::Lists { clock, .. } => Some(*clock),
+        Answer::Accepted(clock) | Answer::Lists { clock, .. } => Some(*clock),
         Answer::Rejected(_, clock) => *clock,
-        Answer::OtherLife | Answer::Refused | Answer::Silent => None,
+        Answer::OtherIncarnation | Answer::ConnectionRefused | Answer::NoAnswer => None,
     }
 }
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -7,7 +7,7 @@
     InstanceId, PriorRuns, Session, StepOrder, TaskEnd, TaskId, TaskOrder, TaskReport, Time,
 };
 
-use crate::Note;
+use crate::PoolEvent;
 use crate::job::{Batch, BatchKey, Task, TaskState};
 use crate::pool::{Output, Pool};
 use crate::run::Run;
@@ -30,11 +30,11 @@
         }
         let session = order.session;
         let tasks = std::mem::take(&mut order.tasks);
-        if self.held.is_empty() {
-            self.give_back(from, &order, &tasks);
+        if self.owned.is_empty() {
+            self.return_tasks(from, &order, &tasks);
             return;
         }
-        let known = self.jobs.get(&(order.job, order.step)).copied();
+        let known = self.batch_keys.get(&(order.job, order.step)).copied();
         let key = match known {
             Some(key) => {
                 if !self.known_batch(now, key, from, &order) {
@@ -54,17 +54,17 @@
                 }
                 let name = (batch.order.job, batch.order.step);
                 let key = self.batches.insert(batch);
-                self.jobs.insert(name, key);
+                self.batch_keys.insert(name, key);
                 self.passing.extend(pass.then_some(key));
                 key
             }
         };
-        self.unqueue(key);
+        self.dequeue(key);
         for task in tasks {
             self.add_task(now, key, session, task, out);
         }
         self.requeue(key);
-        self.touched.push(key);
+        self.shrunk.push(key);
     }
 
     /// A step that is known was handed in again, perhaps by another origin. What that does not name may
@@ -98,7 +98,7 @@
         }
         let batch = &mut self.batches[key];
         let earlier = |task: &Task| task.session != Some(order.session);
-        batch.begun |= !order.refusable && batch.tasks.values().any(earlier);
+        batch.started |= !order.refusable && batch.tasks.values().any(earlier);
         true
     }
 
@@ -106,11 +106,11 @@
     fn supersede(&mut self, origin: InstanceId, key: BatchKey) {
         let batch = &self.batches[key];
         let news = batch.tasks.keys().map(|index| TaskReport {
-            task: batch.id(*index),
+            task: batch.task_id(*index),
             submission: 0,
             end: TaskEnd::Superseded,
         });
-        self.news.entry(origin).or_default().extend(news);
+        self.unsent_ends.entry(origin).or_default().extend(news);
     }
 
     /// Gives back what found no room of a batch that came in just now, for another dispatcher to start.
@@ -122,14 +122,14 @@
         let waiting = tasks.filter(|(_, task)| task.state == TaskState::Waiting);
         let waiting: Vec<u16> = waiting.map(|(index, _)| *index).collect();
         let started = batch.tasks.len() - waiting.len();
-        if started > 0 && self.is_careful(batch) {
+        if started > 0 && self.needs_probe(batch) {
             // The others wait for the first, and not for room.
             return;
         }
         self.inflow
             .add(now, batch.order.priority, batch.work_of(started));
         if !waiting.is_empty() {
-            out.push(Output::Note(Note::Passed {
+            out.push(Output::Event(PoolEvent::Passed {
                 job: batch.order.job,
                 origin: batch.origin,
                 tasks: waiting.len(),
@@ -137,16 +137,16 @@
                 queued: self.queue.len(),
             }));
         }
-        self.unqueue(key);
+        self.dequeue(key);
         for index in waiting {
-            self.finish(now, key, index, TaskEnd::Full);
+            self.finish_task(now, key, index, TaskEnd::Full);
         }
-        self.drop_empty();
+        self.remove_empty();
     }
 
     /// Nothing is dispatched here. What may be running elsewhere stays with its origin as it was,
     /// until the heartbeat tells who dispatches.
-    pub(crate) fn give_back(&mut self, to: InstanceId, order: &StepOrder, tasks: &[TaskOrder]) {
+    pub(crate) fn return_tasks(&mut self, to: InstanceId, order: &StepOrder, tasks: &[TaskOrder]) {
         for task in tasks {
             let id = TaskId {
                 job: order.job,
@@ -166,14 +166,14 @@
                 submission: task.submission,
                 end,
             };
-            self.news.entry(to).or_default().push(news);
+            self.unsent_ends.entry(to).or_default().push(news);
         }
     }
 
     pub(crate) fn new_batch(&self, now: Time, origin: InstanceId, order: StepOrder) -> Batch {
         let ms = Duration::from_millis;
-        let expected = self.times.expected(&order.queue, order.estimate);
-        let chain = self.times.expected(&order.queue, order.critical_path);
+        let expected = self.run_times.expected(&order.queue, order.estimate);
+        let chain = self.run_times.expected(&order.queue, order.critical_path);
         let objective = chain.mul_f64(f64::from(order.slack) / 1e3) + ms(order.target.into());
         let age = ms(order.age.into());
         Batch {
@@ -182,9 +182,9 @@
             due: now + objective - age,
             expected,
             tasks: BTreeMap::new(),
-            begun: !order.refusable,
+            started: !order.refusable,
             // What another dispatcher passed on after it had started a part of the step.
-            proved: order.no_wait && !order.refusable,
+            probe_passed: order.no_wait && !order.refusable,
             order,
         }
     }
@@ -198,21 +198,21 @@
         out: &mut Vec<Output>,
     ) {
         let batch = &mut self.batches[key];
-        let id = batch.id(order.index);
+        let id = batch.task_id(order.index);
         if let Some(task) = batch.tasks.get_mut(&order.index) {
-            task.hand = order.submission;
+            task.submission = order.submission;
             task.session = Some(session);
-            task.unnamed = false;
+            task.unconfirmed = false;
             return;
         }
-        if let Some(told) = self.told.get(&id)
-            && told.settles(batch.origin, &order)
+        if let Some(told) = self.sent_ends.get(&id)
+            && told.answers_resubmission(batch.origin, &order)
         {
             let news = TaskReport {
                 submission: order.submission,
                 ..told.news
             };
-            self.report(key, news);
+            self.report_end(key, news);
             return;
         }
         let task = Task {
@@ -221,18 +221,18 @@
             crashes: order.crashes.merge(self.crashes.of(id)),
             run: order.run,
             doubt: order.prior_runs,
-            hand: order.submission,
+            submission: order.submission,
             session: Some(session),
-            unnamed: false,
-            avoid: None,
+            unconfirmed: false,
+            failed_on: None,
         };
         self.batches[key].tasks.insert(order.index, task);
         // What may run elsewhere waits for the end of the longest lease, and so for that of any run here.
         if order.prior_runs != PriorRuns::None {
             self.settle(now, key, order.index);
         } else if self.may_be_elsewhere(now, key, id) {
-            let until = now + self.config.limbo;
-            self.set_task(key, order.index, TaskState::Limbo(until));
+            let until = now + self.config.doubt_timeout;
+            self.set_task(key, order.index, TaskState::MaybeRunning(until));
         } else if !self.take_stopping_run(key, order.index) {
             self.give_up(now, key, order.index, out);
         }
@@ -241,7 +241,7 @@
     /// Gives a task the run that it still has here, though nobody wanted that any more: a caller whose connection broke sends its job
     /// again before the worker has carried out the stop. The task is started anew when the run has ended.
     fn take_stopping_run(&mut self, key: BatchKey, index: u16) -> bool {
-        let id = self.batches[key].id(index);
+        let id = self.batches[key].task_id(index);
         let unwanted = |run: &Run| run.task == id && run.batch.is_none();
         let runs = self.runs.iter().filter(|(_, run)| unwanted(run));
         let Some((run, number)) = runs
@@ -252,7 +252,7 @@
         };
         self.runs[run].batch = Some(key);
         let batch = &mut self.batches[key];
-        batch.begun = true;
+        batch.started = true;
         if let Some(task) = batch.tasks.get_mut(&index) {
             task.state = TaskState::Running(run);
             task.run = task.run.max(number);
@@ -264,8 +264,8 @@
     /// job to both, and which of them it left is not known here before the cancellation.
     fn may_be_elsewhere(&self, now: Time, key: BatchKey, id: TaskId) -> bool {
         let origin = self.batches[key].origin;
-        self.told.get(&id).is_some_and(|told| {
-            let lately = now.since(told.at) <= SENT_AGAIN;
+        self.sent_ends.get(&id).is_some_and(|told| {
+            let lately = now.since(told.sent_at) <= SENT_AGAIN;
             lately && told.origin != origin && told.news.returns_task()
         })
     }
--- a/crates/celerywinch_pool/tests/locality.rs
+++ b/crates/celerywinch_pool/tests/locality.rs
@@ -7,7 +7,7 @@
     DataCentreId, DisabledMechanisms, Domain, Fence, JobId, Mechanism, PriorRuns, Resources,
     WorkerAnnouncement,
 };
-use rig::{DC, ROOM, Rig, is_look, is_start, lists, note, step};
+use rig::{DC, ROOM, Rig, is_look, is_start, lists, step, worker_note};
 use rstest::rstest;
 
 const OTHER: DataCentreId = DataCentreId(1);
@@ -17,7 +17,7 @@
 fn rig(shards: u8, without: DisabledMechanisms) -> Rig {
     let mut rig = Rig::empty(PoolConfig {
         dc: Some(DC),
-        without,
+        disabled: without,
         ..PoolConfig::default()
     });
     rig.pool.set_shards(shards);
@@ -27,19 +27,24 @@
             cpu: 16_000,
             ..ROOM
         },
-        ..note(id, port)
+        ..worker_note(id, port)
     };
-    rig.take(Input::Workers(vec![
-        note("near", 1),
+    rig.handle(Input::Workers(vec![
+        worker_note("near", 1),
         far("far-1", 2),
         far("far-2", 3),
     ]));
     for dc in [DC, OTHER] {
         for shard in 0..shards {
-            rig.take(Input::Acquire(Domain { dc, shard }, Fence(5 << 5)));
+            rig.handle(Input::Acquire(Domain { dc, shard }, Fence(5 << 5)));
         }
     }
-    for look in rig.calls.clone().iter().filter(|call| is_look(&call.order)) {
+    for look in rig
+        .calls
+        .clone()
+        .iter()
+        .filter(|call| is_look(&call.request))
+    {
         rig.answer(look, lists(Vec::new(), Vec::new()));
     }
     rig
@@ -67,7 +72,7 @@
         order.job = JobId(job);
         rig.submit(order);
     }
-    let starts = rig.calls.iter().filter(|call| is_start(&call.order));
+    let starts = rig.calls.iter().filter(|call| is_start(&call.request));
     let workers: Vec<_> = starts.map(|call| call.worker.as_str()).collect();
     assert_eq!(workers.len() as u64, case.jobs, "{workers:?}");
     let near = workers.iter().filter(|worker| **worker == "near");
