--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -119,7 +119,7 @@
     /// A process is alive, for the first time or after a silence. Messages that were sent to all live
     /// processes before have not reached it.
     PeerAlive(InstanceId),
-    /// A process has been silent for so long that it is removed.
+    /// A process was removed from the known peers after a long silence.
     RemovePeer(InstanceId),
     /// This process entered another stage.
     Stage(Stage),
