--- a/crates/celerywinch_member/tests/hand_overs.rs
+++ b/crates/celerywinch_member/tests/handovers.rs
@@ -1,4 +1,4 @@
-//! What an entry of a large deployment does when many domains change hands at once.
+//! An entry of a large deployment when many domains change their dispatchers at once.
 
 use std::collections::BTreeSet;
 
@@ -20,8 +20,8 @@
     }
 }
 
-fn beat(now: Time, shard: Option<u8>) -> FleetHeartbeat {
-    let holding = |shard| OwnedDomain {
+fn heartbeat(now: Time, shard: Option<u8>) -> FleetHeartbeat {
+    let owned_domain = |shard| OwnedDomain {
         domain: Domain { dc: THERE, shard },
         fence: Fence(5),
         load: Load::default(),
@@ -30,7 +30,7 @@
         kind: ProcessKind::Entry,
         dc: THERE,
         stage: Stage::Ready,
-        owned_domains: shard.map(holding).into_iter().collect(),
+        owned_domains: shard.map(owned_domain).into_iter().collect(),
         fence: Fence(5),
         version: 1,
         evacuations: Evacuations::default(),
@@ -43,7 +43,7 @@
     }
 }
 
-/// An entry that hears so many others, none of which dispatches.
+/// Returns an entry that knows `others` peers, none of which dispatches.
 fn member(now: Time, others: u32) -> Member {
     let config = MemberConfig {
         me: process(1),
@@ -59,7 +59,7 @@
     for other in 2..2 + others {
         member.handle(
             now,
-            Input::Heartbeat(process(other), beat(now, None)),
+            Input::Heartbeat(process(other), heartbeat(now, None)),
             &mut out,
         );
     }
@@ -67,12 +67,13 @@
     member
 }
 
-/// Guards against processes that have no time for callers as a data centre is cut off or heard again: each of hundreds of changes
-/// of hands was answered with a heartbeat, and took a look at all processes and domains.
+/// Guards against processes without time for callers when a data centre is cut off or reachable again: each
+/// of hundreds of changed dispatchers was answered with a heartbeat, and caused a pass over all processes and
+/// domains.
 #[rstest]
-#[case::of_today(64, 235)]
-#[case::of_tomorrow(64, 520)]
-fn changes_that_arrive_together_are_taken_up_together(#[case] changes: u32, #[case] others: u32) {
+#[case::peers_235(64, 235)]
+#[case::peers_520(64, 520)]
+fn changes_that_arrive_together_are_handled_together(#[case] changes: u32, #[case] others: u32) {
     let now = Time(10_000_000);
     let mut member = member(now, others);
     let later = Time(now.0 + 500_000);
@@ -80,16 +81,21 @@
     let mut out = Vec::new();
     for change in 0..changes {
         let shard = u8::try_from(change).expect("a shard");
-        let told = beat(later, Some(shard));
-        member.handle(later, Input::Heartbeat(process(2 + change), told), &mut out);
+        let heartbeat = heartbeat(later, Some(shard));
+        member.handle(
+            later,
+            Input::Heartbeat(process(2 + change), heartbeat),
+            &mut out,
+        );
     }
     assert!(out.is_empty() && member.needs_flush());
     member.handle(later, Input::Flush, &mut out);
-    let beats = out
+    let heartbeats = out
         .iter()
         .filter(|output| matches!(output, Output::Send(_, FleetMsg::Heartbeat(_))));
-    // Those that callers' jobs go to from now on, and whom it may have to stand in for.
-    let beats = beats.count();
-    assert!(beats <= 24, "{beats} heartbeats for {changes} changes");
+    // The receivers are the dispatchers that callers' jobs are submitted to now, and the peers that it may
+    // take over from.
+    let count = heartbeats.count();
+    assert!(count <= 24, "{count} heartbeats for {changes} changes");
     assert!(!member.needs_flush());
 }
