--- a/crates/celerywinch_domains/src/lib.rs
+++ b/crates/celerywinch_domains/src/lib.rs
@@ -1,17 +1,17 @@
-//! Who dispatches for which data centre.
+//! Ownership of domains: which entry dispatches for which data centre.
 //!
-//! [`Domains`] is the state machine of one entry: it hears the heartbeats of the other processes
-//! and decides for which data centres this one dispatches, and under which fencing token. It needs
-//! no keeper: entries that hear each other agree by ranking, and where they do not hear each other
-//! the workers decide, for each obeys the highest fencing token that it has seen.
+//! [`Domains`] is the state machine of one entry. From the heartbeats of the other processes it decides
+//! for which domains this entry dispatches, and under which fencing token. It needs no keeper: entries
+//! that hear each other agree by rank. Where they do not hear each other the workers decide, as each
+//! obeys only the highest fencing token that it has seen.
 //!
-//! The host guarantees that time is monotonic and counts suspensions, and calls `tick` at least
+//! The host guarantees that time is monotonic and includes suspensions, and calls `tick` at least
 //! every 50 ms.
 
+mod cluster_view;
 mod domains;
 mod peers;
-mod survey;
 
+pub use cluster_view::Succession;
 pub use domains::{Change, Domains, LocalEntry};
 pub use peers::{PeerView, Peers};
-pub use survey::Succession;
--- a/crates/celerywinch_domains/src/peers.rs
+++ b/crates/celerywinch_domains/src/peers.rs
@@ -1,92 +1,92 @@
-//! What is known of the other processes.
+//! The last heartbeat and the liveness of every other process.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use celerywinch_types::{FleetHeartbeat, InstanceId, Process, ProcessKind, Stage, Time};
 
-/// One that was not heard for this long is forgotten, and for as long as two of its windows: among 1,000 processes most
-/// hear each other once in 50 s. Long enough for a cut to heal.
-const FORGET: Duration = Duration::from_secs(60);
+/// A silent process is removed after this time, or after twice its timeout if that is longer: among 1,000 processes most
+/// hear each other once in 50 s. A short partition heals within this time.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// A process has just started for this long. Machines that lose power together are back within tens of ms
+/// A process counts as just started for this long. Machines that lose power together are back within tens of ms
 /// of each other.
-const NEW: Time = Time(1_000_000);
+const STARTUP_PERIOD: Time = Time(1_000_000);
 
-/// A process that is heard rarely and was asked for an answer at once counts as lost without one after this
-/// time: two messages between data centres take 3 ms, and a process with an eighth of a core stands still for
-/// tens of ms when much comes at once.
-const PROBE_WAIT: Duration = Duration::from_millis(250);
-/// A process that is waited for no longer than this is heard often.
-const CLOSE_WINDOW: Duration = Duration::from_millis(500);
+/// A process that sends heartbeats rarely counts as lost if it does not answer a probe within this time. Two messages
+/// between data centres take 3 ms, and a process with an eighth of a core pauses for tens of ms under a burst of
+/// messages.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// The longest timeout of a process that sends heartbeats often.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Another process.
+/// What is known of another process.
 #[derive(Clone, Debug)]
 pub struct PeerView {
-    /// Which life of it.
+    /// The instance and its incarnation.
     pub process: Process,
     /// Its last heartbeat.
     pub heartbeat: FleetHeartbeat,
-    /// When that arrived.
+    /// When its last heartbeat arrived.
     pub last_contact: Time,
-    /// It counts as lost when it was not heard for this long.
+    /// The process counts as lost after this time without a heartbeat.
     pub timeout: Duration,
-    /// Its machine said that no process listens there, and nothing was heard since.
+    /// Whether its machine refused a connection, as no process listens there, since the last heartbeat.
     pub refused: bool,
-    /// When it was asked for an answer at once, if nothing was heard since.
+    /// When the first probe since the last heartbeat was sent.
     pub probed_at: Option<Time>,
 }
 
 impl PeerView {
-    /// Whether it was heard lately.
+    /// Whether the process counts as alive: neither its timeout nor a probe has expired, and no connection was refused.
     #[must_use]
     pub fn alive(&self, now: Time) -> bool {
-        let silent = |probed: Time| now.since(probed) > PROBE_WAIT;
+        let silent = |probed: Time| now.since(probed) > PROBE_TIMEOUT;
         !self.refused
             && now.since(self.last_contact) <= self.timeout
             && !self.probed_at.is_some_and(silent)
     }
 
-    /// Whether it had just started when it was heard last.
+    /// Whether the process had just started when it sent its last heartbeat.
     #[must_use]
     pub fn just_started(&self) -> bool {
-        self.heartbeat.sent < NEW
+        self.heartbeat.sent < STARTUP_PERIOD
     }
 
-    /// Whether its heartbeats come often enough that a silence of a moment tells something.
+    /// Whether heartbeats arrive so often that a short silence indicates a fault.
     #[must_use]
     pub fn has_short_timeout(&self) -> bool {
-        self.timeout <= CLOSE_WINDOW
+        self.timeout <= SHORT_TIMEOUT
     }
 }
 
-/// The other processes.
+/// What is known of all other processes.
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
     views: BTreeMap<InstanceId, PeerView>,
 }
 
 impl Peers {
-    /// Takes a heartbeat after which the next is waited for as long as `window`; false if it is older than the last one of
-    /// its sender, as it would bring back what that held then.
+    /// Records a heartbeat, after which the sender counts as lost in `timeout`. Returns false for one that is older than
+    /// the last one of the same process, as it would restore domains that the sender owned earlier.
     ///
-    /// Another incarnation than before has replaced that one: links drop what comes on an earlier stream.
+    /// A different incarnation always replaces the previous one: links drop messages of earlier streams.
     pub fn record_heartbeat(
         &mut self,
         now: Time,
         from: Process,
-        beat: FleetHeartbeat,
-        window: Duration,
+        heartbeat: FleetHeartbeat,
+        timeout: Duration,
     ) -> bool {
         let known = self.views.get(&from.instance);
-        if known.is_some_and(|view| view.process == from && view.heartbeat.sent > beat.sent) {
+        if known.is_some_and(|view| view.process == from && view.heartbeat.sent > heartbeat.sent) {
             return false;
         }
         let view = PeerView {
             process: from,
-            heartbeat: beat,
+            heartbeat: heartbeat,
             last_contact: now,
-            timeout: window,
+            timeout: timeout,
             refused: false,
             probed_at: None,
         };
@@ -94,54 +94,58 @@
         true
     }
 
-    /// No process listens at a peer.
+    /// Records that no process listens at a peer's address.
     pub fn record_refusal(&mut self, peer: InstanceId) {
         if let Some(view) = self.views.get_mut(&peer) {
             view.refused = true;
         }
     }
 
-    /// A peer was asked for an answer at once.
+    /// Records that a probe was sent to a peer, which answers probes at once.
     pub fn record_probe(&mut self, now: Time, peer: InstanceId) {
         if let Some(view) = self.views.get_mut(&peer) {
             view.probed_at.get_or_insert(now);
         }
     }
 
-    /// Drops those that were not heard for long, and names them.
+    /// Removes the processes that have been silent for long, and returns their instances.
     pub fn remove_expired(&mut self, now: Time) -> Vec<InstanceId> {
-        let old = |view: &PeerView| now.since(view.last_contact) > FORGET.max(view.timeout * 2);
+        let is_expired =
+            |view: &PeerView| now.since(view.last_contact) > RETENTION.max(view.timeout * 2);
         let views = self.views.iter();
-        let gone: Vec<_> = views.filter(|(_, v)| old(v)).map(|(id, _)| *id).collect();
-        self.views.retain(|_, view| !old(view));
-        gone
+        let expired: Vec<_> = views
+            .filter(|(_, v)| is_expired(v))
+            .map(|(id, _)| *id)
+            .collect();
+        self.views.retain(|_, view| !is_expired(view));
+        expired
     }
 
-    /// How many are known.
+    /// Returns the number of known processes.
     #[must_use]
     pub fn count(&self) -> usize {
         self.views.len()
     }
 
-    /// One of them.
+    /// Returns what is known of a peer.
     #[must_use]
     pub fn get(&self, peer: InstanceId) -> Option<&PeerView> {
         self.views.get(&peer)
     }
 
-    /// All that are known.
+    /// Returns all known processes.
     pub fn all(&self) -> impl Iterator<Item = (InstanceId, &PeerView)> {
         self.views.iter().map(|(id, view)| (*id, view))
     }
 
-    /// Those that were heard lately.
+    /// Returns the processes that count as alive.
     pub fn alive(&self, now: Time) -> impl Iterator<Item = (InstanceId, &PeerView)> {
         self.all().filter(move |(_, view)| view.alive(now))
     }
 
-    /// Whether some are heard, and all of them have just started: after the loss of all processes at once
-    /// nobody is left to listen for, and callers are waiting already. On the users' days that is 250 ms
-    /// of refusals less after each such loss.
+    /// Whether some processes are alive and all of them have just started. After a loss of all processes at once there
+    /// is no owner to listen for, and callers are waiting already: with this check each such loss causes
+    /// 250 ms less of refusals on the users' days of traffic.
     #[must_use]
     pub fn all_just_started(&self, now: Time) -> bool {
         let mut alive = self.alive(now).peekable();
@@ -153,12 +157,12 @@
     pub fn all_entries_ready(&self, now: Time) -> bool {
         let alive = self.alive(now).map(|(_, view)| &view.heartbeat);
         let mut entries = alive
-            .filter(|beat| beat.kind == ProcessKind::Entry)
+            .filter(|heartbeat| heartbeat.kind == ProcessKind::Entry)
             .peekable();
-        entries.peek().is_some() && entries.all(|beat| beat.stage == Stage::Ready)
+        entries.peek().is_some() && entries.all(|heartbeat| heartbeat.stage == Stage::Ready)
     }
 
-    /// The keepers, heard lately or not.
+    /// Returns the keepers, alive or not.
     pub fn keepers(&self) -> impl Iterator<Item = InstanceId> + '_ {
         let keepers = self.all();
         keepers
