--- a/crates/celerywinch_entry/src/members.rs
+++ b/crates/celerywinch_entry/src/members.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_members::{Change, PeerChange, RENEWAL, Source};
+use celerywinch_members::{Change, PeerChange, RENEWAL_INTERVAL, Source};
 use celerywinch_types::{
     EndpointAnnouncement, Heartbeat, InstanceId, MemberMsg, PeerMsg, Process, Renewal, Time, WallMs,
 };
@@ -41,7 +41,7 @@
         let mut endpoints = Vec::new();
         self.endpoints.tick(now, &mut endpoints);
         self.endpoint_changes(endpoints, out);
-        if now.since(self.renewed) >= RENEWAL {
+        if now.since(self.renewed) >= RENEWAL_INTERVAL {
             self.renewed = now;
             self.spread_renewals(now, out);
         }
--- a/crates/celerywinch_members/src/endpoints.rs
+++ b/crates/celerywinch_members/src/endpoints.rs
@@ -10,7 +10,7 @@
 pub const LEASE: Duration = Duration::from_secs(5);
 
 /// How often an endpoint should renew.
-pub const RENEWAL: Duration = Duration::from_secs(1);
+pub const RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long the end of an endpoint is remembered, so that a late copy of an older announcement
 /// does not bring it back.
--- a/crates/celerywinch_members/src/lib.rs
+++ b/crates/celerywinch_members/src/lib.rs
@@ -7,5 +7,5 @@
 mod endpoints;
 mod peers;
 
-pub use endpoints::{Change, EndpointRecord, Endpoints, LEASE, RENEWAL, Source};
+pub use endpoints::{Change, EndpointRecord, Endpoints, LEASE, RENEWAL_INTERVAL, Source};
 pub use peers::{DetectorConfig, Peer, PeerChange, PeerState, Peers};
--- a/crates/celerywinch_node/src/http/endpoints.rs
+++ b/crates/celerywinch_node/src/http/endpoints.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use celerywinch_entry::Input;
-use celerywinch_members::{LEASE, RENEWAL};
+use celerywinch_members::{LEASE, RENEWAL_INTERVAL};
 use celerywinch_types::{EndpointAnnouncement, EndpointState};
 use ntex::web::types::{Payload, State};
 use ntex::web::{self, HttpResponse, ServiceConfig};
@@ -54,7 +54,7 @@
     }
     HttpResponse::Ok().json(&serde_json::json!({
         "lease_ms": LEASE.as_millis(),
-        "renew_ms": RENEWAL.as_millis(),
+        "renew_ms": RENEWAL_INTERVAL.as_millis(),
     }))
 }
 
