--- a/crates/celerywinch_members/src/endpoints.rs
+++ b/crates/celerywinch_members/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a data centre, as they announced themselves.
+//! The endpoints of a data centre, by their announcements.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,168 +6,176 @@
 
 use celerywinch_types::{EndpointAnnouncement, EndpointState, Renewal, Time};
 
-/// How long an announcement holds.
+/// How long an announcement is valid.
 pub const LEASE: Duration = Duration::from_secs(5);
 
-/// How often an endpoint should renew.
+/// How often an endpoint should renew its announcement.
 pub const RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long the end of an endpoint is remembered, so that a late copy of an older announcement
+/// How long an expired endpoint is remembered, so that a late copy of an older announcement
 /// does not bring it back.
-const MEMORY: Duration = Duration::from_secs(60);
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// Who brought an announcement.
+/// The sender of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The endpoint itself: the other entries of the data centre need to hear of it.
+    /// The endpoint itself: the announcement has to be sent on to the other entries of the data centre.
     Endpoint,
-    /// Another entry, which tells the others by itself.
+    /// Another entry, which sends it to the others by itself.
     Entry,
 }
 
-/// One endpoint.
+/// What is known of one endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointRecord {
     /// Its latest announcement.
     pub announcement: EndpointAnnouncement,
-    /// When that was made, on our clock.
+    /// When the announcement was made, on the local clock.
     pub announced_at: Time,
-    /// Whether its lease has run out.
+    /// Whether its lease has expired.
     pub expired: bool,
-    dirty: bool,
+    /// Whether a renewal has still to be sent to the other entries.
+    unsent: bool,
 }
 
-/// What changed for whoever routes work.
+/// A change that matters to the routing of work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// New, or a new life, or changed: take over the announcement.
+    /// The endpoint is new, has a new incarnation or has changed; its announcement is to be used.
     Updated(SocketAddr),
-    /// Gone: no new work.
+    /// The lease of the endpoint has expired; it gets no new work.
     Gone(SocketAddr),
 }
 
 /// The endpoints of a data centre.
 #[derive(Debug, Default)]
 pub struct Endpoints {
-    known: BTreeMap<SocketAddr, EndpointRecord>,
+    records: BTreeMap<SocketAddr, EndpointRecord>,
 }
 
 impl Endpoints {
-    /// One endpoint.
+    /// Returns what is known of an endpoint.
     #[must_use]
     pub fn get(&self, addr: SocketAddr) -> Option<&EndpointRecord> {
-        self.known.get(&addr)
+        self.records.get(&addr)
     }
 
-    /// All endpoints whose lease holds.
+    /// Returns all endpoints whose lease has not expired.
     pub fn iter(&self) -> impl Iterator<Item = &EndpointRecord> {
-        self.known.values().filter(|known| !known.expired)
+        self.records.values().filter(|record| !record.expired)
     }
 
-    /// Takes an announcement, from the endpoint itself or from another entry.
+    /// Records an announcement from the endpoint itself or from another entry.
     ///
-    /// Returns whether it is news that the other entries of the data centre should get at once.
-    /// An announcement of an earlier life, or an earlier one of the same life, is ignored: messages
-    /// are reordered, and an endpoint that said it leaves must not be served by an older message.
+    /// Returns whether it is a change that the other entries of the data centre should get at once.
+    /// An announcement of an earlier incarnation, or an earlier one of the same incarnation, is ignored:
+    /// messages are reordered, and an older one must not bring new work to an endpoint that is leaving.
     pub fn announce(
         &mut self,
         now: Time,
-        note: EndpointAnnouncement,
+        announcement: EndpointAnnouncement,
         source: Source,
         changes: &mut Vec<Change>,
     ) -> bool {
-        let dirty = source == Source::Endpoint;
-        let announced = now - Duration::from_millis(u64::from(note.age_ms));
-        let addr = note.addr;
-        let Some(known) = self.known.get_mut(&addr) else {
+        let unsent = source == Source::Endpoint;
+        let announced = now - Duration::from_millis(u64::from(announcement.age_ms));
+        let addr = announcement.addr;
+        let Some(record) = self.records.get_mut(&addr) else {
             changes.push(Change::Updated(addr));
-            let known = EndpointRecord {
-                announcement: note,
+            let record = EndpointRecord {
+                announcement: announcement,
                 announced_at: announced,
                 expired: false,
-                dirty,
+                unsent,
             };
-            self.known.insert(addr, known);
+            self.records.insert(addr, record);
             return true;
         };
-        if (note.incarnation, note.sequence)
-            <= (known.announcement.incarnation, known.announcement.sequence)
+        if (announcement.incarnation, announcement.sequence)
+            <= (
+                record.announcement.incarnation,
+                record.announcement.sequence,
+            )
         {
             return false;
         }
-        let news = known.expired || differs(&known.announcement, &note);
-        known.announcement = note;
-        known.announced_at = announced;
-        known.expired = false;
-        known.dirty = dirty;
-        if news {
+        let changed = record.expired || has_changed(&record.announcement, &announcement);
+        record.announcement = announcement;
+        record.announced_at = announced;
+        record.expired = false;
+        record.unsent = unsent;
+        if changed {
             changes.push(Change::Updated(addr));
         }
-        news
+        changed
     }
 
-    /// Takes a renewal from another entry; false if the endpoint is not known that way.
+    /// Records a renewal from another entry. Returns false if the endpoint, or its later incarnation, is not known yet.
     pub fn renew(&mut self, now: Time, renewal: Renewal, changes: &mut Vec<Change>) -> bool {
-        let Some(known) = self.known.get_mut(&renewal.addr) else {
+        let Some(record) = self.records.get_mut(&renewal.addr) else {
             return false;
         };
-        if renewal.incarnation != known.announcement.incarnation {
-            return renewal.incarnation < known.announcement.incarnation;
+        if renewal.incarnation != record.announcement.incarnation {
+            return renewal.incarnation < record.announcement.incarnation;
         }
-        if renewal.sequence <= known.announcement.sequence {
+        if renewal.sequence <= record.announcement.sequence {
             return true;
         }
-        known.announcement.sequence = renewal.sequence;
-        known.announced_at = now - Duration::from_millis(u64::from(renewal.age_ms));
-        if known.expired {
-            known.expired = false;
+        record.announcement.sequence = renewal.sequence;
+        record.announced_at = now - Duration::from_millis(u64::from(renewal.age_ms));
+        if record.expired {
+            record.expired = false;
             changes.push(Change::Updated(renewal.addr));
         }
         true
     }
 
-    /// Lets leases run out.
+    /// Expires leases, and removes endpoints that expired long ago.
     pub fn tick(&mut self, now: Time, changes: &mut Vec<Change>) {
-        for (addr, known) in &mut self.known {
-            if !known.expired && now.since(known.announced_at) > LEASE {
-                known.expired = true;
+        for (addr, record) in &mut self.records {
+            if !record.expired && now.since(record.announced_at) > LEASE {
+                record.expired = true;
                 changes.push(Change::Gone(*addr));
             }
         }
-        self.known
-            .retain(|_, known| now.since(known.announced_at) <= LEASE + MEMORY);
+        self.records
+            .retain(|_, record| now.since(record.announced_at) <= LEASE + RETENTION);
     }
 
-    /// The renewals taken since the last call, to be passed to the other entries.
+    /// Returns the renewals that endpoints have sent since the last call, for the other entries.
     pub fn renewals(&mut self, now: Time) -> Vec<Renewal> {
-        let fresh = self.known.values_mut().filter(|known| known.dirty);
-        fresh
-            .map(|known| {
-                known.dirty = false;
+        let unsent_records = self.records.values_mut().filter(|record| record.unsent);
+        unsent_records
+            .map(|record| {
+                record.unsent = false;
                 Renewal {
-                    addr: known.announcement.addr,
-                    incarnation: known.announcement.incarnation,
-                    sequence: known.announcement.sequence,
-                    age_ms: age(now, known.announced_at),
+                    addr: record.announcement.addr,
+                    incarnation: record.announcement.incarnation,
+                    sequence: record.announcement.sequence,
+                    age_ms: age(now, record.announced_at),
                 }
             })
             .collect()
     }
 
-    /// Everything known, for an entry that asks.
+    /// Returns the announcements of all endpoints whose lease has not expired, for an entry that asks for them.
     #[must_use]
     pub fn announcements(&self, now: Time) -> Vec<EndpointAnnouncement> {
-        self.iter().map(|known| aged(known, now)).collect()
+        self.iter()
+            .map(|record| with_current_age(record, now))
+            .collect()
     }
 
-    /// One announcement with its present age, to be passed on.
+    /// Returns the announcement of an endpoint with its current age, to be sent on.
     #[must_use]
     pub fn announcement(&self, now: Time, addr: SocketAddr) -> Option<EndpointAnnouncement> {
-        self.known.get(&addr).map(|known| aged(known, now))
+        self.records
+            .get(&addr)
+            .map(|record| with_current_age(record, now))
     }
 }
 
-fn differs(old: &EndpointAnnouncement, new: &EndpointAnnouncement) -> bool {
+fn has_changed(old: &EndpointAnnouncement, new: &EndpointAnnouncement) -> bool {
     old.incarnation != new.incarnation
         || old.state != new.state
         || old.kinds != new.kinds
@@ -176,10 +184,10 @@
         || old.rack != new.rack
 }
 
-fn aged(known: &EndpointRecord, now: Time) -> EndpointAnnouncement {
-    let mut note = known.announcement.clone();
-    note.age_ms = age(now, known.announced_at);
-    note
+fn with_current_age(record: &EndpointRecord, now: Time) -> EndpointAnnouncement {
+    let mut announcement = record.announcement.clone();
+    announcement.age_ms = age(now, record.announced_at);
+    announcement
 }
 
 fn age(now: Time, announced: Time) -> u32 {
--- a/crates/celerywinch_members/src/lib.rs
+++ b/crates/celerywinch_members/src/lib.rs
@@ -1,8 +1,8 @@
 //! Membership: which instances are alive, and which endpoints a data centre has.
 //!
-//! Both parts are state machines without a clock or a socket. [`Peers`] watches the other
-//! instances by heartbeats and by what the host says of connections; [`Endpoints`] keeps the
-//! announcements that endpoints make at any entry of the data centre.
+//! Both parts are state machines without a clock or a socket. [`Peers`] is the failure detector for the
+//! other instances, from heartbeats and from what the host reports of connections. [`Endpoints`] keeps
+//! the announcements that endpoints make to any entry of the data centre.
 
 mod endpoints;
 mod peers;
--- a/crates/celerywinch_members/src/peers.rs
+++ b/crates/celerywinch_members/src/peers.rs
@@ -1,18 +1,18 @@
-//! Liveness of the other instances.
+//! The failure detector: liveness of the other instances.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use celerywinch_types::{DataCentreId, Heartbeat, Incarnation, InstanceId, Time, WallMs};
 
-/// Spans of the failure detector.
+/// Intervals and limits of the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DetectorConfig {
-    /// Between heartbeats to an instance of the same data centre.
+    /// The time between heartbeats to an instance of the same data centre.
     pub local_interval: Duration,
-    /// Between heartbeats to an instance of another data centre.
+    /// The time between heartbeats to an instance of another data centre.
     pub remote_interval: Duration,
-    /// How many heartbeats may be missing before the peer is suspected.
+    /// The number of heartbeats that may be missing before the peer is suspected.
     pub max_missed: u32,
     /// How long a probe on a new connection may take.
     pub probe_timeout: Duration,
@@ -29,122 +29,124 @@
     }
 }
 
-/// So many earlier incarnations of a peer are remembered.
-const MOST_FORMER: usize = 16;
+/// The number of earlier incarnations of a peer that are remembered.
+const MAX_FORMER: usize = 16;
 
-/// What is believed of a peer.
+/// The state of a peer in the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerState {
     /// Never heard from.
     Unknown,
-    /// Heard from lately.
+    /// Heard from recently.
     Alive,
-    /// Silent; a probe on a new connection is under way since then.
+    /// Silent; a probe on a new connection has been in flight since this time.
     Suspect(Time),
     /// Neither its connection nor a new one answers.
     Dead,
 }
 
-/// One other instance.
+/// What is known of one other instance.
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// Its data centre.
     pub dc: DataCentreId,
-    /// What is believed of it.
+    /// Its state in the failure detector.
     pub state: PeerState,
-    /// The present incarnation, as far as it was heard.
+    /// The incarnation of the last message; 0 before the first one.
     pub incarnation: Incarnation,
-    /// Those before it, the last one at the end. Their numbers may be greater: an entry without a disk reads its own from a
-    /// clock that may be set back.
+    /// The incarnations before it, the latest at the end. Their numbers may be greater: an entry without a disk takes its
+    /// own from a clock that may be set back.
     former: VecDeque<Incarnation>,
     /// When it was last heard from.
     pub last_contact: Time,
-    /// Whether it hears this instance: false tells of a one-way loss.
+    /// Whether it receives messages of this instance; false indicates a one-way loss.
     pub receives: bool,
     /// Whether it is stopping.
     pub stopping: bool,
-    /// Version of the catalogue in force there.
+    /// The version of the catalogue in force there.
     pub catalogue: u64,
-    /// Version of the catalogue that it holds and will put in force.
+    /// The version of the catalogue that it has received and will put in force.
     pub pending_catalogue: u64,
-    /// Whether it may serve by what it has in force.
+    /// Whether it may serve by the catalogue in force there.
     pub current: bool,
-    /// Whether a heartbeat of its present life was heard.
+    /// Whether a heartbeat of its current incarnation was received.
     pub has_heartbeat: bool,
-    /// Tasks waiting there for a slot.
+    /// The number of tasks that wait there for a slot.
     pub queued: u32,
-    /// Its wall clock minus ours, in milliseconds, at the last heartbeat.
+    /// Its wall clock minus the local one, in milliseconds, at the last heartbeat.
     pub clock_skew: i64,
-    /// The last round trip.
+    /// The last round-trip time.
     pub round_trip: Option<Duration>,
+    /// When the last heartbeat was sent to it.
     sent: Time,
     sequence: u64,
+    /// The send time of its last heartbeat, by its own clock, to be echoed.
     echo: Option<Time>,
 }
 
-/// What changed in the view of the peers.
+/// A change in the state of a peer, or an action that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerChange {
-    /// A peer answers (again).
+    /// A peer is alive, for the first time or again.
     Up(InstanceId),
-    /// A peer is silent: open a new connection and replace the old one if it answers.
+    /// A peer is silent: the host opens a new connection, and replaces the old one by it if the peer answers.
     Probe(InstanceId),
-    /// A peer is gone.
+    /// A peer is dead.
     Down(InstanceId),
-    /// A peer has a new life: what its earlier life held is lost.
+    /// A peer has a new incarnation: what the earlier one held is lost.
     Restarted(InstanceId, Incarnation),
     /// A heartbeat to this peer is due.
     HeartbeatDue(InstanceId),
 }
 
-/// The other instances.
+/// The failure detector of one instance, over all others.
 #[derive(Debug)]
 pub struct Peers {
     dc: DataCentreId,
-    timing: DetectorConfig,
+    config: DetectorConfig,
     peers: BTreeMap<InstanceId, Peer>,
 }
 
 impl Peers {
-    /// Starts with the instances named in the settings.
+    /// Returns a failure detector for the instances that the settings list.
     #[must_use]
     pub fn new(
         dc: DataCentreId,
-        timing: DetectorConfig,
+        config: DetectorConfig,
         others: impl IntoIterator<Item = (InstanceId, DataCentreId)>,
     ) -> Self {
         let peers = others.into_iter().map(|(id, dc)| (id, Peer::new(dc)));
         Self {
             dc,
-            timing,
+            config,
             peers: peers.collect(),
         }
     }
 
-    /// One peer.
+    /// Returns what is known of a peer.
     #[must_use]
     pub fn get(&self, id: InstanceId) -> Option<&Peer> {
         self.peers.get(&id)
     }
 
-    /// All peers.
+    /// Returns all peers.
     pub fn iter(&self) -> impl Iterator<Item = (InstanceId, &Peer)> {
         self.peers.iter().map(|(id, peer)| (*id, peer))
     }
 
-    /// Peers of the own data centre that are alive, stopping ones included.
+    /// Returns the reachable peers of the local data centre, including those that are stopping.
     pub fn local(&self) -> impl Iterator<Item = (InstanceId, &Peer)> {
         self.iter()
             .filter(|(_, peer)| peer.dc == self.dc && peer.is_reachable())
     }
 
-    /// Whether a peer can be asked for something.
+    /// Whether requests can be sent to a peer: it is alive or suspected.
     #[must_use]
     pub fn is_reachable(&self, id: InstanceId) -> bool {
         self.peers.get(&id).is_some_and(Peer::is_reachable)
     }
 
-    /// Whether a certain life of a peer is over, as far as is known.
+    /// Whether an incarnation of a peer has ended, as far as is known.
     #[must_use]
     pub fn has_ended(&self, id: InstanceId, incarnation: Incarnation) -> bool {
         self.peers.get(&id).is_some_and(|peer| {
@@ -154,9 +156,9 @@
         })
     }
 
-    /// Takes any message as a sign of life of the sender's incarnation.
+    /// Records a message of any kind, which shows that the sender's incarnation is alive.
     ///
-    /// Another incarnation than before has replaced that one: links drop what comes on an earlier stream.
+    /// A different incarnation always replaces the previous one: links drop messages of earlier streams.
     pub fn record_contact(
         &mut self,
         now: Time,
@@ -188,41 +190,41 @@
         }
     }
 
-    /// Takes a heartbeat; `heard` was called for the same message before.
+    /// Records a heartbeat, after `record_contact` was called for the same message.
     pub fn record_heartbeat(
         &mut self,
         now: Time,
         wall: WallMs,
         from: InstanceId,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
     ) {
         let Some(peer) = self.peers.get_mut(&from) else {
             return;
         };
-        if beat.sequence <= peer.sequence {
+        if heartbeat.sequence <= peer.sequence {
             return;
         }
-        peer.sequence = beat.sequence;
-        peer.receives = beat.receives;
-        peer.stopping = beat.stopping;
-        peer.catalogue = beat.catalogue;
-        peer.pending_catalogue = beat.pending_catalogue;
-        peer.current = beat.current;
+        peer.sequence = heartbeat.sequence;
+        peer.receives = heartbeat.receives;
+        peer.stopping = heartbeat.stopping;
+        peer.catalogue = heartbeat.catalogue;
+        peer.pending_catalogue = heartbeat.pending_catalogue;
+        peer.current = heartbeat.current;
         peer.has_heartbeat = true;
-        peer.queued = beat.queued;
-        peer.clock_skew = wall_difference(beat.wall, wall);
-        peer.round_trip = beat.echo.map(|sent| now.since(sent));
-        peer.echo = Some(beat.sent);
+        peer.queued = heartbeat.queued;
+        peer.clock_skew = clock_skew_ms(heartbeat.wall, wall);
+        peer.round_trip = heartbeat.echo.map(|sent| now.since(sent));
+        peer.echo = Some(heartbeat.sent);
     }
 
-    /// A peer said that it stops.
+    /// Records that a peer is stopping.
     pub fn record_leave(&mut self, from: InstanceId) {
         if let Some(peer) = self.peers.get_mut(&from) {
             peer.stopping = true;
         }
     }
 
-    /// The host found that nothing listens at the peer's address: the process is gone.
+    /// Records that no process listens at the peer's address, so that the peer is dead.
     pub fn record_refusal(&mut self, id: InstanceId, changes: &mut Vec<PeerChange>) {
         if let Some(peer) = self.peers.get_mut(&id)
             && peer.state != PeerState::Dead
@@ -232,28 +234,28 @@
         }
     }
 
-    /// Lets time pass: heartbeats that are due, silent peers, probes that ran out.
+    /// Advances time: reports heartbeats that are due, suspects silent peers and ends probes that have timed out.
     pub fn tick(&mut self, now: Time, changes: &mut Vec<PeerChange>) {
         for (id, peer) in &mut self.peers {
-            let interval = interval(self.timing, self.dc, peer.dc);
+            let interval = interval(self.config, self.dc, peer.dc);
             if now.since(peer.sent) >= interval || peer.sent == Time::default() {
                 peer.sent = now;
                 changes.push(PeerChange::HeartbeatDue(*id));
             }
             match peer.state {
                 PeerState::Alive
-                    if now.since(peer.last_contact) > interval * self.timing.max_missed =>
+                    if now.since(peer.last_contact) > interval * self.config.max_missed =>
                 {
                     peer.state = PeerState::Suspect(now);
                     changes.push(PeerChange::Probe(*id));
                 }
-                PeerState::Suspect(since) if now.since(since) > self.timing.probe_timeout => {
+                PeerState::Suspect(since) if now.since(since) > self.config.probe_timeout => {
                     peer.state = PeerState::Dead;
                     changes.push(PeerChange::Down(*id));
                 }
-                // An instance that never answered since this one started counts as gone.
+                // An instance that has not answered since this one started counts as dead.
                 PeerState::Unknown
-                    if now.since(Time(0)) > interval * self.timing.max_missed * 2 =>
+                    if now.since(Time(0)) > interval * self.config.max_missed * 2 =>
                 {
                     peer.state = PeerState::Dead;
                     changes.push(PeerChange::Down(*id));
@@ -263,7 +265,8 @@
         }
     }
 
-    /// The part of a heartbeat to `id` that follows from what is known of it.
+    /// Returns the fields of a heartbeat to `id` that depend on what is known of it: the echo of its last heartbeat, whether
+    /// this instance receives its messages, and its incarnation.
     #[must_use]
     pub fn heartbeat_fields(
         &self,
@@ -271,8 +274,8 @@
         id: InstanceId,
     ) -> Option<(Option<Time>, bool, Incarnation)> {
         let peer = self.peers.get(&id)?;
-        let interval = interval(self.timing, self.dc, peer.dc);
-        let hears = now.since(peer.last_contact) <= interval * self.timing.max_missed;
+        let interval = interval(self.config, self.dc, peer.dc);
+        let hears = now.since(peer.last_contact) <= interval * self.config.max_missed;
         Some((
             peer.echo,
             hears && peer.last_contact != Time::default(),
@@ -304,10 +307,10 @@
         }
     }
 
-    /// Another incarnation takes the place of the present one.
+    /// Moves the current incarnation to the former ones, before another one replaces it.
     fn retire(&mut self) {
         self.former.push_back(self.incarnation);
-        if self.former.len() > MOST_FORMER {
+        if self.former.len() > MAX_FORMER {
             self.former.pop_front();
         }
     }
@@ -317,15 +320,15 @@
     }
 }
 
-fn interval(timing: DetectorConfig, own: DataCentreId, other: DataCentreId) -> Duration {
+fn interval(config: DetectorConfig, own: DataCentreId, other: DataCentreId) -> Duration {
     if own == other {
-        timing.local_interval
+        config.local_interval
     } else {
-        timing.remote_interval
+        config.remote_interval
     }
 }
 
-fn wall_difference(theirs: WallMs, ours: WallMs) -> i64 {
+fn clock_skew_ms(theirs: WallMs, ours: WallMs) -> i64 {
     let theirs = i64::try_from(theirs.0).unwrap_or(i64::MAX);
     let ours = i64::try_from(ours.0).unwrap_or(i64::MAX);
     theirs.saturating_sub(ours)
--- a/crates/celerywinch_members/tests/endpoints.rs
+++ b/crates/celerywinch_members/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! Announcements arrive late, twice and out of order.
+//! Announcements of endpoints that arrive late, twice or out of order.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 const START: Time = Time(100_000_000);
 
-fn note(incarnation: u64, sequence: u64, state: EndpointState) -> EndpointAnnouncement {
+fn announcement(incarnation: u64, sequence: u64, state: EndpointState) -> EndpointAnnouncement {
     EndpointAnnouncement {
         addr: ([127, 0, 0, 1], 80).into(),
         incarnation,
@@ -23,43 +23,48 @@
     }
 }
 
-/// An announcement after one of life 5, sequence 10, that said the endpoint is leaving.
+/// An announcement that arrives after one of incarnation 5, sequence 10, in which the endpoint is leaving.
 struct Case {
     incarnation: u64,
     sequence: u64,
     serves: bool,
 }
 
-/// A leaving endpoint gets new work again: an older message that it serves arrives after the one
-/// that it leaves. Only a later message or a later life may bring it back.
+/// Guards against new work for an endpoint that is leaving, when an older announcement that it serves arrives late.
+/// Only a later announcement or a later incarnation may bring it back.
 #[rstest]
 #[case::older(Case { incarnation: 5, sequence: 9, serves: false })]
 #[case::same_again(Case { incarnation: 5, sequence: 10, serves: false })]
-#[case::earlier_life(Case { incarnation: 4, sequence: 99, serves: false })]
+#[case::earlier_incarnation(Case { incarnation: 4, sequence: 99, serves: false })]
 #[case::later(Case { incarnation: 5, sequence: 11, serves: true })]
-#[case::later_life(Case { incarnation: 6, sequence: 1, serves: true })]
-fn older_announcement_does_not_undo_a_newer_one(#[case] case: Case) {
+#[case::later_incarnation(Case { incarnation: 6, sequence: 1, serves: true })]
+fn older_announcement_does_not_replace_a_newer_one(#[case] case: Case) {
     let mut endpoints = Endpoints::default();
     let mut changes = Vec::new();
-    let leaving = note(5, 10, EndpointState::Leaving);
+    let leaving = announcement(5, 10, EndpointState::Leaving);
     let addr = leaving.addr;
     endpoints.announce(START, leaving, Source::Endpoint, &mut changes);
-    let next = note(case.incarnation, case.sequence, EndpointState::Serving);
+    let next = announcement(case.incarnation, case.sequence, EndpointState::Serving);
     endpoints.announce(START, next, Source::Entry, &mut changes);
     let serves = endpoints.get(addr).is_some_and(|known| known.serves());
     assert_eq!(serves, case.serves);
 }
 
-/// An endpoint dies silently: its lease lapses once, and a renewal of the same life brings it back.
+/// Guards against an endpoint that stays lost after its lease has expired, or whose loss is reported twice. A renewal
+/// of the same incarnation brings it back.
 #[test]
-fn lease_lapses_and_comes_back() {
+fn lease_expires_and_is_renewed() {
     let mut endpoints = Endpoints::default();
     let mut changes = Vec::new();
-    let first = note(5, 10, EndpointState::Serving);
+    let first = announcement(5, 10, EndpointState::Serving);
     let addr = first.addr;
     endpoints.announce(START, first, Source::Endpoint, &mut changes);
     changes.clear();
-    assert_eq!(endpoints.renewals(START).len(), 1, "the peers hear of it");
+    assert_eq!(
+        endpoints.renewals(START).len(),
+        1,
+        "the renewal is sent to the peers"
+    );
     let late = START + LEASE + Duration::from_millis(1);
     endpoints.tick(late, &mut changes);
     endpoints.tick(late, &mut changes);
@@ -75,6 +80,6 @@
     assert_eq!(changes, vec![Change::Updated(addr)]);
     assert!(
         endpoints.renewals(late).is_empty(),
-        "what came from a peer is not passed on"
+        "a renewal from a peer is not sent on"
     );
 }
--- a/crates/celerywinch_members/tests/peers.rs
+++ b/crates/celerywinch_members/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Silence, restarts and late messages of instances.
+//! The failure detector when instances fall silent or restart.
 
 use std::time::Duration;
 
@@ -26,10 +26,10 @@
     changes
 }
 
-/// A connection goes silent for good while new ones work: the peer is probed on a new connection
-/// before it counts as gone, and its answer there keeps it alive.
+/// Guards against a peer that counts as dead because one connection fails while new ones work: it is probed on a new
+/// connection first, and its answer there keeps it alive.
 #[test]
-fn silent_peer_is_probed_before_it_is_gone() {
+fn silent_peer_is_probed_before_it_is_dead() {
     let mut peers = peers();
     let mut changes = Vec::new();
     peers.record_contact(START, PEER, Incarnation(1), &mut changes);
@@ -38,7 +38,7 @@
         tick(&mut peers, START, 0..700),
         vec![PeerChange::Probe(PEER)]
     );
-    assert!(peers.is_reachable(PEER), "suspected, not gone");
+    assert!(peers.is_reachable(PEER), "suspected, not dead");
     peers.record_contact(
         START + Duration::from_millis(800),
         PEER,
@@ -54,14 +54,14 @@
     assert_eq!(tick(&mut peers, later, 0..1500), wanted);
 }
 
-/// Whoever waits for the earlier process of a holder waits for ever, or the later one is ignored for as long as its peers run: an
-/// entry without a disk starts again, perhaps with its clock set back.
+/// Guards against an endless wait for the earlier incarnation of a holder, and against a later one that is ignored for as long as
+/// its peers run: an entry without a disk restarts, perhaps with its clock set back.
 #[rstest]
 #[case::clock_goes_on(&[1, 2])]
 #[case::clock_set_back(&[9, 7])]
 #[case::set_back_twice(&[9, 7, 3])]
 #[case::set_back_and_forth(&[9, 7, 8])]
-fn restart_is_told(#[case] incarnations: &[u64]) {
+fn restart_is_reported(#[case] incarnations: &[u64]) {
     let mut peers = peers();
     let mut changes = Vec::new();
     peers.record_contact(START, PEER, Incarnation(incarnations[0]), &mut changes);
