--- a/crates/celerywinch_types/src/crashes.rs
+++ b/crates/celerywinch_types/src/crashes.rs
@@ -1,59 +1,60 @@
-//! Workers that ended under a task.
+//! Counts of workers that were lost while they ran a task.
 
 use std::cmp::max;
 
 use crate::domain;
 
-/// A task under which so many workers have ended for certain is given up: it may have ended them, ...
-const MOST_PROVEN: u8 = 2;
-/// ... and so is one under which so many have ended or fallen silent. One more worker may be cut off, or gone for another reason; a
-/// caller's job with a task that found three of those in a row is late beyond use.
-const MOST_SEEN: u8 = 3;
-/// From so many on the other tasks of its queue are started with care.
-const MANY: u8 = 2;
+/// A task is given up once this many workers have certainly ended while running it, as it may be the cause.
+const MAX_CONFIRMED: u8 = 2;
+/// A task is also given up once this many workers have ended or fallen silent while running it. A silent worker may be
+/// partitioned, or lost for another reason; but a job whose task met three such workers in a row is too late to be of use.
+const MAX_SUSPECTED: u8 = 3;
+/// From this many lost workers on, the task is the likely cause, and the other tasks of its queue are started cautiously.
+const MIN_LIKELY_CAUSE: u8 = 2;
 
 domain! {
-    /// How often the worker of a task ended while the task was there. Both numbers only rise, so that what two processes know
-    /// together is the higher of each.
+    /// How many workers were lost while they ran a task. Both counts only rise, so that what two processes know is merged by
+    /// the higher of each.
     #[derive(Copy, Default)]
     pub struct Crashes {
-        /// Workers that have ended, or fell silent until their lease was over: those may be cut off.
+        /// Workers that have ended, or were silent until their lease expired. Silent ones may be partitioned.
         pub seen: u8,
-        /// Those of them that have ended for certain: they are back as another life, or another worker is there.
+        /// Those among `seen` that have certainly ended: another incarnation, or another worker, answers in their place.
         pub proven: u8,
     }
 }
 
 impl Crashes {
-    /// Whether a worker may have ended by the task.
+    /// Whether the task may have caused the loss of a worker.
     #[must_use]
     pub fn is_suspect(self) -> bool {
         self.seen > 0
     }
 
-    /// Whether it is likely that the task ends its workers.
+    /// Whether the task is likely to end its workers.
     #[must_use]
     pub fn is_likely_cause(self) -> bool {
-        self.seen >= MANY
+        self.seen >= MIN_LIKELY_CAUSE
     }
 
-    /// Whether the task is to be given up.
+    /// Whether so many workers were lost that the task is given up.
     #[must_use]
     pub fn reaches_limit(self) -> bool {
-        self.proven >= MOST_PROVEN || self.seen >= MOST_SEEN
+        self.proven >= MAX_CONFIRMED || self.seen >= MAX_SUSPECTED
     }
 
-    /// One more worker fell silent.
+    /// Records that one more worker fell silent.
     pub fn record_suspected(&mut self) {
         self.seen = self.seen.saturating_add(1);
     }
 
-    /// A worker fell silent as it started this task alone, or all workers that started its step did.
+    /// Raises the count to its limit: a worker fell silent as it started this task alone, or all workers that started
+    /// its step did.
     pub fn raise_to_limit(&mut self) {
-        self.seen = self.seen.max(MOST_SEEN);
+        self.seen = self.seen.max(MAX_SUSPECTED);
     }
 
-    /// One more has ended for certain; `seen` if it was counted as silent before.
+    /// Records that one more worker has certainly ended; `seen` tells whether it was counted as silent before.
     pub fn record_confirmed(&mut self, seen: bool) {
         self.proven = self.proven.saturating_add(1);
         if !seen {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// What two processes know together.
+    /// Merges what two processes know.
     #[must_use]
     pub fn merge(self, other: Self) -> Self {
         Self {
--- a/crates/celerywinch_types/src/endpoint.rs
+++ b/crates/celerywinch_types/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What endpoints announce about themselves.
+//! Announcements of endpoints.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,17 +15,17 @@
     pub enum EndpointState {
         /// Takes new work.
         Serving,
-        /// Finishes what it has and takes nothing new.
+        /// Finishes its running tasks and takes no new ones.
         Leaving,
     }
 
-    /// One announcement of an endpoint, as it spreads between the entries of a data centre.
+    /// One announcement of an endpoint, as the entries of a data centre exchange it.
     pub struct EndpointAnnouncement {
-        /// Where it serves HTTP.
+        /// The address at which it serves HTTP.
         pub addr: SocketAddr,
-        /// Which life of the process behind the address; a later life is greater.
+        /// The incarnation of the process behind the address; a later one is greater.
         pub incarnation: u64,
-        /// Orders announcements of one life.
+        /// Orders the announcements of one incarnation.
         pub sequence: u64,
         /// Its data centre.
         pub dc: DataCentreId,
@@ -33,13 +33,13 @@
         pub rack: Arc<str>,
         /// The kinds it serves.
         pub kinds: Vec<KindName>,
-        /// How many tasks it runs at once.
+        /// The number of tasks that it runs at once.
         pub slots: u16,
-        /// How many connections it takes.
+        /// The number of connections that it accepts.
         pub connections: u16,
         /// Whether it takes new work.
         pub state: EndpointState,
-        /// Age of the announcement in milliseconds when this message was sent.
+        /// The age of the announcement when this message was sent, in ms.
         pub age_ms: u32,
     }
 }
--- a/crates/celerywinch_types/src/fleet.rs
+++ b/crates/celerywinch_types/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Messages between the processes of a deployment whose callers wait for jobs of tasks.
+//! Messages between the processes of a deployment that runs jobs of tasks on workers.
 
 use std::collections::BTreeSet;
 
@@ -10,66 +10,66 @@
 };
 
 identifier! {
-    /// A span in which an origin counts a dispatcher as alive without a break. It rises each time that
-    /// the origin has taken the dispatcher for lost, and may have its tasks done elsewhere.
+    /// The number of a period in which an origin counts a dispatcher as alive without a break. It rises each time
+    /// that the origin declares the dispatcher lost, after which its tasks may run elsewhere.
     #[derive(Default)]
     pub struct Session(pub u32);
 }
 
 domain! {
-    /// What a process does.
+    /// The kind of a process.
     #[derive(Copy)]
     pub enum ProcessKind {
         /// Serves callers, and may dispatch.
         Entry,
-        /// Keeps the configuration, and hears the workers' announcements.
+        /// Stores the configuration, and receives the workers' announcements.
         Keeper,
     }
 
-    /// How far a process is in its life.
+    /// The stage of a process between its start and its end.
     #[derive(Copy)]
     pub enum Stage {
-        /// Does not know enough yet to serve.
+        /// Does not know enough to serve yet.
         Joining,
         /// Serves.
         Ready,
-        /// Finishes what it has, and ends.
+        /// Finishes its work, and ends.
         Leaving,
     }
 
-    /// The room of a data centre, as its dispatcher sees it.
+    /// The free capacity of a domain and its waiting times, as its dispatcher sees them.
     #[derive(Copy, Default)]
     pub struct Load {
-        /// How many more tasks of the usual size could start at once.
+        /// The number of tasks of the usual size that could start at once.
         pub free: u32,
-        /// Ms until a task that came now would start, by priority 0, 1, and 2 or more.
+        /// The time until a task that arrived now would start, in ms, for priority 0, 1, and 2 or more.
         pub wait: [u32; 3],
     }
 
-    /// Workers that have one dispatcher: a share of those of a data centre.
+    /// A set of workers that share one dispatcher: one shard of the workers of a data centre.
     #[derive(Copy, Hash, PartialOrd, Ord)]
     pub struct Domain {
         /// The data centre.
         pub dc: DataCentreId,
-        /// Which share; 0 where all workers have one dispatcher.
+        /// The shard; 0 where all workers of the data centre share one dispatcher.
         pub shard: u8,
     }
 
-    /// A domain that a process dispatches for.
+    /// A domain that a process owns: it dispatches for the domain.
     #[derive(Copy)]
     pub struct OwnedDomain {
         /// The domain.
         pub domain: Domain,
-        /// The fencing token it dispatches under.
+        /// The fencing token of the process for this domain.
         pub fence: Fence,
-        /// Its room.
+        /// The load of the domain.
         pub load: Load,
     }
 
     /// The set of data centres whose workers get no new tasks.
     #[derive(Default)]
     pub struct Evacuations {
-        /// Rises with each order that takes effect.
+        /// The revision, which rises with each order that takes effect.
         pub revision: u64,
         /// The evacuated data centres.
         pub dcs: BTreeSet<DataCentreId>,
@@ -82,198 +82,197 @@
         pub dc: DataCentreId,
         /// True to start the evacuation, false to end it.
         pub evacuated: bool,
-        /// The revision that the order is based on; it is void if another one is held when it is applied.
+        /// The revision that the order is based on. The order has no effect if another one is current when it is applied.
         pub base: u64,
     }
 
-    /// What the sender of a heartbeat has last heard of its receiver.
+    /// The last heartbeat that the sender of this one received from its receiver.
     ///
-    /// By this the receiver knows, on its own clock and however late the heartbeat arrives, until when
-    /// the sender surely counts it as alive.
+    /// It tells the receiver, on its own clock and however late the heartbeat arrives, until when the sender
+    /// certainly counts it as alive.
     #[derive(Copy)]
     pub struct Echo {
-        /// The life of the receiver that was heard.
+        /// The incarnation of the receiver that sent it.
         pub incarnation: Incarnation,
-        /// When that life sent what was heard, by its own clock.
+        /// When it was sent, by the receiver's clock.
         pub sent: Time,
-        /// The session of the receiver as dispatcher of the sender's jobs.
+        /// The session of the receiver as a dispatcher of the sender's jobs.
         pub session: Session,
     }
 
-    /// A heartbeat.
+    /// A heartbeat between the processes of a deployment.
     pub struct FleetHeartbeat {
-        /// What the sender does.
+        /// The kind of the sender.
         pub kind: ProcessKind,
         /// Its data centre.
         pub dc: DataCentreId,
-        /// How far it is in its life.
+        /// Its stage.
         pub stage: Stage,
-        /// What it dispatches for.
+        /// The domains that it owns.
         pub owned_domains: Vec<OwnedDomain>,
-        /// The highest fencing token it knows of.
+        /// The highest fencing token that it knows of.
         pub fence: Fence,
-        /// The version of the configuration it has in force.
+        /// The version of the configuration that it has in force.
         pub version: u64,
-        /// The evacuations it knows of; never older than the configuration in `version`.
+        /// The evacuations that it knows of; never older than the configuration in `version`.
         pub evacuations: Evacuations,
-        /// In how many shards the workers are divided, as far as it knows; it never falls.
+        /// The number of shards into which the workers are divided, as far as it knows; it never falls.
         pub shards: u8,
-        /// When it was sent, by the sender's clock; for the receiver to send back.
+        /// When the heartbeat was sent, by the sender's clock, for the receiver to echo.
         pub sent: Time,
-        /// What the sender has heard of the receiver, if it hands work to it; none if it does not, or does not
-        /// count it as alive.
+        /// The last heartbeat of the receiver, if the sender submits work to it and counts it as alive.
         pub echo: Option<Echo>,
-        /// Ms until the next heartbeat to this receiver, at most.
+        /// The longest time until the next heartbeat to this receiver, in ms.
         pub interval_ms: u32,
-        /// Whether the sender needs the receiver's heartbeats often: it hands work to it, or would dispatch in
-        /// its place.
+        /// Whether the sender needs frequent heartbeats of the receiver: it submits work to it, or would succeed it
+        /// as a dispatcher.
         pub wants_frequent: bool,
-        /// Whether the receiver is to answer at once: all that the sender hears often in the receiver's data
-        /// centre have fallen silent.
+        /// Whether the receiver is to answer at once, as all processes of its data centre that the sender hears often
+        /// have fallen silent.
         pub probe: bool,
     }
 
-    /// A process that the sender has heard of.
+    /// A process that the sender knows of.
     #[derive(Copy)]
     pub struct Contact {
-        /// Where it runs.
+        /// Its instance.
         pub instance: InstanceId,
-        /// What it does.
+        /// Its kind.
         pub kind: ProcessKind,
     }
 
-    /// A task that is handed to a dispatcher.
+    /// A task that is submitted to a dispatcher.
     #[derive(Copy)]
     pub struct TaskOrder {
-        /// The task within its step.
+        /// The index of the task within its step.
         pub index: u16,
-        /// How often it failed.
+        /// How often it has failed.
         pub failures: u32,
         /// The highest run number that may have been used for it.
         pub run: RunNumber,
-        /// Workers that have ended under it.
+        /// The workers that were lost while they ran it.
         pub crashes: Crashes,
         /// Whether it may be running.
         pub prior_runs: PriorRuns,
-        /// Names this time that the task was handed in; rises over all that its origin hands in.
+        /// The number of this submission, which rises over all submissions of its origin.
         pub submission: u32,
-        /// The first of those at this dispatcher, since when it should have the task.
+        /// The number of its first submission to this dispatcher, which should have the task since then.
         pub first_submission: u32,
     }
 
-    /// What became of a task that was handed to a dispatcher.
+    /// How a task that was submitted to a dispatcher ended.
     #[derive(Copy)]
     pub struct TaskReport {
         /// The task.
         pub task: TaskId,
-        /// Which of the times that it was handed in.
+        /// The number of the submission.
         pub submission: u32,
-        /// What became of it.
+        /// The end.
         pub end: TaskEnd,
     }
 
-    /// Whether a task that is handed in may be running under an earlier dispatcher.
+    /// Whether a submitted task may be running under an earlier dispatcher.
     #[derive(Copy)]
     pub enum PriorRuns {
-        /// It is not.
+        /// It is not running.
         None,
-        /// Its last run may be; there is no later one, so what is found of that run settles it.
+        /// Its last run may be in progress. There is no later one, so the state of that run settles the task.
         Last,
-        /// Runs may have been started that its origin did not hear of. Only one found at work, or
-        /// done, settles it.
+        /// Runs may have been started that were not reported to its origin. Only a run that is found in progress or
+        /// done settles the task.
         Unknown,
     }
 
-    /// Tasks of one step of a job.
+    /// Tasks of one step of a job, submitted to a dispatcher.
     pub struct StepOrder {
-        /// The session of the dispatcher at the origin. Under an earlier one than the origin's
-        /// heartbeats tell the order was held up on its way, and its tasks may be elsewhere.
+        /// The session of the dispatcher at the origin. If it is earlier than the one in the origin's heartbeats, the
+        /// order was delayed on its way, and its tasks may have been submitted elsewhere.
         pub session: Session,
         /// The job.
         pub job: JobId,
         /// The step.
         pub step: u16,
-        /// Handed to every task.
+        /// The specification that is passed to every task.
         pub spec: String,
         /// The queue.
         pub queue: String,
-        /// The service whose workers run it.
+        /// The service whose workers run the tasks.
         pub service: String,
-        /// 0 comes first.
+        /// The priority; 0 is the highest.
         pub priority: u8,
-        /// A task that failed so often fails its job.
+        /// The number of failures of one task that fails the job.
         pub attempts: u32,
-        /// What each task needs.
+        /// The resources that each task needs.
         pub need: Resources,
-        /// The caller's guess of a task's run time, in ms.
+        /// The caller's estimate of a task's run time, in ms.
         pub estimate: u32,
         /// The label that a worker must have.
         pub label: Option<String>,
         /// The rack near the data.
         pub rack: Option<String>,
-        /// At most this many tasks on one worker.
+        /// The largest number of tasks on one worker.
         pub spread: Option<u16>,
-        /// Ms since the job arrived.
+        /// The time since the job arrived, in ms.
         pub age: u32,
-        /// The job's slack: thousandths of its chain of work, ...
+        /// The part of the job's latency target that is proportional to its critical path, in thousandths of it.
         pub slack: u32,
-        /// ... and so many ms.
+        /// The constant part of the job's latency target, in ms.
         pub target: u32,
-        /// Ms of the longest chain of work, by the estimates.
+        /// The length of the job's critical path by the estimates, in ms.
         pub critical_path: u32,
         /// Whether the job may still be refused as "not run".
         pub refusable: bool,
-        /// Whether tasks that find no room at once are to be given back, since another dispatcher
-        /// may have some; else they wait here.
+        /// Whether tasks that cannot start at once are returned, as another dispatcher may have capacity. Otherwise they
+        /// wait here.
         pub no_wait: bool,
         /// The tasks.
         pub tasks: Vec<TaskOrder>,
     }
 
-    /// How a task ended for its origin.
+    /// How a submission of a task ended.
     #[derive(Copy)]
     pub enum TaskEnd {
-        /// Done.
+        /// The task is done.
         Done,
-        /// Failed for good.
+        /// The task failed as often as its queue allows.
         Failed,
         /// Not started again because workers crashed while running it; its queue's limit of failed runs
         /// was not reached.
         GivenUp,
-        /// Not started here, or ended without a result; to be handed in again.
+        /// Not started here, or ended without a result; to be submitted again.
         Returned {
-            /// Where its last run may still be at work.
+            /// The domain in which its last run may still be in progress.
             at: Option<Domain>,
-            /// How often it failed.
+            /// How often it has failed.
             failures: u32,
             /// The highest run number that may have been used for it.
             run: RunNumber,
         },
-        /// Not started: there is no room at present, and another dispatcher was to be tried.
+        /// Not started: there is no capacity at present, and the order asked not to wait.
         Full,
-        /// Given back as it came, in doubt: whether it runs was not found out.
+        /// Returned in doubt, as it was submitted: whether it runs could not be determined.
         Undetermined,
-        /// Will not be served, and nothing of its job has run here; worth a try after so many ms.
+        /// Refused, and nothing of its job has run here; worth another try after this many ms.
         Refused(u32),
-        /// Its caller has sent the job again to another origin, which gets what becomes of it.
+        /// Its caller has sent the job again to another origin, which gets the further reports.
         Superseded,
-        /// Not started as no worker may take it at present; something of its job may have run.
+        /// Not started, as no worker may take it at present; something of its job may have run.
         Unplaced,
     }
 
-    /// Between the origins of jobs and the dispatchers of data centres.
+    /// Messages between the origins of jobs and the dispatchers of data centres.
     pub enum WorkMsg {
         /// Tasks to run.
         Submit(StepOrder),
-        /// Nothing of the job is wanted any more.
+        /// Cancels all tasks of a job.
         Cancel {
             /// The job.
             job: JobId,
-            /// The origin's last hand-in so far. The message may be held up, and what was handed in later is
-            /// wanted.
+            /// The number of the origin's last submission so far. The message may be delayed; later submissions are
+            /// not cancelled.
             last_submission: u32,
         },
-        /// These tasks are not wanted here any more; their origin has them done elsewhere.
+        /// Drops tasks that their origin has submitted elsewhere.
         Drop {
             /// The tasks.
             tasks: Vec<TaskId>,
@@ -282,41 +281,41 @@
         },
         /// Ends of tasks.
         Ended(Vec<TaskReport>),
-        /// A worker has ended under a task: what is known by now. Its origin keeps it, as the dispatcher may be lost.
+        /// Reports the workers lost so far while they ran a task. The origin stores it, as the dispatcher may be lost.
         Crashed(TaskId, Crashes),
-        /// What was sent before may be lost: hand in again what is open here. The number is
-        /// repeated in the answer.
+        /// Asks the origin to submit all open tasks of this dispatcher again, as earlier messages may be lost. The
+        /// number is repeated in the answer.
         Resync(u64),
-        /// Answers `Resync`, after all that is wanted was handed in again: whatever else is here of
-        /// this origin is not wanted.
+        /// Answers `Resync`, after all open tasks were submitted again: the dispatcher drops every other task of this
+        /// origin.
         ResyncDone {
-            /// The number of the question.
+            /// The number of the `Resync`.
             request: u64,
-            /// Tasks that may be handed in again yet: their origin took this dispatcher for lost.
+            /// Tasks that may still be submitted again, as their origin had declared this dispatcher lost.
             unsure: Vec<TaskId>,
         },
     }
 
-    /// How the configuration spreads from the keepers to the entries.
+    /// Messages that distribute the configuration from the keepers to the entries.
     pub enum ConfigMsg {
-        /// Asks for a piece of the configuration.
+        /// Asks for a chunk of the configuration.
         Request {
             /// The version.
             version: u64,
             /// The first byte.
             offset: u64,
         },
-        /// Answers `Want`.
+        /// Answers `Request`.
         Chunk(Chunk),
     }
 
-    /// A piece of the configuration.
+    /// A chunk of the configuration.
     pub struct Chunk {
         /// The version.
         pub version: u64,
-        /// Bytes of the whole document.
+        /// The size of the whole document, in bytes.
         pub total: u64,
-        /// The hash of the whole document. After the loss of all disks a version may come again with another one.
+        /// The hash of the whole document. After the loss of all disks a version may be reused for another document.
         pub digest: u64,
         /// The first byte.
         pub offset: u64,
@@ -326,13 +325,13 @@
 
     /// A request to the keepers.
     pub enum KeeperRequest {
-        /// Read the newest document.
+        /// Reads the newest document.
         ReadDocument,
-        /// Read the newest evacuations.
+        /// Reads the newest evacuations.
         ReadEvacuations,
-        /// Put a document in force under its version, if it is higher than the version held.
+        /// Puts a document in force under its version, if that is higher than the stored one.
         PutDocument(u64, Vec<u8>),
-        /// Start or end an evacuation, if the order is based on the current revision.
+        /// Starts or ends an evacuation, if the order is based on the current revision.
         Evacuate(EvacuationOrder),
     }
 
@@ -351,14 +350,14 @@
     pub enum KeeperMsg {
         /// Forwards a request to the leader.
         Propose {
-            /// Names the request at its sender.
+            /// The number of the request at its sender.
             id: u64,
-            /// The operation.
+            /// The request.
             request: KeeperRequest,
         },
         /// Answers `Propose`.
         Answer {
-            /// The request.
+            /// The number of the request.
             id: u64,
             /// The state after it; `None` if the outcome is unknown.
             state: Option<KeeperState>,
@@ -367,8 +366,8 @@
 }
 
 impl TaskReport {
-    /// Whether it tells that the task goes back to its origin. Such news of an earlier time that it
-    /// was handed in must not count: the dispatcher may have it again.
+    /// Whether the task returns to its origin. Such a report of an earlier submission must be ignored, as the dispatcher
+    /// may have received the task again since then.
     #[must_use]
     pub fn returns_task(&self) -> bool {
         match self.end {
@@ -383,26 +382,25 @@
     }
 }
 
-/// The run times of a queue's tasks, as logarithms of ms.
+/// What is learned of the run times of a queue's tasks, as logarithms of ms.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedQueue {
     /// The queue.
     pub name: String,
-    /// How many tasks have ended.
+    /// The number of tasks that have ended.
     pub count: f32,
-    /// What they took on a usual worker.
+    /// Their run time on a usual worker.
     pub run_time: f32,
-    /// That over what callers had guessed.
+    /// The ratio of their run time to the callers' estimates.
     pub bias: f32,
 }
 
-/// What a dispatcher has learned; a successor that starts without it mistakes the usual for the
-/// slow.
+/// The run times that a dispatcher has learned. A successor without them mistakes tasks of usual length for slow ones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Learned {
-    /// By queue.
+    /// Run times by queue.
     pub queues: Vec<LearnedQueue>,
-    /// How much longer than usual work takes, by worker.
+    /// By worker, how much longer than usual its work takes.
     pub slowdowns: Vec<(String, f32)>,
 }
 
@@ -411,22 +409,22 @@
 pub enum FleetMsg {
     /// A heartbeat.
     Heartbeat(FleetHeartbeat),
-    /// Processes that the sender has heard of.
+    /// Processes that the sender knows of.
     Contacts(Vec<Contact>),
-    /// A message of the keepers' log.
+    /// A message of the keepers' replicated log.
     Log(Vec<u8>),
-    /// A request to the keepers.
+    /// A request to the keepers, or its answer.
     Keeper(KeeperMsg),
-    /// What workers said of themselves.
+    /// Announcements of workers.
     Workers(Vec<WorkerAnnouncement>),
-    /// How the configuration spreads.
+    /// Distribution of the configuration.
     Config(ConfigMsg),
-    /// Work.
+    /// Tasks and their ends.
     Work(WorkMsg),
-    /// What a dispatcher has learned.
+    /// Run times that a dispatcher has learned.
     Learned(Learned),
-    /// Workers that ended under tasks, as a dispatcher knows by now.
+    /// The workers lost so far while they ran these tasks, as a dispatcher knows.
     Crashes(Vec<(TaskId, Crashes)>),
-    /// Queues whose steps are to be started with care.
+    /// Queues whose steps are started with a probe, as workers crashed while running their tasks.
     ProbeQueues(Vec<String>),
 }
