--- a/crates/celerywinch_fleet/src/core/work.rs
+++ b/crates/celerywinch_fleet/src/core/work.rs
@@ -6,7 +6,7 @@
 
 use celerywinch_member::{Input, Output};
 use celerywinch_pool::{Answer, Call};
-use celerywinch_registry::Held;
+use celerywinch_registry::VersionedDocument;
 use celerywinch_types::Time;
 
 use super::{Core, CoreMsg, CoreNote};
@@ -54,8 +54,8 @@
                 }
             }
             Output::NewPeer(peer) => self.new_peer(peer),
-            Output::Heard(peer) => self.send_workers(peer),
-            Output::Forget(peer) => self.forget(peer),
+            Output::PeerAlive(peer) => self.send_workers(peer),
+            Output::RemovePeer(peer) => self.forget(peer),
             Output::Stage(_) => {}
             Output::Member(note) => self.journal.write(now, "member", Kind::Telling, &note),
             Output::Dispatch(note) => {
@@ -118,7 +118,7 @@
 
     /// Puts a document in force if it is newer than the one that is. Within one life of a process
     /// the version never falls.
-    pub(super) fn put_in_force(&mut self, now: Time, held: Held) {
+    pub(super) fn put_in_force(&mut self, now: Time, held: VersionedDocument) {
         if held.version <= self.spread.version() {
             return;
         }
@@ -130,7 +130,7 @@
                 });
                 self.snapshot.book.store(Some(Arc::new(book)));
                 let version = held.version;
-                self.input(now, Input::Version(version));
+                self.input(now, Input::ConfigVersion(version));
                 self.spread(now, SpreadInput::Held(held));
             }
             Err(error) => {
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_domains::{Change, Domains, LocalEntry, PeerView, Peers};
-use celerywinch_origin::{CallerId, Input as OriginInput, JobNote, NewJob, Origin};
+use celerywinch_origin::{CallerId, Input as OriginInput, JobEvent, NewJob, Origin};
 use celerywinch_pool::{Answer, Call, CallKey, Grant, Input as PoolInput, Note, Pool, PoolConfig};
 use celerywinch_types::{
     Crashes, DataCentreId, Evacuations, FleetHeartbeat, FleetMsg, InstanceId, JobEnd, Learned,
@@ -12,9 +12,9 @@
     WorkerAnnouncement,
 };
 
-use crate::MemberNote;
-use crate::beats::Close;
-use crate::round::Round;
+use crate::MemberEvent;
+use crate::heartbeats::FrequentPeers;
+use crate::round_robin::RoundRobin;
 
 /// An entry is ready this long after its start at the earliest: heartbeats of all that are there
 /// have come by then.
@@ -52,7 +52,7 @@
     /// All data centres.
     pub dcs: BTreeSet<DataCentreId>,
     /// The most workers that one dispatcher takes.
-    pub shard: usize,
+    pub shard_size: usize,
     /// Limits of the dispatcher.
     pub pool: PoolConfig,
 }
@@ -61,9 +61,9 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A heartbeat.
-    Beat(Process, FleetHeartbeat),
+    Heartbeat(Process, FleetHeartbeat),
     /// A machine says that nobody listens there.
-    Refused(InstanceId),
+    ConnectionRefused(InstanceId),
     /// Messages from or to a process may be lost.
     LinkReset(InstanceId),
     /// Between origins and dispatchers.
@@ -75,7 +75,7 @@
     /// Workers that ended under tasks, as another dispatcher knows.
     Crashes(Vec<(TaskId, Crashes)>),
     /// Queues whose steps another dispatcher starts with care.
-    Careful(Vec<String>),
+    ProbeQueues(Vec<String>),
     /// A caller submits a job; it is handed in at the next `Flush` or `Tick`.
     Submit(CallerId, NewJob),
     /// A caller waits no more.
@@ -87,7 +87,7 @@
     /// A worker's answer came after its time, as the dispatcher is told.
     AnsweredLate(Duration),
     /// This version of the configuration is in force here.
-    Version(u64),
+    ConfigVersion(u64),
     /// The evacuations that the local keeper holds.
     Evacuations(Evacuations),
     /// A planned stop begins.
@@ -111,17 +111,17 @@
     NewPeer(Process),
     /// A process is heard, for the first time or after a silence: what was told to all that were heard
     /// meanwhile has not reached it.
-    Heard(InstanceId),
+    PeerAlive(InstanceId),
     /// A process was not heard for very long.
-    Forget(InstanceId),
+    RemovePeer(InstanceId),
     /// This process is at another stage.
     Stage(Stage),
     /// For the logs: of the member, the dispatcher, the origin.
-    Member(MemberNote),
+    Member(MemberEvent),
     /// A decision of the dispatcher.
     Dispatch(Note),
     /// A decision of the origin.
-    Origin(JobNote),
+    Origin(JobEvent),
 }
 
 /// A member of a fleet.
@@ -142,10 +142,10 @@
     /// When those that need it often got the last heartbeat.
     pub(crate) beaten: Time,
     /// The round of heartbeats to the others.
-    pub(crate) slow_round: Round,
+    pub(crate) slow_round: RoundRobin,
     /// The round of telling what was learned.
-    pub(crate) teach_round: Round,
-    pub(crate) close: Close,
+    pub(crate) teach_round: RoundRobin,
+    pub(crate) close: FrequentPeers,
     /// Whether others dispatch than the origin was told last.
     pub(crate) stale: bool,
     /// How many workers are known though they are more than the shards can take; since when, and since when just so many.
@@ -198,9 +198,9 @@
             evacuations: Evacuations::default(),
             started: now,
             beaten: Time::default(),
-            slow_round: Round::default(),
-            teach_round: Round::default(),
-            close: Close::default(),
+            slow_round: RoundRobin::default(),
+            teach_round: RoundRobin::default(),
+            close: FrequentPeers::default(),
             stale: true,
             uneven: None,
             circled: Time::default(),
@@ -227,7 +227,7 @@
     /// number of processes where all links to a data centre open anew. One that has just started is told by all, or it would
     /// divide the workers among the few that it knows.
     #[must_use]
-    pub fn tells_contacts(&self, peer: InstanceId) -> bool {
+    pub fn sends_contacts(&self, peer: InstanceId) -> bool {
         let was_there = self
             .peers
             .get(peer)
@@ -263,7 +263,7 @@
     /// The open work, of callers and as dispatcher, a line for each job or step. For logs and checks.
     #[must_use]
     pub fn open_work(&self, now: Time) -> Vec<String> {
-        let mut lines = self.origin.open_places();
+        let mut lines = self.origin.describe_jobs();
         lines.extend(self.pool.open_steps(now));
         lines
     }
@@ -291,8 +291,8 @@
 
     fn take(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Beat(from, beat) => self.beat(now, from, beat, out),
-            Input::Refused(peer) => {
+            Input::Heartbeat(from, beat) => self.beat(now, from, beat, out),
+            Input::ConnectionRefused(peer) => {
                 self.peers.record_refusal(peer);
                 self.compare_alive(now, out);
             }
@@ -308,7 +308,7 @@
             Input::Workers(notes) => self.pool_input(now, PoolInput::Workers(notes), out),
             Input::Learned(learned) => self.pool.learn_from(learned),
             Input::Crashes(told) => self.pool_input(now, PoolInput::Crashes(told), out),
-            Input::Careful(queues) => self.pool_input(now, PoolInput::Careful(queues), out),
+            Input::ProbeQueues(queues) => self.pool_input(now, PoolInput::Careful(queues), out),
             Input::Submit(caller, job) => self.arrivals.push((caller, job)),
             Input::CallerGone(caller) => self.caller_gone(now, caller, out),
             Input::Flush => self.flush(now, out),
@@ -318,7 +318,7 @@
             Input::AnsweredLate(took) => {
                 self.pool_input(now, PoolInput::AnsweredLate(took), out);
             }
-            Input::Version(version) => self.version = version,
+            Input::ConfigVersion(version) => self.version = version,
             Input::Evacuations(evacuations) => {
                 let adopted = self.adopt_evacuations(now, &evacuations, out);
                 if adopted && self.config.part == ProcessKind::Keeper {
@@ -358,7 +358,7 @@
         match arrived {
             Some(index) => {
                 let (_, job) = self.arrivals.remove(index);
-                let note = JobNote::CallerLeft {
+                let note = JobEvent::CallerLeft {
                     job: job.id,
                     took: 0,
                 };
@@ -372,7 +372,7 @@
         self.stage = stage;
         self.domains.set_stage(stage);
         out.push(Output::Stage(stage));
-        out.push(Output::Member(MemberNote::Stage {
+        out.push(Output::Member(MemberEvent::Stage {
             stage,
             version: self.version,
         }));
@@ -392,7 +392,7 @@
         self.compare_alive(now, out);
         for peer in self.peers.remove_expired(now) {
             self.lost.remove(&peer);
-            out.push(Output::Forget(peer));
+            out.push(Output::RemovePeer(peer));
         }
         if self.config.part == ProcessKind::Entry {
             self.join(now, out);
@@ -400,7 +400,7 @@
                 self.compare_domains(now, out);
             }
             self.measure(now);
-            if self.stale || self.origin.misses_holder() {
+            if self.stale || self.origin.holders_incomplete() {
                 self.update_holders(now, out);
             } else {
                 let me = self.config.me.instance;
@@ -488,7 +488,7 @@
             return false;
         }
         self.evacuations = evacuations.clone();
-        out.push(Output::Member(MemberNote::Evacuated {
+        out.push(Output::Member(MemberEvent::Evacuated {
             revision: evacuations.revision,
             dcs: evacuations.dcs.clone(),
         }));
@@ -501,9 +501,9 @@
     }
 
     fn new_life(&mut self, now: Time, from: Process, out: &mut Vec<Output>) {
-        out.push(Output::Member(MemberNote::PeerHeard {
+        out.push(Output::Member(MemberEvent::PeerHeard {
             peer: from.instance,
-            life: from.incarnation,
+            incarnation: from.incarnation,
         }));
         if self.alive.contains(&from.instance) {
             // What the earlier life had is lost, though its silence was too short to notice.
@@ -536,7 +536,7 @@
         {
             self.domains.peer_found(now);
         }
-        out.push(Output::Heard(peer));
+        out.push(Output::PeerAlive(peer));
         self.send_beat(now, peer, out);
         // What it handed in while it was taken for lost was not taken.
         if self.lost.remove(&peer) {
@@ -548,9 +548,9 @@
         self.lost.insert(peer);
         let view = self.peers.get(peer);
         let silent = view.map_or(Duration::ZERO, |view| now.since(view.last_contact));
-        out.push(Output::Member(MemberNote::PeerLost {
+        out.push(Output::Member(MemberEvent::PeerLost {
             peer,
-            silent: u32::try_from(silent.as_millis()).unwrap_or(u32::MAX),
+            silent_ms: u32::try_from(silent.as_millis()).unwrap_or(u32::MAX),
             refused: view.is_some_and(|view| view.refused),
         }));
         self.pool_input(now, PoolInput::OriginLost(peer), out);
@@ -600,7 +600,7 @@
     /// Divides the workers in as many shards as their number wants, or as others have found. The
     /// number only rises, so that all come to the same one.
     fn divide(&mut self, now: Time, changes: &mut Vec<Change>, out: &mut Vec<Output>) {
-        let wanted = shards(self.pool.known_workers(), self.config.shard);
+        let wanted = shards(self.pool.known_workers(), self.config.shard_size);
         let told = self.peers.alive(now).map(|(_, view)| view.heartbeat.shards);
         let told = told.max();
         let shards = told.unwrap_or(1).max(wanted);
@@ -623,7 +623,7 @@
         self.domains.set_shards(shards, changes);
         self.change_domains(now, std::mem::take(changes), out);
         self.pool.set_shards(shards);
-        out.push(Output::Member(MemberNote::Divided { shards }));
+        out.push(Output::Member(MemberEvent::Divided { shards }));
     }
 
     fn change_domains(&mut self, now: Time, changes: Vec<Change>, out: &mut Vec<Output>) {
@@ -711,7 +711,7 @@
                 celerywinch_origin::Output::Answer(caller, end) => {
                     out.push(Output::Answer(caller, end));
                 }
-                celerywinch_origin::Output::Note(note) => out.push(Output::Origin(note)),
+                celerywinch_origin::Output::Event(event) => out.push(Output::Origin(event)),
             }
         }
     }
--- a/crates/celerywinch_registry/src/lib.rs
+++ b/crates/celerywinch_registry/src/lib.rs
@@ -8,4 +8,6 @@
 
 mod registry;
 
-pub use registry::{Figures, Held, PATIENCE, Registry, RegistryOutput, Request};
+pub use registry::{
+    REQUEST_TIMEOUT, Registry, RegistryOutput, RegistryStatus, Request, VersionedDocument,
+};
