--- a/crates/celerywinch_types/src/id.rs
+++ b/crates/celerywinch_types/src/id.rs
@@ -12,10 +12,10 @@
     /// A data centre, numbered in the settings.
     pub struct DataCentreId(pub u8);
 
-    /// Tells the processes apart that run one after the other at one instance.
+    /// Distinguishes the processes that run one after the other at one instance or worker.
     ///
-    /// Where numbers are kept on a disk, or are the worker's own, a later one is greater. Members of a fleet draw theirs: which
-    /// of two is the later is known from the links alone.
+    /// Where the number is stored on disk, or chosen by a worker, a later one is greater. Members of a fleet draw a random
+    /// number; only the links tell which of two incarnations is the later one.
     #[derive(Default)]
     pub struct Incarnation(pub u64);
 }
@@ -33,25 +33,24 @@
 }
 
 domain! {
-    /// One life of an instance.
+    /// One incarnation of an instance.
     #[derive(Copy, Hash, PartialOrd, Ord, Default)]
     pub struct Process {
         /// The instance.
         pub instance: InstanceId,
-        /// Which life of it.
+        /// Its incarnation.
         pub incarnation: Incarnation,
     }
 
-    /// One attempt of a process to get the claim of a key; who may start its tasks.
+    /// One attempt of a process to acquire the claim of a key. The holder of the claim may start the tasks of the key.
     ///
-    /// The attempt is part of it, for votes are given again to the holder that has them: without it
-    /// a process that is done with a key would get the votes for a resubmission and start the
-    /// tasks a second time.
+    /// It includes the attempt because replicas repeat their votes for the same holder. Without it a process that
+    /// is done with a key would get the votes again for a resubmission, and start the tasks a second time.
     #[derive(Copy, Hash, PartialOrd, Ord, Default)]
     pub struct Holder {
         /// The process.
         pub process: Process,
-        /// Counts the attempts of the process, over all keys.
+        /// The number of the attempt, counted over all keys of the process.
         pub attempt: u64,
     }
 }
--- a/crates/celerywinch_types/src/job.rs
+++ b/crates/celerywinch_types/src/job.rs
@@ -1,4 +1,4 @@
-//! What a caller submits.
+//! Submissions of callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,23 +6,23 @@
 use crate::{Key, KindName, domain};
 
 domain! {
-    /// The body of one task: JSON text that is passed to the endpoint unread.
+    /// The body of one task: JSON text that is passed to the endpoint without being parsed.
     #[serde(transparent)]
     pub struct TaskBody(pub Arc<str>);
 
-    /// A request (one task) or a job (several), checked by the filters.
+    /// A request (one task) or a job (several tasks) that has passed the filters.
     pub struct Submission {
-        /// Names the submission; a resubmission carries the same key.
+        /// The idempotency key; a resubmission has the same key.
         pub key: Key,
         /// The catalogue kind.
         pub kind: KindName,
-        /// The team that is charged.
+        /// The team to which the submission is charged.
         pub team: Arc<str>,
-        /// Hash of kind and bodies, to tell a resubmission from a conflicting reuse of the key.
+        /// The hash of kind and bodies, which distinguishes a resubmission from a conflicting reuse of the key.
         pub digest: u64,
-        /// Time left until the deadline when this value was made or received.
+        /// The time left until the deadline when this value was created or received.
         pub remaining: Duration,
-        /// One body a task, in the caller's order.
+        /// The body of each task, in the caller's order.
         pub tasks: Vec<TaskBody>,
     }
 }
--- a/crates/celerywinch_types/src/key.rs
+++ b/crates/celerywinch_types/src/key.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys, which carry the time of their creation.
+//! Idempotency keys, which contain the time of their creation.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,39 +9,39 @@
 
 use crate::{WallMs, stable_hash};
 
-/// The longest key that is accepted, in bytes.
+/// The length of the longest key that is accepted, in bytes.
 pub const MAX_KEY_BYTES: usize = 160;
 
 /// A caller's idempotency key: `[home:]UUIDv7` or `[home:]text@unix-milliseconds`.
 ///
-/// The time in the key bounds how long replicas must remember it. A key without a time could be
-/// resubmitted after all memory of it is gone, and its tasks would start twice.
+/// The time in the key limits how long replicas must remember it. A key without a time could be
+/// resubmitted after all replicas have removed it, and its tasks would start twice.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Key {
     text: Arc<str>,
-    born: WallMs,
+    created_at: WallMs,
 }
 
-/// Why a text is not a key.
+/// The reason why a text is not a valid key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum KeyError {
-    /// There is no text.
+    /// The text is empty.
     #[error("the key is empty; send a UUIDv7 or `text@unix-milliseconds`")]
     Empty,
-    /// There is too much text.
+    /// The text is longer than [`MAX_KEY_BYTES`].
     #[error("the key is longer than {MAX_KEY_BYTES} bytes; send a shorter one")]
     TooLong,
-    /// Other than printable ASCII.
+    /// The text contains characters other than printable ASCII.
     #[error("the key holds characters other than printable ASCII; send a UUIDv7")]
     Characters,
-    /// The creation time is missing.
+    /// The text contains no creation time.
     #[error("the key holds no creation time; send a UUIDv7 or append `@` and Unix milliseconds")]
     NoTime,
 }
 
 impl Key {
-    /// Checks a caller's text.
+    /// Parses a caller's text.
     pub fn parse(text: &str) -> Result<Self, KeyError> {
         if text.is_empty() {
             return Err(KeyError::Empty);
@@ -52,32 +52,32 @@
         if !text.bytes().all(|b| b.is_ascii_graphic()) {
             return Err(KeyError::Characters);
         }
-        let born = creation_time(text).ok_or(KeyError::NoTime)?;
+        let created_at = creation_time(text).ok_or(KeyError::NoTime)?;
         Ok(Self {
             text: text.into(),
-            born,
+            created_at,
         })
     }
 
-    /// The whole text, as the caller sent it.
+    /// Returns the whole text, as the caller sent it.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.text
     }
 
-    /// When the caller made the key.
+    /// Returns the time at which the caller created the key.
     #[must_use]
     pub fn created_at(&self) -> WallMs {
-        self.born
+        self.created_at
     }
 
-    /// The name of the home data centre, if the caller put one in front.
+    /// Returns the name of the home data centre, if the key begins with one.
     #[must_use]
     pub fn home_hint(&self) -> Option<&str> {
         self.text.split_once(':').map(|(home, _)| home)
     }
 
-    /// A hash that is the same in every process.
+    /// Returns a hash of the key that is the same in every process.
     #[must_use]
     pub fn hash64(&self) -> u64 {
         stable_hash(self.text.as_bytes())
@@ -85,11 +85,11 @@
 }
 
 fn creation_time(text: &str) -> Option<WallMs> {
-    let bare = text.split_once(':').map_or(text, |(_, rest)| rest);
-    if let Some((_, millis)) = bare.rsplit_once('@') {
+    let without_home = text.split_once(':').map_or(text, |(_, rest)| rest);
+    if let Some((_, millis)) = without_home.rsplit_once('@') {
         return millis.parse().ok().map(WallMs);
     }
-    let uuid = Uuid::parse_str(bare).ok()?;
+    let uuid = Uuid::parse_str(without_home).ok()?;
     if uuid.get_version_num() != 7 {
         return None;
     }
--- a/crates/celerywinch_types/src/lib.rs
+++ b/crates/celerywinch_types/src/lib.rs
@@ -1,6 +1,6 @@
-//! Types shared by every part: keys, time, outcomes and the messages between processes.
+//! Types shared by all crates: keys, time, outcomes and the messages between processes.
 //!
-//! Nothing here decides anything. The crate depends on no other crate of the workspace.
+//! This crate contains no state machines, and depends on no other crate of the workspace.
 
 mod crashes;
 mod endpoint;
--- a/crates/celerywinch_types/src/macros.rs
+++ b/crates/celerywinch_types/src/macros.rs
@@ -1,6 +1,6 @@
-//! The one macro for the derives that all domain types share.
+//! Macros for the derives that the types of this crate share.
 
-/// Adds the common derives to types that travel between processes or to disk.
+/// Adds the common derives to types that are sent between processes or written to disk.
 #[macro_export]
 macro_rules! domain {
     ($($item:item)*) => {
--- a/crates/celerywinch_types/src/mechanism.rs
+++ b/crates/celerywinch_types/src/mechanism.rs
@@ -1,52 +1,52 @@
-//! Mechanisms of dispatching that can be left out, so that what each of them is worth can be measured.
+//! Mechanisms of dispatching that can be disabled to measure the benefit of each.
 
 use std::str::FromStr;
 
 use crate::domain;
 
 domain! {
-    /// A mechanism that serves callers better, and without which no promise is broken.
+    /// A mechanism that improves the service for callers. All guarantees hold without it.
     #[derive(Copy)]
     pub enum Mechanism {
-        /// New jobs that cannot end in time are refused at once.
+        /// Refuses new jobs at once that cannot end in time.
         Admission,
-        /// Queued jobs that can no longer end in time are refused.
+        /// Refuses queued jobs that can no longer end in time.
         Shedding,
-        /// Admission counts the work of higher priority that comes meanwhile.
+        /// Includes in admission the work of higher priority that will arrive meanwhile.
         Inflow,
-        /// Jobs of higher priority come first.
+        /// Starts jobs of higher priority first.
         Priority,
-        /// The pace of each worker is learned.
+        /// Learns how fast each worker is.
         Pace,
-        /// Workers that fail tasks or stand still get none for a while.
+        /// Quarantines workers that fail tasks or make no progress.
         Probation,
-        /// Runs that make too little progress are moved.
+        /// Moves runs that make too little progress to another worker.
         Moving,
-        /// Tasks go where the least room is left empty.
+        /// Places tasks where they leave the least capacity unused.
         Packing,
-        /// A dispatcher without room gives tasks back, and another one is tried.
+        /// Returns tasks that cannot start at once, so that another dispatcher is tried.
         Passing,
-        /// Runs that a lost dispatcher started are adopted.
+        /// Adopts the runs that a lost dispatcher started.
         Adoption,
-        /// Ends that are found at a change of hands settle tasks in doubt.
+        /// Settles tasks in doubt by the ends of runs that are found at a takeover.
         Shortcuts,
-        /// What was learned of run times is told to successors.
+        /// Sends learned run times to successors.
         Teaching,
-        /// Run times are learned.
+        /// Learns run times.
         Learning,
-        /// Orders are waited for by what answers took.
+        /// Derives the timeout of an order from the answer times of earlier ones.
         Patience,
-        /// Dispatchers listen for less long where all processes have just started.
+        /// Shortens the takeover delay of dispatchers where all processes have just started.
         ShortListening,
-        /// A refused caller is told when the queue will be done.
+        /// Tells a refused caller when the queue will be empty.
         RetryTime,
-        /// Work stays in one data centre while there is room.
+        /// Keeps work in one data centre while that has capacity.
         Locality,
     }
 }
 
 impl Mechanism {
-    /// All of them, with the names that the command line takes.
+    /// All mechanisms, with their names on the command line.
     pub const ALL: [(Self, &'static str); 17] = [
         (Self::Admission, "admission"),
         (Self::Shedding, "shedding"),
@@ -69,26 +69,26 @@
 }
 
 domain! {
-    /// Mechanisms that are left out; none by default.
+    /// The set of disabled mechanisms; empty by default.
     #[derive(Copy, Default)]
     pub struct DisabledMechanisms(u32);
 }
 
 impl DisabledMechanisms {
-    /// Leaves one more out.
+    /// Disables one more mechanism.
     #[must_use]
     pub fn with(self, mechanism: Mechanism) -> Self {
         Self(self.0 | 1 << mechanism as u32)
     }
 
-    /// Whether a mechanism is left out.
+    /// Whether a mechanism is disabled.
     #[must_use]
     pub fn contains(self, mechanism: Mechanism) -> bool {
         self.0 & 1 << mechanism as u32 != 0
     }
 }
 
-/// A name that is no mechanism's.
+/// The error for a name that no mechanism has.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("found {0:?}, wanted names of mechanisms, separated by commas: {names}", names = names())]
 pub struct UnknownMechanism(String);
@@ -100,16 +100,16 @@
 impl FromStr for DisabledMechanisms {
     type Err = UnknownMechanism;
 
-    /// Reads names that are separated by commas; an empty text leaves nothing out.
+    /// Parses names that are separated by commas; an empty text disables nothing.
     fn from_str(text: &str) -> Result<Self, UnknownMechanism> {
         let named = text.split(',').filter(|name| !name.is_empty());
         named
             .into_iter()
-            .try_fold(Self::default(), |without, name| {
+            .try_fold(Self::default(), |disabled, name| {
                 let mut all = Mechanism::ALL.into_iter();
                 let known = all.find(|(_, known)| *known == name);
                 let (mechanism, _) = known.ok_or_else(|| UnknownMechanism(name.to_owned()))?;
-                Ok(without.with(mechanism))
+                Ok(disabled.with(mechanism))
             })
     }
 }
--- a/crates/celerywinch_types/src/status.rs
+++ b/crates/celerywinch_types/src/status.rs
@@ -1,15 +1,15 @@
-//! How programs end.
+//! Exit codes of the programs.
 
 use std::process::ExitCode;
 
-/// How a program ended, as its exit code tells.
+/// How a program ended, as its exit code reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// It did what it was asked, all checks held, and a planned stop cut nothing off: 0.
+    /// Code 0: the command succeeded, all checks passed, and a planned stop interrupted nothing.
     Success,
-    /// A check did not hold, the system refused, or there was a fault while running: 1.
+    /// Code 1: a check failed, the system refused the request, or an error occurred while running.
     Failure,
-    /// Wrong arguments, settings or files: 2.
+    /// Code 2: the arguments, settings or files are invalid.
     Usage,
 }
 
--- a/crates/celerywinch_types/src/time.rs
+++ b/crates/celerywinch_types/src/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as the state machines see it, and wall-clock time for the age of keys.
+//! Monotonic time for the state machines, and wall-clock time for the age of keys.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -8,14 +8,14 @@
 identifier! {
     /// Microseconds on a monotonic clock whose origin is the start of the process.
     ///
-    /// Means nothing to another process, which can only send it back ([`Echo`](crate::Echo)): deadlines
-    /// travel as remaining time.
+    /// It has no meaning for another process, which can only echo it ([`Echo`](crate::Echo)). Deadlines are
+    /// therefore sent as remaining time.
     #[derive(Default)]
     pub struct Time(pub u64);
 
     /// Milliseconds since the Unix epoch.
     ///
-    /// Used only to judge the age of a key; see `celerywinch_claims` for the bound on skew.
+    /// Used only to determine the age of a key; see `celerywinch_claims` for the limit on clock skew.
     #[derive(Default)]
     pub struct WallMs(pub u64);
 }
@@ -24,7 +24,7 @@
     /// A time that is never reached.
     pub const NEVER: Self = Self(u64::MAX);
 
-    /// The span from `earlier` to `self`, zero if `earlier` is later.
+    /// Returns the time from `earlier` to `self`, or zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
--- a/crates/celerywinch_types/src/timers.rs
+++ b/crates/celerywinch_types/src/timers.rs
@@ -1,17 +1,17 @@
-//! The timer service: parts subscribe with a token and get it back when it is due.
+//! A timer queue: callers schedule a token, which is returned when it is due.
 
 use std::collections::BTreeMap;
 
 use crate::Time;
 
-/// Names one subscription, to cancel it.
+/// Identifies one scheduled token, to cancel it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerId {
     due: Time,
     serial: u64,
 }
 
-/// An ordered queue of subscriptions, driven from outside by `pop_due`.
+/// A queue of scheduled tokens in order of due time. The caller polls it with `pop_due`.
 #[derive(Debug)]
 pub struct TimerQueue<T> {
     entries: BTreeMap<TimerId, T>,
@@ -28,7 +28,7 @@
 }
 
 impl<T> TimerQueue<T> {
-    /// Asks for `token` to be returned at or after `due`.
+    /// Schedules `token` to be returned at or after `due`.
     pub fn subscribe(&mut self, due: Time, token: T) -> TimerId {
         self.serial += 1;
         let id = TimerId {
@@ -39,12 +39,12 @@
         id
     }
 
-    /// Drops a subscription; one that already fired is ignored.
+    /// Removes a scheduled token; does nothing if it was already returned.
     pub fn cancel(&mut self, id: TimerId) {
         self.entries.remove(&id);
     }
 
-    /// The next token that is due at `now`, in order of due time.
+    /// Removes and returns the next token that is due at `now`, in order of due time.
     pub fn pop_due(&mut self, now: Time) -> Option<T> {
         let entry = self.entries.first_entry()?;
         if entry.key().due > now {
@@ -53,19 +53,19 @@
         Some(entry.remove())
     }
 
-    /// When the next subscription is due.
+    /// Returns the time at which the next token is due.
     #[must_use]
     pub fn next_due(&self) -> Option<Time> {
         self.entries.first_key_value().map(|(id, _)| id.due)
     }
 
-    /// How many subscriptions are open.
+    /// Returns the number of scheduled tokens.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no subscription is open.
+    /// Whether no token is scheduled.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
