--- a/crates/celerywinch_types/src/message.rs
+++ b/crates/celerywinch_types/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between entry instances. Each may be lost, delayed, duplicated or reordered.
+//! Messages between entries. Each may be lost, delayed, duplicated or reordered.
 
 use std::time::Duration;
 
@@ -8,31 +8,31 @@
 };
 
 domain! {
-    /// A ballot of the register that agrees on a key's outcome.
+    /// A ballot of the consensus register that agrees on a key's outcome.
     ///
-    /// Round 0 is before any ballot, round 1 is reserved to the holder of the claim, and rounds
-    /// from 2 on are for whoever settles a key whose holder is gone. The proposer's incarnation is
-    /// part of it, so that a restarted process never uses a ballot of its earlier life again.
+    /// Round 0 precedes every ballot, round 1 is reserved for the holder of the claim, and rounds
+    /// from 2 on are for processes that settle a key whose holder is gone. The ballot includes the
+    /// proposer's incarnation, so that a restarted process never reuses a ballot of an earlier one.
     #[derive(Copy, Hash, PartialOrd, Ord, Default)]
     pub struct Ballot {
         /// The round.
         pub round: u32,
-        /// Whose ballot it is.
+        /// The process that proposes.
         pub proposer: Process,
     }
 
-    /// What a replica has recorded about the claim of a key.
+    /// The vote that a replica has recorded for the claim of a key.
     #[derive(Copy)]
     pub enum VoteState {
         /// No vote was given.
         None,
         /// The vote was given to this holder.
         For(Holder),
-        /// The vote was given, but its holder is this replica and gave the claim up unstarted.
+        /// The vote was given to this replica itself, which released the claim before it started anything.
         Void(Holder),
     }
 
-    /// What a replica answers to a request for its vote.
+    /// The answer of a replica to a request for its vote.
     pub enum Grant {
         /// The vote is given.
         Granted,
@@ -40,13 +40,13 @@
         Taken(Holder),
         /// Another instance is settling the key.
         Settling,
-        /// The outcome is decided.
+        /// The outcome is already decided.
         Decided(Outcome),
-        /// The key is older than may still be run.
+        /// The key is too old for its tasks to be started.
         TooOld,
         /// The key was used with another body.
         Conflict,
-        /// The key's time lies in the future.
+        /// The creation time of the key lies in the future.
         TooNew,
     }
 
@@ -58,10 +58,10 @@
             key: Key,
             /// Hash of the body.
             digest: u64,
-            /// Who wants to start the tasks.
+            /// The process and attempt that wants to start the tasks.
             holder: Holder,
         },
-        /// Asks for a promise to accept nothing below `ballot`.
+        /// Asks for a promise to accept no ballot below `ballot`.
         Prepare {
             /// The key.
             key: Key,
@@ -79,14 +79,14 @@
             /// The outcome.
             outcome: Outcome,
         },
-        /// Asks what is known of a key, without changing anything.
+        /// Asks for the state of a key, without changing it.
         Inspect {
             /// The key.
             key: Key,
         },
-        /// Tells replicas which outcomes are decided, so that each can answer alone.
+        /// Notifies replicas of decided outcomes, so that each can answer without the others.
         Decided(Vec<(Key, Ballot)>),
-        /// Any reply.
+        /// A reply.
         Reply(ClaimReply),
     }
 
@@ -96,9 +96,9 @@
         Voted {
             /// The key.
             key: Key,
-            /// For whom the vote was asked.
+            /// The holder for which the vote was requested.
             holder: Holder,
-            /// The answer; none is an abstention.
+            /// The answer; `None` is an abstention.
             grant: Option<Grant>,
         },
         /// To `Prepare`: the promise was given.
@@ -107,11 +107,11 @@
             key: Key,
             /// The ballot.
             ballot: Ballot,
-            /// The vote.
+            /// The recorded vote.
             vote: VoteState,
-            /// Hash of the body, if the key is known.
+            /// Hash of the body, zero if the key is not known.
             digest: u64,
-            /// The outcome accepted last.
+            /// The outcome that was accepted last, with its ballot.
             accepted: Option<(Ballot, Outcome)>,
         },
         /// To `Accept`: accepted.
@@ -134,7 +134,7 @@
         Found {
             /// The key.
             key: Key,
-            /// The vote.
+            /// The recorded vote.
             vote: VoteState,
             /// Hash of the body, zero if the key is not known.
             digest: u64,
@@ -143,63 +143,63 @@
             /// Whether an outcome was accepted or is being settled.
             settling: bool,
         },
-        /// To any request: the replica lost its memory of a key this old.
+        /// To any request: the replica has lost its records of keys this old.
         Abstained {
             /// The key.
             key: Key,
         },
     }
 
-    /// Liveness and what rides on it.
+    /// A heartbeat between entries, with the state of the sender.
     pub struct Heartbeat {
-        /// Counts the sender's heartbeats.
+        /// The number of the heartbeat at its sender.
         pub sequence: u64,
         /// The sender's wall clock.
         pub wall: WallMs,
         /// The sender's monotonic clock, to be echoed.
         pub sent: Time,
-        /// The receiver's last clock value that reached the sender, for the round trip.
+        /// The receiver's clock in its last heartbeat that reached the sender, to measure the round trip.
         pub echo: Option<Time>,
-        /// Whether the sender heard from the receiver lately: tells a one-way loss.
+        /// Whether the sender has recently received messages of the receiver; false indicates a one-way loss.
         pub receives: bool,
-        /// Which incarnation of the receiver the sender knows.
+        /// The incarnation of the receiver that the sender knows.
         pub known_incarnation: Incarnation,
-        /// Version of the catalogue in force at the sender.
+        /// The version of the catalogue in force at the sender.
         pub catalogue: u64,
-        /// Version that the sender holds and will put in force.
+        /// The version that the sender has received and will put in force.
         pub pending_catalogue: u64,
-        /// Whether the sender may serve by what it has in force.
+        /// Whether the sender may serve by the catalogue in force there.
         pub current: bool,
         /// Whether the sender is stopping.
         pub stopping: bool,
-        /// Tasks waiting for a slot at the sender.
+        /// The number of tasks that wait for a slot at the sender.
         pub queued: u32,
     }
 
-    /// A renewal of an endpoint's lease, without what cannot have changed.
+    /// A renewal of an endpoint's lease, without the unchanged fields of the announcement.
     #[derive(Copy)]
     pub struct Renewal {
-        /// Where the endpoint serves.
+        /// The address at which the endpoint serves.
         pub addr: std::net::SocketAddr,
-        /// Which life of it.
+        /// Its incarnation.
         pub incarnation: u64,
-        /// Orders announcements of one life.
+        /// Orders the announcements of one incarnation.
         pub sequence: u64,
-        /// Age of the announcement in milliseconds when this message was sent.
+        /// The age of the announcement when this message was sent, in ms.
         pub age_ms: u32,
     }
 
-    /// Membership.
+    /// Messages about members, endpoints and the catalogue.
     pub enum MemberMsg {
-        /// Liveness.
+        /// A heartbeat.
         Heartbeat(Heartbeat),
         /// New or changed announcements of endpoints.
         Endpoints(Vec<EndpointAnnouncement>),
-        /// Renewals of endpoints that the receiver should know.
+        /// Renewals of endpoints that the receiver should know already.
         Renewals(Vec<Renewal>),
-        /// Asks for all endpoints the receiver knows.
+        /// Asks for all endpoints that the receiver knows.
         EndpointsWanted,
-        /// Asks for the catalogue that the receiver holds.
+        /// Asks for the receiver's catalogue.
         CatalogueWanted,
         /// A catalogue, in JSON.
         Catalogue {
@@ -208,7 +208,7 @@
             /// The document.
             document: Vec<u8>,
         },
-        /// A stopping entry takes its leave: its claims are handed over or done.
+        /// A stopping entry leaves: its claims are handed over or done.
         Leave,
     }
 
@@ -218,30 +218,30 @@
         Borrow {
             /// The kind.
             kind: crate::KindName,
-            /// How many.
+            /// The number of slots.
             count: u16,
         },
-        /// Lends slots until the lease ends or they are given back.
+        /// Lends slots until the lease expires or they are returned.
         Lend {
-            /// Endpoint and number of slots.
+            /// The endpoints, with the number of slots at each.
             slots: Vec<(std::net::SocketAddr, u16)>,
-            /// Length of the lease.
+            /// The length of the lease.
             lease: Duration,
-            /// Names the loan.
+            /// The number of the loan.
             loan: u64,
         },
-        /// Gives a loan back.
+        /// Returns a loan.
         Return {
-            /// Names the loan.
+            /// The number of the loan.
             loan: u64,
         },
     }
 
-    /// A submission passed between entries.
+    /// Messages that relay submissions and their outcomes between entries.
     pub enum RelayMsg {
-        /// Asks the receiver to see the submission to its outcome.
+        /// Asks the receiver to process the submission until its outcome.
         Submit(Submission),
-        /// Asks for the outcome of a key that the receiver holds.
+        /// Asks for the outcome of a key whose claim the receiver holds.
         Watch(Key),
         /// The outcome.
         Outcome {
@@ -252,13 +252,13 @@
             /// The outcome.
             outcome: Outcome,
         },
-        /// The receiver of `Watch` does not hold the key.
+        /// The receiver of `Watch` does not hold the claim of the key.
         NotHeld(Key),
-        /// The receiver of `Submit` is working on it.
+        /// The receiver of `Submit` is processing the submission.
         Working(Key),
         /// The key was used with another body.
         Conflict(Key),
-        /// Asks to cancel a key wherever it is held.
+        /// Asks to cancel a key, whichever entry holds its claim.
         Cancel(Key),
         /// Asks for the outcome of a key of the receiver's data centre.
         Lookup(Key),
@@ -268,17 +268,17 @@
         Unknown(Key),
     }
 
-    /// Everything that travels between entries.
+    /// A message between entries.
     pub enum PeerMsg {
-        /// The register of a key.
+        /// Consensus on the claim and outcome of a key.
         Claim(ClaimMsg),
-        /// Membership.
+        /// Members, endpoints and the catalogue.
         Member(MemberMsg),
-        /// Submissions.
+        /// Submissions and outcomes.
         Relay(RelayMsg),
-        /// Slots.
+        /// Loans of slots.
         Slot(SlotMsg),
-        /// The replicated store, encoded by its own crate.
+        /// A message of the replicated store, encoded by `celerywinch_store`.
         Store(Vec<u8>),
     }
 }
--- a/crates/celerywinch_types/src/outcome.rs
+++ b/crates/celerywinch_types/src/outcome.rs
@@ -5,7 +5,7 @@
 use crate::domain;
 
 domain! {
-    /// Whether work ran. `No` is said only where it is certain.
+    /// Whether work ran. `No` is used only where it is certain.
     #[derive(Copy, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum Ran {
@@ -17,7 +17,7 @@
         Yes,
     }
 
-    /// Where in the life of a submission something went wrong.
+    /// The step of a submission at which it failed.
     #[derive(Copy, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum Step {
@@ -35,7 +35,7 @@
     #[derive(Copy, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum RefusalReason {
-        /// The time left does not suffice for the queue and the run.
+        /// The time left is too short for the queue and the run.
         Overload,
         /// No endpoint of the data centre serves the kind.
         NoEndpoint,
@@ -43,40 +43,40 @@
         TooLarge,
         /// The deadline passed before anything started.
         Deadline,
-        /// The caller cancelled it before anything started.
+        /// The caller cancelled the submission before anything started.
         Cancelled,
         /// The claim was lost before anything started.
         Unclaimed,
     }
 
-    /// Work started, or may have, and there is no whole answer.
+    /// The outcome of a submission whose work started, or may have, without a complete answer.
     pub struct Failure {
         /// Whether any task ran.
         pub ran: Ran,
-        /// Where it went wrong.
+        /// The step that failed.
         pub step: Step,
         /// The instance or endpoint involved.
         pub peer: String,
-        /// One sentence for the caller.
+        /// A sentence that explains the failure to the caller.
         pub detail: String,
     }
 
-    /// Nothing of the submission ran or ever will.
+    /// The outcome of a submission of which nothing ran or will ever run.
     pub struct Refusal {
-        /// Why.
+        /// The reason.
         pub reason: RefusalReason,
-        /// When a new submission is worth a try, in milliseconds from now.
+        /// The time after which a new submission is worth a try, in ms.
         pub retry_ms: Option<u32>,
-        /// One sentence for the caller.
+        /// A sentence that explains the refusal to the caller.
         pub detail: String,
     }
 
-    /// The one outcome of a submission.
+    /// The outcome of a submission, which has exactly one.
     #[serde(rename_all = "snake_case")]
     pub enum Outcome {
-        /// Every task's result, in the order submitted.
+        /// The results of all tasks, in the order of submission.
         Answer(Vec<crate::TaskBody>),
-        /// No whole answer; work may have run.
+        /// No complete answer; work may have run.
         Failure(Failure),
         /// Nothing ran.
         Refusal(Refusal),
@@ -84,7 +84,7 @@
 }
 
 impl Outcome {
-    /// A short name, for logs and metrics.
+    /// Returns a short name, for logs and metrics.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// A failure, in one call.
+    /// Returns a failure.
     #[must_use]
     pub fn failure(ran: Ran, step: Step, peer: &dyn fmt::Display, detail: &str) -> Self {
         Self::Failure(Failure {
@@ -105,7 +105,7 @@
         })
     }
 
-    /// A refusal, in one call.
+    /// Returns a refusal.
     #[must_use]
     pub fn refusal(reason: RefusalReason, retry_ms: Option<u32>, detail: &str) -> Self {
         Self::Refusal(Refusal {
--- a/crates/celerywinch_types/src/queue.rs
+++ b/crates/celerywinch_types/src/queue.rs
@@ -7,23 +7,23 @@
     pub struct Queue {
         /// Its name.
         pub name: String,
-        /// The host that callers name.
+        /// The host of the callers' requests.
         pub host: String,
-        /// How paths of the queue begin.
+        /// The prefix of the paths that belong to the queue.
         pub prefix: String,
         /// The service whose workers run its tasks.
         pub service: String,
-        /// 0 comes first.
+        /// The priority; 0 is the highest.
         pub priority: u8,
-        /// A task that failed so often fails its job.
+        /// The number of failures of one task that fails its job.
         pub attempts: u32,
-        /// A job is on time within its chain of work times this, in thousandths, ...
+        /// The part of a job's latency target that is proportional to its critical path, in thousandths of it.
         pub slack: u32,
-        /// ... and so many ms.
+        /// The constant part of a job's latency target, in ms.
         pub target: u32,
-        /// How long callers wait at most, in ms.
+        /// The longest time that callers wait, in ms.
         pub timeout: u32,
-        /// Whether only an adviser knows which workers may run its steps.
+        /// Whether an external adviser has to name the workers that may run its steps.
         pub advised: bool,
     }
 
@@ -31,22 +31,22 @@
     pub struct Service {
         /// Its name.
         pub name: String,
-        /// Whether its workers reject what does not fit.
+        /// Whether its workers reject tasks that exceed their free resources.
         pub guarded: bool,
-        /// Whether its machines are off.
+        /// Whether its machines are switched off.
         pub standby: bool,
     }
 
-    /// Bounds on what callers send.
+    /// Limits on requests of callers.
     #[derive(Copy, Default)]
     pub struct Bounds {
-        /// Bytes of a request's head.
+        /// The largest size of a request's head, in bytes.
         pub head_bytes: u32,
-        /// Bytes of a body.
+        /// The largest size of a request's body, in bytes.
         pub body_bytes: u32,
-        /// Ms in which a head must arrive.
+        /// The time within which a request's head must arrive, in ms.
         pub head_timeout: u32,
-        /// Ms after which an idle connection is closed.
+        /// The time after which an idle connection is closed, in ms.
         pub idle_timeout: u32,
     }
 
@@ -59,13 +59,13 @@
         pub queues: Vec<Queue>,
         /// The services.
         pub services: Vec<Service>,
-        /// Bounds on what callers send.
+        /// The limits on requests of callers.
         pub bounds: Bounds,
     }
 }
 
 impl QueueConfig {
-    /// The queue of a request: of those of its host, the one with the longest matching prefix.
+    /// Returns the queue of a request: among the queues of its host, the one with the longest matching prefix.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Queue> {
         let queues = self.queues.iter();
--- a/crates/celerywinch_types/src/work.rs
+++ b/crates/celerywinch_types/src/work.rs
@@ -1,19 +1,19 @@
-//! Jobs of tasks that run on workers with capacities.
+//! Jobs of tasks, and the workers with limited resources that run them.
 
 use crate::{domain, identifier};
 
 identifier! {
-    /// A job, numbered by its caller; one sent again has the same number.
+    /// The number of a job, chosen by its caller. A job that is sent again has the same number.
     pub struct JobId(pub u64);
 
-    /// Counts the starts of a task; a worker obeys only a higher one than it has seen.
+    /// The number of a run of a task. A worker obeys only a higher number than the ones it has seen.
     pub struct RunNumber(pub u64);
 
-    /// Fencing token of the dispatcher of a data centre; a worker obeys the highest it has seen.
+    /// The fencing token of a dispatcher for a domain. A worker obeys only the highest token that it has seen.
     #[derive(Default)]
     pub struct Fence(pub u64);
 
-    /// Milliseconds on a worker's own steady clock.
+    /// Milliseconds on a worker's monotonic clock.
     #[derive(Default)]
     pub struct WorkerClock(pub u64);
 }
@@ -30,38 +30,38 @@
         pub index: u16,
     }
 
-    /// What a task needs of a worker, or what a worker has.
+    /// The resources that a task needs, or that a worker has.
     #[derive(Copy, Default)]
     pub struct Resources {
-        /// Thousandths of a core.
+        /// CPU, in thousandths of a core.
         pub cpu: u32,
-        /// MiB.
+        /// Memory, in MiB.
         pub memory: u32,
-        /// Accelerators.
+        /// The number of accelerators.
         pub accelerators: u32,
     }
 
-    /// One step of a job: tasks that are alike and independent of each other.
+    /// One step of a job: similar tasks that are independent of each other.
     pub struct StepPlan {
-        /// How many tasks.
+        /// The number of tasks.
         pub count: u16,
-        /// What each needs.
+        /// The resources that each task needs.
         pub need: Resources,
-        /// The caller's guess of a task's run time, in ms; often far off.
+        /// The caller's estimate of a task's run time, in ms; often far off.
         pub estimate: u32,
-        /// Steps whose tasks must all be done first.
+        /// The steps whose tasks must all be done first.
         pub after: Vec<u16>,
         /// The label that a worker must have.
         pub label: Option<String>,
-        /// The rack near the data; elsewhere the work takes longer.
+        /// The rack near the data; on other racks tasks take longer.
         pub rack: Option<String>,
-        /// At most this many tasks of the step on one worker.
+        /// The largest number of tasks of the step on one worker.
         pub spread: Option<u16>,
     }
 
     /// A job whose caller waits for its end.
     pub struct JobPlan {
-        /// Handed to every task.
+        /// The specification that is passed to every task.
         pub spec: String,
         /// The steps.
         pub steps: Vec<StepPlan>,
@@ -74,9 +74,9 @@
         Completed,
         /// A task failed as often as its queue allows.
         Failed,
-        /// Not run, and it never will; worth another try after so many ms.
+        /// The job did not run and never will; worth another try after this many ms.
         Refused(u32),
-        /// Its tasks may have run in part; the caller may send it again.
+        /// Some of its tasks may have run; the caller may send the job again.
         Unsure,
     }
 
@@ -85,51 +85,51 @@
     pub enum WorkerStage {
         /// Takes work.
         Ready,
-        /// Finishes what it has, and leaves.
+        /// Finishes its runs, and leaves.
         Draining,
         /// Has left.
         Gone,
     }
 
-    /// Orders the announcements of a worker. Numbers of one life say nothing of those of another: a worker that starts
-    /// again counts from the beginning, so the life comes first.
+    /// Orders the announcements of a worker: by incarnation first, as a worker that restarts counts its announcements
+    /// from the beginning again.
     #[derive(Copy, Default, PartialOrd, Ord)]
     pub struct AnnouncementVersion {
-        /// The life that speaks: ms since 1970 at its start, by the worker's clock; 0 where it does not say.
+        /// The incarnation of the worker: its start in ms since the Unix epoch, by its own clock; 0 if it sends none.
         pub incarnation: crate::Incarnation,
-        /// Rises with each announcement of a life.
+        /// The number of the announcement within its incarnation.
         pub sequence: u64,
     }
 
-    /// What a worker says of itself.
+    /// An announcement of a worker.
     pub struct WorkerAnnouncement {
-        /// Its name, which it keeps when it starts again.
+        /// Its name, which stays the same when it restarts.
         pub id: String,
         /// The service whose tasks it runs.
         pub service: String,
-        /// Where it takes orders.
+        /// The address at which it accepts orders.
         pub addr: std::net::SocketAddr,
-        /// The number of its data centre.
+        /// Its data centre.
         pub dc: crate::DataCentreId,
-        /// What it has.
+        /// All its resources, free or in use.
         pub capacity: Resources,
         /// Its kind and its rack.
         pub labels: Vec<String>,
         /// Whether it takes work.
         pub stage: WorkerStage,
-        /// Which of its announcements this is.
+        /// The version of the announcement.
         pub version: AnnouncementVersion,
     }
 }
 
 impl Resources {
-    /// Whether `need` fits in.
+    /// Whether `need` fits into these resources.
     #[must_use]
     pub fn fits(self, need: Self) -> bool {
         self.cpu >= need.cpu && self.memory >= need.memory && self.accelerators >= need.accelerators
     }
 
-    /// What is left after `need` was taken; zero where it has less.
+    /// Returns what is left after subtracting `need`; zero where `need` is larger.
     #[must_use]
     pub fn saturating_sub(self, need: Self) -> Self {
         Self {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Both together.
+    /// Returns the sum of both, limited to the largest number.
     #[must_use]
     pub fn saturating_add(self, other: Self) -> Self {
         Self {
@@ -150,54 +150,56 @@
     }
 }
 
-/// Low bits of a fencing token that are left for the lives of a worker.
-const LIFE_BITS: u32 = 5;
-/// So many later lives of a worker can be told apart under one token of its domain.
-pub const MAX_INCARNATIONS: u64 = (1 << LIFE_BITS) - 1;
+/// The number of low bits of a fencing token that count the restarts of a worker.
+const INCARNATION_BITS: u32 = 5;
+/// The number of later incarnations of a worker that can be distinguished under one token of its domain.
+pub const MAX_INCARNATIONS: u64 = (1 << INCARNATION_BITS) - 1;
 
 impl Fence {
-    /// The token of a change of hands: a later epoch is higher; `holder` keeps apart those who take the same one.
+    /// Returns the token of a new owner. A later epoch gives a higher token; `holder` distinguishes owners that use the
+    /// same epoch.
     #[must_use]
     pub fn new(epoch: u64, holder: u16) -> Self {
         let epoch = epoch << u16::BITS;
-        Self((epoch | u64::from(holder)) << LIFE_BITS)
+        Self((epoch | u64::from(holder)) << INCARNATION_BITS)
     }
 
-    /// The epoch it was made of.
+    /// Returns the epoch of the token.
     #[must_use]
     pub fn epoch(self) -> u64 {
-        self.0 >> (u16::BITS + LIFE_BITS)
+        self.0 >> (u16::BITS + INCARNATION_BITS)
     }
 
-    /// The token for a worker that has started again so often since the change of hands.
+    /// Returns the token for a worker that has restarted this often since the domain was acquired.
     ///
-    /// A worker that starts again has seen no token, and would obey an order that was sent to the life before and held up on its
-    /// way, while the task runs elsewhere. Once it has seen this one it refuses that order.
+    /// A worker that has restarted has seen no token. It would obey an order that was sent to its earlier incarnation and delayed
+    /// on its way, while the task runs elsewhere. Once it has seen this token it refuses that order.
     #[must_use]
-    pub fn for_incarnation(self, lives: u64) -> Self {
-        Self(self.0 + lives.min(MAX_INCARNATIONS))
+    pub fn for_incarnation(self, restarts: u64) -> Self {
+        Self(self.0 + restarts.min(MAX_INCARNATIONS))
     }
 }
 
-/// How far a task's run number rises when its dispatcher starts it without knowing what an earlier one did.
-/// No task is started so often in the time that it waits before.
-const UNHEARD_RUNS: u64 = 1_000;
-/// The same when its origin has lost a dispatcher: that may have done so several times.
-const LOST_RUNS: u64 = 64 * UNHEARD_RUNS;
+/// How far a task's run number rises when a dispatcher starts it without knowing the runs of an earlier dispatcher.
+/// An earlier dispatcher cannot have started the task that often in the time for which this one waits first.
+const UNREPORTED_RUNS: u64 = 1_000;
+/// How far the run number rises when the origin has lost a dispatcher, which may itself have skipped unreported runs several
+/// times.
+const LOST_DISPATCHER_RUNS: u64 = 64 * UNREPORTED_RUNS;
 
 impl RunNumber {
-    /// A number past all that an earlier dispatcher may have used without this one having heard of them.
-    /// An end found of one of those would else be taken for the end of a later run with the same
-    /// number, and the task be started again beside it.
+    /// Returns a number past all that an earlier dispatcher may have used without reporting them to this one. Otherwise
+    /// the end of such a run could be mistaken for the end of a later run with the same number, and the task would be
+    /// started again while that run is in progress.
     #[must_use]
     pub fn past_unreported(self) -> Self {
-        Self(self.0 + UNHEARD_RUNS)
+        Self(self.0 + UNREPORTED_RUNS)
     }
 
-    /// A number past all that a lost dispatcher may have used, also after it has itself gone past what it had
-    /// not heard of.
+    /// Returns a number past all that a lost dispatcher may have used, including those after it has itself skipped
+    /// unreported runs.
     #[must_use]
     pub fn past_lost(self) -> Self {
-        Self(self.0 + LOST_RUNS)
+        Self(self.0 + LOST_DISPATCHER_RUNS)
     }
 }
