--- a/crates/celerywinch_domains/src/peers.rs
+++ b/crates/celerywinch_domains/src/peers.rs
@@ -84,9 +84,9 @@
         }
         let view = PeerView {
             process: from,
-            heartbeat: heartbeat,
+            heartbeat,
             last_contact: now,
-            timeout: timeout,
+            timeout,
             refused: false,
             probed_at: None,
         };
--- a/crates/celerywinch_domains/tests/ownership.rs
+++ b/crates/celerywinch_domains/tests/ownership.rs
@@ -19,17 +19,17 @@
     }
 }
 
-fn beat(dc: u8, part: ProcessKind, holdings: &[(u8, u64)]) -> FleetHeartbeat {
-    let holding = |(dc, fence): &(u8, u64)| OwnedDomain {
+fn heartbeat(dc: u8, kind: ProcessKind, owned_domains: &[(u8, u64)]) -> FleetHeartbeat {
+    let owned_domain = |(dc, fence): &(u8, u64)| OwnedDomain {
         domain: domain(*dc),
         fence: Fence(*fence),
         load: Load::default(),
     };
     FleetHeartbeat {
-        kind: part,
+        kind,
         dc: DataCentreId(dc),
         stage: Stage::Ready,
-        owned_domains: holdings.iter().map(holding).collect(),
+        owned_domains: owned_domains.iter().map(owned_domain).collect(),
         fence: Fence(0),
         version: 1,
         evacuations: Evacuations::default(),
@@ -67,14 +67,14 @@
         }
     }
 
-    fn receive(&mut self, instance: u32, beat: FleetHeartbeat) {
+    fn receive(&mut self, instance: u32, heartbeat: FleetHeartbeat) {
         let process = Process {
             instance: InstanceId(instance),
             incarnation: Incarnation(1),
         };
         let timeout = Duration::from_millis(350);
         self.peers
-            .record_heartbeat(self.now, process, beat, timeout);
+            .record_heartbeat(self.now, process, heartbeat, timeout);
     }
 
     fn tick(&mut self) -> Vec<Change> {
@@ -103,7 +103,10 @@
     let mut harness = Harness::new();
     for _ in 0..20 {
         for dc in heard {
-            harness.receive(100 + u32::from(*dc), beat(*dc, ProcessKind::Keeper, &[]));
+            harness.receive(
+                100 + u32::from(*dc),
+                heartbeat(*dc, ProcessKind::Keeper, &[]),
+            );
         }
         harness.tick();
     }
@@ -120,15 +123,15 @@
         harness.tick();
     }
     assert_eq!(harness.owned(), [0]);
-    harness.receive(101, beat(1, ProcessKind::Keeper, &[]));
+    harness.receive(101, heartbeat(1, ProcessKind::Keeper, &[]));
     for _ in 0..8 {
-        harness.receive(101, beat(1, ProcessKind::Keeper, &[]));
+        harness.receive(101, heartbeat(1, ProcessKind::Keeper, &[]));
         assert_eq!(harness.tick(), []);
     }
-    harness.receive(2, beat(1, ProcessKind::Entry, &[(1, 1 << 60)]));
+    harness.receive(2, heartbeat(1, ProcessKind::Entry, &[(1, 1 << 60)]));
     for _ in 0..20 {
-        harness.receive(101, beat(1, ProcessKind::Keeper, &[]));
-        harness.receive(2, beat(1, ProcessKind::Entry, &[(1, 1 << 60)]));
+        harness.receive(101, heartbeat(1, ProcessKind::Keeper, &[]));
+        harness.receive(2, heartbeat(1, ProcessKind::Entry, &[(1, 1 << 60)]));
         harness.tick();
         assert!(!harness.owned().contains(&1), "entry 2 dispatches there");
     }
@@ -154,7 +157,7 @@
     }
     let start = harness.now;
     loop {
-        harness.receive(2, beat(1, ProcessKind::Entry, &[(1, 5), (2, 6)]));
+        harness.receive(2, heartbeat(1, ProcessKind::Entry, &[(1, 5), (2, 6)]));
         if harness.now.since(start) <= Duration::from_millis(partition.found) {
             harness.domains.peer_found(harness.now);
         }
@@ -177,12 +180,12 @@
     }
     assert_eq!(harness.owned(), [0]);
     for _ in 0..40 {
-        harness.receive(101, beat(1, ProcessKind::Keeper, &[]));
+        harness.receive(101, heartbeat(1, ProcessKind::Keeper, &[]));
         harness.domains.peer_found(harness.now);
         assert_eq!(harness.tick(), []);
     }
     for _ in 0..20 {
-        harness.receive(101, beat(1, ProcessKind::Keeper, &[]));
+        harness.receive(101, heartbeat(1, ProcessKind::Keeper, &[]));
         harness.tick();
     }
     assert!(harness.owned().contains(&1), "nobody else dispatches there");
@@ -195,13 +198,13 @@
     let mut harness = Harness::new();
     let mut changes = Vec::new();
     for _ in 0..20 {
-        harness.receive(101, beat(1, ProcessKind::Keeper, &[]));
-        harness.receive(102, beat(2, ProcessKind::Keeper, &[]));
+        harness.receive(101, heartbeat(1, ProcessKind::Keeper, &[]));
+        harness.receive(102, heartbeat(2, ProcessKind::Keeper, &[]));
         harness.tick();
     }
     assert_eq!(harness.owned(), [0, 1, 2]);
     for _ in 0..60 {
-        harness.receive(101, beat(1, ProcessKind::Keeper, &[]));
+        harness.receive(101, heartbeat(1, ProcessKind::Keeper, &[]));
         changes.extend(harness.tick());
     }
     assert_eq!(changes, [Change::Resign(domain(2))]);
@@ -213,13 +216,13 @@
 fn acquires_a_token_above_those_of_other_owners() {
     let mut harness = Harness::new();
     for _ in 0..20 {
-        harness.receive(101, beat(1, ProcessKind::Keeper, &[]));
-        harness.receive(102, beat(2, ProcessKind::Keeper, &[]));
+        harness.receive(101, heartbeat(1, ProcessKind::Keeper, &[]));
+        harness.receive(102, heartbeat(2, ProcessKind::Keeper, &[]));
         harness.tick();
     }
     assert_eq!(harness.owned(), [0, 1, 2]);
     let seen = Fence(1 << 60);
-    harness.receive(2, beat(1, ProcessKind::Entry, &[(1, seen.0)]));
+    harness.receive(2, heartbeat(1, ProcessKind::Entry, &[(1, seen.0)]));
     let changes = harness.tick();
     let dc = domain(1);
     let [Change::Resign(a), Change::Acquire(b, fence)] = changes[..] else {
@@ -248,7 +251,7 @@
 fn entry_that_hears_nobody_acquires_nothing() {
     let mut harness = Harness::new();
     for _ in 0..20 {
-        harness.receive(101, beat(1, ProcessKind::Keeper, &[]));
+        harness.receive(101, heartbeat(1, ProcessKind::Keeper, &[]));
         harness.tick();
     }
     let mine = harness.domains.owned().clone();
@@ -263,9 +266,9 @@
         harness.tick();
         assert_eq!(harness.owned(), [], "nobody is heard");
     }
-    harness.receive(101, beat(1, ProcessKind::Keeper, &[]));
+    harness.receive(101, heartbeat(1, ProcessKind::Keeper, &[]));
     for _ in 0..15 {
-        harness.receive(101, beat(1, ProcessKind::Keeper, &[]));
+        harness.receive(101, heartbeat(1, ProcessKind::Keeper, &[]));
         harness.tick();
     }
     assert!(harness.owned().contains(&0), "heard again");
@@ -287,11 +290,11 @@
     harness.domains.set_single_dispatcher(undivided);
     for _ in 0..8 {
         for (instance, dc, age) in [(101, 1, 20), (102, 2, age)] {
-            let beat = FleetHeartbeat {
+            let heartbeat = FleetHeartbeat {
                 sent: Time(age * 1_000),
-                ..beat(dc, ProcessKind::Keeper, &[])
+                ..heartbeat(dc, ProcessKind::Keeper, &[])
             };
-            harness.receive(instance, beat);
+            harness.receive(instance, heartbeat);
         }
         harness.tick();
     }
@@ -313,14 +316,14 @@
     let mut harness = Harness::new();
     harness.domains.set_shards(8, &mut Vec::new());
     for _ in 0..8 {
-        let keeper = beat(1, ProcessKind::Keeper, &[]);
+        let keeper = heartbeat(1, ProcessKind::Keeper, &[]);
         let entries = stages.iter().map(|stage| FleetHeartbeat {
             stage: *stage,
-            ..beat(2, ProcessKind::Entry, &[])
+            ..heartbeat(2, ProcessKind::Entry, &[])
         });
-        for (instance, beat) in (101..).zip(std::iter::once(keeper).chain(entries)) {
+        for (instance, heartbeat) in (101..).zip(std::iter::once(keeper).chain(entries)) {
             let sent = Time(age * 1_000);
-            harness.receive(instance, FleetHeartbeat { sent, ..beat });
+            harness.receive(instance, FleetHeartbeat { sent, ..heartbeat });
         }
         harness.tick();
     }
@@ -343,7 +346,7 @@
     let seen = Fence::new(behind.epoch, 0);
     for round in 0.. {
         for _ in 0..20 {
-            harness.receive(101, beat(1, ProcessKind::Keeper, &[]));
+            harness.receive(101, heartbeat(1, ProcessKind::Keeper, &[]));
             harness.tick();
         }
         let fence = harness.domains.owned()[&domain(0)];
--- a/crates/celerywinch_members/src/endpoints.rs
+++ b/crates/celerywinch_members/src/endpoints.rs
@@ -83,7 +83,7 @@
         let Some(record) = self.records.get_mut(&addr) else {
             changes.push(Change::Updated(addr));
             let record = EndpointRecord {
-                announcement: announcement,
+                announcement,
                 announced_at: announced,
                 expired: false,
                 unsent,
--- a/crates/celerywinch_types/src/queue.rs
+++ b/crates/celerywinch_types/src/queue.rs
@@ -23,7 +23,7 @@
         pub target: u32,
         /// The longest time that callers wait, in ms.
         pub timeout: u32,
-        /// Whether an external adviser has to name the workers that may run its steps.
+        /// Whether only an adviser determines which workers may run its steps.
         pub advised: bool,
     }
 
