--- a/crates/celerywinch_pool/src/lib.rs
+++ b/crates/celerywinch_pool/src/lib.rs
@@ -8,33 +8,33 @@
 //! What the host must guarantee: time is monotonic and counts suspensions; every [`Output::Call`]
 //! is answered once by [`Input::Answered`], at the latest when its timeout is over; `Tick` comes at
 //! least every 20 ms. What the pool guarantees: a task has no second run while a first one may
-//! still be at work, as long as a worker's clock is at most [`CLOCK_ERROR`] slow.
+//! still be at work, as long as a worker's clock is at most [`MAX_CLOCK_DRIFT`] slow.
 
 mod admission;
+mod answer_times;
 mod call;
 mod config;
 mod crashes;
+mod event;
 mod grants;
+mod incarnations;
 mod inflow;
 mod job;
 mod leases;
-mod lives;
-mod note;
 mod origins;
-mod patience;
 mod place;
 mod pool;
 mod queue;
 mod results;
 mod run;
+mod run_times;
+mod sent_ends;
 mod submit;
 mod takeover;
-mod times;
-mod told;
 mod worker;
 
-pub use call::{Answer, Call, CallKey, EndedRow, How, Order, Reject, RunningRow};
-pub use config::{CLOCK_ERROR, PoolConfig};
+pub use call::{Answer, Call, CallKey, EndedRow, Rejection, Request, RunEnd, RunningRow};
+pub use config::{MAX_CLOCK_DRIFT, PoolConfig};
+pub use event::{Departure, PoolEvent};
 pub use grants::Grant;
-pub use note::{Departure, Note};
 pub use pool::{Input, Output, Pool};
