--- a/crates/celerywinch_registry/tests/versions.rs
+++ b/crates/celerywinch_registry/tests/versions.rs
@@ -52,7 +52,7 @@
 fn keeper_without_a_leader_does_not_answer_reads() {
     let mut config = config();
     config.instances = vec![ME, InstanceId(2), InstanceId(3)];
-    config.forms = false;
+    config.bootstrap = false;
     let now = Time(10_000_000);
     let mut registry = Registry::new(config, now, Loaded::default()).expect("an empty disk");
     let request = Request {
--- a/crates/celerywinch_store/src/raft/append.rs
+++ b/crates/celerywinch_store/src/raft/append.rs
@@ -35,7 +35,7 @@
             self.set_role(now, Role::Follower(None), out);
             return;
         }
-        if now.since(self.sent) >= self.config.heartbeat {
+        if now.since(self.sent) >= self.config.heartbeat_interval {
             self.send_all(now, out);
             self.ask_to_confirm(out);
         }
@@ -45,7 +45,7 @@
     fn hears_majority(&self, now: Time) -> bool {
         let group = self.log.group();
         let me = self.config.me;
-        let limit = self.config.election * 2;
+        let limit = self.config.election_timeout * 2;
         let heard = |keeper: &KeeperId| {
             let progress = self.progress.get(keeper);
             progress.is_some_and(|p| now.since(p.heard) <= limit)
--- a/crates/celerywinch_store/src/raft/election.rs
+++ b/crates/celerywinch_store/src/raft/election.rs
@@ -30,7 +30,7 @@
 
     /// The candidate whose election may be under way, as this keeper said that it would be of use.
     fn backed_other(&self, now: Time) -> Option<KeeperId> {
-        let span = self.config.election + self.write_time * 2;
+        let span = self.config.election_timeout + self.write_time * 2;
         let backed = self.backed.filter(|(_, at)| now.since(*at) < span);
         backed.map(|(candidate, _)| candidate)
     }
@@ -92,7 +92,7 @@
     fn has_leader(&self, now: Time) -> bool {
         match self.role {
             Role::Leader => true,
-            Role::Follower(Some(_)) => now.since(self.heard) < self.config.election,
+            Role::Follower(Some(_)) => now.since(self.heard) < self.config.election_timeout,
             _ => false,
         }
     }
--- a/crates/celerywinch_store/src/raft/group.rs
+++ b/crates/celerywinch_store/src/raft/group.rs
@@ -29,7 +29,7 @@
     /// It must not vote as if it had lost nothing: entries that it had synced before would be
     /// committed in the leader's eyes and missing in its own.
     pub(super) fn look_for_group(&mut self, now: Time, out: &mut Vec<Output>) {
-        if now.since(self.sent) < self.config.heartbeat {
+        if now.since(self.sent) < self.config.heartbeat_interval {
             return;
         }
         self.sent = now;
@@ -39,7 +39,7 @@
             out.push(Output::Send(instance, None, msg));
         }
         let forming = !self.unsynced.is_empty();
-        if self.config.forms && !forming && self.config.instances.contains(&me) {
+        if self.config.bootstrap && !forming && self.config.instances.contains(&me) {
             self.form_group(now, out);
         }
     }
@@ -170,10 +170,10 @@
         if let Some(next) = self.readmit(now, group) {
             return Some(next);
         }
-        if group.voters.len() > self.config.voters {
+        if group.voters.len() > self.config.max_voters {
             return self.drop_voter(now, group);
         }
-        if group.voters.len() == self.config.voters && self.lost_voter(now, group).is_none() {
+        if group.voters.len() == self.config.max_voters && self.lost_voter(now, group).is_none() {
             return None;
         }
         self.promote(now, group)
--- a/crates/celerywinch_store/src/raft/mod.rs
+++ b/crates/celerywinch_store/src/raft/mod.rs
@@ -24,14 +24,14 @@
     /// The instances that are keepers by the settings; all of them form the group at first.
     pub instances: Vec<InstanceId>,
     /// Whether the first group may be formed; false for one that joins a group.
-    pub forms: bool,
+    pub bootstrap: bool,
     /// The most keepers that count for majorities; the others learn, and replace those that are
     /// lost.
-    pub voters: usize,
+    pub max_voters: usize,
     /// Between two heartbeats of the leader.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// The shortest time without a leader before an election; the longest is twice that.
-    pub election: Duration,
+    pub election_timeout: Duration,
     /// Entries after which a snapshot is made.
     pub compact_after: usize,
     /// Seed of the random source.
@@ -176,7 +176,9 @@
         let base = snapshot.index;
         let log = Log::new(snapshot, entries);
         let blank = log.last_index() == 0;
-        let timeout = config.election.mul_f64(random.random_range(1.0..2.0));
+        let timeout = config
+            .election_timeout
+            .mul_f64(random.random_range(1.0..2.0));
         Self {
             term: vote.0,
             vote: vote.1,
@@ -227,7 +229,7 @@
     fn notice_pause(&mut self, now: Time) {
         let pause = now.since(self.lived);
         self.lived = now;
-        if pause <= self.config.heartbeat {
+        if pause <= self.config.heartbeat_interval {
             return;
         }
         self.heard = self.heard + pause;
@@ -351,7 +353,7 @@
         self.votes.clear();
         self.reads = read::Reads::default();
         let factor = self.random.random_range(1.0..2.0);
-        self.timeout = self.config.election.mul_f64(factor);
+        self.timeout = self.config.election_timeout.mul_f64(factor);
         out.push(Output::Role(role));
     }
 
--- a/crates/celerywinch_store/tests/members.rs
+++ b/crates/celerywinch_store/tests/members.rs
@@ -32,10 +32,10 @@
             let config = RaftConfig {
                 me: id(index),
                 instances: (1..=3).map(InstanceId).collect(),
-                forms: true,
-                voters: 3,
-                heartbeat: Duration::from_millis(100),
-                election: Duration::from_millis(400),
+                bootstrap: true,
+                max_voters: 3,
+                heartbeat_interval: Duration::from_millis(100),
+                election_timeout: Duration::from_millis(400),
                 compact_after: 128,
                 seed: index as u64,
             };
--- a/crates/celerywinch_store/tests/slow_disks.rs
+++ b/crates/celerywinch_store/tests/slow_disks.rs
@@ -173,10 +173,10 @@
         let config = RaftConfig {
             me: id(index),
             instances: (1..=KEEPERS as u32).map(InstanceId).collect(),
-            forms: true,
-            voters: KEEPERS,
-            heartbeat: Duration::from_millis(100),
-            election: Duration::from_millis(400),
+            bootstrap: true,
+            max_voters: KEEPERS,
+            heartbeat_interval: Duration::from_millis(100),
+            election_timeout: Duration::from_millis(400),
             compact_after: 8,
             seed: self.random.random(),
         };
--- a/crates/celerywinch_store/tests/votes.rs
+++ b/crates/celerywinch_store/tests/votes.rs
@@ -18,10 +18,10 @@
     RaftConfig {
         me: keeper(instance),
         instances: (1..=3).map(InstanceId).collect(),
-        forms: true,
-        voters: usize::MAX,
-        heartbeat: Duration::from_millis(100),
-        election: Duration::from_millis(400),
+        bootstrap: true,
+        max_voters: usize::MAX,
+        heartbeat_interval: Duration::from_millis(100),
+        election_timeout: Duration::from_millis(400),
         compact_after: 128,
         seed: 1,
     }
