--- a/crates/celerywinch_bench/src/soak/store.rs
+++ b/crates/celerywinch_bench/src/soak/store.rs
@@ -230,7 +230,7 @@
             writes += usize::from(self.keeper_output(index, output));
         }
         if writes > 0 {
-            self.input(index, Input::Written(writes));
+            self.input(index, Input::Synced(writes));
         }
     }
 
@@ -242,7 +242,7 @@
             KeeperOutput::Log(Output::Truncate(from)) => {
                 disk.entries.retain(|entry| entry.index < from);
             }
-            KeeperOutput::Log(Output::Persist(entries)) => {
+            KeeperOutput::Log(Output::PersistEntries(entries)) => {
                 disk.entries.extend(entries);
             }
             KeeperOutput::Log(Output::PersistSnapshot(snapshot)) => {
--- a/crates/celerywinch_fleet/src/store.rs
+++ b/crates/celerywinch_fleet/src/store.rs
@@ -239,7 +239,7 @@
         let now = self.clock.now();
         match written {
             Ok(count) => {
-                let input = Input::Written(count);
+                let input = Input::Synced(count);
                 self.with(now, |registry, out| registry.handle(now, input, out));
             }
             Err(error) => self.fail(now, &error.into()),
@@ -289,7 +289,7 @@
                 writer.write(Write::Record(Record::Vote { term, vote }));
             }
             Output::Truncate(index) => writer.write(Write::Record(Record::Truncate(index))),
-            Output::Persist(entries) => {
+            Output::PersistEntries(entries) => {
                 let records = entries.into_iter().map(Record::Entry).collect();
                 writer.write(Write::Records(records));
             }
@@ -298,12 +298,15 @@
                 let bytes = registry.encode_message(to, to_disk, msg)?;
                 self.tell(StoreOut::Send(to, FleetMsg::Log(bytes)));
             }
-            Output::Role(_) => {
+            Output::RoleChanged(_) => {
                 let figures = registry.status();
                 self.tell(StoreOut::Role(figures));
             }
             // Dealt with by the registry's state machine.
-            Output::Apply(_) | Output::Restore(_) | Output::Compact(_) | Output::Readable(_) => {}
+            Output::Apply(_)
+            | Output::Restore(_)
+            | Output::TakeSnapshot(_)
+            | Output::ReadReady(_) => {}
         }
         Ok(())
     }
--- a/crates/celerywinch_keeper/src/keeper.rs
+++ b/crates/celerywinch_keeper/src/keeper.rs
@@ -16,7 +16,7 @@
 /// What the host is to do, strictly in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeeperOutput {
-    /// An output of the log: writing, syncing, sending. `Apply`, `Restore` and `Compact` are dealt
+    /// An output of the log: writing, syncing, sending. `Apply`, `Restore` and `TakeSnapshot` are dealt
     /// with here and never come out.
     Log(Output),
     /// Answer a change, to the instance that sent it.
@@ -114,19 +114,19 @@
         match output {
             Output::Apply(entry) => self.apply(entry, out),
             Output::Restore(snapshot) => self.restore(&snapshot, out),
-            Output::Compact(index) => {
+            Output::TakeSnapshot(index) => {
                 let state = serde_json::to_vec(&self.ledger).unwrap_or_default();
-                inputs.push(Input::State { index, state });
+                inputs.push(Input::SnapshotState { index, state });
             }
-            Output::Role(role) => {
+            Output::RoleChanged(role) => {
                 if role != Role::Leader {
                     self.lose_pending(out);
                 }
-                out.push(KeeperOutput::Log(Output::Role(role)));
+                out.push(KeeperOutput::Log(Output::RoleChanged(role)));
             }
-            Output::Persist(entries) => {
+            Output::PersistEntries(entries) => {
                 self.proposed = entries.last().map_or(self.proposed, |entry| entry.index);
-                out.push(KeeperOutput::Log(Output::Persist(entries)));
+                out.push(KeeperOutput::Log(Output::PersistEntries(entries)));
             }
             other => out.push(KeeperOutput::Log(other)),
         }
--- a/crates/celerywinch_node/src/store.rs
+++ b/crates/celerywinch_node/src/store.rs
@@ -281,7 +281,7 @@
             }
         }
         if writes > 0 {
-            self.input(now, Input::Written(writes));
+            self.input(now, Input::Synced(writes));
         }
     }
 
@@ -318,7 +318,7 @@
         match output {
             Output::PersistVote { term, vote } => disk.append(&[Record::Vote { term, vote }])?,
             Output::Truncate(index) => disk.append(&[Record::Truncate(index)])?,
-            Output::Persist(entries) => {
+            Output::PersistEntries(entries) => {
                 let records: Vec<_> = entries.into_iter().map(Record::Entry).collect();
                 disk.append(&records)?;
             }
@@ -329,13 +329,16 @@
                 self.send(now, to, &msg);
                 return Ok(false);
             }
-            Output::Role(role) => {
+            Output::RoleChanged(role) => {
                 log::info!("store: This keeper is now {role:?}.");
                 self.offer_first(now);
                 return Ok(false);
             }
             // Dealt with by the keeper's state machine.
-            Output::Apply(_) | Output::Restore(_) | Output::Compact(_) | Output::Readable(_) => {
+            Output::Apply(_)
+            | Output::Restore(_)
+            | Output::TakeSnapshot(_)
+            | Output::ReadReady(_) => {
                 return Ok(false);
             }
         }
--- a/crates/celerywinch_registry/src/registry.rs
+++ b/crates/celerywinch_registry/src/registry.rs
@@ -44,7 +44,7 @@
 /// An output that the host carries out, strictly in the order given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistryOutput {
-    /// An output of the log, except `Apply`, `Restore` and `Compact`, which are handled here.
+    /// An output of the log, except `Apply`, `Restore` and `TakeSnapshot`, which are handled here.
     Log(Output),
     /// Answer a request; `None` if its outcome is not known.
     Answer(InstanceId, u64, Option<KeeperState>),
@@ -186,29 +186,29 @@
         match output {
             Output::Apply(entry) => self.apply(now, entry, out),
             Output::Restore(snapshot) => self.restore(&snapshot, out),
-            Output::Compact(index) => {
+            Output::TakeSnapshot(index) => {
                 let state = (&self.document, &self.evacuations);
                 let state = bincode::serde::encode_to_vec(state, standard());
                 let state = state.expect("plain data encodes");
-                inputs.push(Input::State { index, state });
+                inputs.push(Input::SnapshotState { index, state });
             }
-            Output::Readable(read) => {
+            Output::ReadReady(read) => {
                 if let Some(pending) = self.pending_reads.remove(&read) {
                     let state = Some(self.state(pending.wants_document));
                     out.push(RegistryOutput::Answer(pending.from, pending.id, state));
                 }
             }
-            Output::Role(role) => {
+            Output::RoleChanged(role) => {
                 if role != Role::Leader {
                     self.fail_pending(out);
                 }
-                out.push(RegistryOutput::Log(Output::Role(role)));
+                out.push(RegistryOutput::Log(Output::RoleChanged(role)));
             }
-            Output::Persist(entries) => {
+            Output::PersistEntries(entries) => {
                 self.last_proposed = entries
                     .last()
                     .map_or(self.last_proposed, |entry| entry.index);
-                out.push(RegistryOutput::Log(Output::Persist(entries)));
+                out.push(RegistryOutput::Log(Output::PersistEntries(entries)));
             }
             other => out.push(RegistryOutput::Log(other)),
         }
--- a/crates/celerywinch_registry/tests/harness/mod.rs
+++ b/crates/celerywinch_registry/tests/harness/mod.rs
@@ -60,7 +60,7 @@
             let mut writes = 0;
             for output in std::mem::take(&mut out) {
                 match output {
-                    RegistryOutput::Log(Output::Persist(entries)) => {
+                    RegistryOutput::Log(Output::PersistEntries(entries)) => {
                         writes += 1;
                         self.disk.entries.extend(entries);
                     }
@@ -79,7 +79,7 @@
                 }
             }
             if writes > 0 {
-                let written = Input::Written(writes);
+                let written = Input::Synced(writes);
                 self.registry.handle(self.now, written, &mut out);
             }
         }
--- a/crates/celerywinch_registry/tests/slow_disks.rs
+++ b/crates/celerywinch_registry/tests/slow_disks.rs
@@ -112,7 +112,7 @@
                 .handle_encoded(now, &bytes, &mut out)
                 .expect("a message"),
             Event::Written(count) => {
-                registry.handle(now, Input::Written(count), &mut out);
+                registry.handle(now, Input::Synced(count), &mut out);
                 self.disks[keeper].in_progress = 0;
             }
             Event::Request(request) => registry.request(now, request, &mut out),
@@ -122,7 +122,7 @@
                 RegistryOutput::Log(
                     Output::PersistVote { .. }
                     | Output::Truncate(_)
-                    | Output::Persist(_)
+                    | Output::PersistEntries(_)
                     | Output::PersistSnapshot(_),
                 ) => self.disks[keeper].queued += 1,
                 RegistryOutput::Log(Output::Send(to, disk, msg)) => {
--- a/crates/celerywinch_store/src/raft/mod.rs
+++ b/crates/celerywinch_store/src/raft/mod.rs
@@ -46,13 +46,13 @@
     /// A command to be agreed on; only a leader takes it.
     Propose(Vec<u8>),
     /// A read of the state machine that must not be stale, by a number of the host's; only a leader takes it. Answered by
-    /// [`Output::Readable`], unless the keeper ceases to lead.
+    /// [`Output::ReadReady`], unless the keeper ceases to lead.
     Read(u64),
     /// As many of the oldest writes as this have been synced, beside those that were reported before. Each
-    /// [`Output::PersistVote`], [`Output::Truncate`], [`Output::Persist`] and [`Output::PersistSnapshot`] is one.
-    Written(usize),
-    /// The state machine's state after the entry `index`, asked for by [`Output::Compact`].
-    State {
+    /// [`Output::PersistVote`], [`Output::Truncate`], [`Output::PersistEntries`] and [`Output::PersistSnapshot`] is one.
+    Synced(usize),
+    /// The state machine's state after the entry `index`, asked for by [`Output::TakeSnapshot`].
+    SnapshotState {
         /// The last entry applied to it.
         index: u64,
         /// The state.
@@ -64,7 +64,7 @@
 
 /// What the host is to do.
 ///
-/// Writes are carried out one after the other, in this order, and reported by [`Input::Written`]. The other outputs do
+/// Writes are carried out one after the other, in this order, and reported by [`Input::Synced`]. The other outputs do
 /// not wait for them: a message that rests on a write is only sent once that is reported.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
@@ -78,7 +78,7 @@
     /// Drop the entries from this index on; may be synced with what follows.
     Truncate(u64),
     /// Write and sync entries.
-    Persist(Vec<Entry>),
+    PersistEntries(Vec<Entry>),
     /// Write and sync a snapshot, and drop the entries that it includes.
     PersistSnapshot(Snapshot),
     /// Send a message; the keeper's disk is none while it is not known.
@@ -87,12 +87,12 @@
     Apply(Entry),
     /// Replace the state machine's state.
     Restore(Snapshot),
-    /// Hand over the state machine's state by [`Input::State`].
-    Compact(u64),
+    /// Hand over the state machine's state by [`Input::SnapshotState`].
+    TakeSnapshot(u64),
     /// The state machine has all that was committed when this read began.
-    Readable(u64),
+    ReadReady(u64),
     /// The role changed.
-    Role(Role),
+    RoleChanged(Role),
 }
 
 /// What a keeper does at present.
@@ -218,8 +218,8 @@
             Input::Message(from, msg) => self.message(now, from, msg, out),
             Input::Propose(command) => self.propose(now, Payload::Command(command), out),
             Input::Read(id) => self.read(id, out),
-            Input::Written(count) => self.written(now, count, out),
-            Input::State { index, state } => self.compact(now, index, state, out),
+            Input::Synced(count) => self.written(now, count, out),
+            Input::SnapshotState { index, state } => self.compact(now, index, state, out),
             Input::Tick => self.tick(now, out),
         }
     }
@@ -354,7 +354,7 @@
         self.reads = read::Reads::default();
         let factor = self.random.random_range(1.0..2.0);
         self.timeout = self.config.election_timeout.mul_f64(factor);
-        out.push(Output::Role(role));
+        out.push(Output::RoleChanged(role));
     }
 
     /// A message shows a later term: follow whoever leads it.
@@ -376,7 +376,7 @@
         self.release_reads(out);
         if self.log.len() > self.config.compact_after && !self.compacting {
             self.compacting = true;
-            out.push(Output::Compact(self.applied));
+            out.push(Output::TakeSnapshot(self.applied));
         }
     }
 
--- a/crates/celerywinch_store/src/raft/read.rs
+++ b/crates/celerywinch_store/src/raft/read.rs
@@ -115,7 +115,7 @@
         let applied = self.applied;
         let ready = |read: &Read| read.round <= agreed && read.index <= applied;
         let released = self.reads.waiting.iter().filter(|read| ready(read));
-        out.extend(released.map(|read| Output::Readable(read.id)));
+        out.extend(released.map(|read| Output::ReadReady(read.id)));
         self.reads.waiting.retain(|read| !ready(read));
     }
 }
--- a/crates/celerywinch_store/src/raft/write.rs
+++ b/crates/celerywinch_store/src/raft/write.rs
@@ -1,7 +1,7 @@
 //! What the disk still has to write, and what rests on it.
 //!
 //! The disk may take seconds. Messages and time are handled meanwhile, so that a keeper whose disk is slow still answers the
-//! leader and serves reads; what depends on a write happens once [`Input::Written`](super::Input::Written) reports it.
+//! leader and serves reads; what depends on a write happens once [`Input::Synced`](super::Input::Synced) reports it.
 
 use celerywinch_types::Time;
 
@@ -41,7 +41,7 @@
     pub(super) fn write_entries(&mut self, now: Time, entries: Vec<Entry>, out: &mut Vec<Output>) {
         let last = entries.last().map_or(0, |entry| entry.index);
         self.unsynced.push_back((now, Write::UpTo(last)));
-        out.push(Output::Persist(entries));
+        out.push(Output::PersistEntries(entries));
     }
 
     pub(super) fn write_snapshot(&mut self, now: Time, snapshot: Snapshot, out: &mut Vec<Output>) {
--- a/crates/celerywinch_store/tests/members.rs
+++ b/crates/celerywinch_store/tests/members.rs
@@ -70,8 +70,8 @@
                 match output {
                     Output::PersistVote { .. }
                     | Output::Truncate(_)
-                    | Output::Persist(_)
-                    | Output::PersistSnapshot(_) => inputs.insert(0, (index, Input::Written(1))),
+                    | Output::PersistEntries(_)
+                    | Output::PersistSnapshot(_) => inputs.insert(0, (index, Input::Synced(1))),
                     Output::Send(to, _, msg) => {
                         let msg: RaftMsg = msg;
                         let from = Input::Message(id(index), msg);
--- a/crates/celerywinch_store/tests/reads.rs
+++ b/crates/celerywinch_store/tests/reads.rs
@@ -48,7 +48,7 @@
         handle(&mut raft, now, Input::Tick);
     }
     from(&mut raft, 2, RaftMsg::PreVoteReply { term: 2, granted });
-    handle(&mut raft, NOW, Input::Written(1));
+    handle(&mut raft, NOW, Input::Synced(1));
     from(&mut raft, 2, RaftMsg::VoteReply { term: 2, granted });
     assert_eq!((raft.role(), raft.term()), (Role::Leader, 2));
     raft
@@ -66,14 +66,14 @@
 fn from(raft: &mut Raft, instance: u32, msg: RaftMsg) -> Vec<u64> {
     let out = handle(raft, NOW, Input::Message(keeper(instance), msg));
     let readable = out.iter().filter_map(|output| match output {
-        Output::Readable(id) => Some(*id),
+        Output::ReadReady(id) => Some(*id),
         _ => None,
     });
     readable.collect()
 }
 
 fn commit_first_entry(raft: &mut Raft) {
-    handle(raft, NOW, Input::Written(1));
+    handle(raft, NOW, Input::Synced(1));
     let taken = RaftMsg::AppendReply {
         term: 2,
         index: 2,
@@ -111,12 +111,12 @@
         *msg == RaftMsg::Confirm { term: 2, round: 1 }
     });
     assert_eq!(asks.count(), 2);
-    assert!(!out.contains(&Output::Readable(7)));
+    assert!(!out.contains(&Output::ReadReady(7)));
     let (term, round) = case.answer;
     let released = from(&mut raft, 2, RaftMsg::ConfirmReply { term, round });
     assert_eq!(released, if case.released { vec![7] } else { Vec::new() });
     if !case.committed {
-        handle(&mut raft, NOW, Input::Written(1));
+        handle(&mut raft, NOW, Input::Synced(1));
         let taken = RaftMsg::AppendReply {
             term: 2,
             index: 2,
--- a/crates/celerywinch_store/tests/slow_disks.rs
+++ b/crates/celerywinch_store/tests/slow_disks.rs
@@ -38,7 +38,7 @@
         match output {
             Output::PersistVote { term, vote } => self.vote = (term, vote),
             Output::Truncate(index) => self.entries.retain(|entry| entry.index < index),
-            Output::Persist(entries) => self.entries.extend(entries),
+            Output::PersistEntries(entries) => self.entries.extend(entries),
             Output::PersistSnapshot(snapshot) => {
                 let same = |entry: &&Entry| entry.index == snapshot.index;
                 let agrees = self.entries.iter().find(same);
@@ -211,7 +211,7 @@
         for write in keeper.writes.drain(..count) {
             keeper.saved.write(write);
         }
-        self.input(index, Input::Written(count));
+        self.input(index, Input::Synced(count));
     }
 
     fn input(&mut self, index: usize, input: Input) {
@@ -230,7 +230,7 @@
         match output {
             Output::PersistVote { .. }
             | Output::Truncate(_)
-            | Output::Persist(_)
+            | Output::PersistEntries(_)
             | Output::PersistSnapshot(_) => self.keepers[index].writes.push_back(output),
             Output::Send(to, _, msg) => {
                 if !self.random.random_bool(0.02) {
@@ -239,16 +239,16 @@
                 }
             }
             Output::Apply(entry) => self.apply(entry),
-            Output::Compact(at) => {
+            Output::TakeSnapshot(at) => {
                 let state = at.to_le_bytes().to_vec();
-                self.input(index, Input::State { index: at, state });
+                self.input(index, Input::SnapshotState { index: at, state });
             }
-            Output::Role(Role::Leader) => {
+            Output::RoleChanged(Role::Leader) => {
                 let raft = self.keepers[index].raft.as_ref().expect("it runs");
                 let known = self.leaders.entry(raft.term()).or_insert(id(index));
                 assert_eq!(*known, id(index), "two leaders in term {}", raft.term());
             }
-            Output::Restore(_) | Output::Readable(_) | Output::Role(_) => {}
+            Output::Restore(_) | Output::ReadReady(_) | Output::RoleChanged(_) => {}
         }
     }
 
--- a/crates/celerywinch_store/tests/votes.rs
+++ b/crates/celerywinch_store/tests/votes.rs
@@ -57,7 +57,7 @@
         .iter()
         .filter(|output| !matches!(output, Output::Send(..)));
     let writes = writes
-        .filter(|output| !matches!(output, Output::Role(_)))
+        .filter(|output| !matches!(output, Output::RoleChanged(_)))
         .count();
     let granted = RaftMsg::VoteReply {
         term: 5,
@@ -67,9 +67,9 @@
         let mut out = out.iter();
         out.any(|output| matches!(output, Output::Send(_, _, msg) if *msg == granted))
     };
-    raft.handle(now, Input::Written(writes - 1), &mut out);
+    raft.handle(now, Input::Synced(writes - 1), &mut out);
     assert!(!told(&out), "before it is synced: {out:?}");
-    raft.handle(now, Input::Written(1), &mut out);
+    raft.handle(now, Input::Synced(1), &mut out);
     assert!(told(&out), "{out:?}");
     // After the restart, from what the disk held.
     let vote = (5, Some(keeper(2)));
