--- a/crates/celerywinch_bench/src/soak/store.rs
+++ b/crates/celerywinch_bench/src/soak/store.rs
@@ -7,7 +7,9 @@
 
 use celerywinch_catalogue::{Applied, ApplyError, Document, Edit, TeamEntry};
 use celerywinch_keeper::{Keeper, KeeperOutput, ProposalId, Proposer, ProposerOutput, StoreMsg};
-use celerywinch_store::{Entry, Input, KeeperId, Loaded, Output, RaftConfig, RaftMsg, Snapshot};
+use celerywinch_store::{
+    Entry, Input, KeeperId, Output, PersistedState, RaftConfig, RaftMsg, Snapshot,
+};
 use celerywinch_types::{InstanceId, Time};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -180,11 +182,11 @@
             compact_after: COMPACT_AFTER,
             seed,
         };
-        let loaded = Loaded {
+        let loaded = PersistedState {
             vote: disk.vote,
             snapshot: disk.snapshot.clone(),
             entries: disk.entries.clone(),
-            torn: 0,
+            torn_bytes: 0,
         };
         match Keeper::new(config, self.now, loaded) {
             Ok(keeper) => self.nodes[index].keeper = Some(keeper),
--- a/crates/celerywinch_fleet/src/store.rs
+++ b/crates/celerywinch_fleet/src/store.rs
@@ -107,10 +107,10 @@
 impl Store {
     fn open(&mut self) -> anyhow::Result<()> {
         let (disk, identity, loaded) = Disk::open(&self.folder.join(FOLDER), rand::random())?;
-        if loaded.torn > 0 {
+        if loaded.torn_bytes > 0 {
             log::warn!(
                 "store: Cut off {} bytes of an unfinished record.",
-                loaded.torn
+                loaded.torn_bytes
             );
         }
         let config = RaftConfig {
--- a/crates/celerywinch_keeper/src/keeper.rs
+++ b/crates/celerywinch_keeper/src/keeper.rs
@@ -5,7 +5,7 @@
 use anyhow::Context;
 use celerywinch_catalogue::{Document, Ledger, Version};
 use celerywinch_store::{
-    Entry, Input, KeeperId, Loaded, Output, Payload, Raft, RaftConfig, Role, Snapshot,
+    Entry, Input, KeeperId, Output, Payload, PersistedState, Raft, RaftConfig, Role, Snapshot,
 };
 use celerywinch_types::{InstanceId, Time};
 use serde::Serialize;
@@ -76,7 +76,7 @@
     /// # Errors
     ///
     /// The snapshot's state cannot be read.
-    pub fn new(config: RaftConfig, now: Time, loaded: Loaded) -> anyhow::Result<Self> {
+    pub fn new(config: RaftConfig, now: Time, loaded: PersistedState) -> anyhow::Result<Self> {
         let me = config.me;
         let ledger = read_state(&loaded.snapshot)?;
         let proposed = loaded
--- a/crates/celerywinch_node/src/store.rs
+++ b/crates/celerywinch_node/src/store.rs
@@ -110,10 +110,10 @@
         // The identity of a new disk: no two lives of any instance share it.
         let fresh = me.incarnation.0 << 16 | u64::from(me.instance.0);
         let (disk, identity, loaded) = Disk::open(&folder.join(KEEPER_FOLDER), fresh)?;
-        if loaded.torn > 0 {
+        if loaded.torn_bytes > 0 {
             log::warn!(
                 "store: Cut off an unfinished record of {} bytes.",
-                loaded.torn
+                loaded.torn_bytes
             );
         }
         let config = RaftConfig {
--- a/crates/celerywinch_registry/src/registry.rs
+++ b/crates/celerywinch_registry/src/registry.rs
@@ -6,7 +6,8 @@
 use anyhow::Context;
 use bincode::config::standard;
 use celerywinch_store::{
-    Entry, Input, KeeperId, Loaded, Output, Payload, Raft, RaftConfig, RaftMsg, Role, Snapshot,
+    Entry, Input, KeeperId, Output, Payload, PersistedState, Raft, RaftConfig, RaftMsg, Role,
+    Snapshot,
 };
 use celerywinch_types::{
     EvacuationOrder, Evacuations, InstanceId, KeeperRequest, KeeperState, Time, domain,
@@ -111,7 +112,7 @@
     /// # Errors
     ///
     /// The snapshot cannot be read.
-    pub fn new(config: RaftConfig, now: Time, loaded: Loaded) -> anyhow::Result<Self> {
+    pub fn new(config: RaftConfig, now: Time, loaded: PersistedState) -> anyhow::Result<Self> {
         let (document, evacuations) = decode_state(&loaded.snapshot)?;
         let last = loaded.entries.last();
         let last_proposed = last.map_or(loaded.snapshot.index, |entry| entry.index);
--- a/crates/celerywinch_registry/tests/evacuations.rs
+++ b/crates/celerywinch_registry/tests/evacuations.rs
@@ -6,7 +6,7 @@
 
 use bincode::config::standard;
 use celerywinch_registry::VersionedDocument;
-use celerywinch_store::{Entry, Loaded, Payload};
+use celerywinch_store::{Entry, Payload, PersistedState};
 use celerywinch_types::{DataCentreId, EvacuationOrder, KeeperRequest};
 use harness::Harness;
 use rstest::rstest;
@@ -47,7 +47,7 @@
     dcs: &[3, 4],
 })]
 fn delayed_orders_are_void(#[case] case: Case) {
-    let mut harness = Harness::new(Loaded::default());
+    let mut harness = Harness::new(PersistedState::default());
     for (id, each) in (1..).zip(case.orders) {
         order(&mut harness, id, *each);
     }
@@ -66,7 +66,7 @@
 #[case::from_the_log(0)]
 #[case::from_a_snapshot(9)]
 fn restarted_keeper_knows_evacuations(#[case] documents: u64) {
-    let mut harness = Harness::new(Loaded::default());
+    let mut harness = Harness::new(PersistedState::default());
     order(&mut harness, 1, (1, true, 0));
     for version in 1..=documents {
         let document = KeeperRequest::PutDocument(version, b"text".to_vec());
@@ -87,7 +87,7 @@
     let encode = |command: &Option<(u64, Vec<u8>)>| {
         bincode::serde::encode_to_vec(command, standard()).expect("plain data")
     };
-    let mut harness = Harness::new(Loaded::default());
+    let mut harness = Harness::new(PersistedState::default());
     for version in 1..=9 {
         harness.request(version, KeeperRequest::PutDocument(version, b"a".to_vec()));
     }
--- a/crates/celerywinch_registry/tests/harness/mod.rs
+++ b/crates/celerywinch_registry/tests/harness/mod.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use celerywinch_registry::{Registry, RegistryOutput, Request};
-use celerywinch_store::{Input, KeeperId, Loaded, Output, RaftConfig, Role};
+use celerywinch_store::{Input, KeeperId, Output, PersistedState, RaftConfig, Role};
 use celerywinch_types::{InstanceId, KeeperRequest, KeeperState, Time};
 
 pub(crate) const ME: InstanceId = InstanceId(1);
@@ -32,11 +32,11 @@
     pub(crate) now: Time,
     pub(crate) answers: Vec<(u64, Option<KeeperState>)>,
     /// The persisted state, for restarts.
-    pub(crate) disk: Loaded,
+    pub(crate) disk: PersistedState,
 }
 
 impl Harness {
-    pub(crate) fn new(disk: Loaded) -> Self {
+    pub(crate) fn new(disk: PersistedState) -> Self {
         let now = Time(10_000_000);
         let registry = Registry::new(config(), now, disk.clone()).expect("a readable disk");
         let mut harness = Self {
--- a/crates/celerywinch_registry/tests/slow_disks.rs
+++ b/crates/celerywinch_registry/tests/slow_disks.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_registry::{REQUEST_TIMEOUT, Registry, RegistryOutput, Request};
-use celerywinch_store::{Input, KeeperId, Loaded, Output, RaftConfig};
+use celerywinch_store::{Input, KeeperId, Output, PersistedState, RaftConfig};
 use celerywinch_types::{
     DataCentreId, EvacuationOrder, InstanceId, KeeperRequest, KeeperState, Time,
 };
@@ -60,7 +60,7 @@
                 compact_after: 16,
                 seed: instance.into(),
             };
-            Registry::new(config, now, Loaded::default()).expect("an empty disk")
+            Registry::new(config, now, PersistedState::default()).expect("an empty disk")
         };
         let mut group = Self {
             now,
--- a/crates/celerywinch_registry/tests/versions.rs
+++ b/crates/celerywinch_registry/tests/versions.rs
@@ -3,7 +3,7 @@
 mod harness;
 
 use celerywinch_registry::{Registry, RegistryOutput, Request};
-use celerywinch_store::Loaded;
+use celerywinch_store::PersistedState;
 use celerywinch_types::{InstanceId, KeeperRequest, KeeperState, Time};
 use harness::{Harness, ME, config};
 use rstest::rstest;
@@ -28,7 +28,7 @@
     stored: (7, "g"),
 })]
 fn highest_version_is_stored(#[case] case: Case) {
-    let mut harness = Harness::new(Loaded::default());
+    let mut harness = Harness::new(PersistedState::default());
     for (id, (version, text)) in (1..).zip(case.sent) {
         let document = text.as_bytes().to_vec();
         harness.request(id, KeeperRequest::PutDocument(*version, document));
@@ -54,7 +54,8 @@
     config.instances = vec![ME, InstanceId(2), InstanceId(3)];
     config.bootstrap = false;
     let now = Time(10_000_000);
-    let mut registry = Registry::new(config, now, Loaded::default()).expect("an empty disk");
+    let mut registry =
+        Registry::new(config, now, PersistedState::default()).expect("an empty disk");
     let request = Request {
         from: ME,
         id: 3,
--- a/crates/celerywinch_store/src/disk.rs
+++ b/crates/celerywinch_store/src/disk.rs
@@ -72,7 +72,7 @@
 
 /// What the disk held at the start.
 #[derive(Clone, Debug, Default)]
-pub struct Loaded {
+pub struct PersistedState {
     /// The term and the vote.
     pub vote: (u64, Option<KeeperId>),
     /// The snapshot.
@@ -80,7 +80,7 @@
     /// The entries after it.
     pub entries: Vec<Entry>,
     /// Bytes of an unfinished record that were cut off.
-    pub torn: usize,
+    pub torn_bytes: usize,
 }
 
 /// The disk of one keeper.
@@ -109,16 +109,16 @@
     /// # Errors
     ///
     /// A file cannot be used or is damaged.
-    pub fn open(folder: &Path, identity: u64) -> Result<(Self, u64, Loaded), DiskError> {
+    pub fn open(folder: &Path, identity: u64) -> Result<(Self, u64, PersistedState), DiskError> {
         at("make the folder", folder, fs::create_dir_all(folder))?;
         let identity = open_identity(folder, identity)?;
         let snapshot = load_snapshot(folder)?;
         let path = folder.join(LOG);
-        let (records, length, torn) = load_log(&path)?;
-        let mut loaded = Loaded {
+        let (records, length, torn_bytes) = load_log(&path)?;
+        let mut loaded = PersistedState {
             snapshot,
-            torn,
-            ..Loaded::default()
+            torn_bytes,
+            ..PersistedState::default()
         };
         records.into_iter().for_each(|record| loaded.take(record));
         drop_included(&mut loaded.entries, &loaded.snapshot);
@@ -199,7 +199,7 @@
     }
 }
 
-impl Loaded {
+impl PersistedState {
     fn take(&mut self, record: Record) {
         match record {
             Record::Vote { term, vote } => self.vote = (term, vote),
--- a/crates/celerywinch_store/tests/disk.rs
+++ b/crates/celerywinch_store/tests/disk.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use celerywinch_store::{
-    Disk, DiskError, Entry, Group, KeeperId, Loaded, Payload, Record, Snapshot,
+    Disk, DiskError, Entry, Group, KeeperId, Payload, PersistedState, Record, Snapshot,
 };
 use celerywinch_types::InstanceId;
 use rstest::rstest;
@@ -36,7 +36,7 @@
     }
 }
 
-fn load(folder: &Path) -> Loaded {
+fn load(folder: &Path) -> PersistedState {
     Disk::open(folder, 99).expect("a good folder").2
 }
 
@@ -78,9 +78,9 @@
     fs::write(log(folder.path()), &bytes[..torn]).expect("space");
     let loaded = load(folder.path());
     assert_eq!(loaded.entries, (1..=5).map(entry).collect::<Vec<_>>());
-    assert!(loaded.torn > 0);
+    assert!(loaded.torn_bytes > 0);
     assert!(before >= five.len());
-    assert_eq!(load(folder.path()).torn, 0, "it is cut off once");
+    assert_eq!(load(folder.path()).torn_bytes, 0, "it is cut off once");
 }
 
 /// A bit flips in a synced record: entries that others count on would be forgotten if the log were
