--- a/crates/celerywinch_keeper/src/keeper.rs
+++ b/crates/celerywinch_keeper/src/keeper.rs
@@ -250,15 +250,15 @@
     /// Figures for operators.
     #[must_use]
     pub fn status(&self) -> KeeperStatus {
-        let group = self.raft.group();
+        let membership = self.raft.membership();
         let instances = |keepers: &[KeeperId]| keepers.iter().map(|k| k.instance).collect();
         KeeperStatus {
             term: self.raft.term(),
             role: role_name(self.raft.role()).into(),
             leader: self.raft.leader().map(|keeper| keeper.instance),
-            commit: self.raft.commit(),
-            voters: instances(&group.voters),
-            learners: instances(&group.learners),
+            commit: self.raft.commit_index(),
+            voters: instances(&membership.voters),
+            learners: instances(&membership.learners),
             version: self.ledger.version(),
         }
     }
--- a/crates/celerywinch_registry/src/registry.rs
+++ b/crates/celerywinch_registry/src/registry.rs
@@ -149,13 +149,13 @@
     /// Returns the status of this keeper, for operators and logs.
     #[must_use]
     pub fn status(&self) -> RegistryStatus {
-        let group = self.raft.group();
+        let membership = self.raft.membership();
         RegistryStatus {
             term: self.raft.term(),
             role: self.raft.role(),
-            commit: self.raft.commit(),
-            voters: group.voters.len(),
-            learners: group.learners.len(),
+            commit: self.raft.commit_index(),
+            voters: membership.voters.len(),
+            learners: membership.learners.len(),
             version: self.document.version,
         }
     }
@@ -270,7 +270,7 @@
         let command = bincode::serde::encode_to_vec(command, standard());
         let command = command.expect("plain data encodes");
         let mut open = self.pending.keys().rev().copied();
-        let same = open.find(|index| self.raft.open_command(*index) == Some(&command));
+        let same = open.find(|index| self.raft.uncommitted_command(*index) == Some(&command));
         same.unwrap_or_else(|| {
             self.handle(now, Input::Propose(command), out);
             self.last_proposed
--- a/crates/celerywinch_store/src/lib.rs
+++ b/crates/celerywinch_store/src/lib.rs
@@ -15,6 +15,6 @@
 mod raft;
 
 pub use disk::{Disk, DiskError, PersistedState, Record, load_file, save_file};
-pub use log::{Entry, Group, KeeperId, Payload, Snapshot};
+pub use log::{Entry, KeeperId, Membership, Payload, Snapshot};
 pub use message::{RaftMsg, decode, encode};
 pub use raft::{Input, Output, Raft, RaftConfig, Role};
--- a/crates/celerywinch_store/src/log.rs
+++ b/crates/celerywinch_store/src/log.rs
@@ -14,7 +14,7 @@
 
     /// The keepers of the log.
     #[derive(Default)]
-    pub struct Group {
+    pub struct Membership {
         /// Those that count for majorities.
         pub voters: Vec<KeeperId>,
         /// Those that get the log but do not count yet.
@@ -28,7 +28,7 @@
         /// A command of the state machine on top.
         Command(Vec<u8>),
         /// The keepers from here on.
-        Group(Group),
+        Membership(Membership),
     }
 
     /// One entry.
@@ -49,13 +49,13 @@
         /// Its term.
         pub term: u64,
         /// The keepers as of then.
-        pub group: Group,
+        pub membership: Membership,
         /// The state machine's state.
         pub state: Vec<u8>,
     }
 }
 
-impl Group {
+impl Membership {
     /// How many voters make a majority.
     #[must_use]
     pub fn majority(&self) -> usize {
@@ -69,7 +69,7 @@
 
     /// The keeper of an instance, whatever its disk.
     #[must_use]
-    pub fn of(&self, instance: InstanceId) -> Option<KeeperId> {
+    pub fn keeper_of(&self, instance: InstanceId) -> Option<KeeperId> {
         self.all().find(|keeper| keeper.instance == instance)
     }
 }
@@ -151,22 +151,22 @@
     }
 
     /// The keepers by the last entry that names them, committed or not.
-    pub(crate) fn group(&self) -> Group {
+    pub(crate) fn membership(&self) -> Membership {
         let named = self
             .entries
             .iter()
             .rev()
             .find_map(|entry| match &entry.payload {
-                Payload::Group(group) => Some(group.clone()),
+                Payload::Membership(membership) => Some(membership.clone()),
                 Payload::Noop | Payload::Command(_) => None,
             });
-        named.unwrap_or_else(|| self.snapshot.group.clone())
+        named.unwrap_or_else(|| self.snapshot.membership.clone())
     }
 
     /// The index of the last entry that names the keepers.
-    pub(crate) fn group_index(&self) -> u64 {
+    pub(crate) fn membership_index(&self) -> u64 {
         let mut entries = self.entries.iter().rev();
-        let named = entries.find(|entry| matches!(entry.payload, Payload::Group(_)));
+        let named = entries.find(|entry| matches!(entry.payload, Payload::Membership(_)));
         named.map_or(self.snapshot.index, |entry| entry.index)
     }
 }
--- a/crates/celerywinch_store/src/raft/append.rs
+++ b/crates/celerywinch_store/src/raft/append.rs
@@ -43,15 +43,15 @@
     }
 
     fn hears_majority(&self, now: Time) -> bool {
-        let group = self.log.group();
+        let membership = self.log.membership();
         let me = self.config.me;
         let limit = self.config.election_timeout * 2;
         let heard = |keeper: &KeeperId| {
             let progress = self.progress.get(keeper);
             progress.is_some_and(|p| now.since(p.heard) <= limit)
         };
-        let hearing = group.voters.iter().filter(|v| **v == me || heard(v));
-        hearing.count() >= group.majority()
+        let hearing = membership.voters.iter().filter(|v| **v == me || heard(v));
+        hearing.count() >= membership.majority()
     }
 
     fn send_all(&mut self, now: Time, out: &mut Vec<Output>) {
@@ -228,7 +228,7 @@
 
     /// Commits what a majority of the voters has synced.
     pub(super) fn advance(&mut self, out: &mut Vec<Output>) {
-        let group = self.log.group();
+        let membership = self.log.membership();
         let me = self.config.me;
         let synced = |keeper: &KeeperId| {
             if *keeper == me {
@@ -236,9 +236,9 @@
             }
             self.progress.get(keeper).map_or(0, |p| p.matched)
         };
-        let mut indices: Vec<_> = group.voters.iter().map(synced).collect();
+        let mut indices: Vec<_> = membership.voters.iter().map(synced).collect();
         indices.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(agreed) = indices.get(group.majority() - 1).copied() else {
+        let Some(agreed) = indices.get(membership.majority() - 1).copied() else {
             return;
         };
         // An entry of an earlier term may still be replaced although a majority has it.
--- a/crates/celerywinch_store/src/raft/election.rs
+++ b/crates/celerywinch_store/src/raft/election.rs
@@ -61,7 +61,7 @@
 
     pub(super) fn ask_voters(&self, msg: &RaftMsg, out: &mut Vec<Output>) {
         let me = self.config.me;
-        for voter in self.log.group().voters.iter().filter(|v| **v != me) {
+        for voter in self.log.membership().voters.iter().filter(|v| **v != me) {
             self.send(*voter, msg.clone(), out);
         }
     }
@@ -129,9 +129,9 @@
     }
 
     fn has_votes(&self) -> bool {
-        let group = self.log.group();
-        let counted = self.votes.iter().filter(|v| group.voters.contains(v));
-        counted.count() >= group.majority()
+        let membership = self.log.membership();
+        let counted = self.votes.iter().filter(|v| membership.voters.contains(v));
+        counted.count() >= membership.majority()
     }
 
     fn ask_for_votes(&mut self, now: Time, out: &mut Vec<Output>) {
--- a/crates/celerywinch_store/src/raft/group.rs
+++ b/crates/celerywinch_store/src/raft/membership.rs
@@ -5,7 +5,7 @@
 use celerywinch_types::{InstanceId, Time};
 
 use super::{Output, Raft, Role};
-use crate::{Entry, Group, KeeperId, Payload, RaftMsg};
+use crate::{Entry, KeeperId, Membership, Payload, RaftMsg};
 
 /// How often a keeper with an empty disk must be heard before it counts as one.
 const BLANK_HELLOS: u32 = 3;
@@ -79,14 +79,14 @@
         if voters.first() != Some(&me) {
             return;
         }
-        let group = Group {
+        let membership = Membership {
             voters,
             learners: Vec::new(),
         };
         let entry = Entry {
             index: 1,
             term: 0,
-            payload: Payload::Group(group),
+            payload: Payload::Membership(membership),
         };
         self.log.push(entry.clone());
         self.write_entries(now, vec![entry], out);
@@ -139,12 +139,12 @@
     /// when it has the whole log does it count. A second loss right after the repair thus finds
     /// a majority that has everything.
     pub(super) fn tend_group(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.log.group_index() > self.commit || self.commit_of_term_missing() {
+        if self.log.membership_index() > self.commit || self.commit_of_term_missing() {
             return;
         }
-        let group = self.log.group();
-        if let Some(next) = self.next_group(now, &group) {
-            self.propose(now, Payload::Group(next), out);
+        let membership = self.log.membership();
+        if let Some(next) = self.next_membership(now, &membership) {
+            self.propose(now, Payload::Membership(next), out);
         }
     }
 
@@ -153,13 +153,13 @@
         self.log.term(self.commit) != Some(self.term)
     }
 
-    fn next_group(&self, now: Time, group: &Group) -> Option<Group> {
+    fn next_membership(&self, now: Time, membership: &Membership) -> Option<Membership> {
         for blank in self.present_blanks(now) {
-            if group.all().any(|keeper| keeper == blank) {
+            if membership.all().any(|keeper| keeper == blank) {
                 continue;
             }
-            let mut next = group.clone();
-            if let Some(old) = group.of(blank.instance) {
+            let mut next = membership.clone();
+            if let Some(old) = membership.keeper_of(blank.instance) {
                 next.voters.retain(|keeper| *keeper != old);
                 next.learners.retain(|keeper| *keeper != old);
                 return (!next.voters.is_empty()).then_some(next);
@@ -167,35 +167,38 @@
             next.learners.push(blank);
             return Some(next);
         }
-        if let Some(next) = self.readmit(now, group) {
+        if let Some(next) = self.readmit(now, membership) {
             return Some(next);
         }
-        if group.voters.len() > self.config.max_voters {
-            return self.drop_voter(now, group);
+        if membership.voters.len() > self.config.max_voters {
+            return self.drop_voter(now, membership);
         }
-        if group.voters.len() == self.config.max_voters && self.lost_voter(now, group).is_none() {
+        if membership.voters.len() == self.config.max_voters
+            && self.lost_voter(now, membership).is_none()
+        {
             return None;
         }
-        self.promote(now, group)
+        self.promote(now, membership)
     }
 
     /// One with a log that is no member any more learns again.
-    fn readmit(&self, now: Time, group: &Group) -> Option<Group> {
+    fn readmit(&self, now: Time, membership: &Membership) -> Option<Membership> {
         let fresh = |at: &Time| now.since(*at) <= BLANK_MEMORY;
         let mut returning = self.returning.iter().filter(|(_, at)| fresh(at));
-        let (keeper, _) = returning.find(|(keeper, _)| group.of(keeper.instance).is_none())?;
-        let mut next = group.clone();
+        let (keeper, _) =
+            returning.find(|(keeper, _)| membership.keeper_of(keeper.instance).is_none())?;
+        let mut next = membership.clone();
         next.learners.push(*keeper);
         Some(next)
     }
 
-    fn promote(&self, now: Time, group: &Group) -> Option<Group> {
-        let caught_up = group.learners.iter().find(|learner| {
+    fn promote(&self, now: Time, membership: &Membership) -> Option<Membership> {
+        let caught_up = membership.learners.iter().find(|learner| {
             let progress = self.progress.get(learner);
             let heard = |p: &super::Progress| now.since(p.heard) <= BLANK_MEMORY;
             progress.is_some_and(|p| p.matched >= self.commit && heard(p))
         })?;
-        let mut next = group.clone();
+        let mut next = membership.clone();
         next.learners.retain(|keeper| keeper != caught_up);
         next.voters.push(*caught_up);
         next.voters.sort_unstable();
@@ -203,9 +206,9 @@
     }
 
     /// The voter that was not heard for the longest time, if that is too long.
-    fn lost_voter(&self, now: Time, group: &Group) -> Option<KeeperId> {
+    fn lost_voter(&self, now: Time, membership: &Membership) -> Option<KeeperId> {
         let me = self.config.me;
-        let others = group.voters.iter().filter(|voter| **voter != me);
+        let others = membership.voters.iter().filter(|voter| **voter != me);
         let heard = |voter: &&KeeperId| self.progress.get(voter).map(|p| p.heard);
         let lost = others.min_by_key(heard)?;
         let silent = now.since(heard(&lost).unwrap_or_default());
@@ -213,14 +216,14 @@
     }
 
     /// One voter too many: the lost one that was replaced leaves. If it is back, it learns.
-    fn drop_voter(&self, now: Time, group: &Group) -> Option<Group> {
+    fn drop_voter(&self, now: Time, membership: &Membership) -> Option<Membership> {
         let me = self.config.me;
         let heard = |voter: &&KeeperId| self.progress.get(voter).map(|p| p.heard);
-        let others = group.voters.iter().filter(|voter| **voter != me);
+        let others = membership.voters.iter().filter(|voter| **voter != me);
         let last = others.min_by_key(heard)?;
-        let mut next = group.clone();
+        let mut next = membership.clone();
         next.voters.retain(|voter| voter != last);
-        if self.lost_voter(now, group).is_none() {
+        if self.lost_voter(now, membership).is_none() {
             next.learners.push(*last);
         }
         Some(next)
--- a/crates/celerywinch_store/src/raft/mod.rs
+++ b/crates/celerywinch_store/src/raft/mod.rs
@@ -2,7 +2,7 @@
 
 mod append;
 mod election;
-mod group;
+mod membership;
 mod read;
 mod write;
 
@@ -14,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::log::Log;
-use crate::{Entry, Group, KeeperId, Payload, RaftMsg, Snapshot};
+use crate::{Entry, KeeperId, Membership, Payload, RaftMsg, Snapshot};
 
 /// What a keeper is told at its start.
 #[derive(Clone, Debug)]
@@ -149,7 +149,7 @@
     votes: Vec<KeeperId>,
     progress: BTreeMap<KeeperId, Progress>,
     /// Keepers with empty disks that were heard of, by instance.
-    blanks: BTreeMap<InstanceId, group::Blank>,
+    blanks: BTreeMap<InstanceId, membership::Blank>,
     /// Keepers with a log that hear no leader, and when they said so.
     returning: BTreeMap<KeeperId, Time>,
     /// Where a group is looked for, beside the instances of the settings.
@@ -257,13 +257,13 @@
 
     /// How far the log is committed, as far as this keeper knows.
     #[must_use]
-    pub fn commit(&self) -> u64 {
+    pub fn commit_index(&self) -> u64 {
         self.commit
     }
 
     /// The command of an entry of this term that is not committed, where this keeper leads.
     #[must_use]
-    pub fn open_command(&self, index: u64) -> Option<&[u8]> {
+    pub fn uncommitted_command(&self, index: u64) -> Option<&[u8]> {
         let entry = self.log.get(index)?;
         let open = self.role == Role::Leader && index > self.commit && entry.term == self.term;
         match &entry.payload {
@@ -274,8 +274,8 @@
 
     /// The keepers, by the last entry that names them.
     #[must_use]
-    pub fn group(&self) -> Group {
-        self.log.group()
+    pub fn membership(&self) -> Membership {
+        self.log.membership()
     }
 
     /// The leader, if one is known.
@@ -334,14 +334,14 @@
     fn others(&self) -> Vec<KeeperId> {
         let me = self.config.me;
         self.log
-            .group()
+            .membership()
             .all()
             .filter(|keeper| *keeper != me)
             .collect()
     }
 
     fn is_voter(&self) -> bool {
-        self.log.group().voters.contains(&self.config.me)
+        self.log.membership().voters.contains(&self.config.me)
     }
 
     fn set_role(&mut self, now: Time, role: Role, out: &mut Vec<Output>) {
@@ -391,7 +391,7 @@
         let snapshot = Snapshot {
             index,
             term,
-            group: self.group_at(index),
+            membership: self.membership_at(index),
             state,
         };
         self.log.compact(snapshot.clone());
@@ -399,14 +399,14 @@
     }
 
     /// The keepers as of an entry that is still in the log.
-    fn group_at(&self, index: u64) -> Group {
+    fn membership_at(&self, index: u64) -> Membership {
         let first = self.log.snapshot.index + 1;
-        let mut group = self.log.snapshot.group.clone();
+        let mut membership = self.log.snapshot.membership.clone();
         for at in first..=index {
-            if let Some(Payload::Group(named)) = self.log.get(at).map(|entry| &entry.payload) {
-                group = named.clone();
+            if let Some(Payload::Membership(named)) = self.log.get(at).map(|entry| &entry.payload) {
+                membership = named.clone();
             }
         }
-        group
+        membership
     }
 }
--- a/crates/celerywinch_store/src/raft/read.rs
+++ b/crates/celerywinch_store/src/raft/read.rs
@@ -100,16 +100,16 @@
         if self.reads.waiting.is_empty() {
             return;
         }
-        let group = self.log.group();
+        let membership = self.log.membership();
         let confirmed = |keeper: &KeeperId| {
             if *keeper == self.config.me {
                 return self.reads.round;
             }
             self.reads.confirmed.get(keeper).copied().unwrap_or(0)
         };
-        let mut rounds: Vec<_> = group.voters.iter().map(confirmed).collect();
+        let mut rounds: Vec<_> = membership.voters.iter().map(confirmed).collect();
         rounds.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(agreed) = rounds.get(group.majority() - 1).copied() else {
+        let Some(agreed) = rounds.get(membership.majority() - 1).copied() else {
             return;
         };
         let applied = self.applied;
--- a/crates/celerywinch_store/tests/disk.rs
+++ b/crates/celerywinch_store/tests/disk.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use celerywinch_store::{
-    Disk, DiskError, Entry, Group, KeeperId, Payload, PersistedState, Record, Snapshot,
+    Disk, DiskError, Entry, KeeperId, Membership, Payload, PersistedState, Record, Snapshot,
 };
 use celerywinch_types::InstanceId;
 use rstest::rstest;
@@ -109,7 +109,7 @@
     let snapshot = Snapshot {
         index: 8,
         term: 3,
-        group: Group::default(),
+        membership: Membership::default(),
         state: vec![1; 100],
     };
     disk.compact(&snapshot).expect("space");
--- a/crates/celerywinch_store/tests/members.rs
+++ b/crates/celerywinch_store/tests/membership.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_store::{
-    Group, Input, KeeperId, Output, Raft, RaftConfig, RaftMsg, Role, Snapshot,
+    Input, KeeperId, Membership, Output, Raft, RaftConfig, RaftMsg, Role, Snapshot,
 };
 use celerywinch_types::{InstanceId, Time};
 
@@ -89,8 +89,8 @@
         leaders.next().expect("a leader")
     }
 
-    fn group(&self) -> Group {
-        self.keepers[self.leader()].group()
+    fn membership(&self) -> Membership {
+        self.keepers[self.leader()].membership()
     }
 }
 
@@ -100,9 +100,9 @@
 fn fourth_keeper_learns() {
     let mut net = Net::new(4);
     net.run(Duration::from_secs(4));
-    let group = net.group();
-    assert_eq!(group.voters, [id(0), id(1), id(2)]);
-    assert_eq!(group.learners, [id(3)]);
+    let membership = net.membership();
+    assert_eq!(membership.voters, [id(0), id(1), id(2)]);
+    assert_eq!(membership.learners, [id(3)]);
 }
 
 /// Changes stop for good: a keeper is lost, the learner never takes its place, and a second one is lost
@@ -117,23 +117,23 @@
     net.down.insert(lost);
     net.run(Duration::from_secs(3));
     assert!(
-        net.group().voters.contains(&id(lost)),
+        net.membership().voters.contains(&id(lost)),
         "a restart takes as long"
     );
     net.run(Duration::from_secs(5));
-    let group = net.group();
-    assert_eq!(group.voters.len(), 3);
+    let membership = net.membership();
+    assert_eq!(membership.voters.len(), 3);
     assert!(
-        group.voters.contains(&id(3)) && !group.voters.contains(&id(lost)),
-        "{group:?}"
+        membership.voters.contains(&id(3)) && !membership.voters.contains(&id(lost)),
+        "{membership:?}"
     );
     net.down.remove(&lost);
     net.run(Duration::from_secs(6));
-    let group = net.group();
-    assert!(group.learners.contains(&id(lost)), "{group:?}");
+    let membership = net.membership();
+    assert!(membership.learners.contains(&id(lost)), "{membership:?}");
     let commits = (
-        net.keepers[lost].commit(),
-        net.keepers[net.leader()].commit(),
+        net.keepers[lost].commit_index(),
+        net.keepers[net.leader()].commit_index(),
     );
     assert_eq!(commits.0, commits.1, "it has the whole log");
 }
--- a/crates/celerywinch_store/tests/reads.rs
+++ b/crates/celerywinch_store/tests/reads.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use celerywinch_store::{
-    Entry, Group, Input, KeeperId, Output, Payload, Raft, RaftConfig, RaftMsg, Role, Snapshot,
+    Entry, Input, KeeperId, Membership, Output, Payload, Raft, RaftConfig, RaftMsg, Role, Snapshot,
 };
 use celerywinch_types::{InstanceId, Time};
 use rstest::rstest;
@@ -27,14 +27,14 @@
         compact_after: 128,
         seed: 1,
     };
-    let group = Group {
+    let membership = Membership {
         voters: (1..=3).map(keeper).collect(),
         learners: Vec::new(),
     };
     let formed = Entry {
         index: 1,
         term: 1,
-        payload: Payload::Group(group),
+        payload: Payload::Membership(membership),
     };
     let mut raft = Raft::new(config, now, (1, None), Snapshot::default(), vec![formed]);
     let later = now + Duration::from_secs(1);
@@ -80,7 +80,7 @@
         taken: true,
     };
     from(raft, 2, taken);
-    assert_eq!(raft.commit(), 2);
+    assert_eq!(raft.commit_index(), 2);
 }
 
 struct Case {
--- a/crates/celerywinch_store/tests/votes.rs
+++ b/crates/celerywinch_store/tests/votes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use celerywinch_store::{
-    Entry, Group, Input, KeeperId, Output, Payload, Raft, RaftConfig, RaftMsg, Role, Snapshot,
+    Entry, Input, KeeperId, Membership, Output, Payload, Raft, RaftConfig, RaftMsg, Role, Snapshot,
 };
 use celerywinch_types::{InstanceId, Time};
 
@@ -28,14 +28,14 @@
 }
 
 fn formed() -> Vec<Entry> {
-    let group = Group {
+    let membership = Membership {
         voters: (1..=3).map(keeper).collect(),
         learners: Vec::new(),
     };
     vec![Entry {
         index: 1,
         term: 1,
-        payload: Payload::Group(group),
+        payload: Payload::Membership(membership),
     }]
 }
 
