--- a/crates/celerywinch_bench/src/soak/store.rs
+++ b/crates/celerywinch_bench/src/soak/store.rs
@@ -258,7 +258,7 @@
             }
             KeeperOutput::Log(_) => return false,
             KeeperOutput::Answer(to, id, answer) => {
-                self.send(index, to, StoreMsg::Answered { id, answer });
+                self.send(index, to, StoreMsg::ProposalAnswer { id, answer });
                 return false;
             }
             KeeperOutput::Committed {
@@ -275,7 +275,7 @@
         let Some(keeper) = &self.nodes[index].keeper else {
             return;
         };
-        match keeper.wrap(to, disk, msg) {
+        match keeper.encode_message(to, disk, msg) {
             Ok(msg) => self.send(index, to, msg),
             Err(error) => self.report.violations.push(format!("{error:#}")),
         }
@@ -311,7 +311,7 @@
         match msg {
             StoreMsg::Log(bytes) => {
                 if let Some(keeper) = &mut self.nodes[index].keeper
-                    && let Err(error) = keeper.unwrap(now, &bytes, &mut out)
+                    && let Err(error) = keeper.handle_encoded(now, &bytes, &mut out)
                 {
                     self.report.violations.push(format!("{error:#}"));
                 }
@@ -321,10 +321,10 @@
                     keeper.propose(now, from, id, edit, &mut out);
                 }
             }
-            StoreMsg::Answered { id, answer } => {
+            StoreMsg::ProposalAnswer { id, answer } => {
                 let mut done = Vec::new();
                 if let Some(proposer) = &mut self.nodes[index].proposer {
-                    proposer.answered(now, from, id, answer, &mut done);
+                    proposer.handle_answer(now, from, id, answer, &mut done);
                 }
                 self.proposer_outputs(index, done);
             }
--- a/crates/celerywinch_keeper/src/keeper.rs
+++ b/crates/celerywinch_keeper/src/keeper.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use crate::message::decode_edit;
-use crate::{Answer, ProposalId, StoreMsg};
+use crate::{ProposalAnswer, ProposalId, StoreMsg};
 
 /// What the host is to do, strictly in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
     /// with here and never come out.
     Log(Output),
     /// Answer a change, to the instance that sent it.
-    Answer(InstanceId, ProposalId, Answer),
+    Answer(InstanceId, ProposalId, ProposalAnswer),
     /// A version was committed.
     Committed {
         /// The version.
@@ -28,7 +28,7 @@
         /// The catalogue.
         document: Document,
         /// Whether this keeper leads, and so is the one to spread it.
-        leads: bool,
+        is_leader: bool,
     },
 }
 
@@ -143,7 +143,7 @@
     ) {
         if self.raft.role() != Role::Leader {
             let leader = self.raft.leader().map(|keeper| keeper.instance);
-            let answer = Answer::NotLeader(leader);
+            let answer = ProposalAnswer::NotLeader(leader);
             out.push(KeeperOutput::Answer(from, id, answer));
             return;
         }
@@ -159,9 +159,12 @@
         // A group of one commits at once, when the host has synced; nothing is answered before.
     }
 
-    fn known_answer(&self, edit: &[u8]) -> Option<Answer> {
+    fn known_answer(&self, edit: &[u8]) -> Option<ProposalAnswer> {
         let edit = decode_edit(edit).ok()?;
-        self.ledger.answer(&edit.change).cloned().map(Answer::Done)
+        self.ledger
+            .answer(&edit.change)
+            .cloned()
+            .map(ProposalAnswer::Done)
     }
 
     fn apply(&mut self, entry: Entry, out: &mut Vec<KeeperOutput>) {
@@ -177,14 +180,14 @@
             out.push(KeeperOutput::Committed {
                 version: self.ledger.version(),
                 document: self.ledger.document().clone(),
-                leads: self.raft.role() == Role::Leader,
+                is_leader: self.raft.role() == Role::Leader,
             });
         }
         if let Some(pending) = self.pending.remove(&entry.index) {
             let answer = if pending.term == entry.term {
-                Answer::Done(answer)
+                ProposalAnswer::Done(answer)
             } else {
-                Answer::Unsure
+                ProposalAnswer::Unknown
             };
             out.push(KeeperOutput::Answer(pending.from, pending.id, answer));
         }
@@ -200,7 +203,7 @@
             out.push(KeeperOutput::Committed {
                 version: self.ledger.version(),
                 document: self.ledger.document().clone(),
-                leads: false,
+                is_leader: false,
             });
         }
     }
@@ -210,7 +213,7 @@
             out.push(KeeperOutput::Answer(
                 pending.from,
                 pending.id,
-                Answer::Unsure,
+                ProposalAnswer::Unknown,
             ));
         }
     }
@@ -220,7 +223,7 @@
     /// # Errors
     ///
     /// The message is too large.
-    pub fn wrap(
+    pub fn encode_message(
         &self,
         to: InstanceId,
         disk: Option<u64>,
@@ -235,7 +238,7 @@
     /// # Errors
     ///
     /// The bytes are no message.
-    pub fn unwrap(
+    pub fn handle_encoded(
         &mut self,
         now: Time,
         bytes: &[u8],
--- a/crates/celerywinch_keeper/src/lib.rs
+++ b/crates/celerywinch_keeper/src/lib.rs
@@ -10,5 +10,5 @@
 mod proposer;
 
 pub use keeper::{Keeper, KeeperOutput, KeeperStatus};
-pub use message::{Answer, ProposalId, StoreMsg};
+pub use message::{ProposalAnswer, ProposalId, StoreMsg};
 pub use proposer::{Proposer, ProposerOutput};
--- a/crates/celerywinch_keeper/src/message.rs
+++ b/crates/celerywinch_keeper/src/message.rs
@@ -12,14 +12,14 @@
     pub struct ProposalId(pub u64);
 
     /// What became of a proposal.
-    pub enum Answer {
+    pub enum ProposalAnswer {
         /// The log agreed on it, and this came of it.
         Done(Result<Applied, ApplyError>),
         /// The receiver does not lead; this instance may.
         NotLeader(Option<InstanceId>),
         /// Leadership was lost meanwhile; the change may still be accepted. Sent again with the
         /// same change id, it gets its one answer.
-        Unsure,
+        Unknown,
     }
 
     /// Everything that travels between instances about the store.
@@ -34,11 +34,11 @@
             edit: Vec<u8>,
         },
         /// What became of a change.
-        Answered {
+        ProposalAnswer {
             /// Names it at the receiver.
             id: ProposalId,
             /// What became of it.
-            answer: Answer,
+            answer: ProposalAnswer,
         },
     }
 }
--- a/crates/celerywinch_keeper/src/proposer.rs
+++ b/crates/celerywinch_keeper/src/proposer.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::message::encode_edit;
-use crate::{Answer, ProposalId, StoreMsg};
+use crate::{ProposalAnswer, ProposalId, StoreMsg};
 
 /// How long an answer is waited for before another keeper is tried.
 const ATTEMPT: Duration = Duration::from_millis(150);
@@ -85,28 +85,28 @@
     }
 
     /// Takes an answer.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
         now: Time,
         from: InstanceId,
         id: ProposalId,
-        answer: Answer,
+        answer: ProposalAnswer,
         out: &mut Vec<ProposerOutput>,
     ) {
         match answer {
-            Answer::Done(result) => {
+            ProposalAnswer::Done(result) => {
                 self.leader = Some(from);
                 if self.open.remove(&id).is_some() {
                     out.push(ProposerOutput::Done(id, Some(result)));
                 }
             }
-            Answer::NotLeader(hint) => {
+            ProposalAnswer::NotLeader(hint) => {
                 let known = hint.is_some_and(|hint| hint != from);
                 self.leader = hint.filter(|hint| *hint != from);
                 self.again(now, id, known);
                 self.tick(now, out);
             }
-            Answer::Unsure => {
+            ProposalAnswer::Unknown => {
                 self.leader = None;
                 self.again(now, id, false);
             }
--- a/crates/celerywinch_node/src/store.rs
+++ b/crates/celerywinch_node/src/store.rs
@@ -208,7 +208,7 @@
         match msg {
             StoreMsg::Log(bytes) => {
                 if let Some(keeper) = &mut self.keeper
-                    && let Err(error) = keeper.unwrap(now, &bytes, &mut out)
+                    && let Err(error) = keeper.handle_encoded(now, &bytes, &mut out)
                 {
                     log::warn!("store: Dropped a message of {from}: {error:#}.");
                 }
@@ -218,9 +218,10 @@
                     keeper.propose(now, from, id, edit, &mut out);
                 }
             }
-            StoreMsg::Answered { id, answer } => {
+            StoreMsg::ProposalAnswer { id, answer } => {
                 let mut done = Vec::new();
-                self.proposer.answered(now, from, id, answer, &mut done);
+                self.proposer
+                    .handle_answer(now, from, id, answer, &mut done);
                 self.proposer_outputs(now, done);
             }
         }
@@ -298,16 +299,16 @@
         match output {
             KeeperOutput::Log(output) => return self.log_output(now, output),
             KeeperOutput::Answer(to, id, answer) => {
-                self.send(now, to, &StoreMsg::Answered { id, answer });
+                self.send(now, to, &StoreMsg::ProposalAnswer { id, answer });
             }
             KeeperOutput::Committed {
                 version,
                 document,
-                leads,
+                is_leader,
             } => {
                 let catalogue = Catalogue::check(version, document)
                     .map_err(|problems| anyhow::anyhow!("store: committed {problems:?}"))?;
-                self.tell(EntryInput::Committed(Arc::new(catalogue), leads));
+                self.tell(EntryInput::Committed(Arc::new(catalogue), is_leader));
             }
         }
         Ok(false)
@@ -325,7 +326,7 @@
             Output::PersistSnapshot(snapshot) => disk.compact(&snapshot)?,
             Output::Send(to, to_disk, msg) => {
                 let keeper = self.keeper.as_ref().context("store: no keeper")?;
-                let msg = keeper.wrap(to, to_disk, msg)?;
+                let msg = keeper.encode_message(to, to_disk, msg)?;
                 self.send(now, to, &msg);
                 return Ok(false);
             }
