--- a/crates/celerywinch_keeper/src/keeper.rs
+++ b/crates/celerywinch_keeper/src/keeper.rs
@@ -67,7 +67,7 @@
     ledger: Ledger,
     pending: BTreeMap<u64, Pending>,
     /// The index that the next proposed entry gets.
-    proposed: u64,
+    last_proposed: u64,
 }
 
 impl Keeper {
@@ -78,8 +78,8 @@
     /// The snapshot's state cannot be read.
     pub fn new(config: RaftConfig, now: Time, loaded: PersistedState) -> anyhow::Result<Self> {
         let me = config.me;
-        let ledger = read_state(&loaded.snapshot)?;
-        let proposed = loaded
+        let ledger = decode_state(&loaded.snapshot)?;
+        let last_proposed = loaded
             .entries
             .last()
             .map_or(loaded.snapshot.index, |entry| entry.index);
@@ -88,7 +88,7 @@
             raft: Raft::new(config, now, loaded.vote, loaded.snapshot, loaded.entries),
             ledger,
             pending: BTreeMap::new(),
-            proposed,
+            last_proposed,
         })
     }
 
@@ -120,12 +120,14 @@
             }
             Output::RoleChanged(role) => {
                 if role != Role::Leader {
-                    self.lose_pending(out);
+                    self.fail_pending(out);
                 }
                 out.push(KeeperOutput::Log(Output::RoleChanged(role)));
             }
             Output::PersistEntries(entries) => {
-                self.proposed = entries.last().map_or(self.proposed, |entry| entry.index);
+                self.last_proposed = entries
+                    .last()
+                    .map_or(self.last_proposed, |entry| entry.index);
                 out.push(KeeperOutput::Log(Output::PersistEntries(entries)));
             }
             other => out.push(KeeperOutput::Log(other)),
@@ -148,18 +150,18 @@
             return;
         }
         // One sent again after its answer was lost needs no second entry.
-        if let Some(answer) = self.known_answer(&edit) {
+        if let Some(answer) = self.recorded_answer(&edit) {
             out.push(KeeperOutput::Answer(from, id, answer));
             return;
         }
         let term = self.raft.term();
         self.handle(now, Input::Propose(edit), out);
         let pending = Pending { term, from, id };
-        self.pending.insert(self.proposed, pending);
+        self.pending.insert(self.last_proposed, pending);
         // A group of one commits at once, when the host has synced; nothing is answered before.
     }
 
-    fn known_answer(&self, edit: &[u8]) -> Option<ProposalAnswer> {
+    fn recorded_answer(&self, edit: &[u8]) -> Option<ProposalAnswer> {
         let edit = decode_edit(edit).ok()?;
         self.ledger
             .answer(&edit.change)
@@ -194,12 +196,12 @@
     }
 
     fn restore(&mut self, snapshot: &Snapshot, out: &mut Vec<KeeperOutput>) {
-        let Ok(ledger) = read_state(snapshot) else {
+        let Ok(ledger) = decode_state(snapshot) else {
             return;
         };
-        let news = ledger.version() > self.ledger.version();
+        let is_newer = ledger.version() > self.ledger.version();
         self.ledger = ledger;
-        if news {
+        if is_newer {
             out.push(KeeperOutput::Committed {
                 version: self.ledger.version(),
                 document: self.ledger.document().clone(),
@@ -208,7 +210,7 @@
         }
     }
 
-    fn lose_pending(&mut self, out: &mut Vec<KeeperOutput>) {
+    fn fail_pending(&mut self, out: &mut Vec<KeeperOutput>) {
         for (_, pending) in std::mem::take(&mut self.pending) {
             out.push(KeeperOutput::Answer(
                 pending.from,
@@ -267,7 +269,7 @@
     }
 }
 
-fn read_state(snapshot: &Snapshot) -> anyhow::Result<Ledger> {
+fn decode_state(snapshot: &Snapshot) -> anyhow::Result<Ledger> {
     if snapshot.state.is_empty() {
         return Ok(Ledger::default());
     }
--- a/crates/celerywinch_keeper/src/proposer.rs
+++ b/crates/celerywinch_keeper/src/proposer.rs
@@ -13,11 +13,11 @@
 use crate::{ProposalAnswer, ProposalId, StoreMsg};
 
 /// How long an answer is waited for before another keeper is tried.
-const ATTEMPT: Duration = Duration::from_millis(150);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(150);
 /// The longest pause before a keeper is asked again that knew no leader.
-const PAUSE_MS: u64 = 60;
+const MAX_RETRY_DELAY_MS: u64 = 60;
 /// How long a change is tried in all.
-const GIVE_UP: Duration = Duration::from_secs(8);
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -29,10 +29,10 @@
 }
 
 #[derive(Debug)]
-struct Open {
+struct PendingProposal {
     edit: Vec<u8>,
-    since: Time,
-    next: Time,
+    started_at: Time,
+    next_attempt: Time,
 }
 
 /// Brings changes to the leader and waits for their answers.
@@ -40,8 +40,8 @@
 pub struct Proposer {
     keepers: Vec<InstanceId>,
     leader: Option<InstanceId>,
-    open: BTreeMap<ProposalId, Open>,
-    serial: u64,
+    pending: BTreeMap<ProposalId, PendingProposal>,
+    last_id: u64,
     random: ChaCha8Rng,
 }
 
@@ -51,12 +51,12 @@
     pub fn new(keepers: Vec<InstanceId>, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         // An answer to an earlier life of this process must not be taken for one to this life.
-        let serial = random.random_range(1..u64::MAX / 2);
+        let last_id = random.random_range(1..u64::MAX / 2);
         Self {
             keepers,
             leader: None,
-            open: BTreeMap::new(),
-            serial,
+            pending: BTreeMap::new(),
+            last_id,
             random,
         }
     }
@@ -72,14 +72,14 @@
         edit: &Edit,
         out: &mut Vec<ProposerOutput>,
     ) -> anyhow::Result<ProposalId> {
-        self.serial += 1;
-        let id = ProposalId(self.serial);
-        let open = Open {
+        self.last_id += 1;
+        let id = ProposalId(self.last_id);
+        let pending = PendingProposal {
             edit: encode_edit(edit)?,
-            since: now,
-            next: now,
+            started_at: now,
+            next_attempt: now,
         };
-        self.open.insert(id, open);
+        self.pending.insert(id, pending);
         self.tick(now, out);
         Ok(id)
     }
@@ -96,45 +96,49 @@
         match answer {
             ProposalAnswer::Done(result) => {
                 self.leader = Some(from);
-                if self.open.remove(&id).is_some() {
+                if self.pending.remove(&id).is_some() {
                     out.push(ProposerOutput::Done(id, Some(result)));
                 }
             }
             ProposalAnswer::NotLeader(hint) => {
                 let known = hint.is_some_and(|hint| hint != from);
                 self.leader = hint.filter(|hint| *hint != from);
-                self.again(now, id, known);
+                self.schedule_retry(now, id, known);
                 self.tick(now, out);
             }
             ProposalAnswer::Unknown => {
                 self.leader = None;
-                self.again(now, id, false);
+                self.schedule_retry(now, id, false);
             }
         }
     }
 
-    fn again(&mut self, now: Time, id: ProposalId, at_once: bool) {
-        let pause = if at_once {
+    fn schedule_retry(&mut self, now: Time, id: ProposalId, immediately: bool) {
+        let delay = if immediately {
             Duration::ZERO
         } else {
-            Duration::from_millis(self.random.random_range(10..PAUSE_MS))
+            Duration::from_millis(self.random.random_range(10..MAX_RETRY_DELAY_MS))
         };
-        if let Some(open) = self.open.get_mut(&id) {
-            open.next = now + pause;
+        if let Some(pending) = self.pending.get_mut(&id) {
+            pending.next_attempt = now + delay;
         }
     }
 
     /// Lets time pass: tries again, and gives up.
     pub fn tick(&mut self, now: Time, out: &mut Vec<ProposerOutput>) {
-        let over = |open: &Open| now.since(open.since) >= GIVE_UP;
-        let given_up: Vec<_> = self.open.iter().filter(|(_, open)| over(open)).collect();
-        let given_up: Vec<_> = given_up.into_iter().map(|(id, _)| *id).collect();
-        for id in given_up {
-            self.open.remove(&id);
+        let expired = |pending: &PendingProposal| now.since(pending.started_at) >= PROPOSAL_TIMEOUT;
+        let timed_out: Vec<_> = self
+            .pending
+            .iter()
+            .filter(|(_, pending)| expired(pending))
+            .collect();
+        let timed_out: Vec<_> = timed_out.into_iter().map(|(id, _)| *id).collect();
+        for id in timed_out {
+            self.pending.remove(&id);
             out.push(ProposerOutput::Done(id, None));
         }
-        for (id, open) in &mut self.open {
-            if open.next > now {
+        for (id, pending) in &mut self.pending {
+            if pending.next_attempt > now {
                 continue;
             }
             let target = self
@@ -143,10 +147,10 @@
             let Some(target) = target else {
                 continue;
             };
-            open.next = now + ATTEMPT;
+            pending.next_attempt = now + ATTEMPT_TIMEOUT;
             // A leader that does not answer in time may be gone.
             self.leader = None;
-            let edit = open.edit.clone();
+            let edit = pending.edit.clone();
             out.push(ProposerOutput::Send(
                 target,
                 StoreMsg::Propose { id: *id, edit },
--- a/crates/celerywinch_store/src/disk.rs
+++ b/crates/celerywinch_store/src/disk.rs
@@ -17,15 +17,15 @@
 use crate::{Entry, KeeperId, Snapshot};
 
 /// Starts every record, so that whole records can be found behind a damaged one.
-const MARK: [u8; 4] = *b"cwr1";
+const RECORD_MAGIC: [u8; 4] = *b"cwr1";
 /// Bytes before a record's body: mark, length, checksum.
-const HEAD: usize = 12;
+const HEADER_BYTES: usize = 12;
 /// The longest record, in bytes.
-const LONGEST: usize = 256 << 20;
+const MAX_RECORD_BYTES: usize = 256 << 20;
 
-const IDENTITY: &str = "identity";
-const LOG: &str = "log";
-const SNAPSHOT: &str = "snapshot";
+const IDENTITY_FILE: &str = "identity";
+const LOG_FILE: &str = "log";
+const SNAPSHOT_FILE: &str = "snapshot";
 
 domain! {
     /// One record of the log file.
@@ -95,7 +95,7 @@
     buffer: Vec<u8>,
 }
 
-fn at<T>(step: &'static str, file: &Path, result: io::Result<T>) -> Result<T, DiskError> {
+fn io_result<T>(step: &'static str, file: &Path, result: io::Result<T>) -> Result<T, DiskError> {
     result.map_err(|cause| DiskError::Io {
         step,
         file: file.to_owned(),
@@ -110,22 +110,22 @@
     ///
     /// A file cannot be used or is damaged.
     pub fn open(folder: &Path, identity: u64) -> Result<(Self, u64, PersistedState), DiskError> {
-        at("make the folder", folder, fs::create_dir_all(folder))?;
+        io_result("make the folder", folder, fs::create_dir_all(folder))?;
         let identity = open_identity(folder, identity)?;
         let snapshot = load_snapshot(folder)?;
-        let path = folder.join(LOG);
+        let path = folder.join(LOG_FILE);
         let (records, length, torn_bytes) = load_log(&path)?;
         let mut loaded = PersistedState {
             snapshot,
             torn_bytes,
             ..PersistedState::default()
         };
-        records.into_iter().for_each(|record| loaded.take(record));
-        drop_included(&mut loaded.entries, &loaded.snapshot);
+        records.into_iter().for_each(|record| loaded.apply(record));
+        drop_superseded(&mut loaded.entries, &loaded.snapshot);
         let options = OpenOptions::new().create(true).append(true).open(&path);
-        let log = at("open", &path, options)?;
-        at("cut the torn end", &path, log.set_len(length))?;
-        at("sync", &path, log.sync_all())?;
+        let log = io_result("open", &path, options)?;
+        io_result("cut the torn end", &path, log.set_len(length))?;
+        io_result("sync", &path, log.sync_all())?;
         sync_folder(folder)?;
         let disk = Self {
             folder: folder.to_owned(),
@@ -149,23 +149,23 @@
         for record in records {
             encode(&mut self.buffer, record);
         }
-        let path = self.folder.join(LOG);
+        let path = self.folder.join(LOG_FILE);
         let written = self
             .log
             .write_all(&self.buffer)
             .and_then(|()| self.log.sync_data());
         if let Err(cause) = written {
             let _ = self.log.set_len(self.length);
-            return at("write", &path, Err(cause));
+            return io_result("write", &path, Err(cause));
         }
         self.length += self.buffer.len() as u64;
         for record in records {
-            self.remember(record);
+            self.apply(record);
         }
         Ok(())
     }
 
-    fn remember(&mut self, record: &Record) {
+    fn apply(&mut self, record: &Record) {
         match record {
             Record::Vote { term, vote } => self.vote = (*term, *vote),
             Record::Truncate(index) => self.entries.retain(|entry| entry.index < *index),
@@ -181,26 +181,26 @@
     pub fn compact(&mut self, snapshot: &Snapshot) -> Result<(), DiskError> {
         let mut bytes = Vec::new();
         encode(&mut bytes, snapshot);
-        replace(&self.folder, SNAPSHOT, &bytes)?;
+        replace(&self.folder, SNAPSHOT_FILE, &bytes)?;
         // A crash here leaves entries that the snapshot includes; they are dropped at the start.
-        drop_included(&mut self.entries, snapshot);
+        drop_superseded(&mut self.entries, snapshot);
         let mut bytes = Vec::new();
         let (term, vote) = self.vote;
         encode(&mut bytes, &Record::Vote { term, vote });
         for entry in &self.entries {
             encode(&mut bytes, &Record::Entry(entry.clone()));
         }
-        replace(&self.folder, LOG, &bytes)?;
-        let path = self.folder.join(LOG);
+        replace(&self.folder, LOG_FILE, &bytes)?;
+        let path = self.folder.join(LOG_FILE);
         let opened = OpenOptions::new().append(true).open(&path);
-        self.log = at("open", &path, opened)?;
+        self.log = io_result("open", &path, opened)?;
         self.length = bytes.len() as u64;
         Ok(())
     }
 }
 
 impl PersistedState {
-    fn take(&mut self, record: Record) {
+    fn apply(&mut self, record: Record) {
         match record {
             Record::Vote { term, vote } => self.vote = (term, vote),
             Record::Truncate(index) => self.entries.retain(|entry| entry.index < index),
@@ -211,7 +211,7 @@
 
 /// Drops entries that a snapshot includes, and those that follow another entry than its last one: they were never committed, and
 /// a keeper that counts them would take its log for a later one than it is.
-fn drop_included(entries: &mut Vec<Entry>, snapshot: &Snapshot) {
+fn drop_superseded(entries: &mut Vec<Entry>, snapshot: &Snapshot) {
     let last = entries.iter().find(|entry| entry.index == snapshot.index);
     let agrees = last.is_none_or(|entry| entry.term == snapshot.term);
     entries.retain(|entry| agrees && entry.index > snapshot.index);
@@ -220,7 +220,7 @@
 fn encode<T: Serialize>(buffer: &mut Vec<u8>, value: &T) {
     let body = bincode::serde::encode_to_vec(value, standard()).expect("plain data encodes");
     let length = u32::try_from(body.len()).expect("records are far shorter than 4 GiB");
-    buffer.extend_from_slice(&MARK);
+    buffer.extend_from_slice(&RECORD_MAGIC);
     buffer.extend_from_slice(&length.to_le_bytes());
     buffer.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
     buffer.extend_from_slice(&body);
@@ -228,31 +228,31 @@
 
 /// The whole record at the start of `bytes`, and its length.
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<(T, usize)> {
-    let head = bytes.get(..HEAD)?;
+    let header = bytes.get(..HEADER_BYTES)?;
     let number = |range: std::ops::Range<usize>| -> Option<u32> {
-        Some(u32::from_le_bytes(head.get(range)?.try_into().ok()?))
+        Some(u32::from_le_bytes(header.get(range)?.try_into().ok()?))
     };
     let length = usize::try_from(number(4..8)?).ok()?;
-    if head[..4] != MARK || length > LONGEST {
+    if header[..4] != RECORD_MAGIC || length > MAX_RECORD_BYTES {
         return None;
     }
-    let body = bytes.get(HEAD..HEAD + length)?;
+    let body = bytes.get(HEADER_BYTES..HEADER_BYTES + length)?;
     if crc32fast::hash(body) != number(8..12)? {
         return None;
     }
     let (value, used) = bincode::serde::decode_from_slice(body, standard()).ok()?;
-    (used == length).then_some((value, HEAD + length))
+    (used == length).then_some((value, HEADER_BYTES + length))
 }
 
 fn read(path: &Path) -> Result<Option<Vec<u8>>, DiskError> {
     match File::open(path) {
         Ok(mut file) => {
             let mut bytes = Vec::new();
-            at("read", path, file.read_to_end(&mut bytes))?;
+            io_result("read", path, file.read_to_end(&mut bytes))?;
             Ok(Some(bytes))
         }
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
-        Err(cause) => at("open", path, Err(cause)),
+        Err(cause) => io_result("open", path, Err(cause)),
     }
 }
 
@@ -271,7 +271,7 @@
     }
     // An unfinished write is the last thing in the file. Whole records behind the bad bytes mean
     // that synced ones were damaged; to cut them off would forget what others count on.
-    if has_record(&bytes[offset..]) {
+    if contains_record(&bytes[offset..]) {
         return Err(DiskError::Damaged {
             file: path.to_owned(),
             offset,
@@ -280,22 +280,22 @@
     Ok((records, offset as u64, bytes.len() - offset))
 }
 
-fn has_record(bytes: &[u8]) -> bool {
-    let starts = bytes.windows(MARK.len()).enumerate();
-    let mut starts = starts.filter(|(_, window)| *window == MARK);
+fn contains_record(bytes: &[u8]) -> bool {
+    let starts = bytes.windows(RECORD_MAGIC.len()).enumerate();
+    let mut starts = starts.filter(|(_, window)| *window == RECORD_MAGIC);
     starts.any(|(start, _)| decode::<Record>(&bytes[start..]).is_some())
 }
 
 fn load_snapshot(folder: &Path) -> Result<Snapshot, DiskError> {
-    Ok(load_file(folder, SNAPSHOT)?.unwrap_or_default())
+    Ok(load_file(folder, SNAPSHOT_FILE)?.unwrap_or_default())
 }
 
-fn open_identity(folder: &Path, fresh: u64) -> Result<u64, DiskError> {
-    if let Some(identity) = load_file(folder, IDENTITY)? {
+fn open_identity(folder: &Path, new_identity: u64) -> Result<u64, DiskError> {
+    if let Some(identity) = load_file(folder, IDENTITY_FILE)? {
         return Ok(identity);
     }
-    save_file(folder, IDENTITY, &fresh)?;
-    Ok(fresh)
+    save_file(folder, IDENTITY_FILE, &new_identity)?;
+    Ok(new_identity)
 }
 
 /// Saves a value with a checksum so that it outlives the process, or leaves what was there.
@@ -304,7 +304,7 @@
 ///
 /// The file cannot be written or synced.
 pub fn save_file<T: Serialize>(folder: &Path, name: &str, value: &T) -> Result<(), DiskError> {
-    at("make the folder", folder, fs::create_dir_all(folder))?;
+    io_result("make the folder", folder, fs::create_dir_all(folder))?;
     let mut bytes = Vec::new();
     encode(&mut bytes, value);
     replace(folder, name, &bytes)
@@ -332,15 +332,15 @@
 /// Puts a whole file in the place of another, or leaves the other.
 fn replace(folder: &Path, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
     let path = folder.join(name);
-    let beside = folder.join(format!("{name}.new"));
-    let mut file = at("make", &beside, File::create(&beside))?;
-    at("write", &beside, file.write_all(bytes))?;
-    at("sync", &beside, file.sync_all())?;
-    at("move into place", &path, fs::rename(&beside, &path))?;
+    let temporary = folder.join(format!("{name}.new"));
+    let mut file = io_result("make", &temporary, File::create(&temporary))?;
+    io_result("write", &temporary, file.write_all(bytes))?;
+    io_result("sync", &temporary, file.sync_all())?;
+    io_result("move into place", &path, fs::rename(&temporary, &path))?;
     sync_folder(folder)
 }
 
 fn sync_folder(folder: &Path) -> Result<(), DiskError> {
-    let opened = at("open", folder, File::open(folder))?;
-    at("sync", folder, opened.sync_all())
+    let opened = io_result("open", folder, File::open(folder))?;
+    io_result("sync", folder, opened.sync_all())
 }
--- a/crates/celerywinch_store/src/log.rs
+++ b/crates/celerywinch_store/src/log.rs
@@ -112,14 +112,14 @@
     }
 
     /// Entries from `index` on, at most `most`.
-    pub(crate) fn from(&self, index: u64, most: usize) -> Vec<Entry> {
+    pub(crate) fn entries_from(&self, index: u64, max_entries: usize) -> Vec<Entry> {
         let Some(start) = self.position(index) else {
             return Vec::new();
         };
         self.entries
             .iter()
             .skip(start)
-            .take(most)
+            .take(max_entries)
             .cloned()
             .collect()
     }
@@ -137,8 +137,8 @@
 
     /// Replaces the entries up to the snapshot by it.
     pub(crate) fn compact(&mut self, snapshot: Snapshot) {
-        let keep = self.term(snapshot.index) == Some(snapshot.term);
-        if keep {
+        let agrees = self.term(snapshot.index) == Some(snapshot.term);
+        if agrees {
             self.entries.retain(|entry| entry.index > snapshot.index);
         } else {
             self.entries.clear();
@@ -152,7 +152,7 @@
 
     /// The keepers by the last entry that names them, committed or not.
     pub(crate) fn membership(&self) -> Membership {
-        let named = self
+        let latest = self
             .entries
             .iter()
             .rev()
@@ -160,13 +160,13 @@
                 Payload::Membership(membership) => Some(membership.clone()),
                 Payload::Noop | Payload::Command(_) => None,
             });
-        named.unwrap_or_else(|| self.snapshot.membership.clone())
+        latest.unwrap_or_else(|| self.snapshot.membership.clone())
     }
 
     /// The index of the last entry that names the keepers.
     pub(crate) fn membership_index(&self) -> u64 {
         let mut entries = self.entries.iter().rev();
-        let named = entries.find(|entry| matches!(entry.payload, Payload::Membership(_)));
-        named.map_or(self.snapshot.index, |entry| entry.index)
+        let latest = entries.find(|entry| matches!(entry.payload, Payload::Membership(_)));
+        latest.map_or(self.snapshot.index, |entry| entry.index)
     }
 }
--- a/crates/celerywinch_store/src/message.rs
+++ b/crates/celerywinch_store/src/message.rs
@@ -13,14 +13,14 @@
         /// no log either.
         Hello {
             /// Whether the sender belongs to a group already.
-            formed: bool,
+            in_group: bool,
         },
         /// Asks whether the receiver would vote for the sender.
         PreVote {
             /// The term the sender would stand in.
             term: u64,
             /// The end of its log.
-            last: (u64, u64),
+            last_log: (u64, u64),
         },
         /// Answers `PreVote`.
         PreVoteReply {
@@ -34,7 +34,7 @@
             /// The term.
             term: u64,
             /// The end of the sender's log: term, then index.
-            last: (u64, u64),
+            last_log: (u64, u64),
         },
         /// Answers `Vote`.
         VoteReply {
@@ -48,13 +48,13 @@
             /// The leader's term.
             term: u64,
             /// The entry before the first of `entries`: index, then term.
-            before: (u64, u64),
+            previous: (u64, u64),
             /// The entries.
             entries: Vec<Entry>,
             /// How far the log is committed.
             commit: u64,
         },
-        /// Answers `Append` and `Install`.
+        /// Answers `Append` and `InstallSnapshot`.
         AppendReply {
             /// The receiver's term.
             term: u64,
@@ -62,10 +62,10 @@
             /// otherwise where to try next.
             index: u64,
             /// Whether the entries were taken.
-            taken: bool,
+            accepted: bool,
         },
         /// A snapshot, for a keeper that lags behind the start of the log.
-        Install {
+        InstallSnapshot {
             /// The leader's term.
             term: u64,
             /// The snapshot.
@@ -74,14 +74,14 @@
         /// The sender has a log and hears no leader; it may have been replaced while it was away.
         Rejoin,
         /// Asks whether the receiver follows the sender, which leads.
-        Confirm {
+        ConfirmLeader {
             /// The leader's term.
             term: u64,
             /// Counts the leader's questions.
             round: u64,
         },
-        /// Answers `Confirm`: the receiver follows the sender in that term.
-        ConfirmReply {
+        /// Answers `ConfirmLeader`: the receiver follows the sender in that term.
+        ConfirmLeaderReply {
             /// The term.
             term: u64,
             /// The round asked about.
--- a/crates/celerywinch_store/src/raft/append.rs
+++ b/crates/celerywinch_store/src/raft/append.rs
@@ -4,11 +4,11 @@
 
 use celerywinch_types::Time;
 
-use super::{APPEND_MOST, Output, Progress, Raft, Role};
+use super::{MAX_APPEND_ENTRIES, Output, Progress, Raft, Role};
 use crate::{Entry, KeeperId, Payload, RaftMsg, Snapshot};
 
 /// How long a snapshot may take before it is sent again.
-const INSTALL_TIMEOUT: Duration = Duration::from_secs(2);
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Raft {
     /// Adds an entry to the leader's log and sends it at once, before the leader's own disk has
@@ -23,61 +23,61 @@
             payload,
         };
         self.log.push(entry.clone());
-        self.follow_group(now);
+        self.sync_progress(now);
         self.send_all(now, out);
-        self.write_entries(now, vec![entry], out);
+        self.persist_entries(now, vec![entry], out);
     }
 
     /// Regular work of a leader.
-    pub(super) fn lead(&mut self, now: Time, out: &mut Vec<Output>) {
-        if !self.hears_majority(now) {
+    pub(super) fn tick_leader(&mut self, now: Time, out: &mut Vec<Output>) {
+        if !self.has_quorum_contact(now) {
             // A leader that is cut off must not go on to look like one.
             self.set_role(now, Role::Follower(None), out);
             return;
         }
-        if now.since(self.sent) >= self.config.heartbeat_interval {
+        if now.since(self.last_sent) >= self.config.heartbeat_interval {
             self.send_all(now, out);
-            self.ask_to_confirm(out);
+            self.confirm_leadership(out);
         }
-        self.tend_group(now, out);
+        self.update_membership(now, out);
     }
 
-    fn hears_majority(&self, now: Time) -> bool {
+    fn has_quorum_contact(&self, now: Time) -> bool {
         let membership = self.log.membership();
         let me = self.config.me;
         let limit = self.config.election_timeout * 2;
         let heard = |keeper: &KeeperId| {
             let progress = self.progress.get(keeper);
-            progress.is_some_and(|p| now.since(p.heard) <= limit)
+            progress.is_some_and(|p| now.since(p.last_contact) <= limit)
         };
         let hearing = membership.voters.iter().filter(|v| **v == me || heard(v));
         hearing.count() >= membership.majority()
     }
 
     fn send_all(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.sent = now;
-        for keeper in self.others() {
+        self.last_sent = now;
+        for keeper in self.other_keepers() {
             self.send_append(now, keeper, out);
         }
     }
 
     fn send_append(&mut self, now: Time, to: KeeperId, out: &mut Vec<Output>) {
-        let next = self.progress.get(&to).map_or(1, |p| p.next);
-        let before = next.saturating_sub(1);
-        let Some(before_term) = self.log.term(before) else {
+        let next = self.progress.get(&to).map_or(1, |p| p.next_index);
+        let previous = next.saturating_sub(1);
+        let Some(previous_term) = self.log.term(previous) else {
             self.send_snapshot(now, to, out);
             return;
         };
-        let entries = self.log.from(next, APPEND_MOST);
+        let entries = self.log.entries_from(next, MAX_APPEND_ENTRIES);
         if let (Some(last), Some(progress)) = (entries.last(), self.progress.get_mut(&to)) {
             // Sent once and not again with every entry that follows; a refusal sets it back.
-            progress.next = last.index + 1;
+            progress.next_index = last.index + 1;
         }
         let msg = RaftMsg::Append {
             term: self.term,
-            before: (before, before_term),
+            previous: (previous, previous_term),
             entries,
-            commit: self.commit,
+            commit: self.commit_index,
         };
         self.send(to, msg, out);
     }
@@ -86,19 +86,19 @@
         let Some(progress) = self.progress.get_mut(&to) else {
             return;
         };
-        let fresh = progress.installing != Time::default();
-        if fresh && now.since(progress.installing) < INSTALL_TIMEOUT {
+        let fresh = progress.snapshot_sent != Time::default();
+        if fresh && now.since(progress.snapshot_sent) < SNAPSHOT_TIMEOUT {
             return;
         }
-        progress.installing = now;
-        let msg = RaftMsg::Install {
+        progress.snapshot_sent = now;
+        let msg = RaftMsg::InstallSnapshot {
             term: self.term,
             snapshot: self.log.snapshot.clone(),
         };
         self.send(to, msg, out);
     }
 
-    pub(super) fn append(
+    pub(super) fn handle_append(
         &mut self,
         now: Time,
         from: KeeperId,
@@ -106,27 +106,27 @@
         entries: Vec<Entry>,
         out: &mut Vec<Output>,
     ) {
-        let (term, before, commit) = head;
-        if !self.follow(now, from, term, out) {
+        let (term, previous, commit) = head;
+        if !self.accept_leader(now, from, term, out) {
             return;
         }
-        if self.log.term(before.0) != Some(before.1) {
-            self.refuse_append(from, before.0, out);
+        if self.log.term(previous.0) != Some(previous.1) {
+            self.reject_append(from, previous.0, out);
             return;
         }
-        let last = entries.last().map_or(before.0, |entry| entry.index);
-        let fresh = self.take_entries(now, entries, out);
-        self.matched = self.matched.max(last);
+        let last = entries.last().map_or(previous.0, |entry| entry.index);
+        let fresh = self.merge_entries(now, entries, out);
+        self.match_index = self.match_index.max(last);
         // Entries are acknowledged when they are synced.
         if !fresh {
             self.acknowledge(from, out);
         }
-        self.commit = self.commit.max(commit.min(last));
+        self.commit_index = self.commit_index.max(commit.min(last));
         self.apply(out);
     }
 
     /// Follows the leader of a term that is not over; false for a leader of the past.
-    pub(super) fn follow(
+    pub(super) fn accept_leader(
         &mut self,
         now: Time,
         from: KeeperId,
@@ -137,24 +137,24 @@
             let reply = RaftMsg::AppendReply {
                 term: self.term,
                 index: 0,
-                taken: false,
+                accepted: false,
             };
             self.send(from, reply, out);
             return false;
         }
-        self.observe(now, term, Some(from), out);
+        self.observe_term(now, term, Some(from), out);
         self.set_role(now, Role::Follower(Some(from)), out);
-        self.heard = now;
+        self.last_contact = now;
         true
     }
 
-    fn refuse_append(&self, from: KeeperId, before: u64, out: &mut Vec<Output>) {
+    fn reject_append(&self, from: KeeperId, previous: u64, out: &mut Vec<Output>) {
         // Either the log ends earlier, or an entry differs; then the leader tries further back.
-        let index = self.log.last_index().min(before.saturating_sub(1));
+        let index = self.log.last_index().min(previous.saturating_sub(1));
         let reply = RaftMsg::AppendReply {
             term: self.term,
             index: index.max(self.log.snapshot.index),
-            taken: false,
+            accepted: false,
         };
         self.send(from, reply, out);
     }
@@ -163,14 +163,14 @@
     pub(super) fn acknowledge(&self, leader: KeeperId, out: &mut Vec<Output>) {
         let reply = RaftMsg::AppendReply {
             term: self.term,
-            index: self.matched.min(self.synced),
-            taken: true,
+            index: self.match_index.min(self.synced_index),
+            accepted: true,
         };
         self.send(leader, reply, out);
     }
 
     /// Takes entries; one that differs from what is here replaces it and all that follows. False if there is nothing to write.
-    fn take_entries(&mut self, now: Time, entries: Vec<Entry>, out: &mut Vec<Output>) -> bool {
+    fn merge_entries(&mut self, now: Time, entries: Vec<Entry>, out: &mut Vec<Output>) -> bool {
         let mut fresh = Vec::new();
         for entry in entries {
             if entry.index <= self.log.snapshot.index {
@@ -180,7 +180,7 @@
                 Some(term) if term == entry.term => continue,
                 Some(_) => {
                     self.log.truncate(entry.index);
-                    self.write_truncation(now, entry.index, out);
+                    self.persist_truncation(now, entry.index, out);
                 }
                 None => {}
             }
@@ -189,20 +189,20 @@
         }
         let any = !fresh.is_empty();
         if any {
-            self.write_entries(now, fresh, out);
+            self.persist_entries(now, fresh, out);
         }
         any
     }
 
-    pub(super) fn append_reply(
+    pub(super) fn handle_append_reply(
         &mut self,
         now: Time,
         from: KeeperId,
         reply: (u64, u64, bool),
         out: &mut Vec<Output>,
     ) {
-        let (term, index, taken) = reply;
-        self.observe(now, term, None, out);
+        let (term, index, accepted) = reply;
+        self.observe_term(now, term, None, out);
         if self.role != Role::Leader || term != self.term {
             return;
         }
@@ -210,31 +210,31 @@
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        progress.heard = now;
-        if taken {
-            progress.matched = progress.matched.max(index);
-            progress.next = progress.next.max(index + 1);
-            progress.installing = Time::default();
-            let behind = progress.next <= last;
-            self.advance(out);
+        progress.last_contact = now;
+        if accepted {
+            progress.match_index = progress.match_index.max(index);
+            progress.next_index = progress.next_index.max(index + 1);
+            progress.snapshot_sent = Time::default();
+            let behind = progress.next_index <= last;
+            self.advance_commit(out);
             if behind {
                 self.send_append(now, from, out);
             }
             return;
         }
-        progress.next = (index + 1).max(progress.matched + 1);
+        progress.next_index = (index + 1).max(progress.match_index + 1);
         self.send_append(now, from, out);
     }
 
     /// Commits what a majority of the voters has synced.
-    pub(super) fn advance(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn advance_commit(&mut self, out: &mut Vec<Output>) {
         let membership = self.log.membership();
         let me = self.config.me;
         let synced = |keeper: &KeeperId| {
             if *keeper == me {
-                return self.synced;
+                return self.synced_index;
             }
-            self.progress.get(keeper).map_or(0, |p| p.matched)
+            self.progress.get(keeper).map_or(0, |p| p.match_index)
         };
         let mut indices: Vec<_> = membership.voters.iter().map(synced).collect();
         indices.sort_unstable_by(|a, b| b.cmp(a));
@@ -242,13 +242,13 @@
             return;
         };
         // An entry of an earlier term may still be replaced although a majority has it.
-        if agreed > self.commit && self.log.term(agreed) == Some(self.term) {
-            self.commit = agreed;
+        if agreed > self.commit_index && self.log.term(agreed) == Some(self.term) {
+            self.commit_index = agreed;
             self.apply(out);
         }
     }
 
-    pub(super) fn install(
+    pub(super) fn handle_snapshot(
         &mut self,
         now: Time,
         from: KeeperId,
@@ -256,34 +256,34 @@
         snapshot: Snapshot,
         out: &mut Vec<Output>,
     ) {
-        if !self.follow(now, from, term, out) {
+        if !self.accept_leader(now, from, term, out) {
             return;
         }
         let index = snapshot.index;
-        if index > self.commit {
+        if index > self.commit_index {
             self.replace_log(&snapshot);
-            self.commit = index;
-            self.applied = index;
-            self.write_snapshot(now, snapshot.clone(), out);
+            self.commit_index = index;
+            self.applied_index = index;
+            self.persist_snapshot(now, snapshot.clone(), out);
             out.push(Output::Restore(snapshot));
         }
         // What is committed here is in the leader's log as well.
-        self.matched = self.matched.max(self.commit);
-        if self.matched <= self.synced {
+        self.match_index = self.match_index.max(self.commit_index);
+        if self.match_index <= self.synced_index {
             self.acknowledge(from, out);
         }
     }
 
     /// Keeps progress for exactly the keepers of the group.
-    pub(super) fn follow_group(&mut self, now: Time) {
-        let others = self.others();
+    pub(super) fn sync_progress(&mut self, now: Time) {
+        let others = self.other_keepers();
         self.progress.retain(|keeper, _| others.contains(keeper));
         for keeper in others {
             self.progress.entry(keeper).or_insert(Progress {
-                next: 1,
-                matched: 0,
-                heard: now,
-                installing: Time::default(),
+                next_index: 1,
+                match_index: 0,
+                last_contact: now,
+                snapshot_sent: Time::default(),
             });
         }
     }
--- a/crates/celerywinch_store/src/raft/mod.rs
+++ b/crates/celerywinch_store/src/raft/mod.rs
@@ -113,11 +113,11 @@
 /// What a leader knows of another keeper.
 #[derive(Clone, Copy, Debug)]
 struct Progress {
-    next: u64,
-    matched: u64,
-    heard: Time,
+    next_index: u64,
+    match_index: u64,
+    last_contact: Time,
     /// A snapshot was sent then; another is not sent until it is overdue.
-    installing: Time,
+    snapshot_sent: Time,
 }
 
 /// The state machine of a keeper.
@@ -125,42 +125,42 @@
 pub struct Raft {
     config: RaftConfig,
     term: u64,
-    vote: Option<KeeperId>,
+    voted_for: Option<KeeperId>,
     log: Log,
     /// What this keeper has synced.
-    synced: u64,
+    synced_index: u64,
     /// How far the log is known to be that of the leader of this term.
-    matched: u64,
+    match_index: u64,
     /// Writes that are not reported yet and when they began, oldest first.
-    unsynced: VecDeque<(Time, write::Write)>,
+    pending_writes: VecDeque<(Time, write::PendingWrite)>,
     /// How long the last write took.
     write_time: Duration,
     /// Who was last told that its election would be of use, and when.
-    backed: Option<(KeeperId, Time)>,
-    commit: u64,
-    applied: u64,
+    pre_voted: Option<(KeeperId, Time)>,
+    commit_index: u64,
+    applied_index: u64,
     role: Role,
     /// The last input.
-    lived: Time,
+    last_input: Time,
     /// When the leader was last heard, or the role last changed.
-    heard: Time,
+    last_contact: Time,
     timeout: Duration,
-    sent: Time,
+    last_sent: Time,
     votes: Vec<KeeperId>,
     progress: BTreeMap<KeeperId, Progress>,
     /// Keepers with empty disks that were heard of, by instance.
-    blanks: BTreeMap<InstanceId, membership::Blank>,
+    blanks: BTreeMap<InstanceId, membership::BlankKeeper>,
     /// Keepers with a log that hear no leader, and when they said so.
-    returning: BTreeMap<KeeperId, Time>,
+    rejoining: BTreeMap<KeeperId, Time>,
     /// Where a group is looked for, beside the instances of the settings.
     contacts: Vec<InstanceId>,
-    compacting: bool,
-    reads: read::Reads,
+    snapshot_pending: bool,
+    reads: read::ReadQueue,
     random: ChaCha8Rng,
 }
 
 /// The most entries in one message.
-const APPEND_MOST: usize = 64;
+const MAX_APPEND_ENTRIES: usize = 64;
 
 impl Raft {
     /// Starts from what the disk holds.
@@ -181,30 +181,30 @@
             .mul_f64(random.random_range(1.0..2.0));
         Self {
             term: vote.0,
-            vote: vote.1,
-            synced: log.last_index(),
-            matched: 0,
-            unsynced: VecDeque::new(),
+            voted_for: vote.1,
+            synced_index: log.last_index(),
+            match_index: 0,
+            pending_writes: VecDeque::new(),
             write_time: Duration::ZERO,
-            backed: None,
-            commit: base,
-            applied: base,
+            pre_voted: None,
+            commit_index: base,
+            applied_index: base,
             role: if blank {
                 Role::Blank
             } else {
                 Role::Follower(None)
             },
-            lived: now,
-            heard: now,
+            last_input: now,
+            last_contact: now,
             timeout,
-            sent: Time::default(),
+            last_sent: Time::default(),
             votes: Vec::new(),
             progress: BTreeMap::new(),
             blanks: BTreeMap::new(),
-            returning: BTreeMap::new(),
+            rejoining: BTreeMap::new(),
             contacts: Vec::new(),
-            compacting: false,
-            reads: read::Reads::default(),
+            snapshot_pending: false,
+            reads: read::ReadQueue::default(),
             log,
             random,
             config,
@@ -213,12 +213,12 @@
 
     /// Takes an input and appends what the host is to do.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
-        self.notice_pause(now);
+        self.compensate_pause(now);
         match input {
             Input::Message(from, msg) => self.message(now, from, msg, out),
             Input::Propose(command) => self.propose(now, Payload::Command(command), out),
             Input::Read(id) => self.read(id, out),
-            Input::Synced(count) => self.written(now, count, out),
+            Input::Synced(count) => self.handle_synced(now, count, out),
             Input::SnapshotState { index, state } => self.compact(now, index, state, out),
             Input::Tick => self.tick(now, out),
         }
@@ -226,15 +226,15 @@
 
     /// While this keeper's process stood still it heard nobody, and that is nobody's silence. Each pause would else be
     /// followed by an election, and nothing be committed any more.
-    fn notice_pause(&mut self, now: Time) {
-        let pause = now.since(self.lived);
-        self.lived = now;
+    fn compensate_pause(&mut self, now: Time) {
+        let pause = now.since(self.last_input);
+        self.last_input = now;
         if pause <= self.config.heartbeat_interval {
             return;
         }
-        self.heard = self.heard + pause;
+        self.last_contact = self.last_contact + pause;
         for progress in self.progress.values_mut() {
-            progress.heard = progress.heard + pause;
+            progress.last_contact = progress.last_contact + pause;
         }
     }
 
@@ -258,14 +258,15 @@
     /// How far the log is committed, as far as this keeper knows.
     #[must_use]
     pub fn commit_index(&self) -> u64 {
-        self.commit
+        self.commit_index
     }
 
     /// The command of an entry of this term that is not committed, where this keeper leads.
     #[must_use]
     pub fn uncommitted_command(&self, index: u64) -> Option<&[u8]> {
         let entry = self.log.get(index)?;
-        let open = self.role == Role::Leader && index > self.commit && entry.term == self.term;
+        let open =
+            self.role == Role::Leader && index > self.commit_index && entry.term == self.term;
         match &entry.payload {
             Payload::Command(command) if open => Some(command),
             _ => None,
@@ -290,39 +291,51 @@
 
     fn message(&mut self, now: Time, from: KeeperId, msg: RaftMsg, out: &mut Vec<Output>) {
         match msg {
-            RaftMsg::Hello { formed } => self.hello(now, from, formed, out),
-            RaftMsg::PreVote { term, last } => self.pre_vote(now, from, term, last, out),
+            RaftMsg::Hello { in_group } => self.handle_hello(now, from, in_group, out),
+            RaftMsg::PreVote { term, last_log } => {
+                self.handle_pre_vote(now, from, term, last_log, out)
+            }
             RaftMsg::PreVoteReply { term, granted } => {
-                self.pre_vote_reply(now, from, term, granted, out);
+                self.handle_pre_vote_reply(now, from, term, granted, out);
+            }
+            RaftMsg::Vote { term, last_log } => self.handle_vote(now, from, term, last_log, out),
+            RaftMsg::VoteReply { term, granted } => {
+                self.handle_vote_reply(now, from, term, granted, out)
             }
-            RaftMsg::Vote { term, last } => self.vote(now, from, term, last, out),
-            RaftMsg::VoteReply { term, granted } => self.vote_reply(now, from, term, granted, out),
             RaftMsg::Append {
                 term,
-                before,
+                previous,
                 entries,
                 commit,
-            } => self.append(now, from, (term, before, commit), entries, out),
-            RaftMsg::AppendReply { term, index, taken } => {
-                self.append_reply(now, from, (term, index, taken), out);
+            } => self.handle_append(now, from, (term, previous, commit), entries, out),
+            RaftMsg::AppendReply {
+                term,
+                index,
+                accepted,
+            } => {
+                self.handle_append_reply(now, from, (term, index, accepted), out);
+            }
+            RaftMsg::InstallSnapshot { term, snapshot } => {
+                self.handle_snapshot(now, from, term, snapshot, out)
             }
-            RaftMsg::Install { term, snapshot } => self.install(now, from, term, snapshot, out),
-            RaftMsg::Confirm { term, round } => self.confirm(now, from, term, round, out),
-            RaftMsg::ConfirmReply { term, round } => {
-                self.confirm_reply(now, from, term, round, out);
+            RaftMsg::ConfirmLeader { term, round } => {
+                self.handle_confirm(now, from, term, round, out)
+            }
+            RaftMsg::ConfirmLeaderReply { term, round } => {
+                self.handle_confirm_reply(now, from, term, round, out);
             }
             RaftMsg::Rejoin => {
-                self.returning.insert(from, now);
+                self.rejoining.insert(from, now);
             }
         }
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
         match self.role {
-            Role::Blank => self.look_for_group(now, out),
-            Role::Leader => self.lead(now, out),
+            Role::Blank => self.discover_group(now, out),
+            Role::Leader => self.tick_leader(now, out),
             Role::Follower(_) | Role::PreCandidate | Role::Candidate => {
-                self.await_election(now, out);
+                self.check_election_timeout(now, out);
             }
         }
     }
@@ -331,7 +344,7 @@
         out.push(Output::Send(to.instance, Some(to.disk), msg));
     }
 
-    fn others(&self) -> Vec<KeeperId> {
+    fn other_keepers(&self) -> Vec<KeeperId> {
         let me = self.config.me;
         self.log
             .membership()
@@ -349,16 +362,22 @@
             return;
         }
         self.role = role;
-        self.heard = now;
+        self.last_contact = now;
         self.votes.clear();
-        self.reads = read::Reads::default();
+        self.reads = read::ReadQueue::default();
         let factor = self.random.random_range(1.0..2.0);
         self.timeout = self.config.election_timeout.mul_f64(factor);
         out.push(Output::RoleChanged(role));
     }
 
     /// A message shows a later term: follow whoever leads it.
-    fn observe(&mut self, now: Time, term: u64, leader: Option<KeeperId>, out: &mut Vec<Output>) {
+    fn observe_term(
+        &mut self,
+        now: Time,
+        term: u64,
+        leader: Option<KeeperId>,
+        out: &mut Vec<Output>,
+    ) {
         if term > self.term {
             self.enter_term(now, term, None, out);
             self.set_role(now, Role::Follower(leader), out);
@@ -366,26 +385,26 @@
     }
 
     fn apply(&mut self, out: &mut Vec<Output>) {
-        while self.applied < self.commit {
-            let Some(entry) = self.log.get(self.applied + 1).cloned() else {
+        while self.applied_index < self.commit_index {
+            let Some(entry) = self.log.get(self.applied_index + 1).cloned() else {
                 return;
             };
-            self.applied += 1;
+            self.applied_index += 1;
             out.push(Output::Apply(entry));
         }
         self.release_reads(out);
-        if self.log.len() > self.config.compact_after && !self.compacting {
-            self.compacting = true;
-            out.push(Output::TakeSnapshot(self.applied));
+        if self.log.len() > self.config.compact_after && !self.snapshot_pending {
+            self.snapshot_pending = true;
+            out.push(Output::TakeSnapshot(self.applied_index));
         }
     }
 
     fn compact(&mut self, now: Time, index: u64, state: Vec<u8>, out: &mut Vec<Output>) {
-        self.compacting = false;
+        self.snapshot_pending = false;
         let Some(term) = self.log.term(index) else {
             return;
         };
-        if index <= self.log.snapshot.index || index > self.applied {
+        if index <= self.log.snapshot.index || index > self.applied_index {
             return;
         }
         let snapshot = Snapshot {
@@ -395,7 +414,7 @@
             state,
         };
         self.log.compact(snapshot.clone());
-        self.write_snapshot(now, snapshot, out);
+        self.persist_snapshot(now, snapshot, out);
     }
 
     /// The keepers as of an entry that is still in the log.
--- a/crates/celerywinch_store/src/raft/read.rs
+++ b/crates/celerywinch_store/src/raft/read.rs
@@ -12,7 +12,7 @@
 
 /// A read that is not confirmed yet.
 #[derive(Clone, Copy, Debug)]
-struct Read {
+struct PendingRead {
     id: u64,
     round: u64,
     /// What has to be applied before.
@@ -21,8 +21,8 @@
 
 /// Reads that wait, and how far each keeper has confirmed the leader.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Reads {
-    waiting: Vec<Read>,
+pub(super) struct ReadQueue {
+    pending: Vec<PendingRead>,
     round: u64,
     confirmed: BTreeMap<KeeperId, u64>,
 }
@@ -35,34 +35,34 @@
         }
         self.reads.round += 1;
         // Before an entry of its own term is committed, a leader does not know how far the log is.
-        let knows = self.log.term(self.commit) == Some(self.term);
+        let knows = self.log.term(self.commit_index) == Some(self.term);
         let index = if knows {
-            self.commit
+            self.commit_index
         } else {
             self.log.last_index()
         };
-        self.reads.waiting.push(Read {
+        self.reads.pending.push(PendingRead {
             id,
             round: self.reads.round,
             index,
         });
-        self.ask_to_confirm(out);
+        self.confirm_leadership(out);
         self.release_reads(out);
     }
 
     /// Asks all voters whether this keeper leads, if a read waits for that.
-    pub(super) fn ask_to_confirm(&self, out: &mut Vec<Output>) {
-        if self.reads.waiting.is_empty() {
+    pub(super) fn confirm_leadership(&self, out: &mut Vec<Output>) {
+        if self.reads.pending.is_empty() {
             return;
         }
-        let msg = RaftMsg::Confirm {
+        let msg = RaftMsg::ConfirmLeader {
             term: self.term,
             round: self.reads.round,
         };
-        self.ask_voters(&msg, out);
+        self.send_to_voters(&msg, out);
     }
 
-    pub(super) fn confirm(
+    pub(super) fn handle_confirm(
         &mut self,
         now: Time,
         from: KeeperId,
@@ -71,12 +71,12 @@
         out: &mut Vec<Output>,
     ) {
         // A keeper without a log belongs to no group, and confirms nothing.
-        if self.role != Role::Blank && self.follow(now, from, term, out) {
-            self.send(from, RaftMsg::ConfirmReply { term, round }, out);
+        if self.role != Role::Blank && self.accept_leader(now, from, term, out) {
+            self.send(from, RaftMsg::ConfirmLeaderReply { term, round }, out);
         }
     }
 
-    pub(super) fn confirm_reply(
+    pub(super) fn handle_confirm_reply(
         &mut self,
         now: Time,
         from: KeeperId,
@@ -88,7 +88,7 @@
             return;
         }
         if let Some(progress) = self.progress.get_mut(&from) {
-            progress.heard = now;
+            progress.last_contact = now;
         }
         let confirmed = self.reads.confirmed.entry(from).or_default();
         *confirmed = (*confirmed).max(round);
@@ -97,7 +97,7 @@
 
     /// Tells of reads that are confirmed, and whose entries are applied.
     pub(super) fn release_reads(&mut self, out: &mut Vec<Output>) {
-        if self.reads.waiting.is_empty() {
+        if self.reads.pending.is_empty() {
             return;
         }
         let membership = self.log.membership();
@@ -112,10 +112,10 @@
         let Some(agreed) = rounds.get(membership.majority() - 1).copied() else {
             return;
         };
-        let applied = self.applied;
-        let ready = |read: &Read| read.round <= agreed && read.index <= applied;
-        let released = self.reads.waiting.iter().filter(|read| ready(read));
+        let applied = self.applied_index;
+        let ready = |read: &PendingRead| read.round <= agreed && read.index <= applied;
+        let released = self.reads.pending.iter().filter(|read| ready(read));
         out.extend(released.map(|read| Output::ReadReady(read.id)));
-        self.reads.waiting.retain(|read| !ready(read));
+        self.reads.pending.retain(|read| !ready(read));
     }
 }
--- a/crates/celerywinch_store/src/raft/write.rs
+++ b/crates/celerywinch_store/src/raft/write.rs
@@ -10,14 +10,14 @@
 
 /// A write that is not reported yet.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Write {
+pub(super) enum PendingWrite {
     Vote {
         term: u64,
         vote: Option<KeeperId>,
     },
     Truncation,
     /// Entries or a snapshot: with it, this keeper has the log up to this index.
-    UpTo(u64),
+    Log(u64),
 }
 
 impl Raft {
@@ -30,28 +30,42 @@
         out: &mut Vec<Output>,
     ) {
         if term > self.term {
-            self.matched = 0;
+            self.match_index = 0;
         }
         self.term = term;
-        self.vote = vote;
-        self.unsynced.push_back((now, Write::Vote { term, vote }));
+        self.voted_for = vote;
+        self.pending_writes
+            .push_back((now, PendingWrite::Vote { term, vote }));
         out.push(Output::PersistVote { term, vote });
     }
 
-    pub(super) fn write_entries(&mut self, now: Time, entries: Vec<Entry>, out: &mut Vec<Output>) {
+    pub(super) fn persist_entries(
+        &mut self,
+        now: Time,
+        entries: Vec<Entry>,
+        out: &mut Vec<Output>,
+    ) {
         let last = entries.last().map_or(0, |entry| entry.index);
-        self.unsynced.push_back((now, Write::UpTo(last)));
+        self.pending_writes
+            .push_back((now, PendingWrite::Log(last)));
         out.push(Output::PersistEntries(entries));
     }
 
-    pub(super) fn write_snapshot(&mut self, now: Time, snapshot: Snapshot, out: &mut Vec<Output>) {
-        self.unsynced.push_back((now, Write::UpTo(snapshot.index)));
+    pub(super) fn persist_snapshot(
+        &mut self,
+        now: Time,
+        snapshot: Snapshot,
+        out: &mut Vec<Output>,
+    ) {
+        self.pending_writes
+            .push_back((now, PendingWrite::Log(snapshot.index)));
         out.push(Output::PersistSnapshot(snapshot));
     }
 
-    pub(super) fn write_truncation(&mut self, now: Time, index: u64, out: &mut Vec<Output>) {
-        self.forget_from(index);
-        self.unsynced.push_back((now, Write::Truncation));
+    pub(super) fn persist_truncation(&mut self, now: Time, index: u64, out: &mut Vec<Output>) {
+        self.discard_from(index);
+        self.pending_writes
+            .push_back((now, PendingWrite::Truncation));
         out.push(Output::Truncate(index));
     }
 
@@ -61,46 +75,48 @@
         let agrees = self.log.term(snapshot.index) == Some(snapshot.term);
         self.log.compact(snapshot.clone());
         if !agrees {
-            self.forget_from(first);
+            self.discard_from(first);
         }
     }
 
     /// What is written of the log from an index on counts no more, as other entries take its place.
-    fn forget_from(&mut self, index: u64) {
+    fn discard_from(&mut self, index: u64) {
         let kept = index.saturating_sub(1);
-        self.synced = self.synced.min(kept);
-        for (_, write) in &mut self.unsynced {
-            if let Write::UpTo(last) = write {
+        self.synced_index = self.synced_index.min(kept);
+        for (_, write) in &mut self.pending_writes {
+            if let PendingWrite::Log(last) = write {
                 *last = kept.min(*last);
             }
         }
     }
 
     /// Whether a vote for some keeper is being written.
-    pub(super) fn writes_vote(&self) -> bool {
-        let mut writes = self.unsynced.iter();
-        writes.any(|(_, write)| matches!(write, Write::Vote { vote: Some(_), .. }))
+    pub(super) fn is_writing_vote(&self) -> bool {
+        let mut writes = self.pending_writes.iter();
+        writes.any(|(_, write)| matches!(write, PendingWrite::Vote { vote: Some(_), .. }))
     }
 
     /// The oldest writes have been synced.
-    pub(super) fn written(&mut self, now: Time, count: usize, out: &mut Vec<Output>) {
-        let acknowledged = self.matched.min(self.synced);
-        let count = count.min(self.unsynced.len());
-        for (began, write) in self.unsynced.drain(..count).collect::<Vec<_>>() {
+    pub(super) fn handle_synced(&mut self, now: Time, count: usize, out: &mut Vec<Output>) {
+        let acknowledged = self.match_index.min(self.synced_index);
+        let count = count.min(self.pending_writes.len());
+        for (began, write) in self.pending_writes.drain(..count).collect::<Vec<_>>() {
             self.write_time = now.since(began);
             match write {
-                Write::UpTo(index) => self.synced = self.synced.max(index),
-                Write::Truncation => {}
-                Write::Vote { term, vote } => {
+                PendingWrite::Log(index) => self.synced_index = self.synced_index.max(index),
+                PendingWrite::Truncation => {}
+                PendingWrite::Vote { term, vote } => {
                     if let Some(vote) = vote.filter(|_| term == self.term) {
-                        self.voted(now, vote, out);
+                        self.handle_vote_synced(now, vote, out);
                     }
                 }
             }
         }
         match self.role {
-            Role::Leader => self.advance(out),
-            Role::Follower(Some(leader)) if self.matched.min(self.synced) > acknowledged => {
+            Role::Leader => self.advance_commit(out),
+            Role::Follower(Some(leader))
+                if self.match_index.min(self.synced_index) > acknowledged =>
+            {
                 self.acknowledge(leader, out);
             }
             Role::Blank | Role::Follower(_) | Role::PreCandidate | Role::Candidate => {}
--- a/crates/celerywinch_store/tests/reads.rs
+++ b/crates/celerywinch_store/tests/reads.rs
@@ -77,7 +77,7 @@
     let taken = RaftMsg::AppendReply {
         term: 2,
         index: 2,
-        taken: true,
+        accepted: true,
     };
     from(raft, 2, taken);
     assert_eq!(raft.commit_index(), 2);
@@ -108,19 +108,19 @@
         let Output::Send(_, _, msg) = output else {
             return false;
         };
-        *msg == RaftMsg::Confirm { term: 2, round: 1 }
+        *msg == RaftMsg::ConfirmLeader { term: 2, round: 1 }
     });
     assert_eq!(asks.count(), 2);
     assert!(!out.contains(&Output::ReadReady(7)));
     let (term, round) = case.answer;
-    let released = from(&mut raft, 2, RaftMsg::ConfirmReply { term, round });
+    let released = from(&mut raft, 2, RaftMsg::ConfirmLeaderReply { term, round });
     assert_eq!(released, if case.released { vec![7] } else { Vec::new() });
     if !case.committed {
         handle(&mut raft, NOW, Input::Synced(1));
         let taken = RaftMsg::AppendReply {
             term: 2,
             index: 2,
-            taken: true,
+            accepted: true,
         };
         assert_eq!(from(&mut raft, 2, taken), [7], "once that is committed");
     }
@@ -132,9 +132,9 @@
     let mut raft = leader(Time(10_000_000));
     commit_first_entry(&mut raft);
     handle(&mut raft, NOW, Input::Read(7));
-    let later = RaftMsg::Confirm { term: 3, round: 1 };
+    let later = RaftMsg::ConfirmLeader { term: 3, round: 1 };
     assert_eq!(from(&mut raft, 3, later), Vec::<u64>::new());
     assert_eq!(raft.role(), Role::Follower(Some(keeper(3))));
-    let late = RaftMsg::ConfirmReply { term: 2, round: 1 };
+    let late = RaftMsg::ConfirmLeaderReply { term: 2, round: 1 };
     assert_eq!(from(&mut raft, 2, late), Vec::<u64>::new());
 }
--- a/crates/celerywinch_store/tests/votes.rs
+++ b/crates/celerywinch_store/tests/votes.rs
@@ -45,7 +45,10 @@
 fn vote_is_synced_before_it_is_told() {
     let now = Time(10_000_000);
     let mut raft = Raft::new(config(1), now, (1, None), Snapshot::default(), formed());
-    let ask = |term| RaftMsg::Vote { term, last: (1, 1) };
+    let ask = |term| RaftMsg::Vote {
+        term,
+        last_log: (1, 1),
+    };
     let mut out = Vec::new();
     raft.handle(now, Input::Message(keeper(2), ask(5)), &mut out);
     let vote = Output::PersistVote {
@@ -96,11 +99,11 @@
     for ask in [
         RaftMsg::PreVote {
             term: 5,
-            last: (1, 1),
+            last_log: (1, 1),
         },
         RaftMsg::Vote {
             term: 5,
-            last: (1, 1),
+            last_log: (1, 1),
         },
     ] {
         raft.handle(now, Input::Message(keeper(2), ask), &mut out);
@@ -112,7 +115,7 @@
     let only_hello = out.iter().all(|output| {
         matches!(
             output,
-            Output::Send(_, None, RaftMsg::Hello { formed: false })
+            Output::Send(_, None, RaftMsg::Hello { in_group: false })
         )
     });
     assert!(only_hello, "{out:?}");
@@ -127,7 +130,7 @@
     let mut out = Vec::new();
     let beat = RaftMsg::Append {
         term: 2,
-        before: (1, 1),
+        previous: (1, 1),
         entries: Vec::new(),
         commit: 1,
     };
@@ -136,7 +139,7 @@
     let later = now + Duration::from_millis(300);
     let ask = RaftMsg::PreVote {
         term: 9,
-        last: (1, 9),
+        last_log: (1, 9),
     };
     raft.handle(later, Input::Message(keeper(3), ask), &mut out);
     let refused = RaftMsg::PreVoteReply {
@@ -146,7 +149,7 @@
     assert_eq!(out, vec![Output::Send(InstanceId(3), Some(30), refused)]);
     let ask = RaftMsg::Vote {
         term: 9,
-        last: (1, 9),
+        last_log: (1, 9),
     };
     out.clear();
     raft.handle(later, Input::Message(keeper(3), ask), &mut out);
