--- a/crates/celerywinch_store/src/disk.rs
+++ b/crates/celerywinch_store/src/disk.rs
@@ -1,9 +1,8 @@
 //! The log file and the snapshot of one keeper.
 //!
-//! The log is a file of records, each with a mark, a length and a checksum. A record is synced
-//! before anything that depends on it leaves the process. Snapshots, and the log that remains
-//! after one, are written beside the old files, synced, and moved into their place; the folder is
-//! synced too, or the move itself could be lost.
+//! The log is a file of records, each with magic bytes, a length and a checksum. A record is synced before any message that
+//! depends on it leaves the process. A snapshot, and the log that remains after it, are written to temporary files, synced,
+//! and renamed over the old files; the folder is synced too, as otherwise the rename itself could be lost.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -16,11 +15,11 @@
 
 use crate::{Entry, KeeperId, Snapshot};
 
-/// Starts every record, so that whole records can be found behind a damaged one.
+/// The first bytes of every record, by which intact records are found after a damaged one.
 const RECORD_MAGIC: [u8; 4] = *b"cwr1";
-/// Bytes before a record's body: mark, length, checksum.
+/// The length of a record's header: magic bytes, length and checksum, 4 bytes each.
 const HEADER_BYTES: usize = 12;
-/// The longest record, in bytes.
+/// The maximum length of a record's body.
 const MAX_RECORD_BYTES: usize = 256 << 20;
 
 const IDENTITY_FILE: &str = "identity";
@@ -28,89 +27,94 @@
 const SNAPSHOT_FILE: &str = "snapshot";
 
 domain! {
-    /// One record of the log file.
+    /// A record of the log file.
     pub enum Record {
-        /// The term and the vote in it.
+        /// The current term and the vote in it.
         Vote {
             /// The term.
             term: u64,
-            /// Who has the vote.
+            /// The keeper that received the vote, if any.
             vote: Option<KeeperId>,
         },
-        /// Entries from this index on are dropped.
+        /// The entries from this index on are removed.
         Truncate(u64),
         /// An entry.
         Entry(Entry),
     }
 }
 
-/// Why the disk could not be used.
+/// An error of the disk.
 #[derive(Debug, Error)]
 pub enum DiskError {
-    /// Reading, writing or syncing failed.
-    #[error("{step}: {file}: {cause}")]
+    /// An operation of the file system failed.
+    #[error("cannot {operation} {file}: {cause}")]
     Io {
-        /// What was tried.
-        step: &'static str,
+        /// The operation, as in "cannot ...".
+        operation: &'static str,
         /// The file.
         file: PathBuf,
-        /// The cause.
+        /// The error of the operating system.
         cause: io::Error,
     },
-    /// A file is damaged other than by an unfinished write at its end.
+    /// A file is damaged, other than by an unfinished write at the end of the log.
     #[error(
-        "{file} is damaged at byte {offset}, with whole records behind it; move the folder away \
+        "{file} is damaged at byte {offset}, with intact records after it; move the folder away \
          and start with an empty one, and this keeper will be admitted as a new one"
     )]
     Damaged {
         /// The file.
         file: PathBuf,
-        /// Where.
+        /// The offset of the damage, in bytes.
         offset: usize,
     },
 }
 
-/// What the disk held at the start.
+/// The state on a keeper's disk at startup.
 #[derive(Clone, Debug, Default)]
 pub struct PersistedState {
-    /// The term and the vote.
+    /// The current term and the vote in it.
     pub vote: (u64, Option<KeeperId>),
-    /// The snapshot.
+    /// The last snapshot.
     pub snapshot: Snapshot,
-    /// The entries after it.
+    /// The entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// Bytes of an unfinished record that were cut off.
+    /// The number of bytes that were cut off at the end of the log, after an unfinished write.
     pub torn_bytes: usize,
 }
 
-/// The disk of one keeper.
+/// The log file and the snapshot of one keeper.
 #[derive(Debug)]
 pub struct Disk {
     folder: PathBuf,
     log: File,
-    /// The length of the log up to the last whole record.
+    /// The length of the log file up to the last complete record, in bytes.
     length: u64,
     vote: (u64, Option<KeeperId>),
     entries: Vec<Entry>,
     buffer: Vec<u8>,
 }
 
-fn io_result<T>(step: &'static str, file: &Path, result: io::Result<T>) -> Result<T, DiskError> {
+fn io_result<T>(
+    operation: &'static str,
+    file: &Path,
+    result: io::Result<T>,
+) -> Result<T, DiskError> {
     result.map_err(|cause| DiskError::Io {
-        step,
+        operation,
         file: file.to_owned(),
         cause,
     })
 }
 
 impl Disk {
-    /// Opens the folder, or makes it with `identity` for a new disk; gives the disk's identity.
+    /// Opens the folder, or creates it with `identity` as the identity of the new disk. Returns the disk, its identity and
+    /// the state on it.
     ///
     /// # Errors
     ///
-    /// A file cannot be used or is damaged.
+    /// A file cannot be read or written, or is damaged.
     pub fn open(folder: &Path, identity: u64) -> Result<(Self, u64, PersistedState), DiskError> {
-        io_result("make the folder", folder, fs::create_dir_all(folder))?;
+        io_result("create the folder", folder, fs::create_dir_all(folder))?;
         let identity = open_identity(folder, identity)?;
         let snapshot = load_snapshot(folder)?;
         let path = folder.join(LOG_FILE);
@@ -124,7 +128,7 @@
         drop_superseded(&mut loaded.entries, &loaded.snapshot);
         let options = OpenOptions::new().create(true).append(true).open(&path);
         let log = io_result("open", &path, options)?;
-        io_result("cut the torn end", &path, log.set_len(length))?;
+        io_result("cut off an unfinished write of", &path, log.set_len(length))?;
         io_result("sync", &path, log.sync_all())?;
         sync_folder(folder)?;
         let disk = Self {
@@ -142,8 +146,8 @@
     ///
     /// # Errors
     ///
-    /// Nothing of the records counts as written then: what reached the file is cut off again, or,
-    /// if even that fails, at the next start.
+    /// None of the records counts as written. Any part of them in the file is cut off again, at once or, if that fails too,
+    /// at the next start.
     pub fn append(&mut self, records: &[Record]) -> Result<(), DiskError> {
         self.buffer.clear();
         for record in records {
@@ -173,16 +177,16 @@
         }
     }
 
-    /// Writes a snapshot in the place of the entries that it includes.
+    /// Writes a snapshot, and removes the entries that it includes from the log.
     ///
     /// # Errors
     ///
-    /// The snapshot before, or the log before, is still in place.
+    /// The previous snapshot or the previous log is still in place.
     pub fn compact(&mut self, snapshot: &Snapshot) -> Result<(), DiskError> {
         let mut bytes = Vec::new();
         encode(&mut bytes, snapshot);
         replace(&self.folder, SNAPSHOT_FILE, &bytes)?;
-        // A crash here leaves entries that the snapshot includes; they are dropped at the start.
+        // A crash here leaves entries that the snapshot includes; they are removed at the next start.
         drop_superseded(&mut self.entries, snapshot);
         let mut bytes = Vec::new();
         let (term, vote) = self.vote;
@@ -209,8 +213,8 @@
     }
 }
 
-/// Drops entries that a snapshot includes, and those that follow another entry than its last one: they were never committed, and
-/// a keeper that counts them would take its log for a later one than it is.
+/// Removes the entries that a snapshot includes. If the entry at the snapshot's last index has another term, removes the
+/// later ones too: they were never committed, and with them the keeper's log would seem more up to date than it is.
 fn drop_superseded(entries: &mut Vec<Entry>, snapshot: &Snapshot) {
     let last = entries.iter().find(|entry| entry.index == snapshot.index);
     let agrees = last.is_none_or(|entry| entry.term == snapshot.term);
@@ -218,15 +222,15 @@
 }
 
 fn encode<T: Serialize>(buffer: &mut Vec<u8>, value: &T) {
-    let body = bincode::serde::encode_to_vec(value, standard()).expect("plain data encodes");
-    let length = u32::try_from(body.len()).expect("records are far shorter than 4 GiB");
+    let body = bincode::serde::encode_to_vec(value, standard()).expect("plain data can be encoded");
+    let length = u32::try_from(body.len()).expect("records are shorter than 4 GiB");
     buffer.extend_from_slice(&RECORD_MAGIC);
     buffer.extend_from_slice(&length.to_le_bytes());
     buffer.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
     buffer.extend_from_slice(&body);
 }
 
-/// The whole record at the start of `bytes`, and its length.
+/// Decodes the record at the start of `bytes`; returns its value and its length, or `None` if it is not intact.
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<(T, usize)> {
     let header = bytes.get(..HEADER_BYTES)?;
     let number = |range: std::ops::Range<usize>| -> Option<u32> {
@@ -269,8 +273,8 @@
             None => break,
         }
     }
-    // An unfinished write is the last thing in the file. Whole records behind the bad bytes mean
-    // that synced ones were damaged; to cut them off would forget what others count on.
+    // An unfinished write is always at the end of the file. Intact records after the bad bytes mean that synced records
+    // were damaged; cutting them off would lose entries that other keepers count as synced here.
     if contains_record(&bytes[offset..]) {
         return Err(DiskError::Damaged {
             file: path.to_owned(),
@@ -298,19 +302,19 @@
     Ok(new_identity)
 }
 
-/// Saves a value with a checksum so that it outlives the process, or leaves what was there.
+/// Saves a value durably, with a checksum. On failure the previous file is kept.
 ///
 /// # Errors
 ///
 /// The file cannot be written or synced.
 pub fn save_file<T: Serialize>(folder: &Path, name: &str, value: &T) -> Result<(), DiskError> {
-    io_result("make the folder", folder, fs::create_dir_all(folder))?;
+    io_result("create the folder", folder, fs::create_dir_all(folder))?;
     let mut bytes = Vec::new();
     encode(&mut bytes, value);
     replace(folder, name, &bytes)
 }
 
-/// Loads what [`save_file`] saved; none if there is no such file.
+/// Loads a value that was saved by [`save_file`]; returns `None` if there is no such file.
 ///
 /// # Errors
 ///
@@ -329,14 +333,14 @@
     }
 }
 
-/// Puts a whole file in the place of another, or leaves the other.
+/// Replaces a file atomically and durably. On failure the previous file is kept.
 fn replace(folder: &Path, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
     let path = folder.join(name);
     let temporary = folder.join(format!("{name}.new"));
-    let mut file = io_result("make", &temporary, File::create(&temporary))?;
+    let mut file = io_result("create", &temporary, File::create(&temporary))?;
     io_result("write", &temporary, file.write_all(bytes))?;
     io_result("sync", &temporary, file.sync_all())?;
-    io_result("move into place", &path, fs::rename(&temporary, &path))?;
+    io_result("replace", &path, fs::rename(&temporary, &path))?;
     sync_folder(folder)
 }
 
--- a/crates/celerywinch_store/src/lib.rs
+++ b/crates/celerywinch_store/src/lib.rs
@@ -1,13 +1,12 @@
-//! A replicated log with majority commit, kept on the disks of a few instances.
+//! A replicated log with majority commit, stored on the disks of a few instances, the keepers.
 //!
-//! [`Raft`] is the state machine: it has no clock, socket or disk. The host carries out the
-//! writes among its [`Output`]s in order and reports them; a message that rests on a write comes out after that.
-//! [`Disk`] is the log file and the snapshot of one keeper.
+//! [`Raft`] is the state machine of a keeper, without clock, socket or disk. The host carries out the writes among its
+//! [`Output`]s in order and reports them; a message that depends on a write is output after that report. [`Disk`] stores
+//! the log file and the snapshot of one keeper.
 //!
-//! The protocol is Raft with pre-vote, check-quorum, snapshots, and changes of the group by one
-//! keeper at a time. A keeper is named by its instance and by the identity of its disk
-//! ([`KeeperId`]): one whose disk came back empty is another keeper and does not vote until it was
-//! admitted and has caught up.
+//! The protocol is Raft with pre-vote, check-quorum, snapshots, and changes of the membership by one keeper at a time. A
+//! keeper is identified by its instance and the identity of its disk ([`KeeperId`]): an instance that comes back with an
+//! empty disk is another keeper, which does not vote until it has been admitted and has caught up.
 
 mod disk;
 mod log;
--- a/crates/celerywinch_store/src/log.rs
+++ b/crates/celerywinch_store/src/log.rs
@@ -1,80 +1,80 @@
-//! The log in memory, and what its entries hold.
+//! The log in memory, and its entries and snapshots.
 
 use celerywinch_types::{InstanceId, domain};
 
 domain! {
-    /// A keeper: an instance with a certain disk.
+    /// The id of a keeper, which is an instance with a certain disk.
     #[derive(Copy, Hash, PartialOrd, Ord)]
     pub struct KeeperId {
         /// The instance.
         pub instance: InstanceId,
-        /// The identity of its disk, drawn when the data folder was made.
+        /// The identity of its disk, generated when the data folder was created.
         pub disk: u64,
     }
 
-    /// The keepers of the log.
+    /// The keepers that replicate the log.
     #[derive(Default)]
     pub struct Membership {
-        /// Those that count for majorities.
+        /// The keepers that count towards majorities.
         pub voters: Vec<KeeperId>,
-        /// Those that get the log but do not count yet.
+        /// The keepers that receive the log but do not count towards majorities.
         pub learners: Vec<KeeperId>,
     }
 
-    /// What an entry holds.
+    /// The content of an entry.
     pub enum Payload {
-        /// Nothing: the first entry of a term, which lets the entries before it be committed.
+        /// No content. The first entry of a term, with which the entries of earlier terms are committed.
         Noop,
-        /// A command of the state machine on top.
+        /// An encoded command of the replicated state machine.
         Command(Vec<u8>),
-        /// The keepers from here on.
+        /// The membership from this entry on.
         Membership(Membership),
     }
 
-    /// One entry.
+    /// An entry of the log.
     pub struct Entry {
-        /// Its index, from 1.
+        /// The index, from 1.
         pub index: u64,
-        /// The term of the leader that made it.
+        /// The term of the leader that proposed it.
         pub term: u64,
-        /// What it holds.
+        /// The content.
         pub payload: Payload,
     }
 
-    /// The state machine's state after all entries up to `index`.
+    /// The state of the replicated state machine after all entries up to `index`.
     #[derive(Default)]
     pub struct Snapshot {
-        /// The last entry that is included.
+        /// The index of the last included entry.
         pub index: u64,
-        /// Its term.
+        /// The term of the last included entry.
         pub term: u64,
-        /// The keepers as of then.
+        /// The membership as of that entry.
         pub membership: Membership,
-        /// The state machine's state.
+        /// The encoded state.
         pub state: Vec<u8>,
     }
 }
 
 impl Membership {
-    /// How many voters make a majority.
+    /// Returns the number of voters that make a majority.
     #[must_use]
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Voters and learners.
+    /// Returns the voters, then the learners.
     pub fn all(&self) -> impl Iterator<Item = KeeperId> + '_ {
         self.voters.iter().chain(&self.learners).copied()
     }
 
-    /// The keeper of an instance, whatever its disk.
+    /// Returns the keeper of an instance, whatever its disk.
     #[must_use]
     pub fn keeper_of(&self, instance: InstanceId) -> Option<KeeperId> {
         self.all().find(|keeper| keeper.instance == instance)
     }
 }
 
-/// The entries after the last snapshot.
+/// The last snapshot and the entries after it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
     pub(crate) snapshot: Snapshot,
@@ -103,7 +103,7 @@
         self.entries.get(self.position(index)?)
     }
 
-    /// The term of an entry; none if it is not known here (any more).
+    /// Returns the term of an entry; `None` if the log has no such entry, or no longer has it.
     pub(crate) fn term(&self, index: u64) -> Option<u64> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -111,7 +111,7 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// Entries from `index` on, at most `most`.
+    /// Returns the entries from `index` on, at most `max_entries`.
     pub(crate) fn entries_from(&self, index: u64, max_entries: usize) -> Vec<Entry> {
         let Some(start) = self.position(index) else {
             return Vec::new();
@@ -128,14 +128,15 @@
         self.entries.push(entry);
     }
 
-    /// Drops the entries from `index` on.
+    /// Removes the entries from `index` on.
     pub(crate) fn truncate(&mut self, index: u64) {
         if let Some(position) = self.position(index) {
             self.entries.truncate(position);
         }
     }
 
-    /// Replaces the entries up to the snapshot by it.
+    /// Replaces the entries up to a snapshot by the snapshot. Later entries are kept only if the log agrees with it at its
+    /// last index.
     pub(crate) fn compact(&mut self, snapshot: Snapshot) {
         let agrees = self.term(snapshot.index) == Some(snapshot.term);
         if agrees {
@@ -150,7 +151,7 @@
         self.entries.len()
     }
 
-    /// The keepers by the last entry that names them, committed or not.
+    /// Returns the membership given by the last entry that changes it, committed or not.
     pub(crate) fn membership(&self) -> Membership {
         let latest = self
             .entries
@@ -163,7 +164,7 @@
         latest.unwrap_or_else(|| self.snapshot.membership.clone())
     }
 
-    /// The index of the last entry that names the keepers.
+    /// Returns the index of the last entry that changes the membership.
     pub(crate) fn membership_index(&self) -> u64 {
         let mut entries = self.entries.iter().rev();
         let latest = entries.find(|entry| matches!(entry.payload, Payload::Membership(_)));
--- a/crates/celerywinch_store/src/message.rs
+++ b/crates/celerywinch_store/src/message.rs
@@ -7,84 +7,83 @@
 use crate::{Entry, KeeperId, Snapshot};
 
 domain! {
-    /// A message between keepers; it may be lost, delayed, doubled and reordered.
+    /// A message between keepers. Messages may be lost, delayed, duplicated and reordered.
     pub enum RaftMsg {
-        /// A keeper with an empty disk looks for its group; `formed` is false while the sender has
-        /// no log either.
+        /// Sent by a keeper with an empty disk to find its group, with `in_group` false, and by members of a group in reply.
         Hello {
-            /// Whether the sender belongs to a group already.
+            /// Whether the sender already belongs to a group.
             in_group: bool,
         },
-        /// Asks whether the receiver would vote for the sender.
+        /// Asks whether the receiver would vote for the sender in a later term.
         PreVote {
-            /// The term the sender would stand in.
+            /// The term of the election that the sender would start.
             term: u64,
-            /// The end of its log.
+            /// The last entry of the sender's log: term, then index.
             last_log: (u64, u64),
         },
-        /// Answers `PreVote`.
+        /// The reply to `PreVote`.
         PreVoteReply {
-            /// The term asked about, or the receiver's if it is later.
+            /// The requested term if granted, otherwise the current term of the voter.
             term: u64,
-            /// Whether it would.
+            /// Whether the voter would grant its vote.
             granted: bool,
         },
-        /// Asks for the vote.
+        /// Asks for the receiver's vote.
         Vote {
-            /// The term.
+            /// The term of the election.
             term: u64,
-            /// The end of the sender's log: term, then index.
+            /// The last entry of the sender's log: term, then index.
             last_log: (u64, u64),
         },
-        /// Answers `Vote`.
+        /// The reply to `Vote`.
         VoteReply {
-            /// The receiver's term.
+            /// The current term of the voter.
             term: u64,
-            /// Whether the vote is given.
+            /// Whether the vote is granted.
             granted: bool,
         },
-        /// New entries, or none as a heartbeat.
+        /// Entries of the leader's log; a heartbeat if there are none.
         Append {
             /// The leader's term.
             term: u64,
-            /// The entry before the first of `entries`: index, then term.
+            /// The entry that precedes `entries`: index, then term.
             previous: (u64, u64),
-            /// The entries.
+            /// The entries, in order.
             entries: Vec<Entry>,
-            /// How far the log is committed.
+            /// The commit index of the leader.
             commit: u64,
         },
-        /// Answers `Append` and `InstallSnapshot`.
+        /// The reply to `Append` and `InstallSnapshot`.
         AppendReply {
-            /// The receiver's term.
+            /// The current term of the follower.
             term: u64,
-            /// The last index that agrees with the leader's log, if the entries were taken;
-            /// otherwise where to try next.
+            /// If accepted, the last index that agrees with the leader's log and is synced; otherwise the index of the entry
+            /// that the leader tries next as the preceding one.
             index: u64,
-            /// Whether the entries were taken.
+            /// Whether the entries or the snapshot were accepted.
             accepted: bool,
         },
-        /// A snapshot, for a keeper that lags behind the start of the log.
+        /// A snapshot, for a keeper that needs entries from before the start of the leader's log.
         InstallSnapshot {
             /// The leader's term.
             term: u64,
             /// The snapshot.
             snapshot: Snapshot,
         },
-        /// The sender has a log and hears no leader; it may have been replaced while it was away.
+        /// Sent by a keeper that has a log but no leader; it may have been replaced while it was away.
         Rejoin,
-        /// Asks whether the receiver follows the sender, which leads.
+        /// Asks the receiver to confirm that it follows the sender as leader.
         ConfirmLeader {
             /// The leader's term.
             term: u64,
-            /// Counts the leader's questions.
+            /// The number of the round; the leader starts a new one with each read.
             round: u64,
         },
-        /// Answers `ConfirmLeader`: the receiver follows the sender in that term.
+        /// The reply to `ConfirmLeader`: the receiver follows the leader in that term.
         ConfirmLeaderReply {
-            /// The term.
+            /// The term of the leader.
             term: u64,
-            /// The round asked about.
+            /// The round that is confirmed.
             round: u64,
         },
     }
@@ -92,7 +91,7 @@
     /// A message with its sender and receiver.
     pub(crate) struct Envelope {
         pub(crate) from: KeeperId,
-        /// None while the receiver's disk is not known.
+        /// `None` while the disk of the receiver is not known.
         pub(crate) to: Option<KeeperId>,
         pub(crate) msg: RaftMsg,
     }
@@ -108,14 +107,14 @@
     bincode::serde::encode_to_vec(envelope, standard()).context("store: cannot encode a message")
 }
 
-/// Decodes a message; none if it is for an earlier disk of this instance.
+/// Decodes a message; returns `None` if it is for another keeper, such as an earlier disk of this instance.
 ///
 /// # Errors
 ///
-/// The bytes are no message.
+/// The bytes cannot be decoded.
 pub fn decode(bytes: &[u8], me: KeeperId) -> anyhow::Result<Option<(KeeperId, RaftMsg)>> {
     let decoded = bincode::serde::decode_from_slice(bytes, standard());
     let (envelope, _): (Envelope, usize) = decoded.context("store: cannot decode a message")?;
-    let mine = envelope.to.is_none_or(|to| to == me);
-    Ok(mine.then_some((envelope.from, envelope.msg)))
+    let is_for_me = envelope.to.is_none_or(|to| to == me);
+    Ok(is_for_me.then_some((envelope.from, envelope.msg)))
 }
--- a/crates/celerywinch_store/src/raft/append.rs
+++ b/crates/celerywinch_store/src/raft/append.rs
@@ -1,4 +1,4 @@
-//! Spreading the log, and committing.
+//! Log replication and commit.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 use super::{MAX_APPEND_ENTRIES, Output, Progress, Raft, Role};
 use crate::{Entry, KeeperId, Payload, RaftMsg, Snapshot};
 
-/// How long a snapshot may take before it is sent again.
+/// How long to wait for the acknowledgement of a snapshot before it is sent again.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Raft {
-    /// Adds an entry to the leader's log and sends it at once, before the leader's own disk has
-    /// it: both writes run at the same time, and the leader counts itself only when it is synced.
+    /// Appends an entry to the leader's log and sends it before it is synced on the leader's own disk. The leader and the
+    /// followers thus write at the same time; the leader counts itself towards the majority only once it has synced.
     pub(super) fn propose(&mut self, now: Time, payload: Payload, out: &mut Vec<Output>) {
         if self.role != Role::Leader {
             return;
@@ -28,10 +28,10 @@
         self.persist_entries(now, vec![entry], out);
     }
 
-    /// Regular work of a leader.
+    /// Performs the periodic work of a leader.
     pub(super) fn tick_leader(&mut self, now: Time, out: &mut Vec<Output>) {
         if !self.has_quorum_contact(now) {
-            // A leader that is cut off must not go on to look like one.
+            // Check-quorum: a leader that is cut off from the majority steps down.
             self.set_role(now, Role::Follower(None), out);
             return;
         }
@@ -46,12 +46,15 @@
         let membership = self.log.membership();
         let me = self.config.me;
         let limit = self.config.election_timeout * 2;
-        let heard = |keeper: &KeeperId| {
+        let has_contact = |keeper: &KeeperId| {
             let progress = self.progress.get(keeper);
             progress.is_some_and(|p| now.since(p.last_contact) <= limit)
         };
-        let hearing = membership.voters.iter().filter(|v| **v == me || heard(v));
-        hearing.count() >= membership.majority()
+        let reachable = membership
+            .voters
+            .iter()
+            .filter(|v| **v == me || has_contact(v));
+        reachable.count() >= membership.majority()
     }
 
     fn send_all(&mut self, now: Time, out: &mut Vec<Output>) {
@@ -70,7 +73,7 @@
         };
         let entries = self.log.entries_from(next, MAX_APPEND_ENTRIES);
         if let (Some(last), Some(progress)) = (entries.last(), self.progress.get_mut(&to)) {
-            // Sent once and not again with every entry that follows; a refusal sets it back.
+            // Sends each entry once, not again with every entry that follows; a rejection resets the index.
             progress.next_index = last.index + 1;
         }
         let msg = RaftMsg::Append {
@@ -86,8 +89,8 @@
         let Some(progress) = self.progress.get_mut(&to) else {
             return;
         };
-        let fresh = progress.snapshot_sent != Time::default();
-        if fresh && now.since(progress.snapshot_sent) < SNAPSHOT_TIMEOUT {
+        let outstanding = progress.snapshot_sent != Time::default();
+        if outstanding && now.since(progress.snapshot_sent) < SNAPSHOT_TIMEOUT {
             return;
         }
         progress.snapshot_sent = now;
@@ -115,17 +118,18 @@
             return;
         }
         let last = entries.last().map_or(previous.0, |entry| entry.index);
-        let fresh = self.merge_entries(now, entries, out);
+        let has_new = self.merge_entries(now, entries, out);
         self.match_index = self.match_index.max(last);
-        // Entries are acknowledged when they are synced.
-        if !fresh {
+        // New entries are acknowledged once they are synced.
+        if !has_new {
             self.acknowledge(from, out);
         }
         self.commit_index = self.commit_index.max(commit.min(last));
-        self.apply(out);
+        self.apply_committed(out);
     }
 
-    /// Follows the leader of a term that is not over; false for a leader of the past.
+    /// Follows the leader of the current or a later term. Returns false for the leader of an earlier term, which is told
+    /// the current one.
     pub(super) fn accept_leader(
         &mut self,
         now: Time,
@@ -149,7 +153,7 @@
     }
 
     fn reject_append(&self, from: KeeperId, previous: u64, out: &mut Vec<Output>) {
-        // Either the log ends earlier, or an entry differs; then the leader tries further back.
+        // The log ends before that entry or has another one there; the leader tries again from an earlier index.
         let index = self.log.last_index().min(previous.saturating_sub(1));
         let reply = RaftMsg::AppendReply {
             term: self.term,
@@ -159,7 +163,7 @@
         self.send(from, reply, out);
     }
 
-    /// Tells the leader how far its log is on this keeper's disk.
+    /// Acknowledges to the leader the part of its log that is synced on this keeper's disk.
     pub(super) fn acknowledge(&self, leader: KeeperId, out: &mut Vec<Output>) {
         let reply = RaftMsg::AppendReply {
             term: self.term,
@@ -169,9 +173,10 @@
         self.send(leader, reply, out);
     }
 
-    /// Takes entries; one that differs from what is here replaces it and all that follows. False if there is nothing to write.
+    /// Merges entries into the log; one that conflicts with an existing entry replaces it and all that follow. Returns
+    /// whether there is anything to write.
     fn merge_entries(&mut self, now: Time, entries: Vec<Entry>, out: &mut Vec<Output>) -> bool {
-        let mut fresh = Vec::new();
+        let mut new_entries = Vec::new();
         for entry in entries {
             if entry.index <= self.log.snapshot.index {
                 continue;
@@ -185,13 +190,13 @@
                 None => {}
             }
             self.log.push(entry.clone());
-            fresh.push(entry);
+            new_entries.push(entry);
         }
-        let any = !fresh.is_empty();
-        if any {
-            self.persist_entries(now, fresh, out);
+        let has_new = !new_entries.is_empty();
+        if has_new {
+            self.persist_entries(now, new_entries, out);
         }
-        any
+        has_new
     }
 
     pub(super) fn handle_append_reply(
@@ -226,7 +231,7 @@
         self.send_append(now, from, out);
     }
 
-    /// Commits what a majority of the voters has synced.
+    /// Commits the entries that a majority of the voters has synced.
     pub(super) fn advance_commit(&mut self, out: &mut Vec<Output>) {
         let membership = self.log.membership();
         let me = self.config.me;
@@ -241,10 +246,11 @@
         let Some(agreed) = indices.get(membership.majority() - 1).copied() else {
             return;
         };
-        // An entry of an earlier term may still be replaced although a majority has it.
+        // An entry of an earlier term may still be replaced although a majority has it, so only one of the current term
+        // can be committed by counting.
         if agreed > self.commit_index && self.log.term(agreed) == Some(self.term) {
             self.commit_index = agreed;
-            self.apply(out);
+            self.apply_committed(out);
         }
     }
 
@@ -267,14 +273,14 @@
             self.persist_snapshot(now, snapshot.clone(), out);
             out.push(Output::Restore(snapshot));
         }
-        // What is committed here is in the leader's log as well.
+        // The entries that are committed here are in the leader's log as well.
         self.match_index = self.match_index.max(self.commit_index);
         if self.match_index <= self.synced_index {
             self.acknowledge(from, out);
         }
     }
 
-    /// Keeps progress for exactly the keepers of the group.
+    /// Adds and removes progress records so that there is one for each other keeper of the group.
     pub(super) fn sync_progress(&mut self, now: Time) {
         let others = self.other_keepers();
         self.progress.retain(|keeper, _| others.contains(keeper));
--- a/crates/celerywinch_store/src/raft/election.rs
+++ b/crates/celerywinch_store/src/raft/election.rs
@@ -1,4 +1,4 @@
-//! Elections.
+//! Pre-votes and elections.
 
 use std::time::Duration;
 
@@ -8,39 +8,40 @@
 use crate::{KeeperId, Payload, RaftMsg};
 
 impl Raft {
-    /// Stands for election once no leader was heard for long enough.
+    /// Starts a pre-vote when the election timeout has expired without contact with a leader.
     ///
-    /// An election takes two writes, the candidate's and the voters'. With disks slower than the timeout each election would be
-    /// overtaken by the next one, so time in which this keeper writes a vote does not count, a candidate gives the voters
-    /// as long as its own writes take, and whoever has backed one waits for it as long.
+    /// An election takes two writes in sequence, the candidate's vote and the voters' votes. With disks slower than the
+    /// timeout, each election would be overtaken by the next one. So the timeout does not run while this keeper writes a
+    /// vote, a candidate allows the voters as long as its own writes take, and a keeper that has granted a pre-vote waits as
+    /// long for that candidate.
     pub(super) fn check_election_timeout(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.is_writing_vote() {
             self.last_contact = now;
             return;
         }
-        let votes = if self.role == Role::Candidate {
+        let extension = if self.role == Role::Candidate {
             self.write_time * 2
         } else {
             Duration::ZERO
         };
-        if now.since(self.last_contact) >= self.timeout + votes
+        if now.since(self.last_contact) >= self.timeout + extension
             && self.pre_voted_candidate(now).is_none()
         {
             self.start_pre_vote(now, out);
         }
     }
 
-    /// The candidate whose election may be under way, as this keeper said that it would be of use.
+    /// Returns the candidate whose election may be in progress because this keeper granted it a pre-vote.
     fn pre_voted_candidate(&self, now: Time) -> Option<KeeperId> {
         let span = self.config.election_timeout + self.write_time * 2;
-        let backed = self.pre_voted.filter(|(_, at)| now.since(*at) < span);
-        backed.map(|(candidate, _)| candidate)
+        let recent = self.pre_voted.filter(|(_, at)| now.since(*at) < span);
+        recent.map(|(candidate, _)| candidate)
     }
 
-    /// Time is up without a leader: asks first whether an election would be of use.
+    /// Asks the voters whether they would vote for this keeper, before it raises the term.
     ///
-    /// A keeper that was cut off for long would otherwise come back with a high term and depose a
-    /// leader that works. With the question, it raises no term while it cannot win.
+    /// Without the pre-vote, a keeper that was cut off for long would come back with a high term and depose a working
+    /// leader. With it, a keeper that cannot win raises no term. A keeper that is not a voter asks to rejoin instead.
     pub(super) fn start_pre_vote(&mut self, now: Time, out: &mut Vec<Output>) {
         if !self.is_voter() {
             self.last_contact = now;
@@ -79,11 +80,11 @@
         if self.role == Role::Blank {
             return;
         }
-        // A vote that is being written belongs to an election that may still be won.
-        let backs = self
+        // A vote that is being written belongs to an election that may still succeed.
+        let no_other = self
             .pre_voted_candidate(now)
             .is_none_or(|other| other == from);
-        let free = backs && !self.has_recent_leader(now) && !self.is_writing_vote();
+        let free = no_other && !self.has_recent_leader(now) && !self.is_writing_vote();
         let granted = term > self.term && self.is_up_to_date(last_log) && free;
         if granted {
             self.pre_voted = Some((from, now));
@@ -92,7 +93,8 @@
         self.send(from, RaftMsg::PreVoteReply { term, granted }, out);
     }
 
-    /// Whether a leader was heard of so lately that nobody should be elected in its place.
+    /// Returns whether this keeper leads or had contact with the leader within the election timeout, so that no other keeper
+    /// should be elected.
     fn has_recent_leader(&self, now: Time) -> bool {
         match self.role {
             Role::Leader => true,
@@ -139,12 +141,13 @@
     }
 
     fn start_election(&mut self, now: Time, out: &mut Vec<Output>) {
-        // Synced before anyone is asked: after a restart this keeper must not vote for another.
+        // The vote is synced before any voter is asked, as this keeper must not vote for another one after a restart.
         self.enter_term(now, self.term + 1, Some(self.config.me), out);
         self.set_role(now, Role::Candidate, out);
     }
 
-    /// This keeper's vote for a keeper is synced, and the term is still the same.
+    /// Continues after the vote of this keeper was synced, if the term is still the same: replies to the candidate, or
+    /// proceeds with its own election.
     pub(super) fn handle_vote_synced(&mut self, now: Time, vote: KeeperId, out: &mut Vec<Output>) {
         if vote != self.config.me {
             let granted = RaftMsg::VoteReply {
@@ -184,7 +187,7 @@
         if self.role == Role::Blank {
             return;
         }
-        // As with the question before: a working leader is not deposed.
+        // As with a pre-vote, a working leader is not deposed.
         if self.has_recent_leader(now) && self.leader() != Some(from) && term > self.term {
             return;
         }
@@ -192,7 +195,7 @@
         let free = self.voted_for.is_none() || self.voted_for == Some(from);
         let granted = term == self.term && free && self.is_up_to_date(last_log);
         if granted {
-            // Told once it is synced: after a restart this keeper must not vote for another.
+            // The reply is sent once the vote is synced, as this keeper must not vote for another one after a restart.
             self.last_contact = now;
             self.enter_term(now, term, Some(from), out);
             return;
@@ -235,7 +238,7 @@
             .into_iter()
             .map(|keeper| (keeper, progress))
             .collect();
-        // Entries of earlier terms are committed only together with one of this term.
+        // Entries of earlier terms are committed only together with an entry of this term.
         self.propose(now, Payload::Noop, out);
     }
 }
--- a/crates/celerywinch_store/src/raft/membership.rs
+++ b/crates/celerywinch_store/src/raft/membership.rs
@@ -1,4 +1,4 @@
-//! Forming the group, and replacing its keepers one at a time.
+//! Formation of the group, and changes of its membership by one keeper at a time.
 
 use std::time::Duration;
 
@@ -7,15 +7,15 @@
 use super::{Output, Raft, Role};
 use crate::{Entry, KeeperId, Membership, Payload, RaftMsg};
 
-/// How often a keeper with an empty disk must be heard before it counts as one.
+/// The number of hellos after which a keeper is taken to have an empty disk.
 const MIN_HELLOS: u32 = 3;
-/// How long such a message counts.
+/// How long a hello, a request to rejoin or other contact counts as recent.
 const CONTACT_TIMEOUT: Duration = Duration::from_secs(2);
-/// A voter that was not heard for this long is replaced by a learner that has the whole log. Longer
-/// than a restart takes, so that one that comes back with its disk finds its place.
+/// How long a voter must be silent before a learner that has the whole log replaces it. Longer than a restart takes, so
+/// that a voter that comes back with its disk is still a voter.
 const REPLACE_AFTER: Duration = Duration::from_secs(5);
 
-/// A keeper with an empty disk that was heard of.
+/// A keeper with an empty disk that has sent hellos.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BlankKeeper {
     keeper: KeeperId,
@@ -24,10 +24,10 @@
 }
 
 impl Raft {
-    /// A keeper with an empty disk says so to all instances that are keepers by the settings.
+    /// Sends hellos from a keeper with an empty disk, and forms the first group if all keepers of the settings are blank.
     ///
-    /// It must not vote as if it had lost nothing: entries that it had synced before would be
-    /// committed in the leader's eyes and missing in its own.
+    /// Such a keeper must not vote as if its log were complete: the leader may count entries as committed that this instance
+    /// had synced before and has lost with its disk.
     pub(super) fn discover_group(&mut self, now: Time, out: &mut Vec<Output>) {
         if now.since(self.last_sent) < self.config.heartbeat_interval {
             return;
@@ -44,27 +44,27 @@
         }
     }
 
-    /// Where a group may be found: the instances of the settings, and those heard of since.
+    /// Returns the other instances at which the group may be found: those of the settings and the contacts.
     fn discovery_targets(&self) -> Vec<InstanceId> {
         let me = self.config.me.instance;
-        let mut known = self.config.instances.clone();
-        known.extend(&self.contacts);
-        known.sort_unstable();
-        known.dedup();
-        known.retain(|instance| *instance != me);
-        known
+        let mut targets = self.config.instances.clone();
+        targets.extend(&self.contacts);
+        targets.sort_unstable();
+        targets.dedup();
+        targets.retain(|instance| *instance != me);
+        targets
     }
 
-    /// A keeper that was replaced while it was away hears no leader, and cannot be elected. It asks
-    /// to learn again, or it would answer nothing for ever.
+    /// Asks to be admitted as a learner. A keeper that was replaced while it was away gets no messages from the leader and
+    /// cannot be elected, so otherwise it would never answer a request again.
     pub(super) fn send_rejoin(&self, out: &mut Vec<Output>) {
         for instance in self.discovery_targets() {
             out.push(Output::Send(instance, None, RaftMsg::Rejoin));
         }
     }
 
-    /// The first group: only if every keeper of the settings has an empty disk, since then there
-    /// is no log that could be forgotten.
+    /// Forms the first group once every keeper of the settings is known to have an empty disk, as only then no existing log
+    /// can be lost.
     fn bootstrap_group(&mut self, now: Time, out: &mut Vec<Output>) {
         let me = self.config.me;
         let mut voters = self.active_blanks(now);
@@ -74,8 +74,7 @@
             return;
         }
         voters.sort_unstable();
-        // One alone writes the first entry, so that there is one first entry; the others get it
-        // from its log.
+        // Only the first keeper writes the first entry, so that it is unique; the others receive it from its log.
         if voters.first() != Some(&me) {
             return;
         }
@@ -90,12 +89,12 @@
         };
         self.log.push(entry.clone());
         self.persist_entries(now, vec![entry], out);
-        // It leads its first term if a majority follows; the others are blank and take the entry
-        // from whoever says that it leads, so it appoints itself in term 1.
+        // The others are blank and accept entries from any leader, so this keeper becomes leader of term 1 without an
+        // election. Its entries are committed once a majority follows.
         self.enter_term(now, 1, Some(me), out);
     }
 
-    /// Leads the first term: nobody else can, for the others have no group to be elected by.
+    /// Becomes leader of the first term. No other keeper can: they have no group that could elect them.
     pub(super) fn lead_first_term(&mut self, now: Time, out: &mut Vec<Output>) {
         self.set_role(now, Role::Leader, out);
         self.progress.clear();
@@ -130,8 +129,8 @@
         }
     }
 
-    /// Keepers with empty disks that were heard several times lately. One late message of a disk
-    /// that is long in use, or gone, is not enough.
+    /// Returns the keepers with empty disks that have recently sent at least [`MIN_HELLOS`] hellos. A single one may be a
+    /// delayed message from a disk that has long been in use or is gone.
     fn active_blanks(&self, now: Time) -> Vec<KeeperId> {
         let present = self.blanks.values().filter(|blank| {
             blank.count >= MIN_HELLOS && now.since(blank.last_contact) <= CONTACT_TIMEOUT
@@ -139,10 +138,11 @@
         present.map(|blank| blank.keeper).collect()
     }
 
-    /// A leader replaces a keeper whose instance came back with an empty disk, in steps of one
-    /// keeper, each committed before the next: the old one is removed, the new one learns, and only
-    /// when it has the whole log does it count. A second loss right after the repair thus finds
-    /// a majority that has everything.
+    /// Proposes the next change of the membership, if one is due.
+    ///
+    /// A keeper whose instance came back with an empty disk is replaced in steps of one keeper, each committed before the
+    /// next: the old keeper is removed, the new one is added as a learner, and it becomes a voter once it has the whole log.
+    /// So if a second keeper is lost right after the replacement, the remaining majority has all committed entries.
     pub(super) fn update_membership(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.log.membership_index() > self.commit_index || self.lacks_commit_in_term() {
             return;
@@ -153,7 +153,7 @@
         }
     }
 
-    /// A leader may change the group only once an entry of its own term is committed.
+    /// Returns whether no entry of the current term is committed yet; before that a leader must not change the membership.
     fn lacks_commit_in_term(&self) -> bool {
         self.log.term(self.commit_index) != Some(self.term)
     }
@@ -186,10 +186,10 @@
         self.promote_learner(now, membership)
     }
 
-    /// One with a log that is no member any more learns again.
+    /// Adds as a learner a keeper that has a log but is no longer a member and asks to rejoin.
     fn readmit_learner(&self, now: Time, membership: &Membership) -> Option<Membership> {
-        let fresh = |at: &Time| now.since(*at) <= CONTACT_TIMEOUT;
-        let mut returning = self.rejoining.iter().filter(|(_, at)| fresh(at));
+        let recent = |at: &Time| now.since(*at) <= CONTACT_TIMEOUT;
+        let mut returning = self.rejoining.iter().filter(|(_, at)| recent(at));
         let (keeper, _) =
             returning.find(|(keeper, _)| membership.keeper_of(keeper.instance).is_none())?;
         let mut next = membership.clone();
@@ -200,8 +200,8 @@
     fn promote_learner(&self, now: Time, membership: &Membership) -> Option<Membership> {
         let caught_up = membership.learners.iter().find(|learner| {
             let progress = self.progress.get(learner);
-            let heard = |p: &super::Progress| now.since(p.last_contact) <= CONTACT_TIMEOUT;
-            progress.is_some_and(|p| p.match_index >= self.commit_index && heard(p))
+            let has_contact = |p: &super::Progress| now.since(p.last_contact) <= CONTACT_TIMEOUT;
+            progress.is_some_and(|p| p.match_index >= self.commit_index && has_contact(p))
         })?;
         let mut next = membership.clone();
         next.learners.retain(|keeper| keeper != caught_up);
@@ -210,26 +210,26 @@
         Some(next)
     }
 
-    /// The voter that was not heard for the longest time, if that is too long.
+    /// Returns the voter with the oldest contact, if that is more than [`REPLACE_AFTER`] ago.
     fn lost_voter(&self, now: Time, membership: &Membership) -> Option<KeeperId> {
         let me = self.config.me;
         let others = membership.voters.iter().filter(|voter| **voter != me);
-        let heard = |voter: &&KeeperId| self.progress.get(voter).map(|p| p.last_contact);
-        let lost = others.min_by_key(heard)?;
-        let silent = now.since(heard(&lost).unwrap_or_default());
+        let last_contact = |voter: &&KeeperId| self.progress.get(voter).map(|p| p.last_contact);
+        let lost = others.min_by_key(last_contact)?;
+        let silent = now.since(last_contact(&lost).unwrap_or_default());
         (silent > REPLACE_AFTER).then_some(*lost)
     }
 
-    /// One voter too many: the lost one that was replaced leaves. If it is back, it learns.
+    /// Removes the voter with the oldest contact, which another one has replaced. If it is back, it becomes a learner.
     fn remove_extra_voter(&self, now: Time, membership: &Membership) -> Option<Membership> {
         let me = self.config.me;
-        let heard = |voter: &&KeeperId| self.progress.get(voter).map(|p| p.last_contact);
+        let last_contact = |voter: &&KeeperId| self.progress.get(voter).map(|p| p.last_contact);
         let others = membership.voters.iter().filter(|voter| **voter != me);
-        let last = others.min_by_key(heard)?;
+        let oldest = others.min_by_key(last_contact)?;
         let mut next = membership.clone();
-        next.voters.retain(|voter| voter != last);
+        next.voters.retain(|voter| voter != oldest);
         if self.lost_voter(now, membership).is_none() {
-            next.learners.push(*last);
+            next.learners.push(*oldest);
         }
         Some(next)
     }
--- a/crates/celerywinch_store/src/raft/mod.rs
+++ b/crates/celerywinch_store/src/raft/mod.rs
@@ -1,4 +1,4 @@
-//! The state machine of a keeper.
+//! The Raft state machine of a keeper.
 
 mod append;
 mod election;
@@ -16,154 +16,161 @@
 use crate::log::Log;
 use crate::{Entry, KeeperId, Membership, Payload, RaftMsg, Snapshot};
 
-/// What a keeper is told at its start.
+/// Settings of a keeper.
 #[derive(Clone, Debug)]
 pub struct RaftConfig {
     /// This keeper.
     pub me: KeeperId,
-    /// The instances that are keepers by the settings; all of them form the group at first.
+    /// The instances that the settings name as keepers; together they form the first group.
     pub instances: Vec<InstanceId>,
-    /// Whether the first group may be formed; false for one that joins a group.
+    /// Whether this keeper may form the first group; false for one that joins an existing group.
     pub bootstrap: bool,
-    /// The most keepers that count for majorities; the others learn, and replace those that are
-    /// lost.
+    /// The maximum number of voters. Further keepers are learners, and replace voters that are lost.
     pub max_voters: usize,
-    /// Between two heartbeats of the leader.
+    /// The interval between two heartbeats of the leader.
     pub heartbeat_interval: Duration,
-    /// The shortest time without a leader before an election; the longest is twice that.
+    /// The minimum time without contact with a leader before an election. Each keeper waits a random time
+    /// between this and twice this.
     pub election_timeout: Duration,
-    /// Entries after which a snapshot is made.
+    /// The number of log entries above which a snapshot is taken.
     pub compact_after: usize,
-    /// Seed of the random source.
+    /// The seed of the random number generator.
     pub seed: u64,
 }
 
-/// What happened outside.
+/// An event that the host reports.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A message of another keeper.
+    /// A message from another keeper.
     Message(KeeperId, RaftMsg),
-    /// A command to be agreed on; only a leader takes it.
+    /// A command to append to the log; ignored unless this keeper leads.
     Propose(Vec<u8>),
-    /// A read of the state machine that must not be stale, by a number of the host's; only a leader takes it. Answered by
-    /// [`Output::ReadReady`], unless the keeper ceases to lead.
+    /// A linearizable read of the state machine, with an id chosen by the host; ignored unless this keeper leads. Answered
+    /// by [`Output::ReadReady`], unless the keeper loses leadership first.
     Read(u64),
-    /// As many of the oldest writes as this have been synced, beside those that were reported before. Each
-    /// [`Output::PersistVote`], [`Output::Truncate`], [`Output::PersistEntries`] and [`Output::PersistSnapshot`] is one.
+    /// The number of writes that have been synced since the last report, oldest first. Each [`Output::PersistVote`],
+    /// [`Output::Truncate`], [`Output::PersistEntries`] and [`Output::PersistSnapshot`] is one write.
     Synced(usize),
-    /// The state machine's state after the entry `index`, asked for by [`Output::TakeSnapshot`].
+    /// The state of the state machine after entry `index`, as requested by [`Output::TakeSnapshot`].
     SnapshotState {
-        /// The last entry applied to it.
+        /// The index of the last entry applied to the state.
         index: u64,
-        /// The state.
+        /// The encoded state.
         state: Vec<u8>,
     },
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
-/// What the host is to do.
+/// An action for the host to carry out.
 ///
-/// Writes are carried out one after the other, in this order, and reported by [`Input::Synced`]. The other outputs do
-/// not wait for them: a message that rests on a write is only sent once that is reported.
+/// The host carries out writes one after the other, in the order given, and reports them by [`Input::Synced`]. The other
+/// outputs need not wait for them: a message that depends on a write is output only after the write was reported.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Write and sync the term and the vote.
+    /// Write and sync the current term and vote.
     PersistVote {
-        /// The term.
+        /// The current term.
         term: u64,
-        /// Who has the vote in it.
+        /// The keeper that received the vote in this term, if any.
         vote: Option<KeeperId>,
     },
-    /// Drop the entries from this index on; may be synced with what follows.
+    /// Remove the entries from this index on; may be synced together with the next write.
     Truncate(u64),
     /// Write and sync entries.
     PersistEntries(Vec<Entry>),
-    /// Write and sync a snapshot, and drop the entries that it includes.
+    /// Write and sync a snapshot, and remove the entries that it includes.
     PersistSnapshot(Snapshot),
-    /// Send a message; the keeper's disk is none while it is not known.
+    /// Send a message to an instance. The disk of the receiving keeper is `None` while it is not known.
     Send(InstanceId, Option<u64>, RaftMsg),
     /// Apply a committed entry to the state machine.
     Apply(Entry),
-    /// Replace the state machine's state.
+    /// Replace the state of the state machine by that of a snapshot.
     Restore(Snapshot),
-    /// Hand over the state machine's state by [`Input::SnapshotState`].
+    /// Provide the state of the state machine after the entry with this index, by [`Input::SnapshotState`].
     TakeSnapshot(u64),
-    /// The state machine has all that was committed when this read began.
+    /// The read with this id may proceed: all entries committed before it arrived have been applied.
     ReadReady(u64),
-    /// The role changed.
+    /// The role of this keeper changed.
     RoleChanged(Role),
 }
 
-/// What a keeper does at present.
+/// The current role of a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Has an empty disk and belongs to no group.
+    /// The keeper has an empty disk and belongs to no group.
     Blank,
-    /// Follows a leader, if one is known.
+    /// The keeper follows a leader, if one is known.
     Follower(Option<KeeperId>),
-    /// Asks whether an election would be of use.
+    /// The keeper asks whether it would be elected, before it starts an election.
     PreCandidate,
-    /// Asks for votes.
+    /// The keeper asks for votes.
     Candidate,
-    /// Leads.
+    /// The keeper is the leader.
     Leader,
 }
 
-/// What a leader knows of another keeper.
+/// The replication progress of another keeper, as tracked by the leader.
 #[derive(Clone, Copy, Debug)]
 struct Progress {
+    /// The index of the next entry to send.
     next_index: u64,
+    /// The last index that the keeper has acknowledged as synced.
     match_index: u64,
     last_contact: Time,
-    /// A snapshot was sent then; another is not sent until it is overdue.
+    /// When a snapshot was last sent; 0 if none is outstanding. It is sent again only after a timeout.
     snapshot_sent: Time,
 }
 
-/// The state machine of a keeper.
+/// The Raft state machine of a keeper.
 #[derive(Debug)]
 pub struct Raft {
     config: RaftConfig,
     term: u64,
     voted_for: Option<KeeperId>,
     log: Log,
-    /// What this keeper has synced.
+    /// The last index that this keeper has synced.
     synced_index: u64,
-    /// How far the log is known to be that of the leader of this term.
+    /// The last index up to which the log is known to agree with that of the leader of this term.
     match_index: u64,
-    /// Writes that are not reported yet and when they began, oldest first.
+    /// Writes that are not yet reported as synced, with the time at which they were output, oldest first.
     pending_writes: VecDeque<(Time, write::PendingWrite)>,
-    /// How long the last write took.
+    /// How long the last reported write took.
     write_time: Duration,
-    /// Who was last told that its election would be of use, and when.
+    /// The keeper that was last granted a pre-vote, and when.
     pre_voted: Option<(KeeperId, Time)>,
     commit_index: u64,
     applied_index: u64,
     role: Role,
-    /// The last input.
+    /// The time of the last input.
     last_input: Time,
-    /// When the leader was last heard, or the role last changed.
+    /// When the election timer was last reset: by contact with the leader, by a change of role, by granting a vote or while
+    /// a vote is being written.
     last_contact: Time,
+    /// The randomized election timeout.
     timeout: Duration,
+    /// When this keeper last sent heartbeats, or hellos while it is blank.
     last_sent: Time,
+    /// The keepers that have granted their vote or pre-vote in the current election.
     votes: Vec<KeeperId>,
     progress: BTreeMap<KeeperId, Progress>,
-    /// Keepers with empty disks that were heard of, by instance.
+    /// Keepers with empty disks that have sent hellos, by instance.
     blanks: BTreeMap<InstanceId, membership::BlankKeeper>,
-    /// Keepers with a log that hear no leader, and when they said so.
+    /// Keepers that have a log but no leader, and when they last asked to rejoin.
     rejoining: BTreeMap<KeeperId, Time>,
-    /// Where a group is looked for, beside the instances of the settings.
+    /// Instances at which to look for the group, in addition to those of the settings.
     contacts: Vec<InstanceId>,
+    /// Whether a snapshot was requested from the host and not yet provided.
     snapshot_pending: bool,
     reads: read::ReadQueue,
     random: ChaCha8Rng,
 }
 
-/// The most entries in one message.
+/// The maximum number of entries in one message.
 const MAX_APPEND_ENTRIES: usize = 64;
 
 impl Raft {
-    /// Starts from what the disk holds.
+    /// Creates a keeper from the state on its disk.
     #[must_use]
     pub fn new(
         config: RaftConfig,
@@ -211,11 +218,11 @@
         }
     }
 
-    /// Takes an input and appends what the host is to do.
+    /// Handles an input and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         self.compensate_pause(now);
         match input {
-            Input::Message(from, msg) => self.message(now, from, msg, out),
+            Input::Message(from, msg) => self.handle_message(now, from, msg, out),
             Input::Propose(command) => self.propose(now, Payload::Command(command), out),
             Input::Read(id) => self.read(id, out),
             Input::Synced(count) => self.handle_synced(now, count, out),
@@ -224,8 +231,8 @@
         }
     }
 
-    /// While this keeper's process stood still it heard nobody, and that is nobody's silence. Each pause would else be
-    /// followed by an election, and nothing be committed any more.
+    /// Extends the timeouts by a pause of this process, as it received no messages meanwhile. Otherwise each pause would be
+    /// followed by an election, and nothing would be committed any more.
     fn compensate_pause(&mut self, now: Time) {
         let pause = now.since(self.last_input);
         self.last_input = now;
@@ -238,30 +245,30 @@
         }
     }
 
-    /// Other instances at which a group is looked for; they may change at any time.
+    /// Sets the instances at which to look for the group, in addition to those of the settings. May be called at any time.
     pub fn set_contacts(&mut self, contacts: Vec<InstanceId>) {
         self.contacts = contacts;
     }
 
-    /// What this keeper does at present.
+    /// Returns the current role of this keeper.
     #[must_use]
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// The term.
+    /// Returns the current term.
     #[must_use]
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// How far the log is committed, as far as this keeper knows.
+    /// Returns the highest index that this keeper knows to be committed.
     #[must_use]
     pub fn commit_index(&self) -> u64 {
         self.commit_index
     }
 
-    /// The command of an entry of this term that is not committed, where this keeper leads.
+    /// Returns the command at `index` if this keeper leads and the entry is of the current term and not yet committed.
     #[must_use]
     pub fn uncommitted_command(&self, index: u64) -> Option<&[u8]> {
         let entry = self.log.get(index)?;
@@ -273,13 +280,13 @@
         }
     }
 
-    /// The keepers, by the last entry that names them.
+    /// Returns the membership given by the last entry that changes it, committed or not.
     #[must_use]
     pub fn membership(&self) -> Membership {
         self.log.membership()
     }
 
-    /// The leader, if one is known.
+    /// Returns the leader, if one is known.
     #[must_use]
     pub fn leader(&self) -> Option<KeeperId> {
         match self.role {
@@ -289,7 +296,7 @@
         }
     }
 
-    fn message(&mut self, now: Time, from: KeeperId, msg: RaftMsg, out: &mut Vec<Output>) {
+    fn handle_message(&mut self, now: Time, from: KeeperId, msg: RaftMsg, out: &mut Vec<Output>) {
         match msg {
             RaftMsg::Hello { in_group } => self.handle_hello(now, from, in_group, out),
             RaftMsg::PreVote { term, last_log } => {
@@ -370,7 +377,7 @@
         out.push(Output::RoleChanged(role));
     }
 
-    /// A message shows a later term: follow whoever leads it.
+    /// Enters the term of a message if it is later than the current one, as a follower of its leader.
     fn observe_term(
         &mut self,
         now: Time,
@@ -384,7 +391,7 @@
         }
     }
 
-    fn apply(&mut self, out: &mut Vec<Output>) {
+    fn apply_committed(&mut self, out: &mut Vec<Output>) {
         while self.applied_index < self.commit_index {
             let Some(entry) = self.log.get(self.applied_index + 1).cloned() else {
                 return;
@@ -417,7 +424,7 @@
         self.persist_snapshot(now, snapshot, out);
     }
 
-    /// The keepers as of an entry that is still in the log.
+    /// Returns the membership as of an entry that is still in the log.
     fn membership_at(&self, index: u64) -> Membership {
         let first = self.log.snapshot.index + 1;
         let mut membership = self.log.snapshot.membership.clone();
--- a/crates/celerywinch_store/src/raft/read.rs
+++ b/crates/celerywinch_store/src/raft/read.rs
@@ -1,7 +1,7 @@
-//! Linearizable reads without an entry in the log (Ongaro's thesis, section 6.4).
+//! Linearizable reads without a log entry (`ReadIndex`; section 6.4 of Ongaro's thesis on Raft).
 //!
-//! A read waits until a majority of the voters has confirmed, after the read arrived, that this keeper leads, and until
-//! all that was committed by then is applied. It takes one round of messages and no write to a disk.
+//! A read waits until a majority of the voters has confirmed, after the read arrived, that this keeper leads, and until all
+//! entries that were committed when it arrived are applied. It takes one round of messages and no write to a disk.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +10,17 @@
 use super::{Output, Raft, Role};
 use crate::{KeeperId, RaftMsg};
 
-/// A read that is not confirmed yet.
+/// A read that is not released yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingRead {
     id: u64,
+    /// The round of messages that has to be confirmed by a majority.
     round: u64,
-    /// What has to be applied before.
+    /// The entry that has to be applied before the read is released.
     index: u64,
 }
 
-/// Reads that wait, and how far each keeper has confirmed the leader.
+/// Pending reads, and the last round in which each keeper has confirmed the leader.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReadQueue {
     pending: Vec<PendingRead>,
@@ -28,15 +29,16 @@
 }
 
 impl Raft {
-    /// Begins a read; only a leader takes it.
+    /// Starts a read; ignored unless this keeper leads.
     pub(super) fn read(&mut self, id: u64, out: &mut Vec<Output>) {
         if self.role != Role::Leader {
             return;
         }
         self.reads.round += 1;
-        // Before an entry of its own term is committed, a leader does not know how far the log is.
-        let knows = self.log.term(self.commit_index) == Some(self.term);
-        let index = if knows {
+        // Until an entry of its own term is committed, a leader does not know the commit index, so the read waits for its
+        // whole log.
+        let is_known = self.log.term(self.commit_index) == Some(self.term);
+        let index = if is_known {
             self.commit_index
         } else {
             self.log.last_index()
@@ -50,7 +52,7 @@
         self.release_reads(out);
     }
 
-    /// Asks all voters whether this keeper leads, if a read waits for that.
+    /// Asks the voters to confirm that this keeper leads, if a read is pending.
     pub(super) fn confirm_leadership(&self, out: &mut Vec<Output>) {
         if self.reads.pending.is_empty() {
             return;
@@ -70,7 +72,7 @@
         round: u64,
         out: &mut Vec<Output>,
     ) {
-        // A keeper without a log belongs to no group, and confirms nothing.
+        // A blank keeper belongs to no group and must not confirm a leader.
         if self.role != Role::Blank && self.accept_leader(now, from, term, out) {
             self.send(from, RaftMsg::ConfirmLeaderReply { term, round }, out);
         }
@@ -95,7 +97,7 @@
         self.release_reads(out);
     }
 
-    /// Tells of reads that are confirmed, and whose entries are applied.
+    /// Releases the reads whose round is confirmed by a majority and whose entry is applied.
     pub(super) fn release_reads(&mut self, out: &mut Vec<Output>) {
         if self.reads.pending.is_empty() {
             return;
--- a/crates/celerywinch_store/src/raft/write.rs
+++ b/crates/celerywinch_store/src/raft/write.rs
@@ -1,14 +1,15 @@
-//! What the disk still has to write, and what rests on it.
+//! Writes to the disk, and the actions that depend on them.
 //!
-//! The disk may take seconds. Messages and time are handled meanwhile, so that a keeper whose disk is slow still answers the
-//! leader and serves reads; what depends on a write happens once [`Input::Synced`](super::Input::Synced) reports it.
+//! A write may take seconds. Messages and ticks are handled meanwhile, so that a keeper with a slow disk still answers the
+//! leader and serves reads. An action that depends on a write follows once [`Input::Synced`](super::Input::Synced) reports
+//! the write.
 
 use celerywinch_types::Time;
 
 use super::{Output, Raft, Role};
 use crate::{Entry, KeeperId, Snapshot};
 
-/// A write that is not reported yet.
+/// A write that is not yet reported as synced.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum PendingWrite {
     Vote {
@@ -16,12 +17,12 @@
         vote: Option<KeeperId>,
     },
     Truncation,
-    /// Entries or a snapshot: with it, this keeper has the log up to this index.
+    /// Entries or a snapshot, after which the log up to this index is synced.
     Log(u64),
 }
 
 impl Raft {
-    /// Takes a term and the vote in it.
+    /// Sets the current term and the vote in it, and writes both.
     pub(super) fn enter_term(
         &mut self,
         now: Time,
@@ -69,7 +70,7 @@
         out.push(Output::Truncate(index));
     }
 
-    /// Puts a snapshot in the place of the log; entries that follow it stay if they agree with it.
+    /// Replaces the log by a snapshot. Entries after it are kept if the log agrees with it at its last index.
     pub(super) fn replace_log(&mut self, snapshot: &Snapshot) {
         let first = self.log.snapshot.index + 1;
         let agrees = self.log.term(snapshot.index) == Some(snapshot.term);
@@ -79,7 +80,7 @@
         }
     }
 
-    /// What is written of the log from an index on counts no more, as other entries take its place.
+    /// Discards the synced and pending writes of entries from `index` on, as other entries replace them.
     fn discard_from(&mut self, index: u64) {
         let kept = index.saturating_sub(1);
         self.synced_index = self.synced_index.min(kept);
@@ -90,13 +91,13 @@
         }
     }
 
-    /// Whether a vote for some keeper is being written.
+    /// Returns whether a vote for any keeper is being written.
     pub(super) fn is_writing_vote(&self) -> bool {
         let mut writes = self.pending_writes.iter();
         writes.any(|(_, write)| matches!(write, PendingWrite::Vote { vote: Some(_), .. }))
     }
 
-    /// The oldest writes have been synced.
+    /// Handles the report that the `count` oldest writes have been synced.
     pub(super) fn handle_synced(&mut self, now: Time, count: usize, out: &mut Vec<Output>) {
         let acknowledged = self.match_index.min(self.synced_index);
         let count = count.min(self.pending_writes.len());
