--- a/crates/celerywinch_keeper/src/keeper.rs
+++ b/crates/celerywinch_keeper/src/keeper.rs
@@ -1,4 +1,4 @@
-//! A keeper: the log's state machine with the catalogue on top.
+//! A keeper: the Raft state machine with the catalogue as replicated state.
 
 use std::collections::BTreeMap;
 
@@ -13,45 +13,45 @@
 use crate::message::decode_edit;
 use crate::{ProposalAnswer, ProposalId, StoreMsg};
 
-/// What the host is to do, strictly in this order.
+/// An action for the host, which carries out all actions strictly in the order given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeeperOutput {
-    /// An output of the log: writing, syncing, sending. `Apply`, `Restore` and `TakeSnapshot` are dealt
-    /// with here and never come out.
+    /// An output of the log, such as a write or a message. `Apply`, `Restore` and `TakeSnapshot` are handled by the keeper
+    /// and never passed on.
     Log(Output),
-    /// Answer a change, to the instance that sent it.
+    /// Send the answer to a proposal to the instance that made it.
     Answer(InstanceId, ProposalId, ProposalAnswer),
-    /// A version was committed.
+    /// A new version of the catalogue was committed.
     Committed {
         /// The version.
         version: Version,
         /// The catalogue.
         document: Document,
-        /// Whether this keeper leads, and so is the one to spread it.
+        /// Whether this keeper is the leader, which distributes the catalogue.
         is_leader: bool,
     },
 }
 
-/// Figures of a keeper, for operators.
+/// The status of a keeper, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct KeeperStatus {
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// What it does.
+    /// The role, in snake case.
     pub role: String,
     /// The leader, if one is known.
     pub leader: Option<InstanceId>,
-    /// How far the log is committed.
+    /// The highest index that this keeper knows to be committed.
     pub commit: u64,
-    /// Instances that count for majorities.
+    /// The instances that count towards majorities.
     pub voters: Vec<InstanceId>,
-    /// Instances that are catching up.
+    /// The instances that receive the log but do not count towards majorities.
     pub learners: Vec<InstanceId>,
-    /// The version of the catalogue.
+    /// The version of the catalogue that this keeper has applied.
     pub version: Version,
 }
 
-/// A change that waits for its entry to be committed.
+/// A proposal whose entry is not yet committed.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     term: u64,
@@ -65,17 +65,18 @@
     me: KeeperId,
     raft: Raft,
     ledger: Ledger,
+    /// Proposals by the index of their entry.
     pending: BTreeMap<u64, Pending>,
-    /// The index that the next proposed entry gets.
+    /// The index of the last entry written to the log.
     last_proposed: u64,
 }
 
 impl Keeper {
-    /// Starts from what the disk holds.
+    /// Creates a keeper from the state on its disk.
     ///
     /// # Errors
     ///
-    /// The snapshot's state cannot be read.
+    /// The state in the snapshot cannot be decoded.
     pub fn new(config: RaftConfig, now: Time, loaded: PersistedState) -> anyhow::Result<Self> {
         let me = config.me;
         let ledger = decode_state(&loaded.snapshot)?;
@@ -92,13 +93,13 @@
         })
     }
 
-    /// The version and the catalogue of the snapshot that it started from.
+    /// Returns the version and the catalogue that this keeper has applied.
     #[must_use]
     pub fn catalogue(&self) -> (Version, &Document) {
         (self.ledger.version(), self.ledger.document())
     }
 
-    /// Takes an input of the log.
+    /// Handles an input of the log.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<KeeperOutput>) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Takes a change from an instance.
+    /// Handles the proposal of a change from an instance.
     pub fn propose(
         &mut self,
         now: Time,
@@ -149,7 +150,7 @@
             out.push(KeeperOutput::Answer(from, id, answer));
             return;
         }
-        // One sent again after its answer was lost needs no second entry.
+        // A proposal that is sent again because its answer was lost needs no second entry.
         if let Some(answer) = self.recorded_answer(&edit) {
             out.push(KeeperOutput::Answer(from, id, answer));
             return;
@@ -158,7 +159,7 @@
         self.handle(now, Input::Propose(edit), out);
         let pending = Pending { term, from, id };
         self.pending.insert(self.last_proposed, pending);
-        // A group of one commits at once, when the host has synced; nothing is answered before.
+        // The answer follows when the entry is committed, in a group of one as soon as the host has synced it.
     }
 
     fn recorded_answer(&self, edit: &[u8]) -> Option<ProposalAnswer> {
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Wraps a message of the log for another instance.
+    /// Encodes a message of the log for another instance.
     ///
     /// # Errors
     ///
@@ -235,11 +236,11 @@
         Ok(StoreMsg::Log(celerywinch_store::encode(self.me, to, msg)?))
     }
 
-    /// Takes a wrapped message; one for an earlier disk of this instance is dropped.
+    /// Decodes and handles a message of the log; one for an earlier disk of this instance is dropped.
     ///
     /// # Errors
     ///
-    /// The bytes are no message.
+    /// The bytes cannot be decoded.
     pub fn handle_encoded(
         &mut self,
         now: Time,
@@ -252,7 +253,7 @@
         Ok(())
     }
 
-    /// Figures for operators.
+    /// Returns the status of this keeper, for operators.
     #[must_use]
     pub fn status(&self) -> KeeperStatus {
         let membership = self.raft.membership();
@@ -273,7 +274,8 @@
     if snapshot.state.is_empty() {
         return Ok(Ledger::default());
     }
-    serde_json::from_slice(&snapshot.state).context("store: cannot read the snapshot's state")
+    serde_json::from_slice(&snapshot.state)
+        .context("store: cannot decode the state in the snapshot")
 }
 
 fn role_name(role: Role) -> &'static str {
--- a/crates/celerywinch_keeper/src/lib.rs
+++ b/crates/celerywinch_keeper/src/lib.rs
@@ -1,9 +1,8 @@
-//! The catalogue on the replicated log, and how operators' changes reach it.
+//! The catalogue as a state machine on the replicated log, and the proposal of operators' changes to it.
 //!
-//! [`Keeper`] ties the log's state machine to the [`Ledger`](celerywinch_catalogue::Ledger), which
-//! applies the same changes in the same order everywhere. [`Proposer`] runs at every instance: it
-//! finds the leader for a change and tries again until there is an answer. Both are state machines
-//! without clock, socket or disk.
+//! [`Keeper`] connects the Raft state machine to the [`Ledger`](celerywinch_catalogue::Ledger), which applies the same
+//! changes in the same order on all keepers. [`Proposer`] runs in every instance: it sends a change to the leader, and
+//! retries until there is an answer or the time limit has passed. Both are state machines without clock, socket or disk.
 
 mod keeper;
 mod message;
--- a/crates/celerywinch_keeper/src/message.rs
+++ b/crates/celerywinch_keeper/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages about changes of the catalogue.
+//! Messages between instances about the log and changes of the catalogue.
 
 use anyhow::Context;
 use bincode::config::standard;
@@ -6,38 +6,38 @@
 use celerywinch_types::{InstanceId, domain};
 
 domain! {
-    /// Names a proposal at the instance that made it.
+    /// The id of a proposal, unique at the instance that made it.
     #[derive(Copy, Hash, PartialOrd, Ord)]
     #[serde(transparent)]
     pub struct ProposalId(pub u64);
 
-    /// What became of a proposal.
+    /// The answer to a proposal.
     pub enum ProposalAnswer {
-        /// The log agreed on it, and this came of it.
+        /// The change was committed to the log and applied, with this result.
         Done(Result<Applied, ApplyError>),
-        /// The receiver does not lead; this instance may.
+        /// The receiver of the proposal is not the leader; the given instance may be.
         NotLeader(Option<InstanceId>),
-        /// Leadership was lost meanwhile; the change may still be accepted. Sent again with the
-        /// same change id, it gets its one answer.
+        /// The keeper lost leadership meanwhile, and the change may still be accepted. Sent again with the same change id, the
+        /// change gets the result of its first application.
         Unknown,
     }
 
-    /// Everything that travels between instances about the store.
+    /// A message between instances about the store.
     pub enum StoreMsg {
-        /// Between keepers, encoded by the log's crate.
+        /// A message between keepers, encoded by `celerywinch_store`.
         Log(Vec<u8>),
-        /// A change, to a keeper. The edit is in JSON.
+        /// Proposes a change to a keeper.
         Propose {
-            /// Names it at the sender.
+            /// The id of the proposal at the sender.
             id: ProposalId,
-            /// The edit.
+            /// The edit, in JSON.
             edit: Vec<u8>,
         },
-        /// What became of a change.
+        /// Answers a proposal.
         ProposalAnswer {
-            /// Names it at the receiver.
+            /// The id of the proposal at the receiver of the answer.
             id: ProposalId,
-            /// What became of it.
+            /// The answer.
             answer: ProposalAnswer,
         },
     }
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     ///
-    /// The bytes are no message.
+    /// The bytes cannot be decoded.
     pub fn decode(bytes: &[u8]) -> anyhow::Result<Self> {
         let decoded = bincode::serde::decode_from_slice(bytes, standard());
         let (msg, _) = decoded.context("store: cannot decode a message")?;
--- a/crates/celerywinch_keeper/src/proposer.rs
+++ b/crates/celerywinch_keeper/src/proposer.rs
@@ -1,4 +1,4 @@
-//! Bringing operators' changes to the leader.
+//! Proposal of operators' changes to the leader.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,22 +12,23 @@
 use crate::message::encode_edit;
 use crate::{ProposalAnswer, ProposalId, StoreMsg};
 
-/// How long an answer is waited for before another keeper is tried.
+/// How long to wait for an answer before another keeper is tried.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(150);
-/// The longest pause before a keeper is asked again that knew no leader.
+/// The maximum delay before the next attempt, after an answer from a keeper that knows no leader.
 const MAX_RETRY_DELAY_MS: u64 = 60;
-/// How long a change is tried in all.
+/// The time limit of a proposal, over all attempts.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What the host is to do.
+/// An action for the host to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposerOutput {
     /// Send a message.
     Send(InstanceId, StoreMsg),
-    /// A change has its answer; none means that it is not known whether it was accepted.
+    /// A proposal is complete; `None` means that it is not known whether the change was accepted.
     Done(ProposalId, Option<Result<Applied, ApplyError>>),
 }
 
+/// A proposal without an answer.
 #[derive(Debug)]
 struct PendingProposal {
     edit: Vec<u8>,
@@ -35,7 +36,7 @@
     next_attempt: Time,
 }
 
-/// Brings changes to the leader and waits for their answers.
+/// Sends changes to the leader, and retries until they are answered or their time limit has passed.
 #[derive(Debug)]
 pub struct Proposer {
     keepers: Vec<InstanceId>,
@@ -46,11 +47,12 @@
 }
 
 impl Proposer {
-    /// Starts with the instances that are keepers by the settings.
+    /// Creates a proposer that sends to the given keepers, those of the settings.
     #[must_use]
     pub fn new(keepers: Vec<InstanceId>, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        // An answer to an earlier life of this process must not be taken for one to this life.
+        // Starts at a random number, so that an answer to an earlier incarnation of this process is not taken for an answer
+        // to this one.
         let last_id = random.random_range(1..u64::MAX / 2);
         Self {
             keepers,
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Starts to bring a change to the leader.
+    /// Starts a proposal of a change and returns its id.
     ///
     /// # Errors
     ///
@@ -84,7 +86,7 @@
         Ok(id)
     }
 
-    /// Takes an answer.
+    /// Handles the answer of a keeper.
     pub fn handle_answer(
         &mut self,
         now: Time,
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Lets time pass: tries again, and gives up.
+    /// Gives up the proposals whose time limit has passed, and sends those whose next attempt is due.
     pub fn tick(&mut self, now: Time, out: &mut Vec<ProposerOutput>) {
         let expired = |pending: &PendingProposal| now.since(pending.started_at) >= PROPOSAL_TIMEOUT;
         let timed_out: Vec<_> = self
@@ -148,7 +150,7 @@
                 continue;
             };
             pending.next_attempt = now + ATTEMPT_TIMEOUT;
-            // A leader that does not answer in time may be gone.
+            // The leader may be gone if it does not answer in time, so the attempt after this one goes to any keeper.
             self.leader = None;
             let edit = pending.edit.clone();
             out.push(ProposerOutput::Send(
