--- a/crates/celerywinch_store/tests/disk.rs
+++ b/crates/celerywinch_store/tests/disk.rs
@@ -1,4 +1,4 @@
-//! What a keeper finds on its disk after crashes and damage.
+//! The state that is loaded from a keeper's disk after crashes and damage.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -45,26 +45,26 @@
 }
 
 #[test]
-fn everything_is_there_after_a_restart() {
+fn all_records_are_loaded_after_a_restart() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     write(folder.path(), 20);
     let loaded = load(folder.path());
     assert_eq!(loaded.vote, (3, Some(keeper())));
     assert_eq!(loaded.entries, (1..=20).map(entry).collect::<Vec<_>>());
     let identity = Disk::open(folder.path(), 99).expect("a good folder").1;
-    assert_eq!(identity, 7, "the identity of a disk stays");
+    assert_eq!(identity, 7, "the identity of a disk is kept");
 }
 
-/// The process dies in the middle of a write: the unfinished record was never synced, so nobody
-/// counts on it, and all whole ones are kept.
+/// The process crashes in the middle of a write. The unfinished record was never synced, so no keeper counts on it; it is
+/// cut off, and all complete records are kept.
 #[rstest]
 #[case::one_byte(1)]
 #[case::half_a_record(30)]
 #[case::all_but_one_byte(0)]
-fn torn_end_is_cut_off(#[case] keep: usize) {
+fn unfinished_record_is_cut_off(#[case] keep: usize) {
     let folder = tempfile::tempdir().expect("a temporary folder");
     write(folder.path(), 5);
-    let five = fs::read(log(folder.path())).expect("the log");
+    let first_five = fs::read(log(folder.path())).expect("the log");
     write(folder.path(), 0);
     let (mut disk, _, _) = Disk::open(folder.path(), 7).expect("a good folder");
     let before = fs::metadata(log(folder.path())).expect("the log").len() as usize;
@@ -79,12 +79,12 @@
     let loaded = load(folder.path());
     assert_eq!(loaded.entries, (1..=5).map(entry).collect::<Vec<_>>());
     assert!(loaded.torn_bytes > 0);
-    assert!(before >= five.len());
+    assert!(before >= first_five.len());
     assert_eq!(load(folder.path()).torn_bytes, 0, "it is cut off once");
 }
 
-/// A bit flips in a synced record: entries that others count on would be forgotten if the log were
-/// cut there, so the keeper does not start, and says what to do.
+/// A bit flips in a synced record. If the log were cut off there, entries that other keepers count as synced would be lost,
+/// so the disk is not opened, and the error says what to do.
 #[test]
 fn damage_in_the_middle_is_an_error() {
     let folder = tempfile::tempdir().expect("a temporary folder");
@@ -119,7 +119,7 @@
     assert_eq!(
         loaded.vote,
         (3, Some(keeper())),
-        "the vote outlives the old log"
+        "the vote is kept when the log is replaced"
     );
     let path = folder.path().join("snapshot");
     let mut bytes = fs::read(&path).expect("the snapshot");
@@ -128,12 +128,13 @@
     assert!(Disk::open(folder.path(), 7).is_err());
 }
 
-/// Guards against the loss of acknowledged changes: a snapshot of another keeper replaces entries that were never committed, and
-/// those behind it are back after a restart. By their term the keeper takes a log that lacks committed entries for as good as its own.
+/// Guards against the loss of acknowledged changes. A snapshot from another keeper replaces entries that were never
+/// committed, and the entries after it are loaded again at the next start. Because of their term, the keeper then takes a
+/// log that lacks committed entries for as up to date as its own.
 #[rstest]
 #[case::replaced(false)]
 #[case::crash_before_the_log_is_replaced(true)]
-fn entries_that_a_snapshot_contradicts_are_gone(#[case] crash: bool) {
+fn entries_that_conflict_with_a_snapshot_are_removed(#[case] crash: bool) {
     let folder = tempfile::tempdir().expect("a temporary folder");
     write(folder.path(), 10);
     let old = fs::read(log(folder.path())).expect("the log");
@@ -150,10 +151,10 @@
     assert_eq!(load(folder.path()).entries, []);
 }
 
-/// The process dies after a snapshot was moved into place and before the log was: entries that the
-/// snapshot includes are dropped.
+/// The process crashes after the snapshot was replaced and before the log was. The entries that the snapshot includes are
+/// removed at the next start.
 #[test]
-fn crash_between_snapshot_and_log() {
+fn crash_between_replacing_the_snapshot_and_the_log() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     write(folder.path(), 10);
     let old = fs::read(log(folder.path())).expect("the log");
--- a/crates/celerywinch_store/tests/membership.rs
+++ b/crates/celerywinch_store/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Keepers that learn beside a fixed number of voters, replace one that is lost, and come back.
+//! Learners beside a fixed number of voters: replacement of a lost voter, and its return.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 const STEP: Duration = Duration::from_millis(25);
 
-/// Keepers whose disks sync at once, joined by a network without delay.
+/// Keepers whose disks sync immediately, connected by a network without delay.
 struct Net {
     keepers: Vec<Raft>,
     down: BTreeSet<usize>,
@@ -25,7 +25,7 @@
 }
 
 impl Net {
-    /// The first three form the group; others, with empty disks, look for it.
+    /// Creates keepers with empty disks. The first three form the group; the others look for it.
     fn new(count: usize) -> Self {
         let now = Time(10_000_000);
         let keeper = |index: usize| {
@@ -94,10 +94,10 @@
     }
 }
 
-/// Four keepers, of which one may be lost: three count for majorities and the fourth learns. With four
-/// voters, two lost ones would stop all changes, and no more losses would be borne than with three.
+/// With four keepers, three are voters and the fourth is a learner. Four voters would tolerate the loss of one keeper, no more
+/// than three do, and the loss of two would stop all changes.
 #[test]
-fn fourth_keeper_learns() {
+fn fourth_keeper_is_a_learner() {
     let mut net = Net::new(4);
     net.run(Duration::from_secs(4));
     let membership = net.membership();
@@ -105,10 +105,10 @@
     assert_eq!(membership.learners, [id(3)]);
 }
 
-/// Changes stop for good: a keeper is lost, the learner never takes its place, and a second one is lost
-/// later. And the first, when it is back with its old log, hears no leader and answers nothing.
+/// Guards against a permanent stop of changes: a voter is lost, the learner never replaces it, and a second voter is lost
+/// later. Also guards against a replaced voter that comes back with its old log, finds no leader and never answers a request.
 #[test]
-fn lost_keeper_is_replaced_and_learns_when_it_is_back() {
+fn lost_voter_is_replaced_and_returns_as_learner() {
     let mut net = Net::new(4);
     net.run(Duration::from_secs(4));
     let lost = (0..3)
@@ -118,7 +118,7 @@
     net.run(Duration::from_secs(3));
     assert!(
         net.membership().voters.contains(&id(lost)),
-        "a restart takes as long"
+        "a restart may take this long"
     );
     net.run(Duration::from_secs(5));
     let membership = net.membership();
--- a/crates/celerywinch_store/tests/reads.rs
+++ b/crates/celerywinch_store/tests/reads.rs
@@ -1,4 +1,4 @@
-//! Reads that must not be stale.
+//! Linearizable reads.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// Keeper 1, which has won the election of term 2; its first entry there is the second of the log.
+/// Returns keeper 1 after it has won the election of term 2. The first entry of that term is the second of the log.
 fn leader(now: Time) -> Raft {
     let config = RaftConfig {
         me: keeper(1),
@@ -31,12 +31,12 @@
         voters: (1..=3).map(keeper).collect(),
         learners: Vec::new(),
     };
-    let formed = Entry {
+    let first = Entry {
         index: 1,
         term: 1,
         payload: Payload::Membership(membership),
     };
-    let mut raft = Raft::new(config, now, (1, None), Snapshot::default(), vec![formed]);
+    let mut raft = Raft::new(config, now, (1, None), Snapshot::default(), vec![first]);
     let later = now + Duration::from_secs(1);
     let granted = true;
     handle(&mut raft, later, Input::Tick);
@@ -47,9 +47,9 @@
         let now = later + Duration::from_millis(50 * step);
         handle(&mut raft, now, Input::Tick);
     }
-    from(&mut raft, 2, RaftMsg::PreVoteReply { term: 2, granted });
+    receive(&mut raft, 2, RaftMsg::PreVoteReply { term: 2, granted });
     handle(&mut raft, NOW, Input::Synced(1));
-    from(&mut raft, 2, RaftMsg::VoteReply { term: 2, granted });
+    receive(&mut raft, 2, RaftMsg::VoteReply { term: 2, granted });
     assert_eq!((raft.role(), raft.term()), (Role::Leader, 2));
     raft
 }
@@ -62,8 +62,8 @@
     out
 }
 
-/// A message of another keeper; the reads that are released by it.
-fn from(raft: &mut Raft, instance: u32, msg: RaftMsg) -> Vec<u64> {
+/// Handles a message from another keeper and returns the reads that it releases.
+fn receive(raft: &mut Raft, instance: u32, msg: RaftMsg) -> Vec<u64> {
     let out = handle(raft, NOW, Input::Message(keeper(instance), msg));
     let readable = out.iter().filter_map(|output| match output {
         Output::ReadReady(id) => Some(*id),
@@ -74,67 +74,71 @@
 
 fn commit_first_entry(raft: &mut Raft) {
     handle(raft, NOW, Input::Synced(1));
-    let taken = RaftMsg::AppendReply {
+    let accepted = RaftMsg::AppendReply {
         term: 2,
         index: 2,
         accepted: true,
     };
-    from(raft, 2, taken);
+    receive(raft, 2, accepted);
     assert_eq!(raft.commit_index(), 2);
 }
 
 struct Case {
     /// Whether an entry of the leader's term is committed before the read.
     committed: bool,
-    /// The answer of keeper 2: its term, and the round that it confirms.
-    answer: (u64, u64),
+    /// The term and the round in the reply of keeper 2.
+    reply: (u64, u64),
     released: bool,
 }
 
-/// Guards against stale reads: a leader that was deposed without knowing it answers before a majority has confirmed it, or
-/// before it knows how far the log is.
+/// Guards against stale reads: a leader that was deposed without noticing answers before a majority has confirmed it, or
+/// before it knows the commit index.
 #[rstest]
-#[case::confirmed(Case { committed: true, answer: (2, 1), released: true })]
-#[case::an_earlier_round(Case { committed: true, answer: (2, 0), released: false })]
-#[case::an_earlier_term(Case { committed: true, answer: (1, 1), released: false })]
-#[case::nothing_of_its_term(Case { committed: false, answer: (2, 1), released: false })]
+#[case::confirmed(Case { committed: true, reply: (2, 1), released: true })]
+#[case::an_earlier_round(Case { committed: true, reply: (2, 0), released: false })]
+#[case::an_earlier_term(Case { committed: true, reply: (1, 1), released: false })]
+#[case::no_commit_in_its_term(Case { committed: false, reply: (2, 1), released: false })]
 fn read_waits_for_a_majority(#[case] case: Case) {
     let mut raft = leader(Time(10_000_000));
     if case.committed {
         commit_first_entry(&mut raft);
     }
     let out = handle(&mut raft, NOW, Input::Read(7));
-    let asks = out.iter().filter(|output| {
+    let requests = out.iter().filter(|output| {
         let Output::Send(_, _, msg) = output else {
             return false;
         };
         *msg == RaftMsg::ConfirmLeader { term: 2, round: 1 }
     });
-    assert_eq!(asks.count(), 2);
+    assert_eq!(requests.count(), 2);
     assert!(!out.contains(&Output::ReadReady(7)));
-    let (term, round) = case.answer;
-    let released = from(&mut raft, 2, RaftMsg::ConfirmLeaderReply { term, round });
+    let (term, round) = case.reply;
+    let released = receive(&mut raft, 2, RaftMsg::ConfirmLeaderReply { term, round });
     assert_eq!(released, if case.released { vec![7] } else { Vec::new() });
     if !case.committed {
         handle(&mut raft, NOW, Input::Synced(1));
-        let taken = RaftMsg::AppendReply {
+        let accepted = RaftMsg::AppendReply {
             term: 2,
             index: 2,
             accepted: true,
         };
-        assert_eq!(from(&mut raft, 2, taken), [7], "once that is committed");
+        assert_eq!(
+            receive(&mut raft, 2, accepted),
+            [7],
+            "released once the entry is committed"
+        );
     }
 }
 
-/// Guards against a stale read after a change of leaders: a later term is heard of before the confirmation.
+/// Guards against a stale read after a change of leaders: the leader learns of a later term before the confirmation arrives.
 #[test]
 fn read_of_a_deposed_leader_is_not_released() {
     let mut raft = leader(Time(10_000_000));
     commit_first_entry(&mut raft);
     handle(&mut raft, NOW, Input::Read(7));
-    let later = RaftMsg::ConfirmLeader { term: 3, round: 1 };
-    assert_eq!(from(&mut raft, 3, later), Vec::<u64>::new());
+    let later_term = RaftMsg::ConfirmLeader { term: 3, round: 1 };
+    assert_eq!(receive(&mut raft, 3, later_term), Vec::<u64>::new());
     assert_eq!(raft.role(), Role::Follower(Some(keeper(3))));
-    let late = RaftMsg::ConfirmLeaderReply { term: 2, round: 1 };
-    assert_eq!(from(&mut raft, 2, late), Vec::<u64>::new());
+    let delayed = RaftMsg::ConfirmLeaderReply { term: 2, round: 1 };
+    assert_eq!(receive(&mut raft, 2, delayed), Vec::<u64>::new());
 }
--- a/crates/celerywinch_store/tests/slow_disks.rs
+++ b/crates/celerywinch_store/tests/slow_disks.rs
@@ -1,4 +1,4 @@
-//! Keepers that go on while their disks write, and lose what was not synced when they crash.
+//! Keepers that keep running while their disks write, and lose the writes that were not synced when they crash.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -13,10 +13,10 @@
 
 const KEEPERS: usize = 3;
 const TICK: Duration = Duration::from_millis(25);
-/// Faults end then.
-const FAULTS: Duration = Duration::from_secs(60);
-/// How long the run goes on without faults.
-const CALM: Duration = Duration::from_secs(40);
+/// How long crashes are injected.
+const FAULT_PERIOD: Duration = Duration::from_secs(60);
+/// How long the run continues without crashes.
+const CALM_PERIOD: Duration = Duration::from_secs(40);
 
 fn id(index: usize) -> KeeperId {
     KeeperId {
@@ -25,7 +25,7 @@
     }
 }
 
-/// What is on a disk after a crash.
+/// The synced state of a disk, which is kept over a crash.
 #[derive(Clone, Default)]
 struct Saved {
     vote: (u64, Option<KeeperId>),
@@ -47,7 +47,7 @@
                     .retain(|entry| agrees && entry.index > snapshot.index);
                 self.snapshot = snapshot;
             }
-            other => panic!("{other:?} is no write"),
+            other => panic!("{other:?} is not a write"),
         }
     }
 
@@ -61,21 +61,21 @@
     raft: Option<Raft>,
     saved: Saved,
     writes: VecDeque<Output>,
-    /// How many of the oldest writes the disk has under way.
-    under_way: usize,
+    /// The number of the oldest writes that the disk has in progress.
+    in_progress: usize,
     incarnation: u64,
 }
 
 enum Event {
     Tick(usize, u64),
     Message(usize, KeeperId, RaftMsg),
-    Written(usize, u64),
+    Synced(usize, u64),
     Start(usize),
     Crash,
     Propose,
 }
 
-/// How long a write may take, in ms.
+/// The minimum and maximum duration of a write, in ms.
 type Sync = (u64, u64);
 
 struct World {
@@ -96,7 +96,7 @@
         let now = Time(10_000_000);
         let mut world = Self {
             now,
-            end: now + FAULTS,
+            end: now + FAULT_PERIOD,
             sync,
             random: ChaCha8Rng::seed_from_u64(seed),
             keepers: (0..KEEPERS).map(|_| Keeper::default()).collect(),
@@ -130,11 +130,11 @@
             }
             let ((due, _), event) = entry.remove_entry();
             self.now = due;
-            self.take(event);
+            self.handle(event);
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Start(index) => self.start(index),
             Event::Tick(index, incarnation) => {
@@ -144,9 +144,9 @@
                 }
             }
             Event::Message(index, from, msg) => self.input(index, Input::Message(from, msg)),
-            Event::Written(index, incarnation) => {
+            Event::Synced(index, incarnation) => {
                 if self.keepers[index].incarnation == incarnation {
-                    self.written(index);
+                    self.finish_writes(index);
                 }
             }
             Event::Crash => {
@@ -188,9 +188,11 @@
         self.after(TICK, Event::Tick(index, incarnation));
     }
 
-    /// A part of what the disk was writing is kept.
+    /// Crashes a keeper. Some of the writes in progress, the oldest ones, are kept.
     fn crash(&mut self, index: usize) {
-        let kept = self.random.random_range(0..=self.keepers[index].under_way);
+        let kept = self
+            .random
+            .random_range(0..=self.keepers[index].in_progress);
         let keeper = &mut self.keepers[index];
         if keeper.raft.take().is_none() {
             return;
@@ -199,15 +201,15 @@
             keeper.saved.write(write);
         }
         keeper.writes.clear();
-        keeper.under_way = 0;
+        keeper.in_progress = 0;
         keeper.incarnation += 1;
         let pause = self.ms(100, 1_500);
         self.after(pause, Event::Start(index));
     }
 
-    fn written(&mut self, index: usize) {
+    fn finish_writes(&mut self, index: usize) {
         let keeper = &mut self.keepers[index];
-        let count = std::mem::take(&mut keeper.under_way);
+        let count = std::mem::take(&mut keeper.in_progress);
         for write in keeper.writes.drain(..count) {
             keeper.saved.write(write);
         }
@@ -223,7 +225,7 @@
         for output in out {
             self.output(index, output);
         }
-        self.write(index);
+        self.start_writes(index);
     }
 
     fn output(&mut self, index: usize, output: Output) {
@@ -234,8 +236,8 @@
             | Output::PersistSnapshot(_) => self.keepers[index].writes.push_back(output),
             Output::Send(to, _, msg) => {
                 if !self.random.random_bool(0.02) {
-                    let way = self.ms(1, 8);
-                    self.after(way, Event::Message(to.0 as usize - 1, id(index), msg));
+                    let delay = self.ms(1, 8);
+                    self.after(delay, Event::Message(to.0 as usize - 1, id(index), msg));
                 }
             }
             Output::Apply(entry) => self.apply(entry),
@@ -244,7 +246,10 @@
                 self.input(index, Input::SnapshotState { index: at, state });
             }
             Output::RoleChanged(Role::Leader) => {
-                let raft = self.keepers[index].raft.as_ref().expect("it runs");
+                let raft = self.keepers[index]
+                    .raft
+                    .as_ref()
+                    .expect("the keeper is running");
                 let known = self.leaders.entry(raft.term()).or_insert(id(index));
                 assert_eq!(*known, id(index), "two leaders in term {}", raft.term());
             }
@@ -256,27 +261,27 @@
         let synced = self.keepers.iter().filter(|k| k.saved.has(&entry)).count();
         assert!(
             synced > KEEPERS / 2,
-            "entry {} is committed, and synced at {synced}",
+            "entry {} is committed, but synced by only {synced} keepers",
             entry.index
         );
         let known = self.applied.entry(entry.index).or_insert(entry.clone());
         assert_eq!(*known, entry, "two entries committed at one index");
     }
 
-    /// What is queued while the disk writes is written together.
-    fn write(&mut self, index: usize) {
+    /// Starts the queued writes together once the disk is idle.
+    fn start_writes(&mut self, index: usize) {
         let keeper = &mut self.keepers[index];
-        if keeper.under_way == 0 && !keeper.writes.is_empty() {
-            keeper.under_way = keeper.writes.len();
+        if keeper.in_progress == 0 && !keeper.writes.is_empty() {
+            keeper.in_progress = keeper.writes.len();
             let incarnation = keeper.incarnation;
-            let took = self.ms(self.sync.0, self.sync.1);
-            self.after(took, Event::Written(index, incarnation));
+            let duration = self.ms(self.sync.0, self.sync.1);
+            self.after(duration, Event::Synced(index, incarnation));
         }
     }
 }
 
-/// Guards against acknowledgements that run ahead of the disk: an entry that counts as committed, or a vote, is lost with a
-/// crash. And against keepers that agree on nothing while writes take longer than their timeouts.
+/// Guards against acknowledgements of writes that are not yet synced: a crash loses a vote, or an entry that counts as
+/// committed. Also guards against a group that commits nothing while writes take longer than its timeouts.
 #[rstest]
 #[case::fast((1, 9))]
 #[case::as_long_as_a_timeout((300, 600))]
@@ -287,8 +292,11 @@
         let mut world = World::new(seed, sync);
         world.run(world.end);
         let before = world.applied.len();
-        world.run(world.end + CALM);
+        world.run(world.end + CALM_PERIOD);
         let after = world.applied.len();
-        assert!(after > before, "seed {seed}: nothing is committed any more");
+        assert!(
+            after > before,
+            "seed {seed}: no commit after the faults have ended"
+        );
     }
 }
--- a/crates/celerywinch_store/tests/votes.rs
+++ b/crates/celerywinch_store/tests/votes.rs
@@ -1,4 +1,4 @@
-//! What must be on the disk before a message leaves, and who may vote.
+//! Votes and pre-votes: what has to be synced before a reply, and which keepers may vote.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     }
 }
 
-fn formed() -> Vec<Entry> {
+fn first_entry() -> Vec<Entry> {
     let membership = Membership {
         voters: (1..=3).map(keeper).collect(),
         learners: Vec::new(),
@@ -39,18 +39,24 @@
     }]
 }
 
-/// Two leaders in one term: a keeper votes, dies before its vote is on the disk, and votes for
-/// another. Its vote must be synced before the reply leaves.
+/// Guards against two leaders in one term: a keeper votes, crashes before its vote is synced, and votes for another keeper
+/// after the restart. So the reply is sent only once the vote is synced.
 #[test]
-fn vote_is_synced_before_it_is_told() {
+fn vote_is_synced_before_the_reply() {
     let now = Time(10_000_000);
-    let mut raft = Raft::new(config(1), now, (1, None), Snapshot::default(), formed());
-    let ask = |term| RaftMsg::Vote {
+    let mut raft = Raft::new(
+        config(1),
+        now,
+        (1, None),
+        Snapshot::default(),
+        first_entry(),
+    );
+    let request = |term| RaftMsg::Vote {
         term,
         last_log: (1, 1),
     };
     let mut out = Vec::new();
-    raft.handle(now, Input::Message(keeper(2), ask(5)), &mut out);
+    raft.handle(now, Input::Message(keeper(2), request(5)), &mut out);
     let vote = Output::PersistVote {
         term: 5,
         vote: Some(keeper(2)),
@@ -66,19 +72,19 @@
         term: 5,
         granted: true,
     };
-    let told = |out: &[Output]| {
+    let replied = |out: &[Output]| {
         let mut out = out.iter();
         out.any(|output| matches!(output, Output::Send(_, _, msg) if *msg == granted))
     };
     raft.handle(now, Input::Synced(writes - 1), &mut out);
-    assert!(!told(&out), "before it is synced: {out:?}");
+    assert!(!replied(&out), "before it is synced: {out:?}");
     raft.handle(now, Input::Synced(1), &mut out);
-    assert!(told(&out), "{out:?}");
-    // After the restart, from what the disk held.
+    assert!(replied(&out), "{out:?}");
+    // After a restart with the state that the disk held.
     let vote = (5, Some(keeper(2)));
-    let mut again = Raft::new(config(1), now, vote, Snapshot::default(), formed());
+    let mut restarted = Raft::new(config(1), now, vote, Snapshot::default(), first_entry());
     let mut out = Vec::new();
-    again.handle(now, Input::Message(keeper(3), ask(5)), &mut out);
+    restarted.handle(now, Input::Message(keeper(3), request(5)), &mut out);
     let granted = out.iter().any(|output| {
         matches!(
             output,
@@ -88,15 +94,15 @@
     assert!(!granted, "{out:?}");
 }
 
-/// A keeper came back with an empty disk: what it had synced before is counted on and gone, so it
-/// gives no vote and does not stand, however long it waits.
+/// A keeper comes back with an empty disk. The entries that it had synced before are lost but may count as committed, so it
+/// grants no vote and starts no election, however long it waits.
 #[test]
 fn empty_disk_neither_votes_nor_stands() {
     let now = Time(10_000_000);
     let mut raft = Raft::new(config(1), now, (0, None), Snapshot::default(), Vec::new());
     assert_eq!(raft.role(), Role::Blank);
     let mut out = Vec::new();
-    for ask in [
+    for request in [
         RaftMsg::PreVote {
             term: 5,
             last_log: (1, 1),
@@ -106,7 +112,7 @@
             last_log: (1, 1),
         },
     ] {
-        raft.handle(now, Input::Message(keeper(2), ask), &mut out);
+        raft.handle(now, Input::Message(keeper(2), request), &mut out);
     }
     for step in 1..100 {
         let later = now + Duration::from_millis(100 * step);
@@ -121,37 +127,42 @@
     assert!(only_hello, "{out:?}");
 }
 
-/// A keeper that was cut off for long comes back: it must not depose the leader that the others
-/// follow.
+/// A keeper that was cut off for long comes back and must not depose the leader that the others follow.
 #[test]
 fn follower_of_a_working_leader_grants_no_pre_vote() {
     let now = Time(10_000_000);
-    let mut raft = Raft::new(config(1), now, (1, None), Snapshot::default(), formed());
+    let mut raft = Raft::new(
+        config(1),
+        now,
+        (1, None),
+        Snapshot::default(),
+        first_entry(),
+    );
     let mut out = Vec::new();
-    let beat = RaftMsg::Append {
+    let heartbeat = RaftMsg::Append {
         term: 2,
         previous: (1, 1),
         entries: Vec::new(),
         commit: 1,
     };
-    raft.handle(now, Input::Message(keeper(2), beat), &mut out);
+    raft.handle(now, Input::Message(keeper(2), heartbeat), &mut out);
     out.clear();
     let later = now + Duration::from_millis(300);
-    let ask = RaftMsg::PreVote {
+    let request = RaftMsg::PreVote {
         term: 9,
         last_log: (1, 9),
     };
-    raft.handle(later, Input::Message(keeper(3), ask), &mut out);
-    let refused = RaftMsg::PreVoteReply {
+    raft.handle(later, Input::Message(keeper(3), request), &mut out);
+    let rejected = RaftMsg::PreVoteReply {
         term: 2,
         granted: false,
     };
-    assert_eq!(out, vec![Output::Send(InstanceId(3), Some(30), refused)]);
-    let ask = RaftMsg::Vote {
+    assert_eq!(out, vec![Output::Send(InstanceId(3), Some(30), rejected)]);
+    let request = RaftMsg::Vote {
         term: 9,
         last_log: (1, 9),
     };
     out.clear();
-    raft.handle(later, Input::Message(keeper(3), ask), &mut out);
+    raft.handle(later, Input::Message(keeper(3), request), &mut out);
     assert_eq!((raft.term(), out), (2, Vec::new()));
 }
