--- a/crates/celerywinch_fleet/src/store.rs
+++ b/crates/celerywinch_fleet/src/store.rs
@@ -107,10 +107,10 @@
 impl Store {
     fn open(&mut self) -> anyhow::Result<()> {
         let (disk, identity, loaded) = Disk::open(&self.folder.join(FOLDER), rand::random())?;
-        if loaded.torn > 0 {
+        if loaded.torn_bytes > 0 {
             log::warn!(
                 "store: Cut off {} bytes of an unfinished record.",
-                loaded.torn
+                loaded.torn_bytes
             );
         }
         let config = RaftConfig {
@@ -119,10 +119,10 @@
                 disk: identity,
             },
             instances: self.seeds.clone(),
-            forms: self.bootstrap,
-            voters: self.voters,
-            heartbeat: HEARTBEAT,
-            election: ELECTION,
+            bootstrap: self.bootstrap,
+            max_voters: self.voters,
+            heartbeat_interval: HEARTBEAT,
+            election_timeout: ELECTION,
             compact_after: COMPACT_AFTER,
             seed: rand::random(),
         };
@@ -239,7 +239,7 @@
         let now = self.clock.now();
         match written {
             Ok(count) => {
-                let input = Input::Written(count);
+                let input = Input::Synced(count);
                 self.with(now, |registry, out| registry.handle(now, input, out));
             }
             Err(error) => self.fail(now, &error.into()),
@@ -289,7 +289,7 @@
                 writer.write(Write::Record(Record::Vote { term, vote }));
             }
             Output::Truncate(index) => writer.write(Write::Record(Record::Truncate(index))),
-            Output::Persist(entries) => {
+            Output::PersistEntries(entries) => {
                 let records = entries.into_iter().map(Record::Entry).collect();
                 writer.write(Write::Records(records));
             }
@@ -298,12 +298,15 @@
                 let bytes = registry.encode_message(to, to_disk, msg)?;
                 self.tell(StoreOut::Send(to, FleetMsg::Log(bytes)));
             }
-            Output::Role(_) => {
+            Output::RoleChanged(_) => {
                 let figures = registry.status();
                 self.tell(StoreOut::Role(figures));
             }
             // Dealt with by the registry's state machine.
-            Output::Apply(_) | Output::Restore(_) | Output::Compact(_) | Output::Readable(_) => {}
+            Output::Apply(_)
+            | Output::Restore(_)
+            | Output::TakeSnapshot(_)
+            | Output::ReadReady(_) => {}
         }
         Ok(())
     }
--- a/crates/celerywinch_node/src/store.rs
+++ b/crates/celerywinch_node/src/store.rs
@@ -110,10 +110,10 @@
         // The identity of a new disk: no two lives of any instance share it.
         let fresh = me.incarnation.0 << 16 | u64::from(me.instance.0);
         let (disk, identity, loaded) = Disk::open(&folder.join(KEEPER_FOLDER), fresh)?;
-        if loaded.torn > 0 {
+        if loaded.torn_bytes > 0 {
             log::warn!(
                 "store: Cut off an unfinished record of {} bytes.",
-                loaded.torn
+                loaded.torn_bytes
             );
         }
         let config = RaftConfig {
@@ -122,10 +122,10 @@
                 disk: identity,
             },
             instances: self.options.keepers.clone(),
-            forms: true,
-            voters: usize::MAX,
-            heartbeat: HEARTBEAT,
-            election: ELECTION,
+            bootstrap: true,
+            max_voters: usize::MAX,
+            heartbeat_interval: HEARTBEAT,
+            election_timeout: ELECTION,
             compact_after: COMPACT_AFTER,
             seed: fresh,
         };
@@ -208,7 +208,7 @@
         match msg {
             StoreMsg::Log(bytes) => {
                 if let Some(keeper) = &mut self.keeper
-                    && let Err(error) = keeper.unwrap(now, &bytes, &mut out)
+                    && let Err(error) = keeper.handle_encoded(now, &bytes, &mut out)
                 {
                     log::warn!("store: Dropped a message of {from}: {error:#}.");
                 }
@@ -218,9 +218,10 @@
                     keeper.propose(now, from, id, edit, &mut out);
                 }
             }
-            StoreMsg::Answered { id, answer } => {
+            StoreMsg::ProposalAnswer { id, answer } => {
                 let mut done = Vec::new();
-                self.proposer.answered(now, from, id, answer, &mut done);
+                self.proposer
+                    .handle_answer(now, from, id, answer, &mut done);
                 self.proposer_outputs(now, done);
             }
         }
@@ -281,7 +282,7 @@
             }
         }
         if writes > 0 {
-            self.input(now, Input::Written(writes));
+            self.input(now, Input::Synced(writes));
         }
     }
 
@@ -298,16 +299,16 @@
         match output {
             KeeperOutput::Log(output) => return self.log_output(now, output),
             KeeperOutput::Answer(to, id, answer) => {
-                self.send(now, to, &StoreMsg::Answered { id, answer });
+                self.send(now, to, &StoreMsg::ProposalAnswer { id, answer });
             }
             KeeperOutput::Committed {
                 version,
                 document,
-                leads,
+                is_leader,
             } => {
                 let catalogue = Catalogue::check(version, document)
                     .map_err(|problems| anyhow::anyhow!("store: committed {problems:?}"))?;
-                self.tell(EntryInput::Committed(Arc::new(catalogue), leads));
+                self.tell(EntryInput::Committed(Arc::new(catalogue), is_leader));
             }
         }
         Ok(false)
@@ -318,24 +319,27 @@
         match output {
             Output::PersistVote { term, vote } => disk.append(&[Record::Vote { term, vote }])?,
             Output::Truncate(index) => disk.append(&[Record::Truncate(index)])?,
-            Output::Persist(entries) => {
+            Output::PersistEntries(entries) => {
                 let records: Vec<_> = entries.into_iter().map(Record::Entry).collect();
                 disk.append(&records)?;
             }
             Output::PersistSnapshot(snapshot) => disk.compact(&snapshot)?,
             Output::Send(to, to_disk, msg) => {
                 let keeper = self.keeper.as_ref().context("store: no keeper")?;
-                let msg = keeper.wrap(to, to_disk, msg)?;
+                let msg = keeper.encode_message(to, to_disk, msg)?;
                 self.send(now, to, &msg);
                 return Ok(false);
             }
-            Output::Role(role) => {
+            Output::RoleChanged(role) => {
                 log::info!("store: This keeper is now {role:?}.");
                 self.offer_first(now);
                 return Ok(false);
             }
             // Dealt with by the keeper's state machine.
-            Output::Apply(_) | Output::Restore(_) | Output::Compact(_) | Output::Readable(_) => {
+            Output::Apply(_)
+            | Output::Restore(_)
+            | Output::TakeSnapshot(_)
+            | Output::ReadReady(_) => {
                 return Ok(false);
             }
         }
