--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -25,11 +25,11 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::oneshot;
 
+use crate::directory::{AnnounceOutcome, WorkerDirectory};
 use crate::handle::Snapshot;
 use crate::journal::{Journal, Kind};
 use crate::links::{self, LinkHost, Links};
 use crate::metrics::Metrics;
-use crate::roster::{Heard, Roster};
 use crate::spread::{Spread, SpreadInput, Told};
 use crate::store::{self, StoreIn, StoreOut};
 use crate::{Clock, Fleet, FleetConfig, Port};
@@ -119,7 +119,7 @@
         worker: String,
         said: AnnouncementVersion,
         stage: WorkerStage,
-        heard: Heard,
+        heard: AnnounceOutcome,
     },
     Keeper {
         role: String,
@@ -169,7 +169,7 @@
     beaten: Time,
     waiting: HashMap<CallerId, oneshot::Sender<JobEnd>>,
     spread: Spread,
-    roster: Roster,
+    directory: WorkerDirectory,
     /// Workers that the entries have to hear of with the next tick.
     untold: Vec<WorkerAnnouncement>,
     store: Option<Sender<StoreIn>>,
@@ -293,7 +293,7 @@
             beaten: Time::default(),
             waiting: HashMap::new(),
             spread: Spread::new(me.instance, config.part, config.dc).with_link(config.link),
-            roster: Roster::default(),
+            directory: WorkerDirectory::default(),
             untold: Vec::new(),
             keeping: HashMap::new(),
             next_keep: rand::random::<u32>().into(),
@@ -377,7 +377,7 @@
         self.input(now, Input::Tick);
         self.spread(now, SpreadInput::Tick);
         self.beat_seeds(now);
-        self.roster.forget(now);
+        self.directory.remove_expired(now);
         self.tell_workers(now);
         self.save_workers(now);
         self.measure(now);
--- a/crates/celerywinch_fleet/src/core/keeping.rs
+++ b/crates/celerywinch_fleet/src/core/keeping.rs
@@ -9,8 +9,8 @@
 use tokio::sync::oneshot;
 
 use super::{Core, CoreNote, RequestKind};
+use crate::directory::AnnounceOutcome;
 use crate::journal::Kind;
-use crate::roster::Heard;
 use crate::spread::{SpreadInput, SpreadOutput};
 use crate::store::{StoreIn, StoreOut};
 
@@ -126,26 +126,31 @@
     /// there. So an acknowledgement says that the notice was taken, and that there are dispatchers which were told.
     pub(super) fn announced(&mut self, now: Time, note: WorkerAnnouncement) -> bool {
         let (worker, stage, said) = (note.id.clone(), note.stage, note.version);
-        let known = self.roster.len();
-        let heard = self.roster.heard(now, note.clone());
+        let known = self.directory.len();
+        let heard = self.directory.record_announcement(now, note.clone());
         self.metrics.announced(heard);
-        let tells = matches!(heard, Heard::News | Heard::OtherLife(_));
+        let tells = matches!(
+            heard,
+            AnnounceOutcome::Changed | AnnounceOutcome::OtherIncarnation(_)
+        );
         if tells {
             self.untold.push(note);
             if stage != WorkerStage::Ready {
                 self.tell_workers(now);
             }
         }
-        let taken = tells || self.roster.leaves(&worker);
+        let taken = tells || self.directory.is_leaving(&worker);
         match heard {
-            Heard::News => self.note(&CoreNote::Announced {
+            AnnounceOutcome::Changed => self.note(&CoreNote::Announced {
                 worker,
                 said,
                 stage,
                 known,
             }),
-            Heard::Nothing => {}
-            Heard::Late(_) | Heard::OtherLife(_) | Heard::Left => {
+            AnnounceOutcome::Unchanged => {}
+            AnnounceOutcome::Stale(_)
+            | AnnounceOutcome::OtherIncarnation(_)
+            | AnnounceOutcome::Left => {
                 self.note(&CoreNote::NotTaken {
                     worker,
                     said,
@@ -172,7 +177,7 @@
     /// Has the workers written to the disk, if that is due.
     pub(super) fn save_workers(&mut self, now: Time) {
         if self.store.is_some()
-            && let Some(workers) = self.roster.to_save(now)
+            && let Some(workers) = self.directory.take_unsaved(now)
         {
             self.to_store(StoreIn::Workers(workers));
         }
@@ -185,7 +190,7 @@
         worker: &str,
         life: Option<Incarnation>,
     ) -> bool {
-        if let Some(note) = self.roster.left(now, worker, life) {
+        if let Some(note) = self.directory.record_departure(now, worker, life) {
             self.untold.push(note);
             self.tell_workers(now);
         }
--- a/crates/celerywinch_fleet/src/core/members.rs
+++ b/crates/celerywinch_fleet/src/core/members.rs
@@ -58,8 +58,8 @@
     /// that announced themselves in between, and dispatch without them for as long as it runs. So
     /// each that is heard, for the first time or again, is told of all.
     pub(super) fn send_workers(&self, to: InstanceId) {
-        if !self.roster.is_empty() {
-            let notes = self.roster.all();
+        if !self.directory.is_empty() {
+            let notes = self.directory.announcements();
             self.links.send(to, FleetMsg::Workers(notes));
         }
     }
--- a/crates/celerywinch_fleet/src/roster.rs
+++ b/crates/celerywinch_fleet/src/directory.rs
@@ -25,59 +25,67 @@
 /// What an announcement changes here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Heard {
+pub enum AnnounceOutcome {
     /// The others have to hear of it.
-    News,
+    #[serde(rename = "news")]
+    Changed,
     /// Nothing but that the worker is there.
-    Nothing,
+    #[serde(rename = "nothing")]
+    Unchanged,
     /// It is not taken, as this later one is known.
-    Late(AnnouncementVersion),
+    #[serde(rename = "late")]
+    Stale(AnnouncementVersion),
     /// The same of a life that counts as an earlier one. The others hear of it all the same: if the worker's clock was set
     /// back between two starts it is the later one, which only the worker itself can show.
-    OtherLife(AnnouncementVersion),
+    #[serde(rename = "other_life")]
+    OtherIncarnation(AnnouncementVersion),
     /// It is not taken, as this life has left.
     Left,
 }
 
 /// The workers that announce themselves here.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct WorkerDirectory {
     workers: HashMap<String, Known>,
     /// Whether one has come, changed or gone since the list was saved.
     changed: bool,
     saved: Time,
 }
 
-impl Roster {
+impl WorkerDirectory {
     /// Takes an announcement.
-    pub fn heard(&mut self, now: Time, note: WorkerAnnouncement) -> Heard {
+    pub fn record_announcement(&mut self, now: Time, note: WorkerAnnouncement) -> AnnounceOutcome {
         let Some(known) = self.workers.get_mut(&note.id) else {
             let name = note.id.clone();
             self.workers.insert(name, Known { note, heard: now });
             self.changed = true;
-            return Heard::News;
+            return AnnounceOutcome::Changed;
         };
         let last = known.note.version;
         if note.version.incarnation < last.incarnation {
-            return Heard::OtherLife(last);
+            return AnnounceOutcome::OtherIncarnation(last);
         }
         let same_life = note.version.incarnation == last.incarnation;
         if same_life && known.note.stage == WorkerStage::Gone {
-            return Heard::Left;
+            return AnnounceOutcome::Left;
         }
         known.heard = now;
         if same_life && note.version <= last {
-            return Heard::Late(last);
+            return AnnounceOutcome::Stale(last);
         }
         let news = differs(&known.note, &note);
         self.changed |= news;
         known.note = note;
-        if news { Heard::News } else { Heard::Nothing }
+        if news {
+            AnnounceOutcome::Changed
+        } else {
+            AnnounceOutcome::Unchanged
+        }
     }
 
     /// A worker has left; `life` is none where it does not say which of its lives did. None if a later one is known: the word was
     /// held up, and a worker that serves would get no work for as long as that is remembered.
-    pub fn left(
+    pub fn record_departure(
         &mut self,
         now: Time,
         id: &str,
@@ -97,13 +105,13 @@
 
     /// Whether a worker is known to leave, or to have left.
     #[must_use]
-    pub fn leaves(&self, id: &str) -> bool {
+    pub fn is_leaving(&self, id: &str) -> bool {
         let known = self.workers.get(id);
         known.is_some_and(|known| known.note.stage != WorkerStage::Ready)
     }
 
     /// Forgets those that were not heard for long.
-    pub fn forget(&mut self, now: Time) {
+    pub fn remove_expired(&mut self, now: Time) {
         self.workers.retain(|_, known| {
             let limit = match known.note.stage {
                 WorkerStage::Gone => REMEMBER_GONE,
@@ -115,21 +123,21 @@
 
     /// All that are known, also those that have left lately.
     #[must_use]
-    pub fn all(&self) -> Vec<WorkerAnnouncement> {
+    pub fn announcements(&self) -> Vec<WorkerAnnouncement> {
         let workers = self.workers.values();
         workers.map(|known| known.note.clone()).collect()
     }
 
     /// Those that serve, if that has changed since the last time and `SAVE` is over: each list costs
     /// the disk two syncs.
-    pub fn to_save(&mut self, now: Time) -> Option<Vec<WorkerAnnouncement>> {
+    pub fn take_unsaved(&mut self, now: Time) -> Option<Vec<WorkerAnnouncement>> {
         if !self.changed || now.since(self.saved) < SAVE {
             return None;
         }
         self.changed = false;
         self.saved = now;
         let ready = |note: &WorkerAnnouncement| note.stage == WorkerStage::Ready;
-        let notes = self.all().into_iter().filter(ready);
+        let notes = self.announcements().into_iter().filter(ready);
         Some(notes.collect())
     }
 
--- a/crates/celerywinch_fleet/src/lib.rs
+++ b/crates/celerywinch_fleet/src/lib.rs
@@ -9,17 +9,17 @@
 mod clock;
 mod config;
 mod core;
+mod directory;
 mod handle;
 mod journal;
 mod links;
 mod metrics;
-mod roster;
 mod spread;
 mod store;
 
 pub use clock::Clock;
 pub use config::{FleetConfig, Port};
 pub use core::start;
+pub use directory::{AnnounceOutcome, WorkerDirectory};
 pub use handle::{Fleet, Leaving, Submitted};
-pub use roster::{Heard, Roster};
 pub use spread::{Spread, SpreadInput, SpreadNote, SpreadOutput, Told};
--- a/crates/celerywinch_fleet/src/metrics.rs
+++ b/crates/celerywinch_fleet/src/metrics.rs
@@ -9,7 +9,7 @@
 use celerywinch_types::{ConfigMsg, FleetMsg, JobEnd};
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
-use crate::roster::Heard;
+use crate::directory::AnnounceOutcome;
 use crate::spread::SpreadNote;
 
 /// Bounds of the time to an answer, in seconds: objectives are 0.1 to a few s.
@@ -142,13 +142,13 @@
     }
 
     /// A worker has announced itself.
-    pub(crate) fn announced(&self, heard: Heard) {
+    pub(crate) fn announced(&self, heard: AnnounceOutcome) {
         let what = match heard {
-            Heard::News => "news",
-            Heard::Nothing => "nothing",
-            Heard::Late(_) => "late",
-            Heard::OtherLife(_) => "other_life",
-            Heard::Left => "left",
+            AnnounceOutcome::Changed => "news",
+            AnnounceOutcome::Unchanged => "nothing",
+            AnnounceOutcome::Stale(_) => "late",
+            AnnounceOutcome::OtherIncarnation(_) => "other_life",
+            AnnounceOutcome::Left => "left",
         };
         self.announced.with_label_values(&[what]).inc();
     }
--- a/crates/celerywinch_fleet/tests/roster.rs
+++ b/crates/celerywinch_fleet/tests/directory.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_fleet::{Heard, Roster};
+use celerywinch_fleet::{AnnounceOutcome, WorkerDirectory};
 use celerywinch_types::{
     AnnouncementVersion, DataCentreId, Incarnation, Resources, Time, WorkerAnnouncement,
     WorkerStage,
@@ -41,22 +41,26 @@
 #[test]
 fn workers_that_serve_are_saved_when_they_change() {
     let now = Time(10_000_000);
-    let mut roster = Roster::default();
-    assert_eq!(names(roster.to_save(now)), None);
-    roster.heard(now, note("a", WorkerStage::Ready, 1));
-    roster.heard(now, note("b", WorkerStage::Ready, 1));
+    let mut directory = WorkerDirectory::default();
+    assert_eq!(names(directory.take_unsaved(now)), None);
+    directory.record_announcement(now, note("a", WorkerStage::Ready, 1));
+    directory.record_announcement(now, note("b", WorkerStage::Ready, 1));
     assert_eq!(
-        names(roster.to_save(now)),
+        names(directory.take_unsaved(now)),
         Some(vec!["a".into(), "b".into()])
     );
     let soon = now + Duration::from_millis(500);
-    roster.heard(soon, note("b", WorkerStage::Draining, 2));
-    assert_eq!(names(roster.to_save(soon)), None, "too soon after the last");
+    directory.record_announcement(soon, note("b", WorkerStage::Draining, 2));
+    assert_eq!(
+        names(directory.take_unsaved(soon)),
+        None,
+        "too soon after the last"
+    );
     let later = now + Duration::from_millis(2_500);
-    assert_eq!(names(roster.to_save(later)), Some(vec!["a".into()]));
+    assert_eq!(names(directory.take_unsaved(later)), Some(vec!["a".into()]));
     let last = now + Duration::from_millis(5_000);
-    roster.heard(last, note("a", WorkerStage::Ready, 2));
-    assert_eq!(names(roster.to_save(last)), None, "nothing changed");
+    directory.record_announcement(last, note("a", WorkerStage::Ready, 2));
+    assert_eq!(names(directory.take_unsaved(last)), None, "nothing changed");
 }
 
 /// A worker that drains gets work again: a list from the disk of a keeper that was down is older than what it has
@@ -64,11 +68,11 @@
 #[test]
 fn older_state_does_not_come_back() {
     let now = Time(10_000_000);
-    let mut roster = Roster::default();
-    roster.heard(now, note("a", WorkerStage::Draining, 7));
-    let heard = roster.heard(now, note("a", WorkerStage::Ready, 4));
-    assert_eq!(heard, Heard::Late(said(1, 7)));
-    assert_eq!(roster.all()[0].stage, WorkerStage::Draining);
+    let mut directory = WorkerDirectory::default();
+    directory.record_announcement(now, note("a", WorkerStage::Draining, 7));
+    let heard = directory.record_announcement(now, note("a", WorkerStage::Ready, 4));
+    assert_eq!(heard, AnnounceOutcome::Stale(said(1, 7)));
+    assert_eq!(directory.announcements()[0].stage, WorkerStage::Draining);
 }
 
 /// Callers' tasks reach a worker that has said that it leaves, for as long as it goes on: it has crashed before, and started
@@ -77,15 +81,18 @@
 #[test]
 fn notice_of_a_later_life_is_taken() {
     let now = Time(10_000_000);
-    let mut roster = Roster::default();
-    roster.heard(now, note("a", WorkerStage::Ready, 1));
-    roster.heard(now, note("a", WorkerStage::Ready, 20));
+    let mut directory = WorkerDirectory::default();
+    directory.record_announcement(now, note("a", WorkerStage::Ready, 1));
+    directory.record_announcement(now, note("a", WorkerStage::Ready, 20));
     let leaves = WorkerAnnouncement {
         version: said(2, 3),
         ..note("a", WorkerStage::Draining, 3)
     };
-    assert_eq!(roster.heard(now, leaves), Heard::News);
-    assert_eq!(roster.all()[0].stage, WorkerStage::Draining);
+    assert_eq!(
+        directory.record_announcement(now, leaves),
+        AnnounceOutcome::Changed
+    );
+    assert_eq!(directory.announcements()[0].stage, WorkerStage::Draining);
 }
 
 /// A worker that has left, and starts again under its name, gets no work for as long as it announces itself: the keeper that
@@ -93,14 +100,17 @@
 #[test]
 fn later_life_of_a_worker_that_has_left_is_taken() {
     let now = Time(10_000_000);
-    let mut roster = Roster::default();
-    roster.heard(now, note("a", WorkerStage::Ready, 7));
-    roster.left(now, "a", None);
+    let mut directory = WorkerDirectory::default();
+    directory.record_announcement(now, note("a", WorkerStage::Ready, 7));
+    directory.record_departure(now, "a", None);
     let again = WorkerAnnouncement {
         version: said(2, 1),
         ..note("a", WorkerStage::Ready, 1)
     };
-    assert_eq!(roster.heard(now, again), Heard::News);
+    assert_eq!(
+        directory.record_announcement(now, again),
+        AnnounceOutcome::Changed
+    );
 }
 
 /// A worker that serves gets no work for 20 s: that its earlier life has left was held up on its way, and is taken for a word of the
@@ -112,12 +122,12 @@
 #[case::not_said(None, WorkerStage::Gone)]
 fn leave_counts_for_its_own_life(#[case] life: Option<u64>, #[case] stage: WorkerStage) {
     let now = Time(10_000_000);
-    let mut roster = Roster::default();
+    let mut directory = WorkerDirectory::default();
     let second = WorkerAnnouncement {
         version: said(2, 1),
         ..note("a", WorkerStage::Ready, 1)
     };
-    roster.heard(now, second);
-    roster.left(now, "a", life.map(Incarnation));
-    assert_eq!(roster.all()[0].stage, stage);
+    directory.record_announcement(now, second);
+    directory.record_departure(now, "a", life.map(Incarnation));
+    assert_eq!(directory.announcements()[0].stage, stage);
 }
