--- a/crates/celerywinch_fleet/src/spread.rs
+++ b/crates/celerywinch_fleet/src/config_sync.rs
@@ -2,7 +2,7 @@
 //!
 //! Keepers tell at once that a version is in force, by a heartbeat. An entry fetches it in pieces, a few at a time: what is
 //! under way is all that heartbeats and answers of workers ever wait behind. Of a version that is heard of meanwhile the first piece
-//! is fetched beside that; it goes first if less of it is left. [`Spread`] is a state machine without clock or socket.
+//! is fetched beside that; it goes first if less of it is left. [`ConfigSync`] is a state machine without clock or socket.
 
 mod copies;
 mod transfer;
@@ -28,11 +28,11 @@
 
 /// What a heartbeat tells of its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct PeerStatus {
     /// The sender.
     pub instance: InstanceId,
     /// What it does.
-    pub part: ProcessKind,
+    pub kind: ProcessKind,
     /// Its data centre.
     pub dc: DataCentreId,
     /// The version that it has in force.
@@ -41,15 +41,15 @@
 
 /// What happened outside.
 #[derive(Clone, Debug)]
-pub enum SpreadInput {
+pub enum ConfigSyncInput {
     /// A heartbeat.
-    Heard(Told),
+    Heartbeat(PeerStatus),
     /// No process listens there.
-    Lost(InstanceId),
+    ConnectionRefused(InstanceId),
     /// A message of another process.
     Message(InstanceId, ConfigMsg),
     /// This document is in force here.
-    Held(VersionedDocument),
+    InForce(VersionedDocument),
     /// The document of this version cannot be read here.
     Unreadable(u64),
     /// Time passed.
@@ -58,21 +58,21 @@
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum SpreadOutput {
+pub enum ConfigSyncOutput {
     /// Send a message.
     Send(InstanceId, ConfigMsg),
     /// Send heartbeats at once: another version is in force here.
-    Tell(Vec<InstanceId>),
+    SendHeartbeats(Vec<InstanceId>),
     /// A document has come: read it, and put it in force.
-    Whole(VersionedDocument),
+    Fetched(VersionedDocument),
     /// For the logs.
-    Note(SpreadNote),
+    Event(ConfigSyncEvent),
 }
 
 /// A decision, for the logs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub enum SpreadNote {
+pub enum ConfigSyncEvent {
     /// A transfer begins.
     DocumentBegun {
         /// The version.
@@ -128,12 +128,12 @@
 
 /// What this process has of the configuration, and what it knows of the others.
 #[derive(Debug)]
-pub struct Spread {
+pub struct ConfigSync {
     me: InstanceId,
-    part: ProcessKind,
+    kind: ProcessKind,
     dc: DataCentreId,
     copies: Copies,
-    heard: BTreeMap<InstanceId, (Told, Time)>,
+    heard: BTreeMap<InstanceId, (PeerStatus, Time)>,
     /// Who sent no piece in time, and when that was.
     silent: BTreeMap<InstanceId, Time>,
     /// The highest version that was heard of, and when it was.
@@ -146,13 +146,13 @@
     window: u64,
 }
 
-impl Spread {
+impl ConfigSync {
     /// Nothing is known yet.
     #[must_use]
-    pub fn new(me: InstanceId, part: ProcessKind, dc: DataCentreId) -> Self {
+    pub fn new(me: InstanceId, kind: ProcessKind, dc: DataCentreId) -> Self {
         Self {
             me,
-            part,
+            kind,
             dc,
             copies: Copies::default(),
             heard: BTreeMap::new(),
@@ -179,49 +179,49 @@
     }
 
     /// Takes an input and appends what the host is to do.
-    pub fn handle(&mut self, now: Time, input: SpreadInput, out: &mut Vec<SpreadOutput>) {
+    pub fn handle(&mut self, now: Time, input: ConfigSyncInput, out: &mut Vec<ConfigSyncOutput>) {
         match input {
-            SpreadInput::Heard(told) => self.heard(now, told, out),
-            SpreadInput::Lost(peer) => {
+            ConfigSyncInput::Heartbeat(status) => self.heard(now, status, out),
+            ConfigSyncInput::ConnectionRefused(peer) => {
                 self.heard.remove(&peer);
             }
-            SpreadInput::Message(from, ConfigMsg::Request { version, offset }) => {
+            ConfigSyncInput::Message(from, ConfigMsg::Request { version, offset }) => {
                 self.wanted(now, from, version, offset, out);
             }
-            SpreadInput::Message(from, ConfigMsg::Chunk(piece)) => {
+            ConfigSyncInput::Message(from, ConfigMsg::Chunk(piece)) => {
                 self.piece(now, from, piece, out);
             }
-            SpreadInput::Held(held) => self.hold(now, held, out),
-            SpreadInput::Unreadable(version) => self.unreadable = self.unreadable.max(version),
-            SpreadInput::Tick => self.tick(now, out),
+            ConfigSyncInput::InForce(held) => self.hold(now, held, out),
+            ConfigSyncInput::Unreadable(version) => self.unreadable = self.unreadable.max(version),
+            ConfigSyncInput::Tick => self.tick(now, out),
         }
     }
 
-    fn heard(&mut self, now: Time, told: Told, out: &mut Vec<SpreadOutput>) {
-        self.heard.insert(told.instance, (told, now));
-        if told.version > self.news.0 {
-            self.news = (told.version, now);
+    fn heard(&mut self, now: Time, status: PeerStatus, out: &mut Vec<ConfigSyncOutput>) {
+        self.heard.insert(status.instance, (status, now));
+        if status.version > self.news.0 {
+            self.news = (status.version, now);
         }
-        if told.version > self.version() {
+        if status.version > self.version() {
             self.begin(now, out);
         }
     }
 
-    fn hold(&mut self, now: Time, held: VersionedDocument, out: &mut Vec<SpreadOutput>) {
+    fn hold(&mut self, now: Time, held: VersionedDocument, out: &mut Vec<ConfigSyncOutput>) {
         let version = held.version;
         self.copies.add(now, held);
         self.transfers.retain(|t| t.version > version);
-        if self.part == ProcessKind::Keeper {
+        if self.kind == ProcessKind::Keeper {
             let heard = self.alive(now);
-            let entries = heard.filter(|told| told.part == ProcessKind::Entry);
-            let entries = entries.map(|told| told.instance).collect();
-            out.push(SpreadOutput::Tell(entries));
+            let entries = heard.filter(|status| status.kind == ProcessKind::Entry);
+            let entries = entries.map(|status| status.instance).collect();
+            out.push(ConfigSyncOutput::SendHeartbeats(entries));
         }
         self.begin(now, out);
         self.proceed(now, out);
     }
 
-    fn tick(&mut self, now: Time, out: &mut Vec<SpreadOutput>) {
+    fn tick(&mut self, now: Time, out: &mut Vec<ConfigSyncOutput>) {
         self.heard.retain(|_, (_, at)| now.since(*at) <= HEARD);
         // While a transfer goes on, who has not sent stays behind who was not asked since: with several such
         // sources, a mark that ended before the last of them was given up would bring the first one back, for ever.
@@ -240,11 +240,11 @@
         from: InstanceId,
         version: u64,
         offset: u64,
-        out: &mut Vec<SpreadOutput>,
+        out: &mut Vec<ConfigSyncOutput>,
     ) {
         out.push(match self.copies.piece(now, version, offset) {
-            Some(piece) => SpreadOutput::Send(from, ConfigMsg::Chunk(piece)),
-            None => SpreadOutput::Note(SpreadNote::DocumentUnknown {
+            Some(piece) => ConfigSyncOutput::Send(from, ConfigMsg::Chunk(piece)),
+            None => ConfigSyncOutput::Event(ConfigSyncEvent::DocumentUnknown {
                 from,
                 version,
                 offset,
@@ -254,8 +254,8 @@
 
     /// Begins to fetch the newest version, if there is a newer one than the one here. The transfer under way goes on, and only
     /// gives way to one that has less left: with changes in quick succession none would end else.
-    fn begin(&mut self, now: Time, out: &mut Vec<SpreadOutput>) {
-        if self.part == ProcessKind::Keeper {
+    fn begin(&mut self, now: Time, out: &mut Vec<ConfigSyncOutput>) {
+        if self.kind == ProcessKind::Keeper {
             return;
         }
         let version = self.newest(now);
@@ -272,7 +272,7 @@
             now
         };
         let mut transfer = Transfer::new(version, source, first, now);
-        out.push(SpreadOutput::Note(SpreadNote::DocumentBegun {
+        out.push(ConfigSyncOutput::Event(ConfigSyncEvent::DocumentBegun {
             version,
             source,
         }));
@@ -282,7 +282,13 @@
     }
 
     /// A piece that was not waited for any more counts too, whoever sent it.
-    fn piece(&mut self, now: Time, from: InstanceId, piece: Chunk, out: &mut Vec<SpreadOutput>) {
+    fn piece(
+        &mut self,
+        now: Time,
+        from: InstanceId,
+        piece: Chunk,
+        out: &mut Vec<ConfigSyncOutput>,
+    ) {
         let Some(at) = self.transfers.iter().position(|t| t.lacks(&piece)) else {
             return;
         };
@@ -305,7 +311,7 @@
 
     /// Asks for what comes next: of the older transfer, unless less is left of the newer one. What is left only falls by that, so
     /// some version is whole in the end, however often newer ones come.
-    fn proceed(&mut self, now: Time, out: &mut Vec<SpreadOutput>) {
+    fn proceed(&mut self, now: Time, out: &mut Vec<ConfigSyncOutput>) {
         if let [older, newer] = &self.transfers[..]
             && let Some(left) = newer.left()
             && older.left().is_none_or(|older| left < older)
@@ -318,20 +324,20 @@
         }
     }
 
-    fn finish(&mut self, now: Time, at: usize, out: &mut Vec<SpreadOutput>) {
+    fn finish(&mut self, now: Time, at: usize, out: &mut Vec<ConfigSyncOutput>) {
         let transfer = self.transfers.remove(at);
         let took = now.since(transfer.first).as_millis();
-        out.push(SpreadOutput::Note(SpreadNote::DocumentWhole {
+        out.push(ConfigSyncOutput::Event(ConfigSyncEvent::DocumentWhole {
             version: transfer.version,
             bytes: transfer.offset(),
             took: u32::try_from(took).unwrap_or(u32::MAX),
             sources: transfer.sources(),
         }));
-        out.push(SpreadOutput::Whole(transfer.into_held()));
+        out.push(ConfigSyncOutput::Fetched(transfer.into_held()));
     }
 
     /// Pieces under way do not come.
-    fn miss(&mut self, now: Time, out: &mut Vec<SpreadOutput>) {
+    fn miss(&mut self, now: Time, out: &mut Vec<ConfigSyncOutput>) {
         for at in (0..self.transfers.len()).rev() {
             if self.transfers[at].is_overdue(now) {
                 self.missed(now, at, out);
@@ -339,7 +345,7 @@
         }
     }
 
-    fn missed(&mut self, now: Time, at: usize, out: &mut Vec<SpreadOutput>) {
+    fn missed(&mut self, now: Time, at: usize, out: &mut Vec<ConfigSyncOutput>) {
         let newest = self.newest(now);
         let transfer = &mut self.transfers[at];
         let source = transfer.source;
@@ -362,7 +368,13 @@
     }
 
     /// Chooses who is asked for the next pieces.
-    fn choose_source(&mut self, now: Time, at: usize, silent: bool, out: &mut Vec<SpreadOutput>) {
+    fn choose_source(
+        &mut self,
+        now: Time,
+        at: usize,
+        silent: bool,
+        out: &mut Vec<ConfigSyncOutput>,
+    ) {
         let version = self.transfers[at].version;
         let best = self.best(now, version);
         let transfer = &mut self.transfers[at];
@@ -370,7 +382,7 @@
         let to = best.unwrap_or(transfer.source);
         let from = std::mem::replace(&mut transfer.source, to);
         if to != from {
-            out.push(SpreadOutput::Note(SpreadNote::DocumentMoved {
+            out.push(ConfigSyncOutput::Event(ConfigSyncEvent::DocumentMoved {
                 version,
                 from,
                 to,
@@ -385,10 +397,10 @@
         at: usize,
         source: InstanceId,
         reason: &'static str,
-        out: &mut Vec<SpreadOutput>,
+        out: &mut Vec<ConfigSyncOutput>,
     ) {
         let transfer = self.transfers.remove(at);
-        out.push(SpreadOutput::Note(SpreadNote::DocumentDropped {
+        out.push(ConfigSyncOutput::Event(ConfigSyncEvent::DocumentDropped {
             version: transfer.version,
             source,
             offset: transfer.offset(),
@@ -396,28 +408,28 @@
         }));
     }
 
-    fn alive(&self, now: Time) -> impl Iterator<Item = &Told> {
+    fn alive(&self, now: Time) -> impl Iterator<Item = &PeerStatus> {
         let heard = self.heard.values();
         heard
             .filter(move |(_, at)| now.since(*at) <= HEARD)
-            .map(|(told, _)| told)
+            .map(|(status, _)| status)
     }
 
     fn newest(&self, now: Time) -> u64 {
-        let versions = self.alive(now).map(|told| told.version);
+        let versions = self.alive(now).map(|status| status.version);
         versions.max().unwrap_or(0)
     }
 
     /// Who is asked for a version: one that answers, a keeper first, of this data centre first. Among those
     /// alike the hash spreads the entries over them.
     fn best(&self, now: Time, version: u64) -> Option<InstanceId> {
-        let sources = self.alive(now).filter(|told| told.version >= version);
-        let rank = |told: &&Told| {
-            let silent = self.silent.get(&told.instance).copied();
-            let other = (told.part != ProcessKind::Keeper, told.dc != self.dc);
-            let score = score(self.me.0.into(), told.instance.0.into());
+        let sources = self.alive(now).filter(|status| status.version >= version);
+        let rank = |status: &&PeerStatus| {
+            let silent = self.silent.get(&status.instance).copied();
+            let other = (status.kind != ProcessKind::Keeper, status.dc != self.dc);
+            let score = score(self.me.0.into(), status.instance.0.into());
             (silent, other, Reverse(score))
         };
-        sources.min_by_key(rank).map(|told| told.instance)
+        sources.min_by_key(rank).map(|status| status.instance)
     }
 }
--- a/crates/celerywinch_fleet/src/spread/transfer.rs
+++ b/crates/celerywinch_fleet/src/config_sync/transfer.rs
@@ -6,7 +6,7 @@
 use celerywinch_registry::VersionedDocument;
 use celerywinch_types::{Chunk, ConfigMsg, InstanceId, Time, stable_hash};
 
-use super::SpreadOutput;
+use super::ConfigSyncOutput;
 
 /// Bytes of a piece: 5 ms of a link of 25 Mbit/s, in which heartbeats wait, and 65 ms of one of 2 Mbit/s. Smaller ones
 /// would take longer for their round trips than for their bytes.
@@ -106,7 +106,7 @@
     }
 
     /// Asks for the first piece, or for those that follow within so many bytes and were not asked for yet.
-    pub(super) fn ask(&mut self, now: Time, window: u64, out: &mut Vec<SpreadOutput>) {
+    pub(super) fn ask(&mut self, now: Time, window: u64, out: &mut Vec<ConfigSyncOutput>) {
         let piece = PIECE as u64;
         let start = self.offset();
         let end = match self.shape {
@@ -121,12 +121,12 @@
             self.asked.insert(self.source);
             let version = self.version;
             let msg = ConfigMsg::Request { version, offset };
-            out.push(SpreadOutput::Send(self.source, msg));
+            out.push(ConfigSyncOutput::Send(self.source, msg));
         }
     }
 
     /// What was asked for and did not come is asked for again.
-    pub(super) fn ask_again(&mut self, now: Time, window: u64, out: &mut Vec<SpreadOutput>) {
+    pub(super) fn ask_again(&mut self, now: Time, window: u64, out: &mut Vec<ConfigSyncOutput>) {
         self.open.clear();
         self.last = now;
         self.ask(now, window, out);
--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -25,12 +25,12 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::oneshot;
 
+use crate::config_sync::{ConfigSync, ConfigSyncInput, PeerStatus};
 use crate::directory::{AnnounceOutcome, WorkerDirectory};
 use crate::handle::Snapshot;
 use crate::journal::{Journal, Kind};
 use crate::links::{self, LinkHost, Links};
 use crate::metrics::Metrics;
-use crate::spread::{Spread, SpreadInput, Told};
 use crate::store::{self, StoreIn, StoreOut};
 use crate::{Clock, Fleet, FleetConfig, Port};
 
@@ -168,7 +168,7 @@
     /// When seeds that are not heard got the last heartbeat.
     beaten: Time,
     waiting: HashMap<CallerId, oneshot::Sender<JobEnd>>,
-    spread: Spread,
+    config_sync: ConfigSync,
     directory: WorkerDirectory,
     /// Workers that the entries have to hear of with the next tick.
     untold: Vec<WorkerAnnouncement>,
@@ -292,7 +292,8 @@
             tallied: now,
             beaten: Time::default(),
             waiting: HashMap::new(),
-            spread: Spread::new(me.instance, config.part, config.dc).with_link(config.link),
+            config_sync: ConfigSync::new(me.instance, config.part, config.dc)
+                .with_link(config.link),
             directory: WorkerDirectory::default(),
             untold: Vec::new(),
             keeping: HashMap::new(),
@@ -375,7 +376,7 @@
     fn tick(&mut self, now: Time) {
         self.ticked = now;
         self.input(now, Input::Tick);
-        self.spread(now, SpreadInput::Tick);
+        self.sync_config(now, ConfigSyncInput::Tick);
         self.beat_seeds(now);
         self.directory.remove_expired(now);
         self.tell_workers(now);
@@ -435,14 +436,14 @@
     fn peer(&mut self, now: Time, from: Process, msg: FleetMsg) {
         match msg {
             FleetMsg::Heartbeat(beat) => {
-                let told = SpreadInput::Heard(Told {
+                let input = ConfigSyncInput::Heartbeat(PeerStatus {
                     instance: from.instance,
-                    part: beat.kind,
+                    kind: beat.kind,
                     dc: beat.dc,
                     version: beat.version,
                 });
                 self.input(now, Input::Heartbeat(from, beat));
-                self.spread(now, told);
+                self.sync_config(now, input);
             }
             FleetMsg::Contacts(contacts) => {
                 let instances: Vec<_> = contacts.iter().map(|c| c.instance).collect();
@@ -451,7 +452,9 @@
             FleetMsg::Log(bytes) => self.to_store(StoreIn::Log(from.instance, bytes)),
             FleetMsg::Keeper(msg) => self.keep_msg(from.instance, msg),
             FleetMsg::Workers(notes) => self.input(now, Input::Workers(notes)),
-            FleetMsg::Config(msg) => self.spread(now, SpreadInput::Message(from.instance, msg)),
+            FleetMsg::Config(msg) => {
+                self.sync_config(now, ConfigSyncInput::Message(from.instance, msg))
+            }
             FleetMsg::Work(msg) => self.input(now, Input::Work(from, msg)),
             FleetMsg::Learned(learned) => self.input(now, Input::Learned(learned)),
             FleetMsg::Crashes(told) => self.input(now, Input::Crashes(told)),
--- a/crates/celerywinch_fleet/src/core/keeping.rs
+++ b/crates/celerywinch_fleet/src/core/keeping.rs
@@ -9,9 +9,9 @@
 use tokio::sync::oneshot;
 
 use super::{Core, CoreNote, RequestKind};
+use crate::config_sync::{ConfigSyncInput, ConfigSyncOutput};
 use crate::directory::AnnounceOutcome;
 use crate::journal::Kind;
-use crate::spread::{SpreadInput, SpreadOutput};
 use crate::store::{StoreIn, StoreOut};
 
 impl Core {
@@ -46,24 +46,24 @@
     }
 
     /// Carries out what the spread of the configuration wants.
-    pub(super) fn spread(&mut self, now: Time, input: SpreadInput) {
+    pub(super) fn sync_config(&mut self, now: Time, input: ConfigSyncInput) {
         let mut out = Vec::new();
-        self.spread.handle(now, input, &mut out);
+        self.config_sync.handle(now, input, &mut out);
         for output in out {
             match output {
-                SpreadOutput::Send(to, msg) => {
-                    self.metrics.spreads(&msg);
+                ConfigSyncOutput::Send(to, msg) => {
+                    self.metrics.config_sent(&msg);
                     self.links.send(to, FleetMsg::Config(msg));
                 }
-                SpreadOutput::Tell(entries) => {
+                ConfigSyncOutput::SendHeartbeats(entries) => {
                     for entry in entries {
                         let beat = self.member.heartbeat_for(now, entry);
                         self.links.send(entry, FleetMsg::Heartbeat(beat));
                     }
                 }
-                SpreadOutput::Whole(held) => self.put_in_force(now, held),
-                SpreadOutput::Note(note) => {
-                    self.metrics.spread(&note);
+                ConfigSyncOutput::Fetched(held) => self.put_in_force(now, held),
+                ConfigSyncOutput::Event(note) => {
+                    self.metrics.document_fetched(&note);
                     self.journal.write(now, "core", Kind::Telling, &note);
                 }
             }
--- a/crates/celerywinch_fleet/src/core/members.rs
+++ b/crates/celerywinch_fleet/src/core/members.rs
@@ -9,7 +9,7 @@
 use celerywinch_types::{Contact, FleetMsg, InstanceId, Process, ProcessKind, Time};
 
 use super::Core;
-use crate::spread::SpreadInput;
+use crate::config_sync::ConfigSyncInput;
 use crate::store::StoreIn;
 
 /// Between two heartbeats to seeds that were not heard yet; as often as to others.
@@ -45,7 +45,7 @@
             }
             LinkEvent::Refused => {
                 self.input(now, Input::ConnectionRefused(peer));
-                self.spread(now, SpreadInput::Lost(peer));
+                self.sync_config(now, ConfigSyncInput::ConnectionRefused(peer));
             }
             LinkEvent::Lost => {}
         }
--- a/crates/celerywinch_fleet/src/core/work.rs
+++ b/crates/celerywinch_fleet/src/core/work.rs
@@ -10,8 +10,8 @@
 use celerywinch_types::Time;
 
 use super::{Core, CoreMsg, CoreNote};
+use crate::config_sync::ConfigSyncInput;
 use crate::journal::Kind;
-use crate::spread::SpreadInput;
 
 /// How much longer an answer is waited for that may have arrived and was not read yet. A process with
 /// an eighth of a core stands still for tens of ms when several requests come at once; without this,
@@ -83,7 +83,7 @@
             .set(self.member.evacuations().dcs.len() as i64);
         let runs = self.member.pool().evacuated_runs();
         self.metrics.evacuated_runs.set(runs as i64);
-        let version = i64::try_from(self.spread.version()).unwrap_or(i64::MAX);
+        let version = i64::try_from(self.config_sync.version()).unwrap_or(i64::MAX);
         self.metrics.version.set(version);
     }
 
@@ -119,7 +119,7 @@
     /// Puts a document in force if it is newer than the one that is. Within one life of a process
     /// the version never falls.
     pub(super) fn put_in_force(&mut self, now: Time, held: VersionedDocument) {
-        if held.version <= self.spread.version() {
+        if held.version <= self.config_sync.version() {
             return;
         }
         match self.port.read_book(&held.document) {
@@ -131,14 +131,14 @@
                 self.snapshot.book.store(Some(Arc::new(book)));
                 let version = held.version;
                 self.input(now, Input::ConfigVersion(version));
-                self.spread(now, SpreadInput::Held(held));
+                self.sync_config(now, ConfigSyncInput::InForce(held));
             }
             Err(error) => {
                 self.note(&CoreNote::BadDocument {
                     version: held.version,
                     error: format!("{error:#}"),
                 });
-                self.spread(now, SpreadInput::Unreadable(held.version));
+                self.sync_config(now, ConfigSyncInput::Unreadable(held.version));
             }
         }
     }
--- a/crates/celerywinch_fleet/src/lib.rs
+++ b/crates/celerywinch_fleet/src/lib.rs
@@ -8,18 +8,18 @@
 
 mod clock;
 mod config;
+mod config_sync;
 mod core;
 mod directory;
 mod handle;
 mod journal;
 mod links;
 mod metrics;
-mod spread;
 mod store;
 
 pub use clock::Clock;
 pub use config::{FleetConfig, Port};
+pub use config_sync::{ConfigSync, ConfigSyncEvent, ConfigSyncInput, ConfigSyncOutput, PeerStatus};
 pub use core::start;
 pub use directory::{AnnounceOutcome, WorkerDirectory};
 pub use handle::{Fleet, Leaving, Submitted};
-pub use spread::{Spread, SpreadInput, SpreadNote, SpreadOutput, Told};
--- a/crates/celerywinch_fleet/src/metrics.rs
+++ b/crates/celerywinch_fleet/src/metrics.rs
@@ -9,8 +9,8 @@
 use celerywinch_types::{ConfigMsg, FleetMsg, JobEnd};
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
+use crate::config_sync::ConfigSyncEvent;
 use crate::directory::AnnounceOutcome;
-use crate::spread::SpreadNote;
 
 /// Bounds of the time to an answer, in seconds: objectives are 0.1 to a few s.
 const JOB_SECONDS: &[f64] = &[0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0];
@@ -226,7 +226,7 @@
     }
 
     /// A message of the configuration is sent.
-    pub(crate) fn spreads(&self, msg: &ConfigMsg) {
+    pub(crate) fn config_sent(&self, msg: &ConfigMsg) {
         if let ConfigMsg::Chunk(piece) = msg {
             self.document_bytes.inc_by(piece.bytes.len() as u64);
             if piece.offset == 0 {
@@ -235,8 +235,8 @@
         }
     }
 
-    pub(crate) fn spread(&self, note: &SpreadNote) {
-        if let SpreadNote::DocumentWhole { took, .. } = note {
+    pub(crate) fn document_fetched(&self, note: &ConfigSyncEvent) {
+        if let ConfigSyncEvent::DocumentWhole { took, .. } = note {
             let took = Duration::from_millis((*took).into());
             self.document_seconds.observe(took.as_secs_f64());
         }
--- a/crates/celerywinch_fleet/tests/pieces.rs
+++ b/crates/celerywinch_fleet/tests/chunks.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use celerywinch_fleet::{Spread, SpreadInput, SpreadNote, SpreadOutput, Told};
+use celerywinch_fleet::{
+    ConfigSync, ConfigSyncEvent, ConfigSyncInput, ConfigSyncOutput, PeerStatus,
+};
 use celerywinch_registry::VersionedDocument;
 use celerywinch_types::{
     Chunk, ConfigMsg, DataCentreId, InstanceId, ProcessKind, Time, stable_hash,
@@ -23,22 +25,26 @@
     }
 }
 
-fn handle(spread: &mut Spread, now: Time, input: SpreadInput) -> Vec<SpreadOutput> {
+fn handle(sync: &mut ConfigSync, now: Time, input: ConfigSyncInput) -> Vec<ConfigSyncOutput> {
     let mut out = Vec::new();
-    spread.handle(now, input, &mut out);
+    sync.handle(now, input, &mut out);
     out
 }
 
-fn keeper(versions: std::ops::RangeInclusive<u64>, bytes: usize) -> Spread {
-    let mut spread = Spread::new(KEEPER, ProcessKind::Keeper, DC);
+fn keeper(versions: std::ops::RangeInclusive<u64>, bytes: usize) -> ConfigSync {
+    let mut sync = ConfigSync::new(KEEPER, ProcessKind::Keeper, DC);
     for version in versions {
-        handle(&mut spread, NOW, SpreadInput::Held(held(version, bytes)));
+        handle(
+            &mut sync,
+            NOW,
+            ConfigSyncInput::InForce(held(version, bytes)),
+        );
     }
-    spread
+    sync
 }
 
-fn want(version: u64, offset: u64) -> SpreadInput {
-    SpreadInput::Message(ENTRY, ConfigMsg::Request { version, offset })
+fn want(version: u64, offset: u64) -> ConfigSyncInput {
+    ConfigSyncInput::Message(ENTRY, ConfigMsg::Request { version, offset })
 }
 
 /// A request of an entry, and what comes of it: a piece from this byte to that one, or nothing.
@@ -59,17 +65,17 @@
 #[case::the_end(Request { version: 9, offset: 40_000, piece: None })]
 #[case::beyond_the_end(Request { version: 9, offset: u64::MAX, piece: None })]
 fn requests_are_answered(#[case] case: Request) {
-    let mut spread = keeper(1..=9, 40_000);
-    let out = handle(&mut spread, NOW, want(case.version, case.offset));
+    let mut sync = keeper(1..=9, 40_000);
+    let out = handle(&mut sync, NOW, want(case.version, case.offset));
     match (&out[..], case.piece) {
-        ([SpreadOutput::Send(ENTRY, ConfigMsg::Chunk(piece))], Some((start, end))) => {
+        ([ConfigSyncOutput::Send(ENTRY, ConfigMsg::Chunk(piece))], Some((start, end))) => {
             assert_eq!(
                 (piece.offset, piece.offset + piece.bytes.len() as u64),
                 (start, end)
             );
             assert_eq!(piece.total, 40_000);
         }
-        ([SpreadOutput::Note(SpreadNote::DocumentUnknown { .. })], None) => {}
+        ([ConfigSyncOutput::Event(ConfigSyncEvent::DocumentUnknown { .. })], None) => {}
         other => panic!("{other:?}"),
     }
 }
@@ -78,27 +84,31 @@
 /// source, again and again. What is asked for stays, and of the others only a few do.
 #[test]
 fn the_version_that_is_asked_for_stays() {
-    let mut spread = keeper(1..=1, 40_000);
+    let mut sync = keeper(1..=1, 40_000);
     for version in 2..=20 {
         let now = NOW + Duration::from_millis(version * 330);
-        handle(&mut spread, now, SpreadInput::Held(held(version, 40_000)));
-        let out = handle(&mut spread, now, want(1, 0));
+        handle(
+            &mut sync,
+            now,
+            ConfigSyncInput::InForce(held(version, 40_000)),
+        );
+        let out = handle(&mut sync, now, want(1, 0));
         assert!(
-            matches!(&out[..], [SpreadOutput::Send(..)]),
+            matches!(&out[..], [ConfigSyncOutput::Send(..)]),
             "{version}: {out:?}"
         );
     }
     let end = NOW + Duration::from_secs(7);
     let here = (1..=20).filter(|version| {
-        let out = handle(&mut spread, end, want(*version, 0));
-        matches!(&out[..], [SpreadOutput::Send(..)])
+        let out = handle(&mut sync, end, want(*version, 0));
+        matches!(&out[..], [ConfigSyncOutput::Send(..)])
     });
     assert_eq!(here.collect::<Vec<_>>(), [1, 18, 19, 20]);
     let later = end + Duration::from_secs(11);
-    handle(&mut spread, later, SpreadInput::Tick);
-    let out = handle(&mut spread, later, want(1, 0));
+    handle(&mut sync, later, ConfigSyncInput::Tick);
+    let out = handle(&mut sync, later, want(1, 0));
     assert!(
-        matches!(&out[..], [SpreadOutput::Note(_)]),
+        matches!(&out[..], [ConfigSyncOutput::Event(_)]),
         "nobody asked for it: {out:?}"
     );
 }
@@ -106,37 +116,37 @@
 /// Entries hear of a version at once, not with the next heartbeat: half a second of the 2 s in which it has to be in force.
 #[test]
 fn keepers_tell_at_once() {
-    let mut spread = keeper(1..=1, 100);
-    let told = Told {
+    let mut sync = keeper(1..=1, 100);
+    let status = PeerStatus {
         instance: ENTRY,
-        part: ProcessKind::Entry,
+        kind: ProcessKind::Entry,
         dc: DC,
         version: 1,
     };
-    handle(&mut spread, NOW, SpreadInput::Heard(told));
-    let other = Told {
+    handle(&mut sync, NOW, ConfigSyncInput::Heartbeat(status));
+    let other = PeerStatus {
         instance: InstanceId(3),
-        part: ProcessKind::Keeper,
+        kind: ProcessKind::Keeper,
         dc: DC,
         version: 1,
     };
-    handle(&mut spread, NOW, SpreadInput::Heard(other));
-    let out = handle(&mut spread, NOW, SpreadInput::Held(held(2, 100)));
-    assert_eq!(out, [SpreadOutput::Tell(vec![ENTRY])]);
+    handle(&mut sync, NOW, ConfigSyncInput::Heartbeat(other));
+    let out = handle(&mut sync, NOW, ConfigSyncInput::InForce(held(2, 100)));
+    assert_eq!(out, [ConfigSyncOutput::SendHeartbeats(vec![ENTRY])]);
 }
 
 /// An entry that has heard of a version.
-fn asking(version: u64) -> Spread {
-    let mut spread = Spread::new(ENTRY, ProcessKind::Entry, DC);
-    handle(&mut spread, NOW, SpreadInput::Held(held(3, 10)));
-    let told = Told {
+fn asking(version: u64) -> ConfigSync {
+    let mut sync = ConfigSync::new(ENTRY, ProcessKind::Entry, DC);
+    handle(&mut sync, NOW, ConfigSyncInput::InForce(held(3, 10)));
+    let status = PeerStatus {
         instance: KEEPER,
-        part: ProcessKind::Keeper,
+        kind: ProcessKind::Keeper,
         dc: DC,
         version,
     };
-    handle(&mut spread, NOW, SpreadInput::Heard(told));
-    spread
+    handle(&mut sync, NOW, ConfigSyncInput::Heartbeat(status));
+    sync
 }
 
 fn piece(version: u64, offset: usize, bytes: usize, of: &[u8]) -> Chunk {
@@ -181,12 +191,12 @@
 fn pieces_are_taken(#[case] pieces: fn(&[u8]) -> Pieces) {
     let whole = held(4, 20_000);
     let Pieces { pieces, here } = pieces(&whole.document);
-    let mut spread = asking(4);
+    let mut sync = asking(4);
     let mut came = Vec::new();
     for piece in pieces {
-        let input = SpreadInput::Message(KEEPER, ConfigMsg::Chunk(piece));
-        for output in handle(&mut spread, NOW, input) {
-            if let SpreadOutput::Whole(held) = output {
+        let input = ConfigSyncInput::Message(KEEPER, ConfigMsg::Chunk(piece));
+        for output in handle(&mut sync, NOW, input) {
+            if let ConfigSyncOutput::Fetched(held) = output {
                 came.push(held);
             }
         }
@@ -197,14 +207,14 @@
     }
     assert!(came.is_empty(), "{came:?}");
     // What is asked for next tells what is here; a transfer that was dropped begins anew.
-    let mut out = handle(&mut spread, NOW, SpreadInput::Tick);
+    let mut out = handle(&mut sync, NOW, ConfigSyncInput::Tick);
     out.extend(handle(
-        &mut spread,
+        &mut sync,
         NOW + Duration::from_millis(200),
-        SpreadInput::Tick,
+        ConfigSyncInput::Tick,
     ));
     let asked = out.iter().find_map(|output| match output {
-        SpreadOutput::Send(KEEPER, ConfigMsg::Request { version: 4, offset }) => Some(*offset),
+        ConfigSyncOutput::Send(KEEPER, ConfigMsg::Request { version: 4, offset }) => Some(*offset),
         _ => None,
     });
     assert_eq!(asked, Some(here), "{out:?}");
@@ -223,18 +233,18 @@
     #[case] unreadable: Option<u64>,
     #[case] fetched: bool,
 ) {
-    let mut spread = Spread::new(ENTRY, ProcessKind::Entry, DC);
-    handle(&mut spread, NOW, SpreadInput::Held(held(3, 10)));
+    let mut sync = ConfigSync::new(ENTRY, ProcessKind::Entry, DC);
+    handle(&mut sync, NOW, ConfigSyncInput::InForce(held(3, 10)));
     if let Some(version) = unreadable {
-        handle(&mut spread, NOW, SpreadInput::Unreadable(version));
+        handle(&mut sync, NOW, ConfigSyncInput::Unreadable(version));
     }
-    let told = Told {
+    let status = PeerStatus {
         instance: KEEPER,
-        part: ProcessKind::Keeper,
+        kind: ProcessKind::Keeper,
         dc: DC,
         version,
     };
-    let out = handle(&mut spread, NOW, SpreadInput::Heard(told));
+    let out = handle(&mut sync, NOW, ConfigSyncInput::Heartbeat(status));
     assert_eq!(!out.is_empty(), fetched, "{out:?}");
 }
 
@@ -243,7 +253,7 @@
 #[test]
 fn the_best_source_is_asked() {
     let far = DataCentreId(1);
-    let mut spread = Spread::new(ENTRY, ProcessKind::Entry, DC);
+    let mut sync = ConfigSync::new(ENTRY, ProcessKind::Entry, DC);
     let whole = held(4, 200_000);
     let sources = [
         (InstanceId(11), ProcessKind::Entry, far),
@@ -252,19 +262,19 @@
         (InstanceId(14), ProcessKind::Keeper, DC),
     ];
     let mut asked = Vec::new();
-    for (n, (instance, part, dc)) in sources.into_iter().enumerate() {
-        let told = Told {
+    for (n, (instance, kind, dc)) in sources.into_iter().enumerate() {
+        let status = PeerStatus {
             instance,
-            part,
+            kind,
             dc,
             version: 4,
         };
-        let mut out = handle(&mut spread, NOW, SpreadInput::Heard(told));
+        let mut out = handle(&mut sync, NOW, ConfigSyncInput::Heartbeat(status));
         let piece = piece(4, n * PIECE, PIECE, &whole.document);
-        let input = SpreadInput::Message(instance, ConfigMsg::Chunk(piece));
-        out.extend(handle(&mut spread, NOW, input));
+        let input = ConfigSyncInput::Message(instance, ConfigMsg::Chunk(piece));
+        out.extend(handle(&mut sync, NOW, input));
         let last = out.iter().rev().find_map(|output| match output {
-            SpreadOutput::Send(to, ConfigMsg::Request { .. }) => Some(*to),
+            ConfigSyncOutput::Send(to, ConfigMsg::Request { .. }) => Some(*to),
             _ => None,
         });
         asked.push(last.expect("a request"));
--- a/crates/celerywinch_fleet/tests/sources.rs
+++ b/crates/celerywinch_fleet/tests/sources.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use celerywinch_fleet::{Spread, SpreadInput, SpreadOutput, Told};
+use celerywinch_fleet::{ConfigSync, ConfigSyncInput, ConfigSyncOutput, PeerStatus};
 use celerywinch_registry::VersionedDocument;
 use celerywinch_types::{ConfigMsg, DataCentreId, InstanceId, ProcessKind, Time};
 use rstest::rstest;
@@ -15,36 +15,36 @@
 
 /// Another process, with its copies.
 struct Source {
-    told: Told,
-    spread: Spread,
+    status: PeerStatus,
+    sync: ConfigSync,
     /// How long its pieces take, in ms; none if nothing that it sends arrives but heartbeats.
     takes: Option<u64>,
 }
 
 impl Source {
-    fn new(instance: u32, part: ProcessKind, version: u64, takes: Option<u64>) -> Self {
+    fn new(instance: u32, kind: ProcessKind, version: u64, takes: Option<u64>) -> Self {
         let instance = InstanceId(instance);
-        let mut spread = Spread::new(instance, part, DC);
-        let held = SpreadInput::Held(document(version));
-        spread.handle(Time(1_000_000), held, &mut Vec::new());
-        let told = Told {
+        let mut sync = ConfigSync::new(instance, kind, DC);
+        let held = ConfigSyncInput::InForce(document(version));
+        sync.handle(Time(1_000_000), held, &mut Vec::new());
+        let status = PeerStatus {
             instance,
-            part,
+            kind,
             dc: DC,
             version,
         };
         Self {
-            told,
-            spread,
+            status,
+            sync,
             takes,
         }
     }
 
     fn hold(&mut self, now: Time, version: u64, bytes: usize) {
         let document = vec![version as u8; bytes];
-        let held = SpreadInput::Held(VersionedDocument { version, document });
-        self.spread.handle(now, held, &mut Vec::new());
-        self.told.version = version;
+        let held = ConfigSyncInput::InForce(VersionedDocument { version, document });
+        self.sync.handle(now, held, &mut Vec::new());
+        self.status.version = version;
     }
 }
 
@@ -58,7 +58,7 @@
 
 /// An entry that hears others.
 struct Entry {
-    spread: Spread,
+    sync: ConfigSync,
     now: Time,
     sources: Vec<Source>,
     coming: Vec<(Time, InstanceId, ConfigMsg)>,
@@ -68,27 +68,27 @@
 impl Entry {
     fn new(version: u64, sources: Vec<Source>) -> Self {
         let mut entry = Self {
-            spread: Spread::new(ME, ProcessKind::Entry, DC),
+            sync: ConfigSync::new(ME, ProcessKind::Entry, DC),
             now: Time(10_000_000),
             sources,
             coming: Vec::new(),
             whole: Vec::new(),
         };
-        entry.take(SpreadInput::Held(document(version)));
+        entry.take(ConfigSyncInput::InForce(document(version)));
         entry
     }
 
-    fn take(&mut self, input: SpreadInput) {
+    fn take(&mut self, input: ConfigSyncInput) {
         let mut out = Vec::new();
-        self.spread.handle(self.now, input, &mut out);
+        self.sync.handle(self.now, input, &mut out);
         for output in out {
             match output {
-                SpreadOutput::Send(to, msg) => self.ask(to, msg),
-                SpreadOutput::Whole(held) => {
+                ConfigSyncOutput::Send(to, msg) => self.ask(to, msg),
+                ConfigSyncOutput::Fetched(held) => {
                     self.whole.push(held.version);
-                    self.take(SpreadInput::Held(held));
+                    self.take(ConfigSyncInput::InForce(held));
                 }
-                SpreadOutput::Tell(_) | SpreadOutput::Note(_) => {}
+                ConfigSyncOutput::SendHeartbeats(_) | ConfigSyncOutput::Event(_) => {}
             }
         }
     }
@@ -96,15 +96,15 @@
     fn ask(&mut self, to: InstanceId, msg: ConfigMsg) {
         let now = self.now;
         let mut sources = self.sources.iter_mut();
-        let source = sources.find(|source| source.told.instance == to);
+        let source = sources.find(|source| source.status.instance == to);
         let Some((source, takes)) = source.and_then(|s| s.takes.map(|takes| (s, takes))) else {
             return;
         };
         let mut out = Vec::new();
-        let input = SpreadInput::Message(ME, msg);
-        source.spread.handle(now, input, &mut out);
+        let input = ConfigSyncInput::Message(ME, msg);
+        source.sync.handle(now, input, &mut out);
         for output in out {
-            if let SpreadOutput::Send(_, piece) = output {
+            if let ConfigSyncOutput::Send(_, piece) = output {
                 let at = now + Duration::from_millis(takes);
                 self.coming.push((at, to, piece));
             }
@@ -114,9 +114,10 @@
     fn pass(&mut self, ms: u64) {
         for step in 0..ms / TICK {
             if step % (BEAT / TICK) == 0 {
-                let told: Vec<_> = self.sources.iter().map(|source| source.told).collect();
-                told.into_iter()
-                    .for_each(|told| self.take(SpreadInput::Heard(told)));
+                let status: Vec<_> = self.sources.iter().map(|source| source.status).collect();
+                status
+                    .into_iter()
+                    .for_each(|status| self.take(ConfigSyncInput::Heartbeat(status)));
             }
             self.now = self.now + Duration::from_millis(TICK);
             let now = self.now;
@@ -125,9 +126,9 @@
             self.coming = later;
             let due: Vec<_> = due;
             for (_, from, msg) in due {
-                self.take(SpreadInput::Message(from, msg));
+                self.take(ConfigSyncInput::Message(from, msg));
             }
-            self.take(SpreadInput::Tick);
+            self.take(ConfigSyncInput::Tick);
         }
     }
 }
@@ -193,8 +194,8 @@
 fn newer_version_is_in_force_in_time(#[case] case: Overtaken) {
     let keeper = Source::new(10, ProcessKind::Keeper, 8, Some(BUSY_MS));
     let mut entry = Entry::new(7, vec![keeper]);
-    entry.spread = Spread::new(ME, ProcessKind::Entry, DC).with_link(case.link);
-    entry.take(SpreadInput::Held(document(7)));
+    entry.sync = ConfigSync::new(ME, ProcessKind::Entry, DC).with_link(case.link);
+    entry.take(ConfigSyncInput::InForce(document(7)));
     entry.pass(BUSY_MS * 2);
     entry.sources[0].hold(entry.now, 9, case.newer);
     entry.pass(case.within);
--- a/crates/celerywinch_fleet/tests/wire/mod.rs
+++ b/crates/celerywinch_fleet/tests/wire/mod.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use celerywinch_fleet::{Spread, SpreadInput, SpreadOutput, Told};
+use celerywinch_fleet::{ConfigSync, ConfigSyncInput, ConfigSyncOutput, PeerStatus};
 use celerywinch_registry::VersionedDocument;
 use celerywinch_types::{ConfigMsg, DataCentreId, InstanceId, ProcessKind, Time};
 
@@ -58,14 +58,14 @@
 #[derive(Clone, Debug)]
 enum Packet {
     Beat(u64),
-    Spread(ConfigMsg),
+    Config(ConfigMsg),
 }
 
 impl Packet {
     fn bytes(&self) -> u64 {
         let body = match self {
-            Self::Beat(_) | Self::Spread(ConfigMsg::Request { .. }) => 0,
-            Self::Spread(ConfigMsg::Chunk(piece)) => piece.bytes.len(),
+            Self::Beat(_) | Self::Config(ConfigMsg::Request { .. }) => 0,
+            Self::Config(ConfigMsg::Chunk(piece)) => piece.bytes.len(),
         };
         SMALL + body as u64
     }
@@ -91,8 +91,8 @@
 }
 
 struct Node {
-    spread: Spread,
-    part: ProcessKind,
+    sync: ConfigSync,
+    kind: ProcessKind,
     dc: u32,
     /// When its link is free again, towards the others and from them.
     up: u64,
@@ -136,27 +136,27 @@
             waited: 0,
         };
         for id in 1..=KEEPERS + ENTRIES {
-            let part = if id <= KEEPERS {
+            let kind = if id <= KEEPERS {
                 ProcessKind::Keeper
             } else {
                 ProcessKind::Entry
             };
-            net.add(id, part);
+            net.add(id, kind);
             net.give(id, document(1, 1_000));
         }
         net
     }
 
-    fn add(&mut self, id: u32, part: ProcessKind) {
-        let dc = match part {
+    fn add(&mut self, id: u32, kind: ProcessKind) {
+        let dc = match kind {
             ProcessKind::Keeper => (id - 1) / 2,
             ProcessKind::Entry => id % DCS,
         };
-        let spread = Spread::new(InstanceId(id), part, DataCentreId(dc as u8));
-        let spread = spread.with_link(Some(ENTRY_RATE as f64 * 1e3));
+        let sync = ConfigSync::new(InstanceId(id), kind, DataCentreId(dc as u8));
+        let sync = sync.with_link(Some(ENTRY_RATE as f64 * 1e3));
         let node = Node {
-            spread,
-            part,
+            sync,
+            kind,
             dc,
             up: 0,
             down: 0,
@@ -222,7 +222,7 @@
     fn event(&mut self, event: Event) {
         match event {
             Event::Tick(id) => {
-                self.handle(id, SpreadInput::Tick);
+                self.handle(id, ConfigSyncInput::Tick);
                 self.at(self.now + TICK, Event::Tick(id));
             }
             Event::Beat(id) => {
@@ -236,9 +236,9 @@
             Event::Arrive(sent) => {
                 let bytes = sent.packet.bytes();
                 let node = self.nodes.get_mut(&sent.to).expect("a process");
-                node.down = node.down.max(self.now) + bytes * 1_000 / rate(node.part);
+                node.down = node.down.max(self.now) + bytes * 1_000 / rate(node.kind);
                 let when = node.down;
-                if matches!(sent.packet, Packet::Spread(_)) {
+                if matches!(sent.packet, Packet::Config(_)) {
                     node.received += bytes;
                 }
                 self.at(when, Event::Take(sent));
@@ -259,43 +259,43 @@
                 let way = self.latency(from, to) + 2 * SMALL * 1_000 / ENTRY_RATE;
                 self.waited = self.waited.max((self.now - at).saturating_sub(way));
                 let other = &self.nodes[&from];
-                let told = Told {
+                let status = PeerStatus {
                     instance: InstanceId(from),
-                    part: other.part,
+                    kind: other.kind,
                     dc: DataCentreId(other.dc as u8),
                     version,
                 };
                 let node = self.nodes.get_mut(&to).expect("a process");
                 node.heard = node.heard.or(Some(self.now));
-                self.handle(to, SpreadInput::Heard(told));
+                self.handle(to, ConfigSyncInput::Heartbeat(status));
             }
-            Packet::Spread(msg) => {
+            Packet::Config(msg) => {
                 if !self.is_mute(to) {
-                    self.handle(to, SpreadInput::Message(InstanceId(from), msg));
+                    self.handle(to, ConfigSyncInput::Message(InstanceId(from), msg));
                 }
             }
         }
     }
 
-    fn handle(&mut self, id: u32, input: SpreadInput) {
+    fn handle(&mut self, id: u32, input: ConfigSyncInput) {
         let mut out = Vec::new();
         let now = Time(self.now);
         let node = self.nodes.get_mut(&id).expect("a process");
-        node.spread.handle(now, input, &mut out);
+        node.sync.handle(now, input, &mut out);
         for output in out {
             match output {
-                SpreadOutput::Send(to, msg) => {
+                ConfigSyncOutput::Send(to, msg) => {
                     if !self.is_mute(id) {
-                        self.send(id, to.0, Packet::Spread(msg));
+                        self.send(id, to.0, Packet::Config(msg));
                     }
                 }
-                SpreadOutput::Tell(others) => {
+                ConfigSyncOutput::SendHeartbeats(others) => {
                     for other in others {
                         self.beat(id, other.0);
                     }
                 }
-                SpreadOutput::Whole(held) => self.give(id, held),
-                SpreadOutput::Note(_) => {}
+                ConfigSyncOutput::Fetched(held) => self.give(id, held),
+                ConfigSyncOutput::Event(_) => {}
             }
         }
     }
@@ -304,18 +304,18 @@
     fn give(&mut self, id: u32, held: VersionedDocument) {
         let node = self.nodes.get_mut(&id).expect("a process");
         let version = held.version;
-        if version <= node.spread.version() {
+        if version <= node.sync.version() {
             return;
         }
         if let Some(change) = self.changes.get((version as usize).wrapping_sub(2)) {
             assert_eq!(held, document(version, change.bytes));
         }
         node.in_force.push((version, self.now));
-        self.handle(id, SpreadInput::Held(held));
+        self.handle(id, ConfigSyncInput::InForce(held));
     }
 
     fn beat(&mut self, from: u32, to: u32) {
-        let version = self.nodes[&from].spread.version();
+        let version = self.nodes[&from].sync.version();
         self.send(from, to, Packet::Beat(version));
     }
 
@@ -325,7 +325,7 @@
         }
         let latency = self.latency(from, to);
         let node = self.nodes.get_mut(&from).expect("a process");
-        node.up = node.up.max(self.now) + packet.bytes() * 1_000 / rate(node.part);
+        node.up = node.up.max(self.now) + packet.bytes() * 1_000 / rate(node.kind);
         let (when, at) = (node.up + latency, self.now);
         let sent = Sent {
             from,
@@ -356,14 +356,14 @@
 
     fn is_cut(&self, a: u32, b: u32) -> bool {
         let inside =
-            |id: u32| self.nodes[&id].part == ProcessKind::Entry && self.nodes[&id].dc == 0;
+            |id: u32| self.nodes[&id].kind == ProcessKind::Entry && self.nodes[&id].dc == 0;
         self.fault == Fault::CutOff && self.now >= START && inside(a) != inside(b)
     }
 
     fn entries(&self) -> impl Iterator<Item = (u32, &Node)> {
         let entries = self.nodes.iter();
         entries
-            .filter(|(_, node)| node.part == ProcessKind::Entry)
+            .filter(|(_, node)| node.kind == ProcessKind::Entry)
             .map(|(id, node)| (*id, node))
     }
 
@@ -409,8 +409,8 @@
     }
 }
 
-fn rate(part: ProcessKind) -> u64 {
-    match part {
+fn rate(kind: ProcessKind) -> u64 {
+    match kind {
         ProcessKind::Keeper => KEEPER_RATE,
         ProcessKind::Entry => ENTRY_RATE,
     }
