--- a/crates/celerywinch_fleet/src/config.rs
+++ b/crates/celerywinch_fleet/src/config.rs
@@ -15,29 +15,29 @@
     /// This instance; its number is its IPv4 address, by which the others reach it.
     pub instance: InstanceId,
     /// What it does.
-    pub part: ProcessKind,
+    pub kind: ProcessKind,
     /// Its data centre.
     pub dc: DataCentreId,
     /// Cores that the process may use, or the fraction of one.
     pub cores: f64,
     /// Bytes a second that its link carries, if that is known.
-    pub link: Option<f64>,
+    pub link_rate: Option<f64>,
     /// All data centres.
     pub dcs: BTreeSet<DataCentreId>,
     /// Where it listens for other processes; the port is the same for all.
-    pub links: SocketAddr,
+    pub link_addr: SocketAddr,
     /// Keepers to ask first.
     pub seeds: Vec<InstanceId>,
     /// Whether the deployment starts for the first time, with empty disks.
     pub bootstrap: bool,
     /// How many keepers may be lost at once; twice as many and one count for majorities.
-    pub tolerated: usize,
+    pub fault_tolerance: usize,
     /// The folder for what must last; keepers need one.
-    pub folder: Option<PathBuf>,
+    pub data_dir: Option<PathBuf>,
     /// Ms by which the time of day is off; other than 0 only in tests.
     pub clock_offset: i64,
     /// Mechanisms of dispatching that are left out.
-    pub without: DisabledMechanisms,
+    pub disabled: DisabledMechanisms,
 }
 
 /// What the host does for the process.
@@ -51,5 +51,5 @@
     /// # Errors
     ///
     /// The document is invalid; none that was accepted is.
-    fn read_book(&self, document: &[u8]) -> anyhow::Result<QueueConfig>;
+    fn parse_config(&self, document: &[u8]) -> anyhow::Result<QueueConfig>;
 }
--- a/crates/celerywinch_fleet/src/config_sync.rs
+++ b/crates/celerywinch_fleet/src/config_sync.rs
@@ -167,7 +167,7 @@
     /// Asks for as many pieces at once as the link carries in a moment; `link` is in bytes a second, none for no bound.
     /// Without this it is one piece.
     #[must_use]
-    pub fn with_link(mut self, link: Option<f64>) -> Self {
+    pub fn with_link_rate(mut self, link: Option<f64>) -> Self {
         self.window = window(link);
         self
     }
--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -203,9 +203,9 @@
         incarnation: draw_incarnation(),
     };
     let (sender, inbox) = unbounded_channel();
-    let listener = TcpListener::bind(config.links)
+    let listener = TcpListener::bind(config.link_addr)
         .await
-        .with_context(|| format!("links: cannot listen at {}", config.links))?;
+        .with_context(|| format!("links: cannot listen at {}", config.link_addr))?;
     let metrics = Metrics::new().context("metrics: cannot be set up")?;
     let host = LinkHost {
         core: sender.clone(),
@@ -216,7 +216,7 @@
         host.clone(),
         links::config(me),
     ));
-    let store = match config.part {
+    let store = match config.kind {
         ProcessKind::Keeper => Some(store::start(&config, clock, sender.clone())?),
         ProcessKind::Entry => None,
     };
@@ -273,12 +273,12 @@
         let now = clock.now();
         let member = MemberConfig {
             me,
-            part: config.part,
+            part: config.kind,
             dc: config.dc,
             dcs: config.dcs.clone(),
-            shard_size: shard(config.cores, config.link),
+            shard_size: shard(config.cores, config.link_rate),
             pool: PoolConfig {
-                disabled: config.without,
+                disabled: config.disabled,
                 ..PoolConfig::default()
             },
         };
@@ -292,8 +292,8 @@
             tallied: now,
             beaten: Time::default(),
             waiting: HashMap::new(),
-            config_sync: ConfigSync::new(me.instance, config.part, config.dc)
-                .with_link(config.link),
+            config_sync: ConfigSync::new(me.instance, config.kind, config.dc)
+                .with_link_rate(config.link_rate),
             directory: WorkerDirectory::default(),
             untold: Vec::new(),
             keeping: HashMap::new(),
--- a/crates/celerywinch_fleet/src/core/members.rs
+++ b/crates/celerywinch_fleet/src/core/members.rs
@@ -23,7 +23,7 @@
                 continue;
             }
             let addr = Ipv4Addr::from(instance.0);
-            let port = self.config.links.port();
+            let port = self.config.link_addr.port();
             self.links.open(*instance, SocketAddr::from((addr, port)));
         }
     }
@@ -89,7 +89,7 @@
         let Some(view) = peers.get(instance) else {
             return;
         };
-        if self.config.part != ProcessKind::Keeper {
+        if self.config.kind != ProcessKind::Keeper {
             return;
         }
         let contact = Contact {
--- a/crates/celerywinch_fleet/src/core/work.rs
+++ b/crates/celerywinch_fleet/src/core/work.rs
@@ -122,7 +122,7 @@
         if held.version <= self.config_sync.version() {
             return;
         }
-        match self.port.read_book(&held.document) {
+        match self.port.parse_config(&held.document) {
             Ok(book) => {
                 self.note(&CoreNote::InForce {
                     version: held.version,
--- a/crates/celerywinch_fleet/src/store.rs
+++ b/crates/celerywinch_fleet/src/store.rs
@@ -79,12 +79,12 @@
     clock: Clock,
     core: UnboundedSender<CoreMsg>,
 ) -> anyhow::Result<Sender<StoreIn>> {
-    let folder = config.folder.clone();
+    let folder = config.data_dir.clone();
     let mut store = Store {
         me: config.instance,
         seeds: config.seeds.clone(),
         bootstrap: config.bootstrap,
-        voters: config.tolerated * 2 + 1,
+        voters: config.fault_tolerance * 2 + 1,
         folder: folder.context("store: a keeper needs a data folder")?,
         clock,
         core,
--- a/crates/celerywinch_fleet/tests/sources.rs
+++ b/crates/celerywinch_fleet/tests/sources.rs
@@ -194,7 +194,7 @@
 fn newer_version_is_in_force_in_time(#[case] case: Overtaken) {
     let keeper = Source::new(10, ProcessKind::Keeper, 8, Some(BUSY_MS));
     let mut entry = Entry::new(7, vec![keeper]);
-    entry.sync = ConfigSync::new(ME, ProcessKind::Entry, DC).with_link(case.link);
+    entry.sync = ConfigSync::new(ME, ProcessKind::Entry, DC).with_link_rate(case.link);
     entry.take(ConfigSyncInput::InForce(document(7)));
     entry.pass(BUSY_MS * 2);
     entry.sources[0].hold(entry.now, 9, case.newer);
--- a/crates/celerywinch_fleet/tests/wire/mod.rs
+++ b/crates/celerywinch_fleet/tests/wire/mod.rs
@@ -153,7 +153,7 @@
             ProcessKind::Entry => id % DCS,
         };
         let sync = ConfigSync::new(InstanceId(id), kind, DataCentreId(dc as u8));
-        let sync = sync.with_link(Some(ENTRY_RATE as f64 * 1e3));
+        let sync = sync.with_link_rate(Some(ENTRY_RATE as f64 * 1e3));
         let node = Node {
             sync,
             kind,
