--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -70,7 +70,7 @@
     Answered(CallKey, Answer),
     AnsweredLate(Duration),
     Announce(WorkerAnnouncement, oneshot::Sender<bool>),
-    Leave(String, Option<Incarnation>, oneshot::Sender<bool>),
+    WorkerLeft(String, Option<Incarnation>, oneshot::Sender<bool>),
     Keep(KeeperRequest, oneshot::Sender<Option<KeeperState>>),
     Store(StoreOut),
     Seeds(Vec<InstanceId>),
@@ -418,7 +418,7 @@
             CoreMsg::Announce(note, answer) => {
                 let _ = answer.send(self.announced(now, note));
             }
-            CoreMsg::Leave(worker, life, answer) => {
+            CoreMsg::WorkerLeft(worker, life, answer) => {
                 let _ = answer.send(self.worker_left(now, &worker, life));
             }
             CoreMsg::Keep(request, answer) => self.keep(request, answer),
--- a/crates/celerywinch_fleet/src/core/work.rs
+++ b/crates/celerywinch_fleet/src/core/work.rs
@@ -123,12 +123,12 @@
             return;
         }
         match self.port.parse_config(&held.document) {
-            Ok(book) => {
+            Ok(config) => {
                 self.note(&CoreNote::InForce {
                     version: held.version,
-                    queues: book.queues.len(),
+                    queues: config.queues.len(),
                 });
-                self.snapshot.book.store(Some(Arc::new(book)));
+                self.snapshot.queue_config.store(Some(Arc::new(config)));
                 let version = held.version;
                 self.input(now, Input::ConfigVersion(version));
                 self.sync_config(now, ConfigSyncInput::InForce(held));
--- a/crates/celerywinch_fleet/src/handle.rs
+++ b/crates/celerywinch_fleet/src/handle.rs
@@ -21,19 +21,19 @@
 /// What requests read without asking the core.
 #[derive(Debug, Default)]
 pub(crate) struct Snapshot {
-    pub(crate) book: ArcSwapOption<QueueConfig>,
+    pub(crate) queue_config: ArcSwapOption<QueueConfig>,
     pub(crate) ready: AtomicBool,
-    pub(crate) leaving: OnceLock<Leaving>,
+    pub(crate) stop_schedule: OnceLock<StopSchedule>,
     pub(crate) open_jobs: AtomicU64,
 }
 
 /// When a planned stop ends.
 #[derive(Clone, Copy, Debug)]
-pub struct Leaving {
+pub struct StopSchedule {
     /// Until then callers are still sent here.
-    pub stays: Instant,
+    pub routed_until: Instant,
     /// The process ends then at the latest.
-    pub ends: Instant,
+    pub exit_by: Instant,
 }
 
 /// A running process.
@@ -48,23 +48,23 @@
 
 /// A job that was submitted; dropped without an answer, it is cancelled.
 #[derive(Debug)]
-pub struct Submitted {
+pub struct JobHandle {
     core: UnboundedSender<CoreMsg>,
     caller: CallerId,
     answer: oneshot::Receiver<JobEnd>,
     answered: bool,
 }
 
-impl Submitted {
+impl JobHandle {
     /// Waits for the end of the job.
-    pub async fn end(mut self) -> JobEnd {
+    pub async fn wait(mut self) -> JobEnd {
         let end = (&mut self.answer).await;
         self.answered = true;
         end.unwrap_or(JobEnd::Unsure)
     }
 }
 
-impl Drop for Submitted {
+impl Drop for JobHandle {
     fn drop(&mut self) {
         if !self.answered {
             // The caller's connection is gone; the core ends before only when the process does.
@@ -76,20 +76,20 @@
 impl Fleet {
     /// The configuration in force; none before the first one is known.
     #[must_use]
-    pub fn book(&self) -> Option<Arc<QueueConfig>> {
-        self.snapshot.book.load_full()
+    pub fn queue_config(&self) -> Option<Arc<QueueConfig>> {
+        self.snapshot.queue_config.load_full()
     }
 
     /// Whether callers should be sent here.
     #[must_use]
-    pub fn ready(&self) -> bool {
-        self.snapshot.ready.load(Ordering::Acquire) && !self.leaving()
+    pub fn is_ready(&self) -> bool {
+        self.snapshot.ready.load(Ordering::Acquire) && !self.is_stopping()
     }
 
     /// Whether a planned stop has begun.
     #[must_use]
-    pub fn leaving(&self) -> bool {
-        self.snapshot.leaving.get().is_some()
+    pub fn is_stopping(&self) -> bool {
+        self.snapshot.stop_schedule.get().is_some()
     }
 
     /// Whether a job can be answered before the process ends, that should take `expected` and is waited for as long as
@@ -98,14 +98,14 @@
     #[must_use]
     pub fn has_time_for(&self, expected: Duration, timeout: Duration) -> bool {
         let now = Instant::now();
-        self.snapshot.leaving.get().is_none_or(|leaving| {
-            let stays = now < leaving.stays;
-            let span = if stays {
+        self.snapshot.stop_schedule.get().is_none_or(|schedule| {
+            let routed = now < schedule.routed_until;
+            let span = if routed {
                 expected.min(timeout)
             } else {
                 timeout
             };
-            now + span <= leaving.ends
+            now + span <= schedule.exit_by
         })
     }
 
@@ -129,12 +129,12 @@
 
     /// Submits a job.
     #[must_use]
-    pub fn submit(&self, job: NewJob) -> Submitted {
+    pub fn submit(&self, job: NewJob) -> JobHandle {
         let caller = CallerId(self.callers.fetch_add(1, Ordering::Relaxed));
         let (sender, answer) = oneshot::channel();
         // Without a core the answer is `Unsure`, by the closed channel.
         let _ = self.core.send(CoreMsg::Submit(caller, job, sender));
-        Submitted {
+        JobHandle {
             core: self.core.clone(),
             caller,
             answer,
@@ -150,22 +150,22 @@
     }
 
     /// A worker has left; `life` is none where it does not say which of its lives did.
-    pub async fn leave(&self, worker: String, life: Option<Incarnation>) -> bool {
-        self.ask(|answer| CoreMsg::Leave(worker, life, answer))
+    pub async fn worker_left(&self, worker: String, incarnation: Option<Incarnation>) -> bool {
+        self.ask(|answer| CoreMsg::WorkerLeft(worker, incarnation, answer))
             .await
             .unwrap_or(false)
     }
 
     /// Puts a checked document in force, unless a version as high is held. The version held after
     /// it; none if it is not known what became of it.
-    pub async fn propose(&self, version: u64, document: Vec<u8>) -> Option<u64> {
+    pub async fn propose_config(&self, version: u64, document: Vec<u8>) -> Option<u64> {
         let request = KeeperRequest::PutDocument(version, document);
         let state = tokio::time::timeout(REQUEST_TIMEOUT, self.keep(request)).await;
         Some(state.ok().flatten()?.version)
     }
 
     /// Reads the newest version and document; `None` if the keepers did not confirm them in time.
-    pub async fn read(&self) -> Option<KeeperState> {
+    pub async fn read_config(&self) -> Option<KeeperState> {
         let question = self.keep(KeeperRequest::ReadDocument);
         let state = tokio::time::timeout(REQUEST_TIMEOUT, question).await;
         state.ok().flatten()
@@ -209,9 +209,9 @@
     }
 
     /// Begins a planned stop: no new callers, and what this process dispatches for goes to others.
-    pub fn leave_deployment(&self, leaving: Leaving) {
+    pub fn stop(&self, schedule: StopSchedule) {
         // A second signal changes nothing.
-        let _ = self.snapshot.leaving.set(leaving);
+        let _ = self.snapshot.stop_schedule.set(schedule);
         let _ = self.core.send(CoreMsg::Stop);
     }
 
--- a/crates/celerywinch_fleet/src/lib.rs
+++ b/crates/celerywinch_fleet/src/lib.rs
@@ -22,4 +22,4 @@
 pub use config_sync::{ConfigSync, ConfigSyncEvent, ConfigSyncInput, ConfigSyncOutput, PeerStatus};
 pub use core::start;
 pub use directory::{AnnounceOutcome, WorkerDirectory};
-pub use handle::{Fleet, Leaving, Submitted};
+pub use handle::{Fleet, JobHandle, StopSchedule};
