--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -1,6 +1,6 @@
 //! The core: drives the state machines and carries out what they decide.
 
-mod keeping;
+mod keepers;
 mod members;
 mod work;
 
@@ -28,10 +28,10 @@
 use crate::config_sync::{ConfigSync, ConfigSyncInput, PeerStatus};
 use crate::directory::{AnnounceOutcome, WorkerDirectory};
 use crate::handle::Snapshot;
-use crate::journal::{Journal, Kind};
+use crate::journal::{EventClass, Journal};
 use crate::links::{self, LinkHost, Links};
 use crate::metrics::Metrics;
-use crate::store::{self, StoreIn, StoreOut};
+use crate::store::{self, StoreInput, StoreOutput};
 use crate::{Clock, Fleet, FleetConfig, Port};
 
 /// Between two ticks while tasks are dispatched here: time-outs of tens of ms need them; ...
@@ -41,21 +41,21 @@
 /// ... and while nothing is open.
 const IDLE_TICK: Duration = Duration::from_millis(40);
 /// A process that was not scheduled for this long may have been taken for lost.
-const PAUSE: Duration = Duration::from_millis(300);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
 const WORKERS_PER_CORE: f64 = 320.0;
 /// Bytes a second of a link for each worker: at the users' sites a worker gets four starts a second of 1.4 KB, and eight
 /// looks of 0.4 KB, and half as much again comes in bursts.
-const LINK_PER_WORKER: f64 = 15_000.0;
+const LINK_RATE_PER_WORKER: f64 = 15_000.0;
 /// Fewer workers leave too little choice where to place a wide job, ...
-const LEAST_SHARD: usize = 32;
+const MIN_SHARD: usize = 32;
 /// ... which is better than a link that cannot carry their orders.
-const LEAST_LINK_SHARD: usize = 12;
+const MIN_LINK_SHARD: usize = 12;
 /// More are served by several dispatchers also where one could do it: it is lost with all of them.
-const MOST_SHARD: usize = 160;
+const MAX_SHARD: usize = 160;
 /// Between two lines in the log on what was sent.
-const TALLY: Duration = Duration::from_secs(10);
+const TRAFFIC_LOG_INTERVAL: Duration = Duration::from_secs(10);
 /// The most messages handled before what they led to is sent.
-const BATCH: usize = 64;
+const MAX_BATCH: usize = 64;
 
 /// What the core is told.
 #[derive(Debug)]
@@ -71,8 +71,8 @@
     AnsweredLate(Duration),
     Announce(WorkerAnnouncement, oneshot::Sender<bool>),
     WorkerLeft(String, Option<Incarnation>, oneshot::Sender<bool>),
-    Keep(KeeperRequest, oneshot::Sender<Option<KeeperState>>),
-    Store(StoreOut),
+    KeeperRequest(KeeperRequest, oneshot::Sender<Option<KeeperState>>),
+    Store(StoreOutput),
     Seeds(Vec<InstanceId>),
     Stop,
 }
@@ -80,7 +80,7 @@
 /// A change of what this process believes, for the logs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub(crate) enum CoreNote {
+pub(crate) enum CoreEvent {
     Started {
         seeds: usize,
         bootstrap: bool,
@@ -162,19 +162,19 @@
     metrics: Metrics,
     links: Links,
     member: Member,
-    ticked: Time,
+    last_tick: Time,
     /// When the log was last told what was sent.
-    tallied: Time,
+    traffic_logged: Time,
     /// When seeds that are not heard got the last heartbeat.
-    beaten: Time,
-    waiting: HashMap<CallerId, oneshot::Sender<JobEnd>>,
+    seeds_contacted: Time,
+    callers: HashMap<CallerId, oneshot::Sender<JobEnd>>,
     config_sync: ConfigSync,
     directory: WorkerDirectory,
     /// Workers that the entries have to hear of with the next tick.
-    untold: Vec<WorkerAnnouncement>,
-    store: Option<Sender<StoreIn>>,
-    keeping: HashMap<u64, (RequestKind, oneshot::Sender<Option<KeeperState>>)>,
-    next_keep: u64,
+    unsent_workers: Vec<WorkerAnnouncement>,
+    store: Option<Sender<StoreInput>>,
+    keeper_requests: HashMap<u64, (RequestKind, oneshot::Sender<Option<KeeperState>>)>,
+    next_request: u64,
     contacts: BTreeSet<InstanceId>,
 }
 
@@ -186,7 +186,7 @@
     port: Rc<dyn Port>,
     sender: UnboundedSender<CoreMsg>,
     snapshot: Arc<Snapshot>,
-    store: Option<Sender<StoreIn>>,
+    store: Option<Sender<StoreInput>>,
     host: LinkHost,
     metrics: Metrics,
 }
@@ -238,7 +238,7 @@
         clock,
         snapshot,
         metrics,
-        callers: Arc::new(AtomicU64::new(1)),
+        next_caller: Arc::new(AtomicU64::new(1)),
     })
 }
 
@@ -251,10 +251,10 @@
 /// How many workers a dispatcher can take, by the cores that it has: 48 workers with 500 starts a
 /// second took a twentieth of a core, measured on the platform; a process should use a third at most of
 /// what it has for that, as callers' requests come in bursts. `link` is what its link carries, in bytes a second.
-fn shard(cores: f64, link: Option<f64>) -> usize {
-    let by_cores = ((cores * WORKERS_PER_CORE) as usize).clamp(LEAST_SHARD, MOST_SHARD);
-    let by_link = link.map_or(MOST_SHARD, |link| (link / LINK_PER_WORKER) as usize);
-    by_cores.min(by_link.max(LEAST_LINK_SHARD))
+fn max_workers(cores: f64, link: Option<f64>) -> usize {
+    let by_cores = ((cores * WORKERS_PER_CORE) as usize).clamp(MIN_SHARD, MAX_SHARD);
+    let by_link = link.map_or(MAX_SHARD, |link| (link / LINK_RATE_PER_WORKER) as usize);
+    by_cores.min(by_link.max(MIN_LINK_SHARD))
 }
 
 impl Core {
@@ -276,7 +276,7 @@
             part: config.kind,
             dc: config.dc,
             dcs: config.dcs.clone(),
-            shard_size: shard(config.cores, config.link_rate),
+            shard_size: max_workers(config.cores, config.link_rate),
             pool: PoolConfig {
                 disabled: config.disabled,
                 ..PoolConfig::default()
@@ -288,16 +288,16 @@
             metrics,
             links: Links::new(host, links::config(me)),
             snapshot,
-            ticked: now,
-            tallied: now,
-            beaten: Time::default(),
-            waiting: HashMap::new(),
+            last_tick: now,
+            traffic_logged: now,
+            seeds_contacted: Time::default(),
+            callers: HashMap::new(),
             config_sync: ConfigSync::new(me.instance, config.kind, config.dc)
                 .with_link_rate(config.link_rate),
             directory: WorkerDirectory::default(),
-            untold: Vec::new(),
-            keeping: HashMap::new(),
-            next_keep: rand::random::<u32>().into(),
+            unsent_workers: Vec::new(),
+            keeper_requests: HashMap::new(),
+            next_request: rand::random::<u32>().into(),
             contacts: BTreeSet::new(),
             config,
             me,
@@ -307,11 +307,11 @@
             store,
         };
         let seeds = core.config.seeds.clone();
-        core.note(&CoreNote::Started {
+        core.log_event(&CoreEvent::Started {
             seeds: seeds.len(),
             bootstrap: core.config.bootstrap,
         });
-        core.learn(&seeds);
+        core.open_links(&seeds);
         Ok(core)
     }
 
@@ -322,22 +322,22 @@
             match tokio::time::timeout(sleep, inbox.recv()).await {
                 Ok(None) => return,
                 Ok(Some(first)) => {
-                    self.notice_pause();
-                    self.take(first);
-                    for _ in 1..BATCH {
+                    self.check_pause();
+                    self.handle(first);
+                    for _ in 1..MAX_BATCH {
                         let Ok(msg) = inbox.try_recv() else {
                             break;
                         };
-                        self.take(msg);
+                        self.handle(msg);
                     }
                     if self.member.needs_flush() {
                         self.input(self.clock.now(), Input::Flush);
                     }
                 }
-                Err(_) => self.notice_pause(),
+                Err(_) => self.check_pause(),
             }
             let now = self.clock.now();
-            if now.since(self.ticked) >= self.interval() {
+            if now.since(self.last_tick) >= self.interval() {
                 self.tick(now);
             }
         }
@@ -354,58 +354,58 @@
     }
 
     fn sleep(&self) -> Duration {
-        let due = self.ticked + self.interval();
+        let due = self.last_tick + self.interval();
         due.since(self.clock.now())
     }
 
     /// A process that stood still must not act on what it knew before: its leases are over, and
     /// others may dispatch in its place.
-    fn notice_pause(&mut self) {
+    fn check_pause(&mut self) {
         let now = self.clock.now();
-        let stood = now.since(self.ticked);
-        if stood < PAUSE + IDLE_TICK {
+        let stood = now.since(self.last_tick);
+        if stood < PAUSE_THRESHOLD + IDLE_TICK {
             return;
         }
-        self.ticked = now;
-        self.note(&CoreNote::Paused {
+        self.last_tick = now;
+        self.log_event(&CoreEvent::Paused {
             stood: stood.as_millis() as u32,
         });
         self.input(now, Input::Paused);
     }
 
     fn tick(&mut self, now: Time) {
-        self.ticked = now;
+        self.last_tick = now;
         self.input(now, Input::Tick);
         self.sync_config(now, ConfigSyncInput::Tick);
-        self.beat_seeds(now);
+        self.contact_seeds(now);
         self.directory.remove_expired(now);
-        self.tell_workers(now);
+        self.announce_workers(now);
         self.save_workers(now);
-        self.measure(now);
-        if now.since(self.tallied) >= TALLY {
-            self.tallied = now;
-            let kinds = self.metrics.sent();
-            self.note(&CoreNote::Sent { kinds });
+        self.update_gauges(now);
+        if now.since(self.traffic_logged) >= TRAFFIC_LOG_INTERVAL {
+            self.traffic_logged = now;
+            let kinds = self.metrics.traffic();
+            self.log_event(&CoreEvent::Sent { kinds });
         }
     }
 
-    fn take(&mut self, msg: CoreMsg) {
+    fn handle(&mut self, msg: CoreMsg) {
         let now = self.clock.now();
         match msg {
-            CoreMsg::Peer(from, msg) => self.peer(now, from, msg),
-            CoreMsg::Accepted(from) => self.accepted(now, from),
-            CoreMsg::Rejected(from, current) => self.note(&CoreNote::StreamRejected {
+            CoreMsg::Peer(from, msg) => self.handle_message(now, from, msg),
+            CoreMsg::Accepted(from) => self.handle_accepted(now, from),
+            CoreMsg::Rejected(from, current) => self.log_event(&CoreEvent::StreamRejected {
                 peer: from.instance,
                 incarnation: from.incarnation,
                 current: current.incarnation,
             }),
-            CoreMsg::Link(peer, event) => self.link(now, peer, event),
+            CoreMsg::Link(peer, event) => self.handle_link_event(now, peer, event),
             CoreMsg::Submit(caller, job, answer) => {
-                self.waiting.insert(caller, answer);
+                self.callers.insert(caller, answer);
                 self.input(now, Input::Submit(caller, job));
             }
             CoreMsg::CallerGone(caller) => {
-                self.waiting.remove(&caller);
+                self.callers.remove(&caller);
                 self.input(now, Input::CallerGone(caller));
             }
             CoreMsg::Answered(key, answer) => {
@@ -416,24 +416,24 @@
                 self.input(now, Input::AnsweredLate(took));
             }
             CoreMsg::Announce(note, answer) => {
-                let _ = answer.send(self.announced(now, note));
+                let _ = answer.send(self.handle_announcement(now, note));
             }
             CoreMsg::WorkerLeft(worker, life, answer) => {
                 let _ = answer.send(self.worker_left(now, &worker, life));
             }
-            CoreMsg::Keep(request, answer) => self.keep(request, answer),
-            CoreMsg::Store(out) => self.stored(now, out),
+            CoreMsg::KeeperRequest(request, answer) => self.request_keepers(request, answer),
+            CoreMsg::Store(out) => self.handle_store_output(now, out),
             CoreMsg::Seeds(seeds) => {
-                self.note(&CoreNote::Seeds {
+                self.log_event(&CoreEvent::Seeds {
                     seeds: seeds.clone(),
                 });
-                self.learn(&seeds);
+                self.open_links(&seeds);
             }
             CoreMsg::Stop => self.stop(now),
         }
     }
 
-    fn peer(&mut self, now: Time, from: Process, msg: FleetMsg) {
+    fn handle_message(&mut self, now: Time, from: Process, msg: FleetMsg) {
         match msg {
             FleetMsg::Heartbeat(beat) => {
                 let input = ConfigSyncInput::Heartbeat(PeerStatus {
@@ -447,10 +447,10 @@
             }
             FleetMsg::Contacts(contacts) => {
                 let instances: Vec<_> = contacts.iter().map(|c| c.instance).collect();
-                self.learn(&instances);
+                self.open_links(&instances);
             }
-            FleetMsg::Log(bytes) => self.to_store(StoreIn::Log(from.instance, bytes)),
-            FleetMsg::Keeper(msg) => self.keep_msg(from.instance, msg),
+            FleetMsg::Log(bytes) => self.to_store(StoreInput::Log(from.instance, bytes)),
+            FleetMsg::Keeper(msg) => self.handle_keeper_message(from.instance, msg),
             FleetMsg::Workers(notes) => self.input(now, Input::Workers(notes)),
             FleetMsg::Config(msg) => {
                 self.sync_config(now, ConfigSyncInput::Message(from.instance, msg))
@@ -463,14 +463,14 @@
     }
 
     fn stop(&mut self, now: Time) {
-        self.note(&CoreNote::Stopping {
+        self.log_event(&CoreEvent::Stopping {
             jobs: self.member.open_jobs(),
         });
         self.input(now, Input::Stop);
     }
 
-    fn note(&mut self, note: &CoreNote) {
+    fn log_event(&mut self, note: &CoreEvent) {
         let now = self.clock.now();
-        self.journal.write(now, "core", Kind::Telling, note);
+        self.journal.write(now, "core", EventClass::Notable, note);
     }
 }
--- a/crates/celerywinch_fleet/src/core/keeping.rs
+++ b/crates/celerywinch_fleet/src/core/keepers.rs
@@ -8,34 +8,34 @@
 };
 use tokio::sync::oneshot;
 
-use super::{Core, CoreNote, RequestKind};
+use super::{Core, CoreEvent, RequestKind};
 use crate::config_sync::{ConfigSyncInput, ConfigSyncOutput};
 use crate::directory::AnnounceOutcome;
-use crate::journal::Kind;
-use crate::store::{StoreIn, StoreOut};
+use crate::journal::EventClass;
+use crate::store::{StoreInput, StoreOutput};
 
 impl Core {
-    pub(super) fn to_store(&self, msg: StoreIn) {
+    pub(super) fn to_store(&self, msg: StoreInput) {
         if let Some(store) = &self.store {
             // The thread ends only with the process.
             let _ = store.send(msg);
         }
     }
 
-    pub(super) fn stored(&mut self, now: Time, out: StoreOut) {
+    pub(super) fn handle_store_output(&mut self, now: Time, out: StoreOutput) {
         match out {
-            StoreOut::Send(to, msg) => self.links.send(to, msg),
-            StoreOut::Answer(id, state) => self.answer_keep(id, state),
-            StoreOut::Committed(held) => self.put_in_force(now, held),
-            StoreOut::EvacuationsChanged(evacuations) => {
+            StoreOutput::Send(to, msg) => self.links.send(to, msg),
+            StoreOutput::Answer(id, state) => self.finish_request(id, state),
+            StoreOutput::Committed(held) => self.put_in_force(now, held),
+            StoreOutput::EvacuationsChanged(evacuations) => {
                 self.input(now, Input::Evacuations(evacuations))
             }
-            StoreOut::Workers(notes) => {
+            StoreOutput::Workers(notes) => {
                 for note in notes {
-                    self.announced(now, note);
+                    self.handle_announcement(now, note);
                 }
             }
-            StoreOut::Role(figures) => self.note(&CoreNote::Keeper {
+            StoreOutput::Role(figures) => self.log_event(&CoreEvent::Keeper {
                 role: format!("{:?}", figures.role),
                 term: figures.term,
                 voters: figures.voters,
@@ -63,14 +63,14 @@
                 }
                 ConfigSyncOutput::Fetched(held) => self.put_in_force(now, held),
                 ConfigSyncOutput::Event(note) => {
-                    self.metrics.document_fetched(&note);
-                    self.journal.write(now, "core", Kind::Telling, &note);
+                    self.metrics.config_sync_event(&note);
+                    self.journal.write(now, "core", EventClass::Notable, &note);
                 }
             }
         }
     }
 
-    pub(super) fn keep(
+    pub(super) fn request_keepers(
         &mut self,
         request: KeeperRequest,
         answer: oneshot::Sender<Option<KeeperState>>,
@@ -79,39 +79,40 @@
             let _ = answer.send(None);
             return;
         }
-        self.keeping.retain(|_, (_, waiting)| !waiting.is_closed());
-        self.next_keep += 1;
-        let id = self.next_keep;
+        self.keeper_requests
+            .retain(|_, (_, waiting)| !waiting.is_closed());
+        self.next_request += 1;
+        let id = self.next_request;
         let kind = match &request {
             KeeperRequest::ReadDocument | KeeperRequest::ReadEvacuations => RequestKind::Read,
             KeeperRequest::PutDocument(version, _) => RequestKind::PutDocument(*version),
             KeeperRequest::Evacuate(order) => RequestKind::Evacuate(*order),
         };
-        self.keeping.insert(id, (kind, answer));
+        self.keeper_requests.insert(id, (kind, answer));
         let from = self.me.instance;
-        self.to_store(StoreIn::Request(Request { from, id, request }));
+        self.to_store(StoreInput::Request(Request { from, id, request }));
     }
 
-    pub(super) fn keep_msg(&mut self, from: InstanceId, msg: KeeperMsg) {
+    pub(super) fn handle_keeper_message(&mut self, from: InstanceId, msg: KeeperMsg) {
         match msg {
             KeeperMsg::Propose { id, request } => {
-                self.to_store(StoreIn::Request(Request { from, id, request }));
+                self.to_store(StoreInput::Request(Request { from, id, request }));
             }
-            KeeperMsg::Answer { id, state } => self.answer_keep(id, state),
+            KeeperMsg::Answer { id, state } => self.finish_request(id, state),
         }
     }
 
-    fn answer_keep(&mut self, id: u64, state: Option<KeeperState>) {
-        let Some((kind, waiting)) = self.keeping.remove(&id) else {
+    fn finish_request(&mut self, id: u64, state: Option<KeeperState>) {
+        let Some((kind, waiting)) = self.keeper_requests.remove(&id) else {
             return;
         };
         match kind {
             RequestKind::Read => {}
             RequestKind::PutDocument(version) => {
                 let held = state.as_ref().map(|state| state.version);
-                self.note(&CoreNote::Proposed { version, held });
+                self.log_event(&CoreEvent::Proposed { version, held });
             }
-            RequestKind::Evacuate(order) => self.note(&CoreNote::EvacuationProposed {
+            RequestKind::Evacuate(order) => self.log_event(&CoreEvent::EvacuationProposed {
                 order,
                 held: state.as_ref().map(|state| state.evacuations.clone()),
             }),
@@ -124,24 +125,24 @@
     ///
     /// A worker that leaves goes on to serve until its notice is acknowledged, and then counts on it that nothing more is started
     /// there. So an acknowledgement says that the notice was taken, and that there are dispatchers which were told.
-    pub(super) fn announced(&mut self, now: Time, note: WorkerAnnouncement) -> bool {
+    pub(super) fn handle_announcement(&mut self, now: Time, note: WorkerAnnouncement) -> bool {
         let (worker, stage, said) = (note.id.clone(), note.stage, note.version);
         let known = self.directory.len();
         let heard = self.directory.record_announcement(now, note.clone());
-        self.metrics.announced(heard);
+        self.metrics.worker_announced(heard);
         let tells = matches!(
             heard,
             AnnounceOutcome::Changed | AnnounceOutcome::OtherIncarnation(_)
         );
         if tells {
-            self.untold.push(note);
+            self.unsent_workers.push(note);
             if stage != WorkerStage::Ready {
-                self.tell_workers(now);
+                self.announce_workers(now);
             }
         }
         let taken = tells || self.directory.is_leaving(&worker);
         match heard {
-            AnnounceOutcome::Changed => self.note(&CoreNote::Announced {
+            AnnounceOutcome::Changed => self.log_event(&CoreEvent::Announced {
                 worker,
                 said,
                 stage,
@@ -151,7 +152,7 @@
             AnnounceOutcome::Stale(_)
             | AnnounceOutcome::OtherIncarnation(_)
             | AnnounceOutcome::Left => {
-                self.note(&CoreNote::NotTaken {
+                self.log_event(&CoreEvent::NotTaken {
                     worker,
                     said,
                     stage,
@@ -164,11 +165,11 @@
 
     /// Tells the entries of the workers that have come or changed since the last time. With one message for each, 1,100
     /// workers that start together were 160,000 messages to 147 entries.
-    pub(super) fn tell_workers(&mut self, now: Time) {
-        if self.untold.is_empty() {
+    pub(super) fn announce_workers(&mut self, now: Time) {
+        if self.unsent_workers.is_empty() {
             return;
         }
-        let notes = std::mem::take(&mut self.untold);
+        let notes = std::mem::take(&mut self.unsent_workers);
         for entry in self.entries(now) {
             self.links.send(entry, FleetMsg::Workers(notes.clone()));
         }
@@ -179,7 +180,7 @@
         if self.store.is_some()
             && let Some(workers) = self.directory.take_unsaved(now)
         {
-            self.to_store(StoreIn::Workers(workers));
+            self.to_store(StoreInput::Workers(workers));
         }
     }
 
@@ -191,8 +192,8 @@
         life: Option<Incarnation>,
     ) -> bool {
         if let Some(note) = self.directory.record_departure(now, worker, life) {
-            self.untold.push(note);
-            self.tell_workers(now);
+            self.unsent_workers.push(note);
+            self.announce_workers(now);
         }
         true
     }
--- a/crates/celerywinch_fleet/src/core/members.rs
+++ b/crates/celerywinch_fleet/src/core/members.rs
@@ -10,14 +10,14 @@
 
 use super::Core;
 use crate::config_sync::ConfigSyncInput;
-use crate::store::StoreIn;
+use crate::store::StoreInput;
 
 /// Between two heartbeats to seeds that were not heard yet; as often as to others.
-const SEED_BEAT: Duration = Duration::from_millis(100);
+const SEED_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Core {
     /// Opens links to instances that were heard of.
-    pub(super) fn learn(&mut self, instances: &[InstanceId]) {
+    pub(super) fn open_links(&mut self, instances: &[InstanceId]) {
         for instance in instances {
             if *instance == self.me.instance || self.links.contains(*instance) {
                 continue;
@@ -28,13 +28,13 @@
         }
     }
 
-    pub(super) fn accepted(&mut self, now: Time, from: Process) {
-        self.learn(&[from.instance]);
+    pub(super) fn handle_accepted(&mut self, now: Time, from: Process) {
+        self.open_links(&[from.instance]);
         // What it sent on an earlier stream may be lost: ends of tasks, or tasks.
         self.input(now, Input::LinkReset(from.instance));
     }
 
-    pub(super) fn link(&mut self, now: Time, peer: InstanceId, event: LinkEvent) {
+    pub(super) fn handle_link_event(&mut self, now: Time, peer: InstanceId, event: LinkEvent) {
         match event {
             LinkEvent::Opened | LinkEvent::Replaced => {
                 let beat = self.member.heartbeat_for(now, peer);
@@ -77,14 +77,14 @@
         self.links.send(to, FleetMsg::Contacts(contacts));
     }
 
-    pub(super) fn new_peer(&mut self, from: Process) {
-        self.learn(&[from.instance]);
-        self.spread_contact(from.instance);
+    pub(super) fn add_peer(&mut self, from: Process) {
+        self.open_links(&[from.instance]);
+        self.broadcast_contact(from.instance);
         self.update_keepers();
     }
 
     /// Tells the others of a process that was not known, so that few seeds suffice to find all.
-    fn spread_contact(&self, instance: InstanceId) {
+    fn broadcast_contact(&self, instance: InstanceId) {
         let peers = self.member.peers();
         let Some(view) = peers.get(instance) else {
             return;
@@ -107,16 +107,16 @@
         if keepers != self.contacts {
             self.contacts = keepers;
             let contacts = self.contacts.iter().copied().collect();
-            self.to_store(StoreIn::Contacts(contacts));
+            self.to_store(StoreInput::Contacts(contacts));
         }
     }
 
     /// Seeds that were never heard get heartbeats too: by these they learn of this process.
-    pub(super) fn beat_seeds(&mut self, now: Time) {
-        if now.since(self.beaten) < SEED_BEAT {
+    pub(super) fn contact_seeds(&mut self, now: Time) {
+        if now.since(self.seeds_contacted) < SEED_INTERVAL {
             return;
         }
-        self.beaten = now;
+        self.seeds_contacted = now;
         let peers = self.member.peers();
         let seeds = self.config.seeds.iter().copied();
         let unheard: Vec<_> = seeds.filter(|seed| peers.get(*seed).is_none()).collect();
@@ -126,7 +126,7 @@
         }
     }
 
-    pub(super) fn forget(&mut self, peer: InstanceId) {
+    pub(super) fn remove_peer(&mut self, peer: InstanceId) {
         if !self.config.seeds.contains(&peer) {
             self.links.close(peer);
         }
--- a/crates/celerywinch_fleet/src/core/work.rs
+++ b/crates/celerywinch_fleet/src/core/work.rs
@@ -9,24 +9,24 @@
 use celerywinch_registry::VersionedDocument;
 use celerywinch_types::Time;
 
-use super::{Core, CoreMsg, CoreNote};
+use super::{Core, CoreEvent, CoreMsg};
 use crate::config_sync::ConfigSyncInput;
-use crate::journal::Kind;
+use crate::journal::EventClass;
 
 /// How much longer an answer is waited for that may have arrived and was not read yet. A process with
 /// an eighth of a core stands still for tens of ms when several requests come at once; without this,
 /// one answer in forty was taken for missing.
-const UNREAD: Duration = Duration::from_millis(20);
+const READ_GRACE: Duration = Duration::from_millis(20);
 
 /// How much longer an answer is listened for that is not waited for any more. It shows that the path is slow, and not
 /// that answers are lost: later ones are waited for longer.
-const LATE: Duration = Duration::from_millis(600);
+const LATE_ANSWER_WINDOW: Duration = Duration::from_millis(600);
 
-fn kind(routine: bool) -> Kind {
+fn event_class(routine: bool) -> EventClass {
     if routine {
-        Kind::Routine
+        EventClass::Routine
     } else {
-        Kind::Telling
+        EventClass::Notable
     }
 }
 
@@ -48,31 +48,33 @@
             Output::Call(call) => self.call(call),
             Output::Send(to, msg) => self.links.send(to, msg),
             Output::Answer(caller, end) => {
-                if let Some(waiting) = self.waiting.remove(&caller) {
+                if let Some(waiting) = self.callers.remove(&caller) {
                     // A caller that has left needs no answer.
                     let _ = waiting.send(end);
                 }
             }
-            Output::NewPeer(peer) => self.new_peer(peer),
+            Output::NewPeer(peer) => self.add_peer(peer),
             Output::PeerAlive(peer) => self.send_workers(peer),
-            Output::RemovePeer(peer) => self.forget(peer),
+            Output::RemovePeer(peer) => self.remove_peer(peer),
             Output::Stage(_) => {}
-            Output::Member(note) => self.journal.write(now, "member", Kind::Telling, &note),
+            Output::Member(note) => self
+                .journal
+                .write(now, "member", EventClass::Notable, &note),
             Output::Dispatch(note) => {
-                self.metrics.dispatched(&note);
-                let kind = kind(note.is_routine());
-                self.journal.write(now, "dispatch", kind, &note);
+                self.metrics.dispatch_event(&note);
+                let class = event_class(note.is_routine());
+                self.journal.write(now, "dispatch", class, &note);
             }
             Output::Origin(note) => {
-                self.metrics.answered(&note);
-                let kind = kind(note.is_routine());
-                self.journal.write(now, "origin", kind, &note);
+                self.metrics.origin_event(&note);
+                let class = event_class(note.is_routine());
+                self.journal.write(now, "origin", class, &note);
             }
         }
     }
 
     /// Sets the gauges.
-    pub(super) fn measure(&self, now: Time) {
+    pub(super) fn update_gauges(&self, now: Time) {
         let peers = self.member.peers().alive(now).count();
         let (_, _, workers) = self.member.pool().counts();
         self.metrics.peers.set(peers as i64);
@@ -92,7 +94,7 @@
         let key = call.key;
         let limit = call.timeout;
         let waits = call.request.max_wait();
-        self.metrics.calls(&call.request);
+        self.metrics.worker_called(&call.request);
         let answer = self.port.call(call);
         ntex::rt::spawn(async move {
             let began = Instant::now();
@@ -100,14 +102,14 @@
             let mut got = tokio::time::timeout(limit, &mut answer).await;
             if got.is_err() {
                 // The process may have stood still itself, with the answer waiting to be read.
-                got = tokio::time::timeout(UNREAD, &mut answer).await;
+                got = tokio::time::timeout(READ_GRACE, &mut answer).await;
             }
             let silent = got.is_err();
             let answer_in_time = got.unwrap_or(Answer::NoAnswer);
             // The core ends before its calls only when the process does.
             let _ = core.send(CoreMsg::Answered(key, answer_in_time));
             if silent
-                && let Ok(late) = tokio::time::timeout(LATE, &mut answer).await
+                && let Ok(late) = tokio::time::timeout(LATE_ANSWER_WINDOW, &mut answer).await
                 && late != Answer::NoAnswer
             {
                 let took = began.elapsed().saturating_sub(waits);
@@ -124,7 +126,7 @@
         }
         match self.port.parse_config(&held.document) {
             Ok(config) => {
-                self.note(&CoreNote::InForce {
+                self.log_event(&CoreEvent::InForce {
                     version: held.version,
                     queues: config.queues.len(),
                 });
@@ -134,7 +136,7 @@
                 self.sync_config(now, ConfigSyncInput::InForce(held));
             }
             Err(error) => {
-                self.note(&CoreNote::BadDocument {
+                self.log_event(&CoreEvent::BadDocument {
                     version: held.version,
                     error: format!("{error:#}"),
                 });
--- a/crates/celerywinch_fleet/src/handle.rs
+++ b/crates/celerywinch_fleet/src/handle.rs
@@ -43,7 +43,7 @@
     pub(crate) clock: Clock,
     pub(crate) snapshot: Arc<Snapshot>,
     pub(crate) metrics: Metrics,
-    pub(crate) callers: Arc<AtomicU64>,
+    pub(crate) next_caller: Arc<AtomicU64>,
 }
 
 /// A job that was submitted; dropped without an answer, it is cancelled.
@@ -130,7 +130,7 @@
     /// Submits a job.
     #[must_use]
     pub fn submit(&self, job: NewJob) -> JobHandle {
-        let caller = CallerId(self.callers.fetch_add(1, Ordering::Relaxed));
+        let caller = CallerId(self.next_caller.fetch_add(1, Ordering::Relaxed));
         let (sender, answer) = oneshot::channel();
         // Without a core the answer is `Unsure`, by the closed channel.
         let _ = self.core.send(CoreMsg::Submit(caller, job, sender));
@@ -144,14 +144,14 @@
 
     /// A worker announces itself; true once the dispatchers hear of it.
     pub async fn announce(&self, note: WorkerAnnouncement) -> bool {
-        self.ask(|answer| CoreMsg::Announce(note, answer))
+        self.request(|answer| CoreMsg::Announce(note, answer))
             .await
             .unwrap_or(false)
     }
 
     /// A worker has left; `life` is none where it does not say which of its lives did.
     pub async fn worker_left(&self, worker: String, incarnation: Option<Incarnation>) -> bool {
-        self.ask(|answer| CoreMsg::WorkerLeft(worker, incarnation, answer))
+        self.request(|answer| CoreMsg::WorkerLeft(worker, incarnation, answer))
             .await
             .unwrap_or(false)
     }
@@ -160,14 +160,14 @@
     /// it; none if it is not known what became of it.
     pub async fn propose_config(&self, version: u64, document: Vec<u8>) -> Option<u64> {
         let request = KeeperRequest::PutDocument(version, document);
-        let state = tokio::time::timeout(REQUEST_TIMEOUT, self.keep(request)).await;
+        let state = tokio::time::timeout(REQUEST_TIMEOUT, self.request_keepers(request)).await;
         Some(state.ok().flatten()?.version)
     }
 
     /// Reads the newest version and document; `None` if the keepers did not confirm them in time.
     pub async fn read_config(&self) -> Option<KeeperState> {
-        let question = self.keep(KeeperRequest::ReadDocument);
-        let state = tokio::time::timeout(REQUEST_TIMEOUT, question).await;
+        let request = self.request_keepers(KeeperRequest::ReadDocument);
+        let state = tokio::time::timeout(REQUEST_TIMEOUT, request).await;
         state.ok().flatten()
     }
 
@@ -185,21 +185,23 @@
     /// is delayed afterwards is void if another one was committed meanwhile.
     async fn order_evacuation(&self, dc: DataCentreId, evacuated: bool) -> Option<()> {
         loop {
-            let state = self.keep(KeeperRequest::ReadEvacuations).await?;
+            let state = self.request_keepers(KeeperRequest::ReadEvacuations).await?;
             let order = EvacuationOrder {
                 dc,
                 evacuated,
                 base: state.evacuations.revision,
             };
-            let state = self.keep(KeeperRequest::Evacuate(order)).await?;
+            let state = self.request_keepers(KeeperRequest::Evacuate(order)).await?;
             if state.evacuations.dcs.contains(&dc) == evacuated {
                 return Some(());
             }
         }
     }
 
-    async fn keep(&self, request: KeeperRequest) -> Option<KeeperState> {
-        let answer = self.ask(|answer| CoreMsg::Keep(request, answer)).await;
+    async fn request_keepers(&self, request: KeeperRequest) -> Option<KeeperState> {
+        let answer = self
+            .request(|answer| CoreMsg::KeeperRequest(request, answer))
+            .await;
         answer.flatten()
     }
 
@@ -215,9 +217,9 @@
         let _ = self.core.send(CoreMsg::Stop);
     }
 
-    async fn ask<T>(&self, question: impl FnOnce(oneshot::Sender<T>) -> CoreMsg) -> Option<T> {
+    async fn request<T>(&self, message: impl FnOnce(oneshot::Sender<T>) -> CoreMsg) -> Option<T> {
         let (sender, receiver) = oneshot::channel();
-        self.core.send(question(sender)).ok()?;
+        self.core.send(message(sender)).ok()?;
         receiver.await.ok()
     }
 }
--- a/crates/celerywinch_fleet/src/journal.rs
+++ b/crates/celerywinch_fleet/src/journal.rs
@@ -36,9 +36,9 @@
 /// Whether a line tells of something that goes as it should. Under load those fill their budget; what
 /// explains a failure has one of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Kind {
+pub(crate) enum EventClass {
     Routine,
-    Telling,
+    Notable,
 }
 
 /// What is left out of the logs.
@@ -82,7 +82,7 @@
         &mut self,
         now: Time,
         part: &'static str,
-        kind: Kind,
+        class: EventClass,
         note: &T,
     ) {
         if now.since(self.span) >= SPAN {
@@ -93,7 +93,7 @@
                 self.put("journal", &Omission::Omitted { lines });
             }
         }
-        let written = &mut self.written[kind as usize];
+        let written = &mut self.written[class as usize];
         if *written >= BUDGET {
             self.omitted += 1;
             return;
--- a/crates/celerywinch_fleet/src/links.rs
+++ b/crates/celerywinch_fleet/src/links.rs
@@ -63,6 +63,6 @@
     fn observe(&self, _stamp: u64) {}
 
     fn sent(&self, msg: &FleetMsg, bytes: usize) {
-        self.metrics.sends(msg, bytes);
+        self.metrics.message_sent(msg, bytes);
     }
 }
--- a/crates/celerywinch_fleet/src/metrics.rs
+++ b/crates/celerywinch_fleet/src/metrics.rs
@@ -19,7 +19,7 @@
 const DOCUMENT_SECONDS: &[f64] = &[0.01, 0.03, 0.1, 0.2, 0.5, 1.0, 1.5, 2.0, 4.0];
 
 /// Kinds of messages to other processes.
-const KINDS: [&str; 9] = [
+const MESSAGE_KINDS: [&str; 9] = [
     "heartbeat",
     "contacts",
     "log",
@@ -142,8 +142,8 @@
     }
 
     /// A worker has announced itself.
-    pub(crate) fn announced(&self, heard: AnnounceOutcome) {
-        let what = match heard {
+    pub(crate) fn worker_announced(&self, outcome: AnnounceOutcome) {
+        let what = match outcome {
             AnnounceOutcome::Changed => "news",
             AnnounceOutcome::Unchanged => "nothing",
             AnnounceOutcome::Stale(_) => "late",
@@ -153,8 +153,8 @@
         self.announced.with_label_values(&[what]).inc();
     }
 
-    pub(crate) fn dispatched(&self, note: &PoolEvent) {
-        match note {
+    pub(crate) fn dispatch_event(&self, event: &PoolEvent) {
+        match event {
             PoolEvent::RunEnded { how, .. } => self.runs.with_label_values(&[*how]).inc(),
             PoolEvent::Refused { .. } => self.refused.inc(),
             PoolEvent::Crashed { .. } => self.crashes.inc(),
@@ -173,8 +173,8 @@
         }
     }
 
-    pub(crate) fn answered(&self, note: &JobEvent) {
-        if let JobEvent::Answered { end, took, .. } = note {
+    pub(crate) fn origin_event(&self, event: &JobEvent) {
+        if let JobEvent::Answered { end, took, .. } = event {
             let label = match end {
                 JobEnd::Completed => "completed",
                 JobEnd::Failed => "failed",
@@ -188,17 +188,17 @@
     }
 
     /// A message is sent to another process.
-    pub(crate) fn sends(&self, msg: &FleetMsg, bytes: usize) {
+    pub(crate) fn message_sent(&self, msg: &FleetMsg, bytes: usize) {
         let kind = match msg {
-            FleetMsg::Heartbeat(_) => KINDS[0],
-            FleetMsg::Contacts(_) => KINDS[1],
-            FleetMsg::Log(_) => KINDS[2],
-            FleetMsg::Keeper(_) => KINDS[3],
-            FleetMsg::Workers(_) => KINDS[4],
-            FleetMsg::Config(_) => KINDS[5],
-            FleetMsg::Work(_) => KINDS[6],
-            FleetMsg::Learned(_) => KINDS[7],
-            FleetMsg::Crashes(_) | FleetMsg::ProbeQueues(_) => KINDS[8],
+            FleetMsg::Heartbeat(_) => MESSAGE_KINDS[0],
+            FleetMsg::Contacts(_) => MESSAGE_KINDS[1],
+            FleetMsg::Log(_) => MESSAGE_KINDS[2],
+            FleetMsg::Keeper(_) => MESSAGE_KINDS[3],
+            FleetMsg::Workers(_) => MESSAGE_KINDS[4],
+            FleetMsg::Config(_) => MESSAGE_KINDS[5],
+            FleetMsg::Work(_) => MESSAGE_KINDS[6],
+            FleetMsg::Learned(_) => MESSAGE_KINDS[7],
+            FleetMsg::Crashes(_) | FleetMsg::ProbeQueues(_) => MESSAGE_KINDS[8],
         };
         self.messages.with_label_values(&[kind]).inc();
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
@@ -206,8 +206,8 @@
     }
 
     /// Messages to other processes and their bytes so far, by kind.
-    pub(crate) fn sent(&self) -> BTreeMap<String, (u64, u64)> {
-        let kinds = KINDS.iter().map(|kind| {
+    pub(crate) fn traffic(&self) -> BTreeMap<String, (u64, u64)> {
+        let kinds = MESSAGE_KINDS.iter().map(|kind| {
             let count = self.messages.with_label_values(&[*kind]).get();
             let bytes = self.message_bytes.with_label_values(&[*kind]).get();
             ((*kind).to_owned(), (count, bytes))
@@ -216,8 +216,8 @@
     }
 
     /// A worker is called.
-    pub(crate) fn calls(&self, order: &Request) {
-        let kind = match order {
+    pub(crate) fn worker_called(&self, request: &Request) {
+        let kind = match request {
             Request::Start { .. } => "start",
             Request::Stop { .. } => "stop",
             Request::Poll { .. } => "look",
@@ -235,8 +235,8 @@
         }
     }
 
-    pub(crate) fn document_fetched(&self, note: &ConfigSyncEvent) {
-        if let ConfigSyncEvent::DocumentWhole { took, .. } = note {
+    pub(crate) fn config_sync_event(&self, event: &ConfigSyncEvent) {
+        if let ConfigSyncEvent::DocumentWhole { took, .. } = event {
             let took = Duration::from_millis((*took).into());
             self.document_seconds.observe(took.as_secs_f64());
         }
--- a/crates/celerywinch_fleet/src/store.rs
+++ b/crates/celerywinch_fleet/src/store.rs
@@ -38,7 +38,7 @@
 
 /// What the thread is told.
 #[derive(Debug)]
-pub(crate) enum StoreIn {
+pub(crate) enum StoreInput {
     Log(InstanceId, Vec<u8>),
     Request(Request),
     Contacts(Vec<InstanceId>),
@@ -48,7 +48,7 @@
 
 /// What the thread tells the core.
 #[derive(Debug)]
-pub(crate) enum StoreOut {
+pub(crate) enum StoreOutput {
     Send(InstanceId, FleetMsg),
     Answer(u64, Option<KeeperState>),
     Committed(VersionedDocument),
@@ -78,7 +78,7 @@
     config: &FleetConfig,
     clock: Clock,
     core: UnboundedSender<CoreMsg>,
-) -> anyhow::Result<Sender<StoreIn>> {
+) -> anyhow::Result<Sender<StoreInput>> {
     let folder = config.data_dir.clone();
     let mut store = Store {
         me: config.instance,
@@ -130,10 +130,12 @@
         let mut registry = Registry::new(config, now, loaded)?;
         registry.set_contacts(self.contacts.clone());
         if registry.evacuations().revision > 0 {
-            self.tell(StoreOut::EvacuationsChanged(registry.evacuations().clone()));
+            self.tell(StoreOutput::EvacuationsChanged(
+                registry.evacuations().clone(),
+            ));
         }
         if registry.document().version > 0 {
-            self.tell(StoreOut::Committed(registry.document().clone()));
+            self.tell(StoreOutput::Committed(registry.document().clone()));
         }
         let (writer, written) = Writer::start(disk, &self.folder)?;
         self.open = Some((registry, writer));
@@ -141,18 +143,18 @@
         Ok(())
     }
 
-    fn tell(&self, out: StoreOut) {
+    fn tell(&self, out: StoreOutput) {
         // The core ends before this thread only when the process does.
         let _ = self.core.send(CoreMsg::Store(out));
     }
 
-    fn run(&mut self, inbox: &Receiver<StoreIn>) {
+    fn run(&mut self, inbox: &Receiver<StoreInput>) {
         let mut ticked = self.clock.now();
         loop {
             let written = self.written.clone();
             select! {
                 recv(inbox) -> msg => match msg {
-                    Ok(msg) => self.take(msg),
+                    Ok(msg) => self.handle(msg),
                     Err(_) => return,
                 },
                 recv(written) -> result => match result {
@@ -179,26 +181,26 @@
         self.with(now, |registry, out| registry.handle(now, Input::Tick, out));
     }
 
-    fn take(&mut self, msg: StoreIn) {
+    fn handle(&mut self, msg: StoreInput) {
         let now = self.clock.now();
         match msg {
-            StoreIn::Log(from, bytes) => self.with(now, |registry, out| {
+            StoreInput::Log(from, bytes) => self.with(now, |registry, out| {
                 if let Err(error) = registry.handle_encoded(now, &bytes, out) {
                     log::warn!("store: Dropped a message of {from}: {error:#}.");
                 }
             }),
-            StoreIn::Request(request) => {
+            StoreInput::Request(request) => {
                 if self.open.is_none() {
                     self.answer(request.from, request.id, None);
                 }
                 self.with(now, |registry, out| registry.request(now, request, out));
             }
-            StoreIn::Workers(workers) => {
+            StoreInput::Workers(workers) => {
                 if let Some((_, writer)) = &self.open {
                     writer.write(Write::Workers(workers));
                 }
             }
-            StoreIn::Contacts(contacts) => {
+            StoreInput::Contacts(contacts) => {
                 self.contacts = contacts.clone();
                 if let Some((registry, _)) = &mut self.open {
                     registry.set_contacts(contacts);
@@ -212,7 +214,7 @@
     /// them at once, and what has gone meanwhile does not answer.
     fn load_workers(&self) {
         match load_file(&self.folder, writer::WORKERS) {
-            Ok(workers) => self.tell(StoreOut::Workers(workers.unwrap_or_default())),
+            Ok(workers) => self.tell(StoreOutput::Workers(workers.unwrap_or_default())),
             Err(error) => log::warn!("store: The workers known before cannot be read: {error:#}."),
         }
     }
@@ -263,11 +265,11 @@
                     id: request.id,
                     request: request.request,
                 };
-                self.tell(StoreOut::Send(to, FleetMsg::Keeper(msg)));
+                self.tell(StoreOutput::Send(to, FleetMsg::Keeper(msg)));
             }
-            RegistryOutput::Committed(held) => self.tell(StoreOut::Committed(held)),
+            RegistryOutput::Committed(held) => self.tell(StoreOutput::Committed(held)),
             RegistryOutput::EvacuationsChanged(evacuations) => {
-                self.tell(StoreOut::EvacuationsChanged(evacuations))
+                self.tell(StoreOutput::EvacuationsChanged(evacuations))
             }
         }
         Ok(())
@@ -275,11 +277,11 @@
 
     fn answer(&self, to: InstanceId, id: u64, state: Option<KeeperState>) {
         if to == self.me {
-            self.tell(StoreOut::Answer(id, state));
+            self.tell(StoreOutput::Answer(id, state));
             return;
         }
         let msg = FleetMsg::Keeper(KeeperMsg::Answer { id, state });
-        self.tell(StoreOut::Send(to, msg));
+        self.tell(StoreOutput::Send(to, msg));
     }
 
     fn log_output(&self, output: Output) -> anyhow::Result<()> {
@@ -296,11 +298,11 @@
             Output::PersistSnapshot(snapshot) => writer.write(Write::Snapshot(snapshot)),
             Output::Send(to, to_disk, msg) => {
                 let bytes = registry.encode_message(to, to_disk, msg)?;
-                self.tell(StoreOut::Send(to, FleetMsg::Log(bytes)));
+                self.tell(StoreOutput::Send(to, FleetMsg::Log(bytes)));
             }
             Output::Role(_) => {
                 let figures = registry.status();
-                self.tell(StoreOut::Role(figures));
+                self.tell(StoreOutput::Role(figures));
             }
             // Dealt with by the registry's state machine.
             Output::Apply(_) | Output::Restore(_) | Output::Compact(_) | Output::Readable(_) => {}
