--- a/crates/celerywinch_bench/src/slopes/control.rs
+++ b/crates/celerywinch_bench/src/slopes/control.rs
@@ -143,7 +143,7 @@
     let began = sim.now;
     sim.version += 1;
     let catalogue = catalogue(sim.version, size.teams)?;
-    sim.input(0, Input::Committed(catalogue, true));
+    sim.input(0, Input::CatalogueCommitted(catalogue, true));
     sim.run(SPREAD_COUNTED, size);
     let mut times: Vec<_> = sim
         .in_force
@@ -219,7 +219,7 @@
                 .push(Entry::new(builder.build(), sim.now + offset));
         }
         for node in 0..count {
-            sim.schedule(Duration::ZERO, node, Input::Catalogue(first.clone()));
+            sim.schedule(Duration::ZERO, node, Input::InitialCatalogue(first.clone()));
             sim.schedule(TICK, node, Input::Tick);
         }
         Ok(sim)
@@ -301,7 +301,7 @@
             incarnation: Incarnation(1),
         };
         let delay = if near { NEAR } else { FAR };
-        self.schedule(delay, target, Input::Peer(from, msg));
+        self.schedule(delay, target, Input::PeerMessage(from, msg));
     }
 }
 
--- a/crates/celerywinch_bench/src/slopes/memory.rs
+++ b/crates/celerywinch_bench/src/slopes/memory.rs
@@ -44,7 +44,11 @@
     }
     let catalogue = Catalogue::check(1, document).map_err(|p| anyhow::anyhow!("{p:?}"))?;
     let mut out = Vec::new();
-    entry.handle(Time(1), Input::Catalogue(Arc::new(catalogue)), &mut out);
+    entry.handle(
+        Time(1),
+        Input::InitialCatalogue(Arc::new(catalogue)),
+        &mut out,
+    );
     let note = EndpointAnnouncement {
         addr: ([127, 0, 0, 1], 9).into(),
         incarnation: 1,
--- a/crates/celerywinch_bench/src/soak/world.rs
+++ b/crates/celerywinch_bench/src/soak/world.rs
@@ -239,7 +239,7 @@
                     let from = (from.instance.0, from.incarnation.0);
                     self.follow(&format!("{:>10} {from:?} to {to}: {msg:?}", self.now.0));
                 }
-                self.input(node, Input::Peer(from, *msg));
+                self.input(node, Input::PeerMessage(from, *msg));
             }
             Event::Arrive(node, life, call) => self.arrive(node, life, &call),
             Event::CallEnds(node, life, call, end, endpoint) => {
@@ -294,7 +294,7 @@
         let entry = Entry::new(config, self.now);
         self.nodes[index].entry = Some(entry);
         let catalogue = self.catalogue.clone();
-        self.input(index, Input::Catalogue(catalogue));
+        self.input(index, Input::InitialCatalogue(catalogue));
         self.after(
             Duration::from_millis(1),
             Event::Tick(index, self.nodes[index].life),
@@ -340,7 +340,7 @@
             }
             Output::Reply(waiter, reply) => self.reply(node, waiter, &reply),
             Output::Event(event) => self.event(node, &event),
-            Output::Save(_) | Output::Probe(_) | Output::Abort(_) => {}
+            Output::SaveCatalogue(_) | Output::Probe(_) | Output::Abort(_) => {}
         }
     }
 
--- a/crates/celerywinch_entry/src/catalogues.rs
+++ b/crates/celerywinch_entry/src/catalogues.rs
@@ -75,7 +75,7 @@
         self.holding.held = Some(catalogue.clone());
         self.holding.since = now;
         if self.config.durable {
-            out.push(Output::Save(catalogue));
+            out.push(Output::SaveCatalogue(catalogue));
         }
         // The others learn at once that it is held here, so that they can put it in force.
         for peer in self.local_peers() {
--- a/crates/celerywinch_entry/src/entry.rs
+++ b/crates/celerywinch_entry/src/entry.rs
@@ -143,13 +143,15 @@
             }
             Input::Lookup(id, key) => self.lookup(now, Waiter::Caller(id), key, out),
             Input::Cancel(id, keys) => self.cancel(now, id, keys, out),
-            Input::Peer(from, msg) => self.peer(now, from, msg, out),
-            Input::PeerGone(id) => self.peer_gone(now, id, out),
+            Input::PeerMessage(from, msg) => self.peer(now, from, msg, out),
+            Input::ConnectionRefused(id) => self.peer_gone(now, id, out),
             Input::Announce(note) => self.announce(now, note, out),
             Input::CallEnded(id, end) => self.call_ended(now, id, end, out),
-            Input::Catalogue(catalogue) => self.start_catalogue(catalogue, out),
-            Input::Committed(catalogue, leads) => self.committed(now, catalogue, leads, out),
-            Input::Saved(version) => self.saved(now, version, out),
+            Input::InitialCatalogue(catalogue) => self.start_catalogue(catalogue, out),
+            Input::CatalogueCommitted(catalogue, leads) => {
+                self.committed(now, catalogue, leads, out)
+            }
+            Input::CatalogueSaved(version) => self.saved(now, version, out),
             Input::Stop => self.stop(out),
             Input::Tick => {}
         }
--- a/crates/celerywinch_entry/src/io.rs
+++ b/crates/celerywinch_entry/src/io.rs
@@ -31,20 +31,20 @@
     /// A caller cancels keys.
     Cancel(WaiterId, Vec<Key>),
     /// A message of another instance.
-    Peer(Process, PeerMsg),
+    PeerMessage(Process, PeerMsg),
     /// Nothing listens at an instance's address: its process is gone.
-    PeerGone(InstanceId),
+    ConnectionRefused(InstanceId),
     /// An endpoint announced itself here.
     Announce(EndpointAnnouncement),
     /// A call ended.
     CallEnded(CallId, CallEnd),
     /// A catalogue that was in force before, from the own disk, or one given at the start.
-    Catalogue(Arc<Catalogue>),
+    InitialCatalogue(Arc<Catalogue>),
     /// The store here committed a catalogue; the flag tells whether this is the leader, and so the
     /// one to spread it.
-    Committed(Arc<Catalogue>, bool),
-    /// A catalogue of this version, asked for by [`Output::Save`], is on the disk.
-    Saved(u64),
+    CatalogueCommitted(Arc<Catalogue>, bool),
+    /// A catalogue of this version, asked for by [`Output::SaveCatalogue`], is on the disk.
+    CatalogueSaved(u64),
     /// A planned stop: take no new work, finish what there is.
     Stop,
     /// Time passed.
@@ -137,8 +137,8 @@
 pub enum Output {
     /// Send a message.
     Send(InstanceId, PeerMsg),
-    /// Save a catalogue so that it outlives the process, then say so by [`Input::Saved`].
-    Save(Arc<Catalogue>),
+    /// Save a catalogue so that it outlives the process, then say so by [`Input::CatalogueSaved`].
+    SaveCatalogue(Arc<Catalogue>),
     /// Open a new connection to a silent instance and replace the old one if it answers.
     Probe(InstanceId),
     /// Send a task to an endpoint, once.
--- a/crates/celerywinch_node/src/core.rs
+++ b/crates/celerywinch_node/src/core.rs
@@ -71,7 +71,7 @@
             CoreMsg::Submit(submission, reply) => Input::Submit(self.waiter(reply), submission),
             CoreMsg::Lookup(key, reply) => Input::Lookup(self.waiter(reply), key),
             CoreMsg::Cancel(keys, reply) => Input::Cancel(self.waiter(reply), keys),
-            CoreMsg::Input(Input::Peer(from, PeerMsg::Store(bytes))) => {
+            CoreMsg::Input(Input::PeerMessage(from, PeerMsg::Store(bytes))) => {
                 let _ = self.shared.store.send(StoreIn::Peer(from.instance, bytes));
                 return;
             }
@@ -109,7 +109,7 @@
         for output in out.drain(..) {
             match output {
                 Output::Send(peer, msg) => self.links.send(peer, msg),
-                Output::Save(catalogue) => {
+                Output::SaveCatalogue(catalogue) => {
                     let _ = self.shared.store.send(StoreIn::Save(catalogue));
                 }
                 Output::Probe(peer) => self.links.probe(peer),
--- a/crates/celerywinch_node/src/links.rs
+++ b/crates/celerywinch_node/src/links.rs
@@ -43,7 +43,7 @@
 impl Host<PeerMsg> for LinkContext {
     fn received(&self, from: Process, msg: PeerMsg) -> anyhow::Result<()> {
         self.metrics.peer_received.inc();
-        let input = CoreMsg::Input(Input::Peer(from, msg));
+        let input = CoreMsg::Input(Input::PeerMessage(from, msg));
         self.core.send(input).context("link: the core is gone")
     }
 
@@ -61,7 +61,9 @@
             LinkEvent::Replaced => "replaced",
             LinkEvent::Refused => {
                 // The core ends before the links only when the process does.
-                let _ = self.core.send(CoreMsg::Input(Input::PeerGone(peer)));
+                let _ = self
+                    .core
+                    .send(CoreMsg::Input(Input::ConnectionRefused(peer)));
                 return;
             }
         };
--- a/crates/celerywinch_node/src/node.rs
+++ b/crates/celerywinch_node/src/node.rs
@@ -230,7 +230,7 @@
     if let (true, Some(document)) = (keepers.is_empty(), document.clone()) {
         let catalogue = Catalogue::check(1, document)
             .map_err(|problems| anyhow::anyhow!("catalogue: {problems:?}"))?;
-        let msg = CoreMsg::Input(Input::Catalogue(Arc::new(catalogue)));
+        let msg = CoreMsg::Input(Input::InitialCatalogue(Arc::new(catalogue)));
         shared.core.send(msg).context("core: ended at its start")?;
     }
     let options = StoreOptions {
--- a/crates/celerywinch_node/src/store.rs
+++ b/crates/celerywinch_node/src/store.rs
@@ -146,7 +146,7 @@
         };
         let document: Document = serde_json::from_slice(&document)?;
         if let Ok(catalogue) = Catalogue::check(version, document) {
-            self.tell(EntryInput::Catalogue(Arc::new(catalogue)));
+            self.tell(EntryInput::InitialCatalogue(Arc::new(catalogue)));
         }
         Ok(())
     }
@@ -307,7 +307,7 @@
             } => {
                 let catalogue = Catalogue::check(version, document)
                     .map_err(|problems| anyhow::anyhow!("store: committed {problems:?}"))?;
-                self.tell(EntryInput::Committed(Arc::new(catalogue), leads));
+                self.tell(EntryInput::CatalogueCommitted(Arc::new(catalogue), leads));
             }
         }
         Ok(false)
@@ -363,7 +363,7 @@
             return;
         };
         match save_catalogue(folder, catalogue) {
-            Ok(()) => self.tell(EntryInput::Saved(catalogue.version())),
+            Ok(()) => self.tell(EntryInput::CatalogueSaved(catalogue.version())),
             Err(error) => log::error!("store: The catalogue cannot be saved: {error:#}."),
         }
     }
