--- a/crates/celerywinch_bench/src/slopes/memory.rs
+++ b/crates/celerywinch_bench/src/slopes/memory.rs
@@ -88,7 +88,7 @@
         entry.handle(now, Input::Submit(WaiterId(number), submission), &mut out);
         out.clear();
     }
-    let open = entry.status().open;
+    let open = entry.status().open_jobs;
     anyhow::ensure!(open as u64 == OPEN, "only {open} are open");
     let bytes = resident_bytes().saturating_sub(before) as f64 / OPEN as f64;
     used.push(entry);
@@ -119,7 +119,7 @@
             micros,
             "us",
         ));
-        let records = entry.status().records.max(1);
+        let records = entry.status().claim_records.max(1);
         let bytes = resident_bytes().saturating_sub(memory) as f64 / records as f64;
         used.push(entry);
         rows.push(Row::new(
--- a/crates/celerywinch_entry/src/entry.rs
+++ b/crates/celerywinch_entry/src/entry.rs
@@ -44,17 +44,17 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Status {
     /// Jobs without an outcome.
-    pub open: usize,
+    pub open_jobs: usize,
     /// Tasks that wait for a slot.
-    pub queued: usize,
+    pub queued_tasks: usize,
     /// Endpoints known.
     pub endpoints: usize,
     /// Endpoints set aside or on probation.
     pub suspended: usize,
     /// Keys remembered by the replicas here.
-    pub records: usize,
+    pub claim_records: usize,
     /// Version of the catalogue in force.
-    pub catalogue: u64,
+    pub catalogue_version: u64,
     /// Whether this entry may serve by it.
     pub current: bool,
     /// Whether a planned stop is under way.
@@ -171,12 +171,12 @@
     pub fn status(&self) -> Status {
         let (endpoints, suspended) = self.dispatch.endpoint_counts();
         Status {
-            open: self.jobs.len(),
-            queued: self.dispatch.queued(),
+            open_jobs: self.jobs.len(),
+            queued_tasks: self.dispatch.queued(),
             endpoints,
             suspended,
-            records: self.replicas.values().map(Replica::len).sum(),
-            catalogue: self.catalogue.version(),
+            claim_records: self.replicas.values().map(Replica::len).sum(),
+            catalogue_version: self.catalogue.version(),
             current: self.holding.current,
             stopping: self.stopping,
             violations: self.violations,
--- a/crates/celerywinch_node/src/metrics.rs
+++ b/crates/celerywinch_node/src/metrics.rs
@@ -69,13 +69,13 @@
 
     pub(crate) fn text(&self, status: &Status) -> anyhow::Result<String> {
         let set = |gauge: &IntGauge, value: usize| gauge.set(i64::try_from(value).unwrap_or(0));
-        set(&self.open, status.open);
-        set(&self.queued, status.queued);
+        set(&self.open, status.open_jobs);
+        set(&self.queued, status.queued_tasks);
         set(&self.endpoints, status.endpoints);
         set(&self.suspended, status.suspended);
-        set(&self.records, status.records);
+        set(&self.records, status.claim_records);
         self.catalogue
-            .set(i64::try_from(status.catalogue).unwrap_or(0));
+            .set(i64::try_from(status.catalogue_version).unwrap_or(0));
         Ok(self.meter.text()?)
     }
 }
--- a/crates/celerywinch_node/src/shared.rs
+++ b/crates/celerywinch_node/src/shared.rs
@@ -57,10 +57,10 @@
 impl From<&Status> for Figures {
     fn from(status: &Status) -> Self {
         Self {
-            open_jobs: status.open,
-            queued_tasks: status.queued,
-            claim_records: status.records,
-            catalogue_version: status.catalogue,
+            open_jobs: status.open_jobs,
+            queued_tasks: status.queued_tasks,
+            claim_records: status.claim_records,
+            catalogue_version: status.catalogue_version,
             endpoints_known: status.endpoints,
             endpoints_suspended: status.suspended,
             stopping: status.stopping,
