--- a/crates/celerywinch_bench/src/soak/endpoints.rs
+++ b/crates/celerywinch_bench/src/soak/endpoints.rs
@@ -97,7 +97,7 @@
             CallEnd::Lost("lost on the way back".into())
         } else if dice < 0.05 {
             CallEnd::TaskFailed {
-                own_fault: dice < 0.04,
+                task_fault: dice < 0.04,
                 detail: "failed".into(),
             }
         } else {
--- a/crates/celerywinch_bench/src/soak/world.rs
+++ b/crates/celerywinch_bench/src/soak/world.rs
@@ -306,7 +306,11 @@
             return;
         }
         self.input(node, Input::Tick);
-        if self.nodes[node].entry.as_ref().is_some_and(Entry::drained) {
+        if self.nodes[node]
+            .entry
+            .as_ref()
+            .is_some_and(Entry::is_drained)
+        {
             self.nodes[node].entry = None;
             // Whatever the planned stop was to be followed by.
             self.after(Duration::from_millis(100), Event::Start(node));
--- a/crates/celerywinch_entry/src/config.rs
+++ b/crates/celerywinch_entry/src/config.rs
@@ -16,7 +16,7 @@
     pub(crate) seed: u64,
     pub(crate) instances: Vec<(InstanceId, DataCentreId, String)>,
     pub(crate) limits: Limits,
-    pub(crate) timing: DetectorConfig,
+    pub(crate) detector: DetectorConfig,
     pub(crate) policy: Policy,
     pub(crate) margin: Duration,
     pub(crate) keepers: Vec<InstanceId>,
@@ -49,7 +49,7 @@
                 skew: Duration::from_millis(250),
                 retention: Duration::from_secs(60),
             },
-            timing: DetectorConfig::default(),
+            detector: DetectorConfig::default(),
             policy: Policy::default(),
             margin: Duration::from_millis(3),
             keepers: Vec::new(),
@@ -73,8 +73,8 @@
 
     /// Spans of the failure detector.
     #[must_use]
-    pub fn timing(mut self, timing: DetectorConfig) -> Self {
-        self.0.timing = timing;
+    pub fn detector(mut self, detector: DetectorConfig) -> Self {
+        self.0.detector = detector;
         self
     }
 
--- a/crates/celerywinch_entry/src/entry.rs
+++ b/crates/celerywinch_entry/src/entry.rs
@@ -108,7 +108,7 @@
         timers.subscribe(now, Timer::Housekeeping);
         timers.subscribe(now + DECIDED_EVERY, Timer::Decided);
         Self {
-            peers: Peers::new(config.dc, config.timing, others),
+            peers: Peers::new(config.dc, config.detector, others),
             dispatch: Dispatch::new(me, config.policy, config.seed),
             random: ChaCha8Rng::seed_from_u64(config.seed),
             homes,
@@ -209,7 +209,7 @@
 
     /// Whether a planned stop has nothing left to wait for.
     #[must_use]
-    pub fn drained(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         self.stopping && self.jobs.is_empty() && self.calls.is_empty()
     }
 
--- a/crates/celerywinch_entry/src/io.rs
+++ b/crates/celerywinch_entry/src/io.rs
@@ -59,7 +59,7 @@
     /// The task ran and failed.
     TaskFailed {
         /// Whether the endpoint blames the task itself; otherwise the endpoint is suspected.
-        own_fault: bool,
+        task_fault: bool,
         /// One sentence.
         detail: String,
     },
--- a/crates/celerywinch_entry/src/tasks.rs
+++ b/crates/celerywinch_entry/src/tasks.rs
@@ -168,7 +168,7 @@
             CallEnd::Done(_) => HealthEnd::Done(now.since(call.sent)),
             CallEnd::NotRun { refused: true, .. } => HealthEnd::Refused,
             CallEnd::TaskFailed {
-                own_fault: true, ..
+                task_fault: true, ..
             } => HealthEnd::Cancelled,
             CallEnd::TaskFailed { .. } | CallEnd::Lost(_) | CallEnd::NotRun { .. } => {
                 HealthEnd::Failed
--- a/crates/celerywinch_node/src/calls.rs
+++ b/crates/celerywinch_node/src/calls.rs
@@ -166,13 +166,13 @@
     }
     if status != StatusCode::OK {
         return CallEnd::TaskFailed {
-            own_fault: status.is_client_error(),
+            task_fault: status.is_client_error(),
             detail: format!("status {}: {text}", status.as_u16()),
         };
     }
     if serde_json::from_str::<serde::de::IgnoredAny>(&text).is_err() {
         return CallEnd::TaskFailed {
-            own_fault: false,
+            task_fault: false,
             detail: "the result is not JSON".into(),
         };
     }
--- a/crates/celerywinch_node/src/core.rs
+++ b/crates/celerywinch_node/src/core.rs
@@ -39,7 +39,7 @@
     /// Runs until a planned stop has nothing left to wait for.
     pub(crate) async fn run(mut self, mut inbox: UnboundedReceiver<CoreMsg>) {
         let mut out = Vec::new();
-        while !self.entry.drained() {
+        while !self.entry.is_drained() {
             let sleep = self.sleep();
             let first = tokio::time::timeout(sleep, inbox.recv()).await;
             let now = self.clock.now();
