--- a/crates/celerywinch_bench/src/cluster.rs
+++ b/crates/celerywinch_bench/src/cluster.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use celerywinch_dispatch::Policy;
-use celerywinch_node::{Bound, Node, NodeOptions};
+use celerywinch_node::{ListenAddrs, Node, NodeOptions};
 use celerywinch_settings::{Instance, Secret, SettingsBuilder};
 use celerywinch_standin::{Caller, EndpointPlan, Fleet, FleetPlan};
 use celerywinch_types::{DataCentreId, InstanceId};
@@ -103,14 +103,14 @@
 
     /// The addresses of entry `index`.
     #[must_use]
-    pub fn bound(&self, index: usize) -> Bound {
-        self.nodes[index].bound()
+    pub fn listen_addrs(&self, index: usize) -> ListenAddrs {
+        self.nodes[index].listen_addrs()
     }
 
     /// Where callers of entry `index` go.
     #[must_use]
     pub fn callers(&self, index: usize) -> SocketAddr {
-        self.bound(index).callers
+        self.listen_addrs(index).callers
     }
 
     /// The name of the data centre of entry `index`.
@@ -150,7 +150,7 @@
     ///
     /// The entry does not answer.
     pub async fn metrics(&self, index: usize) -> anyhow::Result<HashMap<String, f64>> {
-        let operators = self.bound(index).operators;
+        let operators = self.listen_addrs(index).operators;
         let text = self.caller.text(operators, "/metrics", SECRET).await?;
         let mut sums = HashMap::new();
         for line in text.lines().filter(|line| !line.starts_with('#')) {
@@ -169,7 +169,7 @@
     ///
     /// The entry does not answer.
     pub async fn status(&self, index: usize) -> anyhow::Result<serde_json::Value> {
-        let operators = self.bound(index).operators;
+        let operators = self.listen_addrs(index).operators;
         let page = self
             .caller
             .get(operators, "/v1/status", Some(SECRET))
@@ -235,7 +235,7 @@
     let mut entries: HashMap<String, Vec<SocketAddr>> = HashMap::new();
     for (one, node) in instances.iter().zip(nodes) {
         let addrs = entries.entry(one.dc_name.clone()).or_default();
-        addrs.push(node.bound().endpoints);
+        addrs.push(node.listen_addrs().endpoints);
     }
     let kinds: Vec<_> = deployment.document()?.kinds.keys().cloned().collect();
     let plan = (0..endpoints).map(|index| EndpointPlan {
--- a/crates/celerywinch_bench/src/slopes/store.rs
+++ b/crates/celerywinch_bench/src/slopes/store.rs
@@ -67,7 +67,7 @@
         ..CONDOR
     };
     let cluster = Cluster::start_keepers(&deployment, 1, folder, Policy::default(), 3).await?;
-    let operators = cluster.bound(0).operators;
+    let operators = cluster.listen_addrs(0).operators;
     let page = cluster
         .caller
         .get(operators, "/v1/catalogue", Some(SECRET))
--- a/crates/celerywinch_node/src/lib.rs
+++ b/crates/celerywinch_node/src/lib.rs
@@ -20,4 +20,4 @@
 pub use clock::Clock;
 pub use filters::FILTERS;
 pub use node::{Node, NodeOptions};
-pub use shared::Bound;
+pub use shared::ListenAddrs;
--- a/crates/celerywinch_node/src/node.rs
+++ b/crates/celerywinch_node/src/node.rs
@@ -26,7 +26,7 @@
 use crate::core::Core;
 use crate::links::{LinkContext, Links};
 use crate::metrics::Metrics;
-use crate::shared::{Bound, CoreMsg, Shared};
+use crate::shared::{CoreMsg, ListenAddrs, Shared};
 use crate::store::{self, StoreIn, StoreOptions};
 use crate::timeline::Timeline;
 use crate::{Clock, http, incarnation};
@@ -50,7 +50,7 @@
 
 /// A running instance.
 pub struct Node {
-    bound: Bound,
+    listen_addrs: ListenAddrs,
     core: UnboundedSender<CoreMsg>,
     done: oneshot::Receiver<()>,
     servers: Vec<Server>,
@@ -77,7 +77,7 @@
         let callers = bind("callers", settings.callers)?;
         let endpoints = bind("endpoints", settings.endpoints)?;
         let operators = bind("operators", settings.operators)?;
-        let bound = Bound {
+        let listen_addrs = ListenAddrs {
             callers: callers.local_addr()?,
             endpoints: endpoints.local_addr()?,
             operators: operators.local_addr()?,
@@ -115,9 +115,9 @@
             serve(&shared, endpoints, Surface::Endpoints)?,
             serve(&shared, operators, Surface::Operators)?,
         ];
-        log::info!("node: Serving callers at {}.", bound.callers);
+        log::info!("node: Serving callers at {}.", listen_addrs.callers);
         Ok(Self {
-            bound,
+            listen_addrs,
             core,
             done,
             servers,
@@ -126,8 +126,8 @@
 
     /// The addresses that were bound.
     #[must_use]
-    pub fn bound(&self) -> Bound {
-        self.bound
+    pub fn listen_addrs(&self) -> ListenAddrs {
+        self.listen_addrs
     }
 
     /// A planned stop: takes no new work, finishes what is in flight, then ends.
--- a/crates/celerywinch_node/src/shared.rs
+++ b/crates/celerywinch_node/src/shared.rs
@@ -91,7 +91,7 @@
 
 /// The addresses that were bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bound {
+pub struct ListenAddrs {
     /// For callers.
     pub callers: SocketAddr,
     /// For endpoints.
