--- a/crates/celerywinch_catalogue/src/check.rs
+++ b/crates/celerywinch_catalogue/src/check.rs
@@ -52,11 +52,11 @@
     /// Whether running it again would do no harm.
     pub idempotent: bool,
     /// The shortest deadline allowed.
-    pub shortest: Duration,
+    pub min_deadline: Duration,
     /// The longest deadline allowed.
-    pub longest: Duration,
+    pub max_deadline: Duration,
     /// The declared run time.
-    pub run: Duration,
+    pub run_time: Duration,
     /// The most tasks of one job.
     pub max_tasks: usize,
     /// The longest body of one task, in bytes.
@@ -160,9 +160,9 @@
         name: name.into(),
         class: entry.class,
         idempotent: entry.idempotent,
-        shortest: millis(entry.deadline_ms.min),
-        longest: millis(entry.deadline_ms.max),
-        run: millis(entry.run_ms),
+        min_deadline: millis(entry.deadline_ms.min),
+        max_deadline: millis(entry.deadline_ms.max),
+        run_time: millis(entry.run_ms),
         max_tasks: entry.max_tasks as usize,
         max_body: entry.max_body as usize,
     }
--- a/crates/celerywinch_dispatch/src/dispatch.rs
+++ b/crates/celerywinch_dispatch/src/dispatch.rs
@@ -197,7 +197,7 @@
             .entry(kind.name.clone())
             .or_insert_with(|| KindState {
                 class: kind.class,
-                estimate: Estimate::new(kind.run),
+                estimate: Estimate::new(kind.run_time),
                 endpoints: endpoints_of(endpoints, &kind.name),
                 failure_rate: 0.0,
             });
--- a/crates/celerywinch_node/src/filters/deadline.rs
+++ b/crates/celerywinch_node/src/filters/deadline.rs
@@ -19,7 +19,7 @@
         return Err(Problem::internal());
     };
     let deadline = Duration::from_millis(form.deadline_ms);
-    if kind.shortest <= deadline && deadline <= kind.longest {
+    if kind.min_deadline <= deadline && deadline <= kind.max_deadline {
         return Ok(());
     }
     Err(Problem::new(400, "deadline", "bad deadline")
@@ -27,7 +27,7 @@
         .detail(&format!(
             "found {}, wanted {} to {}",
             form.deadline_ms,
-            kind.shortest.as_millis(),
-            kind.longest.as_millis()
+            kind.min_deadline.as_millis(),
+            kind.max_deadline.as_millis()
         )))
 }
