--- a/crates/celerywinch_catalogue/src/edit.rs
+++ b/crates/celerywinch_catalogue/src/edit.rs
@@ -52,7 +52,7 @@
 
     /// The replicated state: the catalogue and the answers given.
     #[derive(Default)]
-    pub struct Ledger {
+    pub struct CatalogueState {
         version: Version,
         winner: String,
         document: Document,
@@ -60,7 +60,7 @@
     }
 }
 
-impl Ledger {
+impl CatalogueState {
     /// The version now.
     #[must_use]
     pub fn version(&self) -> Version {
--- a/crates/celerywinch_keeper/src/keeper.rs
+++ b/crates/celerywinch_keeper/src/keeper.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use anyhow::Context;
-use celerywinch_catalogue::{Document, Ledger, Version};
+use celerywinch_catalogue::{CatalogueState, Document, Version};
 use celerywinch_store::{
     Entry, Input, KeeperId, Loaded, Output, Payload, Raft, RaftConfig, Role, Snapshot,
 };
@@ -64,7 +64,7 @@
 pub struct Keeper {
     me: KeeperId,
     raft: Raft,
-    ledger: Ledger,
+    ledger: CatalogueState,
     pending: BTreeMap<u64, Pending>,
     /// The index that the next proposed entry gets.
     proposed: u64,
@@ -264,9 +264,9 @@
     }
 }
 
-fn read_state(snapshot: &Snapshot) -> anyhow::Result<Ledger> {
+fn read_state(snapshot: &Snapshot) -> anyhow::Result<CatalogueState> {
     if snapshot.state.is_empty() {
-        return Ok(Ledger::default());
+        return Ok(CatalogueState::default());
     }
     serde_json::from_slice(&snapshot.state).context("store: cannot read the snapshot's state")
 }
--- a/crates/celerywinch_keeper/src/lib.rs
+++ b/crates/celerywinch_keeper/src/lib.rs
@@ -1,6 +1,6 @@
 //! The catalogue on the replicated log, and how operators' changes reach it.
 //!
-//! [`Keeper`] ties the log's state machine to the [`Ledger`](celerywinch_catalogue::Ledger), which
+//! [`Keeper`] ties the log's state machine to the [`CatalogueState`](celerywinch_catalogue::CatalogueState), which
 //! applies the same changes in the same order everywhere. [`Proposer`] runs at every instance: it
 //! finds the leader for a change and tries again until there is an answer. Both are state machines
 //! without clock, socket or disk.
