--- a/crates/celerywinch_bench/src/slopes/store.rs
+++ b/crates/celerywinch_bench/src/slopes/store.rs
@@ -172,7 +172,7 @@
     let mut records = Vec::new();
     for index in 1..=changes {
         let edit = Edit {
-            change: format!("change-{index}"),
+            change_id: format!("change-{index}"),
             base: index - 1,
             document: document.clone(),
         };
--- a/crates/celerywinch_bench/src/soak/store.rs
+++ b/crates/celerywinch_bench/src/soak/store.rs
@@ -342,11 +342,11 @@
         let mut document = Document::default();
         document.teams.insert(team, TeamEntry { quota: 1 });
         let edit = Edit {
-            change: format!("change-{}", self.changes),
+            change_id: format!("change-{}", self.changes),
             base: self.seen.iter().copied().max().unwrap_or(0),
             document,
         };
-        self.bases.insert(edit.change.clone(), edit.base);
+        self.bases.insert(edit.change_id.clone(), edit.base);
         self.propose(index, edit, false);
     }
 
@@ -398,10 +398,10 @@
     fn check_answer(&mut self, index: usize, edit: &Edit, answer: &Result<Applied, ApplyError>) {
         let first = self
             .answers
-            .entry(edit.change.clone())
+            .entry(edit.change_id.clone())
             .or_insert(answer.clone());
         if first != answer {
-            let line = format!("{}: first {first:?}, then {answer:?}", edit.change);
+            let line = format!("{}: first {first:?}, then {answer:?}", edit.change_id);
             self.report.violations.push(line);
         }
         match answer {
@@ -410,23 +410,23 @@
                 let winner = self
                     .accepted
                     .entry(applied.version)
-                    .or_insert(edit.change.clone());
-                if *winner != edit.change || applied.version != edit.base + 1 {
-                    let line = format!("{} and {winner} both made {applied:?}", edit.change);
+                    .or_insert(edit.change_id.clone());
+                if *winner != edit.change_id || applied.version != edit.base + 1 {
+                    let line = format!("{} and {winner} both made {applied:?}", edit.change_id);
                     self.report.violations.push(line);
                 }
             }
             Err(ApplyError::Conflict { base, current, .. }) => {
                 self.seen[index] = self.seen[index].max(*current);
                 if current == base {
-                    let line = format!("{}: a false conflict at {current}", edit.change);
+                    let line = format!("{}: a false conflict at {current}", edit.change_id);
                     self.report.violations.push(line);
                 }
             }
             Err(ApplyError::Invalid(problems)) => {
                 self.report
                     .violations
-                    .push(format!("{}: {problems:?}", edit.change));
+                    .push(format!("{}: {problems:?}", edit.change_id));
             }
         }
     }
--- a/crates/celerywinch_catalogue/src/edit.rs
+++ b/crates/celerywinch_catalogue/src/edit.rs
@@ -18,7 +18,8 @@
     /// from.
     pub struct Edit {
         /// Names the change; one sent again after a lost answer carries the same name.
-        pub change: String,
+        #[serde(rename = "change")]
+        pub change_id: String,
         /// The version the operator saw.
         pub base: Version,
         /// The new catalogue.
@@ -36,14 +37,15 @@
     #[derive(Error)]
     pub enum ApplyError {
         /// Another change came first.
-        #[error("the catalogue is at version {current}, made by change {winner:?}, not at {base}")]
+        #[error("the catalogue is at version {current}, made by change {current_change:?}, not at {base}")]
         Conflict {
             /// The version the change was made from.
             base: Version,
             /// The version now.
             current: Version,
             /// The change that made it.
-            winner: String,
+            #[serde(rename = "winner")]
+            current_change: String,
         },
         /// The document has problems.
         #[error("the catalogue has problems: {0:?}")]
@@ -54,7 +56,8 @@
     #[derive(Default)]
     pub struct CatalogueState {
         version: Version,
-        winner: String,
+        #[serde(rename = "winner")]
+        current_change: String,
         document: Document,
         answers: VecDeque<(String, Result<Applied, ApplyError>)>,
     }
@@ -75,10 +78,10 @@
 
     /// The first answer that was given to a change, if it is still remembered.
     #[must_use]
-    pub fn answer(&self, change: &str) -> Option<&Result<Applied, ApplyError>> {
+    pub fn answer(&self, change_id: &str) -> Option<&Result<Applied, ApplyError>> {
         let mut answers = self.answers.iter().rev();
         answers
-            .find(|(id, _)| id == change)
+            .find(|(id, _)| id == change_id)
             .map(|(_, answer)| answer)
     }
 
@@ -91,12 +94,12 @@
     ///
     /// The change was made from another version, or its document has problems.
     pub fn apply(&mut self, edit: Edit) -> Result<Applied, ApplyError> {
-        if let Some(answer) = self.answer(&edit.change) {
+        if let Some(answer) = self.answer(&edit.change_id) {
             return answer.clone();
         }
-        let change = edit.change.clone();
+        let change_id = edit.change_id.clone();
         let answer = self.decide(edit);
-        self.answers.push_back((change, answer.clone()));
+        self.answers.push_back((change_id, answer.clone()));
         if self.answers.len() > KEPT_ANSWERS {
             self.answers.pop_front();
         }
@@ -108,7 +111,7 @@
             return Err(ApplyError::Conflict {
                 base: edit.base,
                 current: self.version,
-                winner: self.winner.clone(),
+                current_change: self.current_change.clone(),
             });
         }
         let checked = Catalogue::check(self.version + 1, edit.document.clone());
@@ -117,7 +120,7 @@
             return Err(ApplyError::Invalid(problems));
         }
         self.version += 1;
-        self.winner = edit.change;
+        self.current_change = edit.change_id;
         self.document = edit.document;
         Ok(Applied {
             version: self.version,
--- a/crates/celerywinch_keeper/src/keeper.rs
+++ b/crates/celerywinch_keeper/src/keeper.rs
@@ -161,7 +161,10 @@
 
     fn known_answer(&self, edit: &[u8]) -> Option<Answer> {
         let edit = decode_edit(edit).ok()?;
-        self.ledger.answer(&edit.change).cloned().map(Answer::Done)
+        self.ledger
+            .answer(&edit.change_id)
+            .cloned()
+            .map(Answer::Done)
     }
 
     fn apply(&mut self, entry: Entry, out: &mut Vec<KeeperOutput>) {
--- a/crates/celerywinch_node/src/http/operators.rs
+++ b/crates/celerywinch_node/src/http/operators.rs
@@ -85,7 +85,7 @@
             return problem.detail(&error.to_string()).response();
         }
     };
-    if edit.change.is_empty() || edit.change.len() > LONGEST_CHANGE_ID {
+    if edit.change_id.is_empty() || edit.change_id.len() > LONGEST_CHANGE_ID {
         let problem = Problem::new(400, "change", "bad change id").field("change");
         return problem.detail("wanted 1 to 128 bytes").response();
     }
--- a/crates/celerywinch_node/src/store.rs
+++ b/crates/celerywinch_node/src/store.rs
@@ -350,7 +350,7 @@
         }
         if let Some(document) = self.options.first_catalogue.take() {
             let edit = Edit {
-                change: FIRST_CHANGE.into(),
+                change_id: FIRST_CHANGE.into(),
                 base: 0,
                 document,
             };
