--- a/crates/celerywinch/src/commands/explain.rs
+++ b/crates/celerywinch/src/commands/explain.rs
@@ -1,7 +1,7 @@
 //! `celerywinch explain`: one job's story from the logs of many processes.
 
 use anyhow::{Context, bail};
-use celerywinch_timeline::{explain, read_log};
+use celerywinch_timeline::{explain, parse_log};
 
 use super::{Command, parse};
 use crate::ExitStatus;
@@ -41,7 +41,7 @@
     let mut lines = Vec::new();
     for file in files {
         let text = std::fs::read(file).with_context(|| format!("cannot read {file}"))?;
-        lines.extend(read_log(&String::from_utf8_lossy(&text)));
+        lines.extend(parse_log(&String::from_utf8_lossy(&text)));
     }
     let story = explain(job, &lines);
     if story.is_empty() {
--- a/crates/celerywinch/src/commands/timeline.rs
+++ b/crates/celerywinch/src/commands/timeline.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use anyhow::{Context, bail};
-use celerywinch_timeline::{Filter, load, page, text};
+use celerywinch_timeline::{Filter, load_records, render_html, render_text};
 
 use super::{Command, parse};
 use crate::ExitStatus;
@@ -35,12 +35,11 @@
         endpoint: matches.opt_str("endpoint"),
     };
     let files: Vec<_> = matches.free.iter().map(Path::new).collect();
-    let lines = load(&files, &filter)?;
+    let records = load_records(&files, &filter)?;
     match matches.opt_str("html") {
-        Some(out) => {
-            std::fs::write(&out, page(&lines)).with_context(|| format!("cannot write {out}"))?
-        }
-        None => print!("{}", text(&lines)),
+        Some(out) => std::fs::write(&out, render_html(&records))
+            .with_context(|| format!("cannot write {out}"))?,
+        None => print!("{}", render_text(&records)),
     }
     Ok(ExitStatus::Success)
 }
--- a/crates/celerywinch_node/src/timeline.rs
+++ b/crates/celerywinch_node/src/timeline.rs
@@ -10,7 +10,7 @@
 
 use anyhow::Context;
 use celerywinch_entry::Event;
-use celerywinch_timeline::{Line, Stamp};
+use celerywinch_timeline::{EventStamp, TimelineRecord};
 use celerywinch_types::Process;
 
 use crate::Clock;
@@ -22,35 +22,39 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Timeline {
     clock: Arc<Clock>,
-    at: Process,
-    lines: Option<Sender<Line>>,
+    process: Process,
+    records: Option<Sender<TimelineRecord>>,
 }
 
 impl Timeline {
     /// Appends to `file`, or writes nothing without one.
     pub(crate) fn open(
         clock: Arc<Clock>,
-        at: Process,
+        process: Process,
         file: Option<&Path>,
     ) -> anyhow::Result<Self> {
-        let lines = file.map(start_writer).transpose()?;
-        Ok(Self { clock, at, lines })
+        let records = file.map(start_writer).transpose()?;
+        Ok(Self {
+            clock,
+            process,
+            records,
+        })
     }
 
     pub(crate) fn write(&self, event: Event) {
-        let Some(lines) = &self.lines else {
+        let Some(records) = &self.records else {
             return;
         };
-        let stamp = Stamp {
+        let stamp = EventStamp {
             hlc: self.clock.stamp(),
-            at: self.at,
+            process: self.process,
         };
         // The writer ends only when the disk fails; requests go on without a time line then.
-        let _ = lines.send(Line { stamp, event });
+        let _ = records.send(TimelineRecord { stamp, event });
     }
 }
 
-fn start_writer(path: &Path) -> anyhow::Result<Sender<Line>> {
+fn start_writer(path: &Path) -> anyhow::Result<Sender<TimelineRecord>> {
     if let Some(folder) = path.parent() {
         std::fs::create_dir_all(folder)
             .with_context(|| format!("time line: cannot make the folder {}", folder.display()))?;
@@ -69,12 +73,12 @@
     Ok(sender)
 }
 
-fn write_lines(file: File, lines: &Receiver<Line>) -> anyhow::Result<()> {
+fn write_lines(file: File, records: &Receiver<TimelineRecord>) -> anyhow::Result<()> {
     let mut writer = BufWriter::new(file);
     loop {
-        match lines.recv_timeout(FLUSH_EVERY) {
-            Ok(line) => {
-                serde_json::to_writer(&mut writer, &line)?;
+        match records.recv_timeout(FLUSH_EVERY) {
+            Ok(record) => {
+                serde_json::to_writer(&mut writer, &record)?;
                 writer.write_all(b"\n")?;
             }
             Err(RecvTimeoutError::Timeout) => writer.flush()?,
--- a/crates/celerywinch_timeline/src/story.rs
+++ b/crates/celerywinch_timeline/src/explain.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
     /// Ms since 1970, by the process's clock.
-    pub at: u64,
+    pub at_ms: u64,
     /// Which process.
     pub instance: u32,
     /// What happened.
@@ -27,7 +27,7 @@
         let start = text.find('{')?;
         let json: Value = serde_json::from_str(&text[start..]).ok()?;
         Some(Self {
-            at: json["at"].as_u64()?,
+            at_ms: json["at"].as_u64()?,
             instance: u32::try_from(json["instance"].as_u64()?).ok()?,
             event: json["event"].as_str()?.to_owned(),
             json,
@@ -45,7 +45,7 @@
     pub fn text(&self, job: u64) -> String {
         let mine = if self.job() == Some(job) { ' ' } else { '~' };
         let process = Ipv4Addr::from(self.instance);
-        let mut text = format!("{} {mine} {process} {}", self.at, self.event);
+        let mut text = format!("{} {mine} {process} {}", self.at_ms, self.event);
         if let Some(fields) = self.json.as_object() {
             for (name, value) in fields
                 .iter()
@@ -60,7 +60,7 @@
 
 /// Reads the lines of a log; what is no line of it is passed over.
 #[must_use]
-pub fn read_log(text: &str) -> Vec<LogLine> {
+pub fn parse_log(text: &str) -> Vec<LogLine> {
     text.lines().filter_map(LogLine::read).collect()
 }
 
@@ -83,8 +83,8 @@
         .iter()
         .filter(|line| line.job() == Some(job))
         .collect();
-    let first = own.iter().map(|line| line.at).min();
-    let last = own.iter().map(|line| line.at).max();
+    let first = own.iter().map(|line| line.at_ms).min();
+    let last = own.iter().map(|line| line.at_ms).max();
     let (Some(first), Some(last)) = (first, last) else {
         return Vec::new();
     };
@@ -94,13 +94,13 @@
         .filter_map(|l| l.json["worker"].as_str())
         .collect();
     let around = |line: &&LogLine| {
-        let meanwhile = (first..=last).contains(&line.at) && processes.contains(&line.instance);
+        let meanwhile = (first..=last).contains(&line.at_ms) && processes.contains(&line.instance);
         let worker = line.json["worker"].as_str();
         let concerned = worker.is_none_or(|worker| workers.contains(worker));
         meanwhile && concerned && line.job().is_none() && AROUND.contains(&line.event.as_str())
     };
     let mut story: Vec<&LogLine> = lines.iter().filter(around).collect();
     story.extend(own);
-    story.sort_by_key(|line| line.at);
+    story.sort_by_key(|line| line.at_ms);
     story
 }
--- a/crates/celerywinch_timeline/src/page.rs
+++ b/crates/celerywinch_timeline/src/html.rs
@@ -5,8 +5,8 @@
 use celerywinch_entry::Event;
 use celerywinch_types::InstanceId;
 
-use crate::Line;
-use crate::merge::{describe, text};
+use crate::TimelineRecord;
+use crate::merge::{describe, render_text};
 
 /// Width of the picture, and of the names at its left.
 const WIDTH: f64 = 1200.0;
@@ -18,15 +18,15 @@
 
 /// The page.
 #[must_use]
-pub fn page(lines: &[Line]) -> String {
+pub fn render_html(records: &[TimelineRecord]) -> String {
     format!(
         "<!doctype html>\n<html lang=\"en\"><meta charset=\"utf-8\"><title>Time line</title>\n\
          <style>body{{font:14px sans-serif;margin:2em}}pre{{font-size:12px}}\
          text{{font:12px sans-serif}}</style>\n<h1>Time line</h1>\n<p>{}</p>\n{}\n\
          <pre>{}</pre>\n</html>\n",
         legend(),
-        picture(lines),
-        escape(&text(lines)),
+        picture(records),
+        escape(&render_text(records)),
     )
 }
 
@@ -65,11 +65,12 @@
     entries.join(" &nbsp; ")
 }
 
-fn picture(lines: &[Line]) -> String {
-    let instances: BTreeSet<InstanceId> = lines.iter().map(|l| l.stamp.at.instance).collect();
+fn picture(records: &[TimelineRecord]) -> String {
+    let instances: BTreeSet<InstanceId> =
+        records.iter().map(|l| l.stamp.process.instance).collect();
     let instances: Vec<_> = instances.into_iter().collect();
-    let first = lines.first().map_or(0, |line| line.stamp.millis());
-    let last = lines.last().map_or(0, |line| line.stamp.millis());
+    let first = records.first().map_or(0, |record| record.stamp.millis());
+    let last = records.last().map_or(0, |record| record.stamp.millis());
     let span = (last - first).max(1) as f64;
     let height = ROW * (instances.len() as f64 + 1.0);
     let mut svg = format!("<svg viewBox=\"0 0 {WIDTH} {height}\" width=\"100%\" role=\"img\">\n");
@@ -81,9 +82,11 @@
         ));
     }
     let mut seen = std::collections::BTreeMap::new();
-    for line in lines {
-        let row = instances.iter().position(|i| *i == line.stamp.at.instance);
-        let share = (line.stamp.millis() - first) as f64 / span;
+    for record in records {
+        let row = instances
+            .iter()
+            .position(|i| *i == record.stamp.process.instance);
+        let share = (record.stamp.millis() - first) as f64 / span;
         let x = MARGIN + share * (WIDTH - MARGIN - 10.0);
         // Events of one process within a millisecond are stacked, so that none hides another.
         let stacked = seen.entry((row, x as i64)).or_insert(0.0);
@@ -91,8 +94,8 @@
         *stacked += STEP;
         svg.push_str(&format!(
             "<circle cx=\"{x:.1}\" cy=\"{y:.1}\" r=\"4\" fill=\"{}\"><title>{}</title></circle>\n",
-            colour(&line.event),
-            escape(&describe(line))
+            colour(&record.event),
+            escape(&describe(record))
         ));
     }
     let y = height - 6.0;
--- a/crates/celerywinch_timeline/src/lib.rs
+++ b/crates/celerywinch_timeline/src/lib.rs
@@ -1,11 +1,11 @@
 //! Time lines: their lines, merging them, and showing them as text or as a page with a picture.
 
-mod line;
+mod explain;
+mod html;
 mod merge;
-mod page;
-mod story;
+mod record;
 
-pub use line::{Line, Stamp};
-pub use merge::{Filter, load, text};
-pub use page::page;
-pub use story::{LogLine, explain, read_log};
+pub use explain::{LogLine, explain, parse_log};
+pub use html::render_html;
+pub use merge::{Filter, load_records, render_text};
+pub use record::{EventStamp, TimelineRecord};
--- a/crates/celerywinch_timeline/src/merge.rs
+++ b/crates/celerywinch_timeline/src/merge.rs
@@ -5,7 +5,7 @@
 
 use anyhow::Context;
 
-use crate::Line;
+use crate::TimelineRecord;
 
 /// Which events are wanted; all without a part.
 #[derive(Clone, Debug, Default)]
@@ -34,8 +34,8 @@
 /// # Errors
 ///
 /// A file cannot be read, or holds a line that is no event.
-pub fn load(files: &[&Path], filter: &Filter) -> anyhow::Result<Vec<Line>> {
-    let mut lines = Vec::new();
+pub fn load_records(files: &[&Path], filter: &Filter) -> anyhow::Result<Vec<TimelineRecord>> {
+    let mut records = Vec::new();
     for file in files {
         let text = fs::read_to_string(file);
         let text = text.with_context(|| format!("cannot read {}", file.display()))?;
@@ -44,31 +44,34 @@
             let place = || format!("{}:{}: no event", file.display(), number + 1);
             let json: serde_json::Value = serde_json::from_str(line).with_context(place)?;
             if filter.wants(&json) {
-                lines.push(serde_json::from_value(json).with_context(place)?);
+                records.push(serde_json::from_value(json).with_context(place)?);
             }
         }
     }
-    lines.sort_by_key(|line: &Line| (line.stamp.hlc, line.stamp.at));
-    Ok(lines)
+    records.sort_by_key(|record: &TimelineRecord| (record.stamp.hlc, record.stamp.process));
+    Ok(records)
 }
 
 /// The lines as text, with times from the first.
 #[must_use]
-pub fn text(lines: &[Line]) -> String {
-    let first = lines.first().map_or(0, |line| line.stamp.millis());
+pub fn render_text(records: &[TimelineRecord]) -> String {
+    let first = records.first().map_or(0, |record| record.stamp.millis());
     let mut text = String::new();
-    for line in lines {
-        let at = line.stamp.millis() - first;
-        let instance = line.stamp.at.instance;
-        text.push_str(&format!("{at:>8} ms  {instance:<12} {}\n", describe(line)));
+    for record in records {
+        let at = record.stamp.millis() - first;
+        let instance = record.stamp.process.instance;
+        text.push_str(&format!(
+            "{at:>8} ms  {instance:<12} {}\n",
+            describe(record)
+        ));
     }
     text
 }
 
 /// An event in one line: its name, then its fields.
-pub(crate) fn describe(line: &Line) -> String {
-    let json = serde_json::to_value(&line.event).unwrap_or_default();
-    let mut text = line.event.name().to_owned();
+pub(crate) fn describe(record: &TimelineRecord) -> String {
+    let json = serde_json::to_value(&record.event).unwrap_or_default();
+    let mut text = record.event.name().to_owned();
     for (field, value) in json.as_object().into_iter().flatten() {
         if field == "event" {
             continue;
--- a/crates/celerywinch_timeline/src/line.rs
+++ b/crates/celerywinch_timeline/src/record.rs
@@ -6,15 +6,16 @@
 
 /// When and where an event happened.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct EventStamp {
     /// Hybrid logical time: milliseconds since the Unix epoch in the upper 48 bits, a count of
     /// events in the lower 16.
     pub hlc: u64,
     /// The process.
-    pub at: Process,
+    #[serde(rename = "at")]
+    pub process: Process,
 }
 
-impl Stamp {
+impl EventStamp {
     /// Milliseconds since the Unix epoch.
     #[must_use]
     pub fn millis(&self) -> u64 {
@@ -24,10 +25,10 @@
 
 /// One line of a time line.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct TimelineRecord {
     /// When and where.
     #[serde(flatten)]
-    pub stamp: Stamp,
+    pub stamp: EventStamp,
     /// What.
     #[serde(flatten)]
     pub event: Event,
--- a/crates/celerywinch_timeline/tests/story.rs
+++ b/crates/celerywinch_timeline/tests/explain.rs
@@ -1,6 +1,6 @@
 //! One job's story.
 
-use celerywinch_timeline::{explain, read_log};
+use celerywinch_timeline::{explain, parse_log};
 
 const LOGS: &str = r#"
 {"at":10,"instance":167903246,"life":1,"part":"origin","event":"submitted","job":77,"queue":"q","tasks":2}
@@ -18,12 +18,12 @@
 /// they found of its worker meanwhile, in order of time; nothing of other jobs, workers, processes.
 #[test]
 fn story_has_what_concerns_the_job() {
-    let lines = read_log(LOGS);
+    let lines = parse_log(LOGS);
     assert_eq!(lines.len(), 8);
     let story = explain(77, &lines);
     let events: Vec<_> = story
         .iter()
-        .map(|line| (line.at, line.event.as_str()))
+        .map(|line| (line.at_ms, line.event.as_str()))
         .collect();
     let wanted = [
         (10, "submitted"),
@@ -42,5 +42,5 @@
 
 #[test]
 fn job_that_no_line_names_has_no_story() {
-    assert!(explain(5, &read_log(LOGS)).is_empty());
+    assert!(explain(5, &parse_log(LOGS)).is_empty());
 }
