--- a/crates/celerywinch_fleet/src/metrics.rs
+++ b/crates/celerywinch_fleet/src/metrics.rs
@@ -66,13 +66,13 @@
     pub(crate) fn new() -> anyhow::Result<Self> {
         let meter = Meter::new()?;
         Ok(Self {
-            jobs: meter.family("jobs_total", "Jobs answered here, by their end.", "end")?,
+            jobs: meter.counter_vec("jobs_total", "Jobs answered here, by their end.", "end")?,
             job_seconds: meter.histogram(
                 "job_seconds",
                 "Seconds from arrival to answer.",
                 JOB_SECONDS,
             )?,
-            runs: meter.family("runs_total", "Runs that ended, by how.", "how")?,
+            runs: meter.counter_vec("runs_total", "Runs that ended, by how.", "how")?,
             refused: meter.counter("refused_total", "Jobs refused by this dispatcher.")?,
             moved: meter.counter("moved_total", "Runs stopped for too little progress.")?,
             crashes: meter.counter(
@@ -84,24 +84,24 @@
                 "Tasks that were given up after workers had ended under them.",
             )?,
             aside: meter.counter("aside_total", "Times a worker was set aside.")?,
-            gone: meter.family(
+            gone: meter.counter_vec(
                 "workers_gone_total",
                 "Workers that are gone, by how it is known.",
                 "why",
             )?,
             changes: meter.counter("changes_total", "Domains acquired or resigned here.")?,
-            messages: meter.family(
+            messages: meter.counter_vec(
                 "messages_total",
                 "Messages sent to other processes, by kind.",
                 "kind",
             )?,
-            message_bytes: meter.family("message_bytes_total", "Bytes of them.", "kind")?,
-            worker_calls: meter.family(
+            message_bytes: meter.counter_vec("message_bytes_total", "Bytes of them.", "kind")?,
+            worker_calls: meter.counter_vec(
                 "worker_calls_total",
                 "Calls to workers, by kind.",
                 "kind",
             )?,
-            announced: meter.family(
+            announced: meter.counter_vec(
                 "announcements_total",
                 "Announcements of workers, by what they changed.",
                 "what",
@@ -244,7 +244,7 @@
 
     /// All figures as text.
     pub(crate) fn text(&self) -> String {
-        self.meter.text().unwrap_or_else(|error| {
+        self.meter.encode().unwrap_or_else(|error| {
             log::error!("metrics: Cannot be written: {error}.");
             String::new()
         })
--- a/crates/celerywinch_metrics/src/lib.rs
+++ b/crates/celerywinch_metrics/src/lib.rs
@@ -40,10 +40,15 @@
     /// # Errors
     ///
     /// The name is bad, or used already.
-    pub fn family(&self, name: &str, help: &str, label: &str) -> prometheus::Result<IntCounterVec> {
-        let family = IntCounterVec::new(Opts::new(name, help), &[label])?;
-        self.registry.register(Box::new(family.clone()))?;
-        Ok(family)
+    pub fn counter_vec(
+        &self,
+        name: &str,
+        help: &str,
+        label: &str,
+    ) -> prometheus::Result<IntCounterVec> {
+        let counter_vec = IntCounterVec::new(Opts::new(name, help), &[label])?;
+        self.registry.register(Box::new(counter_vec.clone()))?;
+        Ok(counter_vec)
     }
 
     /// A gauge.
@@ -79,7 +84,7 @@
     /// # Errors
     ///
     /// A figure cannot be written.
-    pub fn text(&self) -> prometheus::Result<String> {
+    pub fn encode(&self) -> prometheus::Result<String> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
         Ok(String::from_utf8_lossy(&text).into_owned())
--- a/crates/celerywinch_node/src/metrics.rs
+++ b/crates/celerywinch_node/src/metrics.rs
@@ -28,10 +28,18 @@
     pub(crate) fn new() -> anyhow::Result<Self> {
         let meter = Meter::new()?;
         Ok(Self {
-            events: meter.family("events_total", "Events of the time line by name.", "event")?,
-            outcomes: meter.family("outcomes_total", "Outcomes decided here.", "outcome")?,
-            violations: meter.family("violations_total", "Assertions that failed.", "invariant")?,
-            rejected: meter.family("rejected_total", "Bad requests by filter.", "filter")?,
+            events: meter.counter_vec(
+                "events_total",
+                "Events of the time line by name.",
+                "event",
+            )?,
+            outcomes: meter.counter_vec("outcomes_total", "Outcomes decided here.", "outcome")?,
+            violations: meter.counter_vec(
+                "violations_total",
+                "Assertions that failed.",
+                "invariant",
+            )?,
+            rejected: meter.counter_vec("rejected_total", "Bad requests by filter.", "filter")?,
             peer_messages: meter.counter("peer_messages_sent_total", "Messages to instances.")?,
             peer_bytes: meter
                 .counter("peer_bytes_sent_total", "Bytes of messages to instances.")?,
@@ -76,6 +84,6 @@
         set(&self.records, status.records);
         self.catalogue
             .set(i64::try_from(status.catalogue).unwrap_or(0));
-        Ok(self.meter.text()?)
+        Ok(self.meter.encode()?)
     }
 }
