--- a/crates/celerywinch_bench/src/slopes/overhead.rs
+++ b/crates/celerywinch_bench/src/slopes/overhead.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use celerywinch_client::{Client, read};
+use celerywinch_client::{Client, read_response};
 use celerywinch_dispatch::Policy;
 use celerywinch_standin::fresh_key;
 use ntex::http::Method;
@@ -119,7 +119,7 @@
                 .header("celerywinch-key", key)
                 .header("celerywinch-task", "0")
                 .header("celerywinch-remaining-ms", "5000");
-            read(request.send_json(&body).await).await
+            read_response(request.send_json(&body).await).await
         }
         Some(count) => {
             let request = client.request(Method::POST, target, "/v1/submit");
@@ -129,7 +129,7 @@
                 "deadline_ms": 5000,
                 "tasks": vec![body; count],
             });
-            read(request.send_json(&job).await).await
+            read_response(request.send_json(&job).await).await
         }
     };
     response.is_ok_and(|response| response.status == 200)
--- a/crates/celerywinch_client/src/lib.rs
+++ b/crates/celerywinch_client/src/lib.rs
@@ -88,7 +88,7 @@
     ///
     /// The connection was refused or lost, or the wait was over.
     pub async fn get(&self, addr: SocketAddr, path: &str) -> anyhow::Result<Response> {
-        read(self.request(Method::GET, addr, path).send().await).await
+        read_response(self.request(Method::GET, addr, path).send().await).await
     }
 
     /// Puts a body.
@@ -102,7 +102,7 @@
         path: &str,
         body: &Value,
     ) -> anyhow::Result<Response> {
-        read(self.request(Method::PUT, addr, path).send_json(body).await).await
+        read_response(self.request(Method::PUT, addr, path).send_json(body).await).await
     }
 }
 
@@ -111,7 +111,9 @@
 /// # Errors
 ///
 /// The connection was refused or lost.
-pub async fn read(response: Result<ClientResponse, ClientError>) -> anyhow::Result<Response> {
+pub async fn read_response(
+    response: Result<ClientResponse, ClientError>,
+) -> anyhow::Result<Response> {
     let response = response.map_err(|error| anyhow::anyhow!("client: {error}"))?;
     let status = response.status().as_u16();
     let body = response.body().limit(LONGEST).await;
--- a/crates/celerywinch_standin/src/caller.rs
+++ b/crates/celerywinch_standin/src/caller.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use celerywinch_client::{Client, read};
+use celerywinch_client::{Client, read_response};
 use ntex::http::Method;
 use ntex::time::Millis;
 use serde_json::{Value, json};
@@ -114,7 +114,7 @@
         if let Some(key) = key {
             request = request.header("idempotency-key", key);
         }
-        Ok(read(request.send_json(body).await).await?.into())
+        Ok(read_response(request.send_json(body).await).await?.into())
     }
 
     /// Puts a body, as an operator.
@@ -131,7 +131,7 @@
     ) -> anyhow::Result<Response> {
         let request = self.client.request(Method::PUT, entry, path);
         let request = request.header("authorization", format!("Bearer {secret}"));
-        Ok(read(request.send_json(body).await).await?.into())
+        Ok(read_response(request.send_json(body).await).await?.into())
     }
 
     /// Gets a page, with the operators' secret if there is one.
@@ -172,7 +172,7 @@
         if let Some(secret) = secret {
             request = request.header("authorization", format!("Bearer {secret}"));
         }
-        read(request.send().await).await
+        read_response(request.send().await).await
     }
 }
 
