--- a/crates/celerywinch_bench/src/cluster.rs
+++ b/crates/celerywinch_bench/src/cluster.rs
@@ -83,8 +83,8 @@
                 .http_threads(Some(1))
                 .build();
             let options = NodeOptions {
-                peers: Some(listener),
-                catalogue: Some(deployment.document()?),
+                peer_listener: Some(listener),
+                first_catalogue: Some(deployment.document()?),
                 policy,
             };
             nodes.push(Node::start(settings, options).await?);
@@ -217,7 +217,7 @@
                 id: InstanceId(u32::try_from(instances.len() + 1)?),
                 dc: DataCentreId(u8::try_from(number + 1)?),
                 dc_name: (*name).to_owned(),
-                peers: listener.local_addr()?,
+                peer_addr: listener.local_addr()?,
                 keeper: false,
             });
             listeners.push(listener);
--- a/crates/celerywinch_node/src/node.rs
+++ b/crates/celerywinch_node/src/node.rs
@@ -41,9 +41,9 @@
 #[derive(Debug, Default)]
 pub struct NodeOptions {
     /// For other instances; bound from the settings without it.
-    pub peers: Option<TcpListener>,
+    pub peer_listener: Option<TcpListener>,
     /// The first catalogue; read from the settings' file without it.
-    pub catalogue: Option<Document>,
+    pub first_catalogue: Option<Document>,
     /// How endpoints are chosen; other than by default only to measure against.
     pub policy: Policy,
 }
@@ -70,9 +70,9 @@
         };
         let timeline = Timeline::open(clock.clone(), me, settings.timeline_file.as_deref())?;
         let metrics = Metrics::new().context("metrics: cannot be set up")?;
-        let peers = match options.peers {
+        let listener = match options.peer_listener {
             Some(listener) => listener,
-            None => bind("peers", settings.me.peers)?,
+            None => bind("peers", settings.me.peer_addr)?,
         };
         let callers = bind("callers", settings.callers)?;
         let endpoints = bind("endpoints", settings.endpoints)?;
@@ -106,10 +106,10 @@
         start_store(
             &shared,
             context.clock.clone(),
-            options.catalogue,
+            options.first_catalogue,
             store_inbox,
         )?;
-        let done = start_core(shared.clone(), context, (peers, options.policy), inbox)?;
+        let done = start_core(shared.clone(), context, (listener, options.policy), inbox)?;
         let servers = vec![
             serve(&shared, callers, Surface::Callers)?,
             serve(&shared, endpoints, Surface::Endpoints)?,
@@ -157,12 +157,12 @@
     options: (TcpListener, Policy),
     inbox: UnboundedReceiver<CoreMsg>,
 ) -> anyhow::Result<oneshot::Receiver<()>> {
-    let (peers, policy) = options;
-    peers.set_nonblocking(true)?;
+    let (listener, policy) = options;
+    listener.set_nonblocking(true)?;
     let (done, finished) = oneshot::channel();
     let arbiter = Arbiter::with_name(format!("core-{}", shared.me.instance.0));
     arbiter.handle().spawn(async move {
-        ntex::rt::spawn(run_core(shared, context, (peers, policy), inbox, done));
+        ntex::rt::spawn(run_core(shared, context, (listener, policy), inbox, done));
     });
     Ok(finished)
 }
@@ -174,28 +174,33 @@
     inbox: UnboundedReceiver<CoreMsg>,
     done: oneshot::Sender<()>,
 ) {
-    let (peers, policy) = options;
+    let (listener, policy) = options;
     let settings = &shared.settings;
-    let peers = match tokio::net::TcpListener::from_std(peers) {
-        Ok(peers) => peers,
+    let listener = match tokio::net::TcpListener::from_std(listener) {
+        Ok(listener) => listener,
         Err(error) => {
             log::error!("core: Cannot listen for other instances: {error}.");
             return;
         }
     };
-    ntex::rt::spawn(listen(peers, context.clone(), context.config()));
+    ntex::rt::spawn(listen(listener, context.clone(), context.config()));
     let others = settings.instances.iter();
     let others = others.filter(|one| one.id != settings.me.id);
     let mut links = Links::new(context.clone(), context.config());
-    others.for_each(|one| links.open(one.id, one.peers));
+    others.for_each(|one| links.open(one.id, one.peer_addr));
     let clock = context.clock.clone();
-    let config = ConfigBuilder::new(shared.me, settings.me.dc, Clock::wall(), settings.layout())
-        .seed(shared.me.incarnation.0 ^ u64::from(shared.me.instance.0))
-        .limits(settings.limits)
-        .policy(policy)
-        .keepers(keepers(settings))
-        .durable(settings.data_folder.is_some())
-        .build();
+    let config = ConfigBuilder::new(
+        shared.me,
+        settings.me.dc,
+        Clock::wall(),
+        settings.topology(),
+    )
+    .seed(shared.me.incarnation.0 ^ u64::from(shared.me.instance.0))
+    .limits(settings.limits)
+    .policy(policy)
+    .keepers(keepers(settings))
+    .durable(settings.data_folder.is_some())
+    .build();
     let core = Core {
         entry: Entry::new(config, clock.now()),
         clock,
--- a/crates/celerywinch_settings/src/load.rs
+++ b/crates/celerywinch_settings/src/load.rs
@@ -218,7 +218,7 @@
         id: InstanceId(one.instance.value.into()),
         dc: DataCentreId(dc.unwrap_or(0)),
         dc_name: name.clone(),
-        peers: checker.addr("instances.peers", &one.peers),
+        peer_addr: checker.addr("instances.peers", &one.peers),
         keeper: one.keeper,
     }
 }
--- a/crates/celerywinch_settings/src/settings.rs
+++ b/crates/celerywinch_settings/src/settings.rs
@@ -28,7 +28,7 @@
     /// The name of its data centre.
     pub dc_name: String,
     /// Where it listens for other instances.
-    pub peers: SocketAddr,
+    pub peer_addr: SocketAddr,
     /// Whether it is a keeper.
     pub keeper: bool,
 }
@@ -89,7 +89,7 @@
 impl Settings {
     /// Instances in the form the claims are laid out from.
     #[must_use]
-    pub fn layout(&self) -> Vec<(InstanceId, DataCentreId, String)> {
+    pub fn topology(&self) -> Vec<(InstanceId, DataCentreId, String)> {
         let instances = self.instances.iter();
         instances
             .map(|one| (one.id, one.dc, one.dc_name.clone()))
