--- a/crates/celerywinchd/src/lib.rs
+++ b/crates/celerywinchd/src/lib.rs
@@ -59,7 +59,7 @@
     let offset = matches.opt_str("clock-offset");
     let offset = offset.map(|text| text.parse()).transpose();
     Ok(Overrides {
-        without: names.parse().context("`--without`")?,
+        disabled: names.parse().context("`--without`")?,
         clock_offset: offset
             .context("`--clock-offset`: wanted whole ms, such as -30000")?
             .unwrap_or(0),
