--- a/crates/celerywinch_entry/src/entry.rs
+++ b/crates/celerywinch_entry/src/entry.rs
@@ -44,17 +44,17 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Status {
     /// Jobs without an outcome.
-    pub open: usize,
+    pub open_jobs: usize,
     /// Tasks that wait for a slot.
-    pub queued: usize,
+    pub queued_tasks: usize,
     /// Endpoints known.
     pub endpoints: usize,
     /// Endpoints set aside or on probation.
     pub suspended: usize,
     /// Keys remembered by the replicas here.
-    pub records: usize,
+    pub claim_records: usize,
     /// Version of the catalogue in force.
-    pub catalogue: u64,
+    pub catalogue_version: u64,
     /// Whether this entry may serve by it.
     pub current: bool,
     /// Whether a planned stop is under way.
@@ -108,7 +108,7 @@
         timers.subscribe(now, Timer::Housekeeping);
         timers.subscribe(now + DECIDED_EVERY, Timer::Decided);
         Self {
-            peers: Peers::new(config.dc, config.timing, others),
+            peers: Peers::new(config.dc, config.detector, others),
             dispatch: Dispatch::new(me, config.policy, config.seed),
             random: ChaCha8Rng::seed_from_u64(config.seed),
             homes,
@@ -143,13 +143,15 @@
             }
             Input::Lookup(id, key) => self.lookup(now, Waiter::Caller(id), key, out),
             Input::Cancel(id, keys) => self.cancel(now, id, keys, out),
-            Input::Peer(from, msg) => self.peer(now, from, msg, out),
-            Input::PeerGone(id) => self.peer_gone(now, id, out),
+            Input::PeerMessage(from, msg) => self.peer(now, from, msg, out),
+            Input::ConnectionRefused(id) => self.peer_gone(now, id, out),
             Input::Announce(note) => self.announce(now, note, out),
             Input::CallEnded(id, end) => self.call_ended(now, id, end, out),
-            Input::Catalogue(catalogue) => self.start_catalogue(catalogue, out),
-            Input::Committed(catalogue, leads) => self.committed(now, catalogue, leads, out),
-            Input::Saved(version) => self.saved(now, version, out),
+            Input::InitialCatalogue(catalogue) => self.start_catalogue(catalogue, out),
+            Input::CatalogueCommitted(catalogue, leads) => {
+                self.committed(now, catalogue, leads, out)
+            }
+            Input::CatalogueSaved(version) => self.saved(now, version, out),
             Input::Stop => self.stop(out),
             Input::Tick => {}
         }
@@ -169,12 +171,12 @@
     pub fn status(&self) -> Status {
         let (endpoints, suspended) = self.dispatch.endpoint_counts();
         Status {
-            open: self.jobs.len(),
-            queued: self.dispatch.queued(),
+            open_jobs: self.jobs.len(),
+            queued_tasks: self.dispatch.queued(),
             endpoints,
             suspended,
-            records: self.replicas.values().map(Replica::len).sum(),
-            catalogue: self.catalogue.version(),
+            claim_records: self.replicas.values().map(Replica::len).sum(),
+            catalogue_version: self.catalogue.version(),
             current: self.holding.current,
             stopping: self.stopping,
             violations: self.violations,
@@ -207,7 +209,7 @@
 
     /// Whether a planned stop has nothing left to wait for.
     #[must_use]
-    pub fn drained(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         self.stopping && self.jobs.is_empty() && self.calls.is_empty()
     }
 
--- a/crates/celerywinch_keeper/src/keeper.rs
+++ b/crates/celerywinch_keeper/src/keeper.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use anyhow::Context;
-use celerywinch_catalogue::{Document, Ledger, Version};
+use celerywinch_catalogue::{CatalogueState, Document, Version};
 use celerywinch_store::{
     Entry, Input, KeeperId, Output, Payload, PersistedState, Raft, RaftConfig, Role, Snapshot,
 };
@@ -64,7 +64,7 @@
 pub struct Keeper {
     me: KeeperId,
     raft: Raft,
-    ledger: Ledger,
+    ledger: CatalogueState,
     /// Proposals by the index of their entry.
     pending: BTreeMap<u64, Pending>,
     /// The index of the last entry written to the log.
@@ -165,7 +165,7 @@
     fn recorded_answer(&self, edit: &[u8]) -> Option<ProposalAnswer> {
         let edit = decode_edit(edit).ok()?;
         self.ledger
-            .answer(&edit.change)
+            .answer(&edit.change_id)
             .cloned()
             .map(ProposalAnswer::Done)
     }
@@ -270,9 +270,9 @@
     }
 }
 
-fn decode_state(snapshot: &Snapshot) -> anyhow::Result<Ledger> {
+fn decode_state(snapshot: &Snapshot) -> anyhow::Result<CatalogueState> {
     if snapshot.state.is_empty() {
-        return Ok(Ledger::default());
+        return Ok(CatalogueState::default());
     }
     serde_json::from_slice(&snapshot.state)
         .context("store: cannot decode the state in the snapshot")
--- a/crates/celerywinch_node/src/metrics.rs
+++ b/crates/celerywinch_node/src/metrics.rs
@@ -28,10 +28,18 @@
     pub(crate) fn new() -> anyhow::Result<Self> {
         let meter = Meter::new()?;
         Ok(Self {
-            events: meter.family("events_total", "Events of the time line by name.", "event")?,
-            outcomes: meter.family("outcomes_total", "Outcomes decided here.", "outcome")?,
-            violations: meter.family("violations_total", "Assertions that failed.", "invariant")?,
-            rejected: meter.family("rejected_total", "Bad requests by filter.", "filter")?,
+            events: meter.counter_vec(
+                "events_total",
+                "Events of the time line by name.",
+                "event",
+            )?,
+            outcomes: meter.counter_vec("outcomes_total", "Outcomes decided here.", "outcome")?,
+            violations: meter.counter_vec(
+                "violations_total",
+                "Assertions that failed.",
+                "invariant",
+            )?,
+            rejected: meter.counter_vec("rejected_total", "Bad requests by filter.", "filter")?,
             peer_messages: meter.counter("peer_messages_sent_total", "Messages to instances.")?,
             peer_bytes: meter
                 .counter("peer_bytes_sent_total", "Bytes of messages to instances.")?,
@@ -69,13 +77,13 @@
 
     pub(crate) fn text(&self, status: &Status) -> anyhow::Result<String> {
         let set = |gauge: &IntGauge, value: usize| gauge.set(i64::try_from(value).unwrap_or(0));
-        set(&self.open, status.open);
-        set(&self.queued, status.queued);
+        set(&self.open, status.open_jobs);
+        set(&self.queued, status.queued_tasks);
         set(&self.endpoints, status.endpoints);
         set(&self.suspended, status.suspended);
-        set(&self.records, status.records);
+        set(&self.records, status.claim_records);
         self.catalogue
-            .set(i64::try_from(status.catalogue).unwrap_or(0));
-        Ok(self.meter.text()?)
+            .set(i64::try_from(status.catalogue_version).unwrap_or(0));
+        Ok(self.meter.encode()?)
     }
 }
