--- a/crates/celerywinch_keeper/src/keeper.rs
+++ b/crates/celerywinch_keeper/src/keeper.rs
@@ -64,7 +64,7 @@
 pub struct Keeper {
     me: KeeperId,
     raft: Raft,
-    ledger: CatalogueState,
+    catalogue: CatalogueState,
     /// Proposals by the index of their entry.
     pending: BTreeMap<u64, Pending>,
     /// The index of the last entry written to the log.
@@ -79,7 +79,7 @@
     /// The state in the snapshot cannot be decoded.
     pub fn new(config: RaftConfig, now: Time, loaded: PersistedState) -> anyhow::Result<Self> {
         let me = config.me;
-        let ledger = decode_state(&loaded.snapshot)?;
+        let catalogue = decode_state(&loaded.snapshot)?;
         let last_proposed = loaded
             .entries
             .last()
@@ -87,7 +87,7 @@
         Ok(Self {
             me,
             raft: Raft::new(config, now, loaded.vote, loaded.snapshot, loaded.entries),
-            ledger,
+            catalogue,
             pending: BTreeMap::new(),
             last_proposed,
         })
@@ -96,7 +96,7 @@
     /// Returns the version and the catalogue that this keeper has applied.
     #[must_use]
     pub fn catalogue(&self) -> (Version, &Document) {
-        (self.ledger.version(), self.ledger.document())
+        (self.catalogue.version(), self.catalogue.document())
     }
 
     /// Handles an input of the log.
@@ -116,7 +116,7 @@
             Output::Apply(entry) => self.apply(entry, out),
             Output::Restore(snapshot) => self.restore(&snapshot, out),
             Output::TakeSnapshot(index) => {
-                let state = serde_json::to_vec(&self.ledger).unwrap_or_default();
+                let state = serde_json::to_vec(&self.catalogue).unwrap_or_default();
                 inputs.push(Input::SnapshotState { index, state });
             }
             Output::RoleChanged(role) => {
@@ -164,7 +164,7 @@
 
     fn recorded_answer(&self, edit: &[u8]) -> Option<ProposalAnswer> {
         let edit = decode_edit(edit).ok()?;
-        self.ledger
+        self.catalogue
             .answer(&edit.change_id)
             .cloned()
             .map(ProposalAnswer::Done)
@@ -174,15 +174,15 @@
         let Payload::Command(command) = &entry.payload else {
             return;
         };
-        let before = self.ledger.version();
+        let before = self.catalogue.version();
         let Ok(edit) = decode_edit(command) else {
             return;
         };
-        let answer = self.ledger.apply(edit);
-        if self.ledger.version() > before {
+        let answer = self.catalogue.apply(edit);
+        if self.catalogue.version() > before {
             out.push(KeeperOutput::Committed {
-                version: self.ledger.version(),
-                document: self.ledger.document().clone(),
+                version: self.catalogue.version(),
+                document: self.catalogue.document().clone(),
                 is_leader: self.raft.role() == Role::Leader,
             });
         }
@@ -197,15 +197,15 @@
     }
 
     fn restore(&mut self, snapshot: &Snapshot, out: &mut Vec<KeeperOutput>) {
-        let Ok(ledger) = decode_state(snapshot) else {
+        let Ok(catalogue) = decode_state(snapshot) else {
             return;
         };
-        let is_newer = ledger.version() > self.ledger.version();
-        self.ledger = ledger;
+        let is_newer = catalogue.version() > self.catalogue.version();
+        self.catalogue = catalogue;
         if is_newer {
             out.push(KeeperOutput::Committed {
-                version: self.ledger.version(),
-                document: self.ledger.document().clone(),
+                version: self.catalogue.version(),
+                document: self.catalogue.document().clone(),
                 is_leader: false,
             });
         }
@@ -265,7 +265,7 @@
             commit: self.raft.commit_index(),
             voters: instances(&membership.voters),
             learners: instances(&membership.learners),
-            version: self.ledger.version(),
+            version: self.catalogue.version(),
         }
     }
 }
--- a/crates/celerywinch_keeper/src/proposer.rs
+++ b/crates/celerywinch_keeper/src/proposer.rs
@@ -103,9 +103,9 @@
                 }
             }
             ProposalAnswer::NotLeader(hint) => {
-                let known = hint.is_some_and(|hint| hint != from);
+                let has_hint = hint.is_some_and(|hint| hint != from);
                 self.leader = hint.filter(|hint| *hint != from);
-                self.schedule_retry(now, id, known);
+                self.schedule_retry(now, id, has_hint);
                 self.tick(now, out);
             }
             ProposalAnswer::Unknown => {
--- a/crates/celerywinch_store/src/raft/append.rs
+++ b/crates/celerywinch_store/src/raft/append.rs
@@ -105,11 +105,11 @@
         &mut self,
         now: Time,
         from: KeeperId,
-        head: (u64, (u64, u64), u64),
+        header: (u64, (u64, u64), u64),
         entries: Vec<Entry>,
         out: &mut Vec<Output>,
     ) {
-        let (term, previous, commit) = head;
+        let (term, previous, commit) = header;
         if !self.accept_leader(now, from, term, out) {
             return;
         }
