--- a/crates/celerywinch_node/src/store.rs
+++ b/crates/celerywinch_node/src/store.rs
@@ -308,7 +308,10 @@
             } => {
                 let catalogue = Catalogue::check(version, document)
                     .map_err(|problems| anyhow::anyhow!("store: committed {problems:?}"))?;
-                self.tell(EntryInput::CatalogueCommitted(Arc::new(catalogue), is_leader));
+                self.tell(EntryInput::CatalogueCommitted(
+                    Arc::new(catalogue),
+                    is_leader,
+                ));
             }
         }
         Ok(false)
