--- a/crates/celerywinch_entry/src/cancel.rs
+++ b/crates/celerywinch_entry/src/cancel.rs
@@ -3,7 +3,7 @@
 use celerywinch_types::{Key, PeerMsg, RelayMsg, Time};
 
 use crate::job::Phase;
-use crate::tasks::cancelled;
+use crate::tasks::cancelled_outcome;
 use crate::{CancelState, Entry, Output, Reply, WaiterId};
 
 impl Entry {
@@ -20,16 +20,16 @@
     ) {
         let mut states = Vec::with_capacity(keys.len());
         for key in keys {
-            let state = self.cancel_here(now, &key, out);
+            let state = self.cancel_local(now, &key, out);
             if state == CancelState::Unknown {
-                self.pass_cancel(&key, out);
+                self.forward_cancel(&key, out);
             }
             states.push((key, state));
         }
         out.push(Output::Reply(waiter, Reply::Cancelled(states)));
     }
 
-    pub(crate) fn cancel_here(
+    pub(crate) fn cancel_local(
         &mut self,
         now: Time,
         key: &Key,
@@ -38,14 +38,14 @@
         if self.replicas.values().any(|r| r.decided(key).is_some()) {
             return CancelState::Ended;
         }
-        let Some(id) = self.by_key.get(key).copied() else {
+        let Some(id) = self.submissions.get(key).copied() else {
             return CancelState::Unknown;
         };
         let job = &mut self.jobs[id];
         job.cancelled = true;
         match &job.phase {
             Phase::Running(_) => {
-                let outcome = cancelled(job);
+                let outcome = cancelled_outcome(job);
                 self.end_job(now, id, outcome, out);
             }
             Phase::Watching(holder) => {
@@ -59,13 +59,13 @@
             // Won claims look at `cancelled` before they start anything.
             Phase::Voting(_) => {}
             Phase::Deciding(_) | Phase::Settling(_) => return CancelState::Ended,
-            Phase::Inspecting(_) | Phase::Moving => return CancelState::Unknown,
+            Phase::Inspecting(_) | Phase::Transition => return CancelState::Unknown,
         }
         CancelState::Cancelling
     }
 
     /// Passes a cancel to the entries of the key's home that may hold it.
-    fn pass_cancel(&mut self, key: &Key, out: &mut Vec<Output>) {
+    fn forward_cancel(&mut self, key: &Key, out: &mut Vec<Output>) {
         let Some(home) = self.homes.home(key) else {
             return;
         };
--- a/crates/celerywinch_entry/src/catalogues.rs
+++ b/crates/celerywinch_entry/src/catalogues.rs
@@ -20,43 +20,43 @@
 /// How long others are waited for before a version is put in force without them.
 ///
 /// One that is alive and yet does not take the version must not hold up a change everywhere.
-const PATIENCE: Duration = Duration::from_millis(1000);
+const PENDING_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Between two requests for a catalogue.
-const ASK_EVERY: Duration = Duration::from_millis(250);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What is held, and whether this entry may serve.
 #[derive(Debug, Default)]
-pub(crate) struct Holding {
-    held: Option<Arc<Catalogue>>,
-    since: Time,
-    saved: u64,
-    asked: Time,
+pub(crate) struct CatalogueState {
+    pending: Option<Arc<Catalogue>>,
+    pending_since: Time,
+    saved_version: u64,
+    last_request: Time,
     /// Whether what is in force is no older than what was in force before this process started.
     pub(crate) current: bool,
 }
 
 impl Entry {
-    pub(crate) fn held_version(&self) -> u64 {
-        let held = self.holding.held.as_ref();
+    pub(crate) fn latest_version(&self) -> u64 {
+        let held = self.catalogue_state.pending.as_ref();
         held.map_or(0, |held| held.version())
             .max(self.catalogue.version())
     }
 
     /// From the own disk: it was in force before.
-    pub(crate) fn start_catalogue(&mut self, catalogue: Arc<Catalogue>, out: &mut Vec<Output>) {
-        self.holding.saved = catalogue.version();
-        self.holding.current = self.config.keepers.is_empty() || self.config.durable;
+    pub(crate) fn initial_catalogue(&mut self, catalogue: Arc<Catalogue>, out: &mut Vec<Output>) {
+        self.catalogue_state.saved_version = catalogue.version();
+        self.catalogue_state.current = self.config.keepers.is_empty() || self.config.durable;
         self.put_in_force(catalogue, out);
     }
 
-    pub(crate) fn committed(
+    pub(crate) fn catalogue_committed(
         &mut self,
         now: Time,
         catalogue: Arc<Catalogue>,
         leads: bool,
         out: &mut Vec<Output>,
     ) {
-        if !self.hold(now, catalogue, out) || !leads {
+        if !self.set_pending(now, catalogue, out) || !leads {
             return;
         }
         let peers: Vec<_> = self.peers.iter().map(|(id, _)| id).collect();
@@ -68,30 +68,34 @@
     }
 
     /// Holds a later version; false if it is not later.
-    fn hold(&mut self, now: Time, catalogue: Arc<Catalogue>, out: &mut Vec<Output>) -> bool {
-        if catalogue.version() <= self.held_version() {
+    fn set_pending(&mut self, now: Time, catalogue: Arc<Catalogue>, out: &mut Vec<Output>) -> bool {
+        if catalogue.version() <= self.latest_version() {
             return false;
         }
-        self.holding.held = Some(catalogue.clone());
-        self.holding.since = now;
+        self.catalogue_state.pending = Some(catalogue.clone());
+        self.catalogue_state.pending_since = now;
         if self.config.durable {
             out.push(Output::SaveCatalogue(catalogue));
         }
         // The others learn at once that it is held here, so that they can put it in force.
         for peer in self.local_peers() {
-            self.beat(now, peer, out);
+            self.send_heartbeat(now, peer, out);
         }
-        self.tend_catalogue(now, out);
+        self.tick_catalogue(now, out);
         true
     }
 
-    pub(crate) fn saved(&mut self, now: Time, version: u64, out: &mut Vec<Output>) {
-        self.holding.saved = self.holding.saved.max(version);
-        self.tend_catalogue(now, out);
+    pub(crate) fn catalogue_saved(&mut self, now: Time, version: u64, out: &mut Vec<Output>) {
+        self.catalogue_state.saved_version = self.catalogue_state.saved_version.max(version);
+        self.tick_catalogue(now, out);
     }
 
     pub(crate) fn send_catalogue(&self, to: InstanceId, out: &mut Vec<Output>) {
-        let held = self.holding.held.as_ref().unwrap_or(&self.catalogue);
+        let held = self
+            .catalogue_state
+            .pending
+            .as_ref()
+            .unwrap_or(&self.catalogue);
         if held.version() == 0 {
             return;
         }
@@ -105,26 +109,26 @@
         out.push(Output::Send(to, PeerMsg::Member(msg)));
     }
 
-    pub(crate) fn catalogue_heard(
+    pub(crate) fn receive_catalogue(
         &mut self,
         now: Time,
         version: u64,
         document: &[u8],
         out: &mut Vec<Output>,
     ) {
-        if version <= self.held_version() {
+        if version <= self.latest_version() {
             return;
         }
         let Ok(document) = serde_json::from_slice::<Document>(document) else {
             return;
         };
         if let Ok(catalogue) = Catalogue::check(version, document) {
-            self.hold(now, Arc::new(catalogue), out);
+            self.set_pending(now, Arc::new(catalogue), out);
         }
     }
 
     /// A heartbeat told what a peer holds.
-    pub(crate) fn compare_catalogues(
+    pub(crate) fn check_peer_version(
         &mut self,
         now: Time,
         peer: InstanceId,
@@ -134,44 +138,45 @@
             .peers
             .get(peer)
             .map_or(0, |peer| peer.pending_catalogue);
-        let due = now.since(self.holding.asked) >= ASK_EVERY || self.holding.asked == Time(0);
-        if theirs > self.held_version() && due {
-            self.holding.asked = now;
+        let due = now.since(self.catalogue_state.last_request) >= REQUEST_INTERVAL
+            || self.catalogue_state.last_request == Time(0);
+        if theirs > self.latest_version() && due {
+            self.catalogue_state.last_request = now;
             let msg = PeerMsg::Member(MemberMsg::CatalogueWanted);
             out.push(Output::Send(peer, msg));
         }
-        self.tend_catalogue(now, out);
+        self.tick_catalogue(now, out);
     }
 
     /// Puts what is held in force once it may be, and finds out whether this entry may serve.
-    pub(crate) fn tend_catalogue(&mut self, now: Time, out: &mut Vec<Output>) {
-        if let Some(held) = self.holding.held.clone()
-            && self.may_put_in_force(now, held.version())
+    pub(crate) fn tick_catalogue(&mut self, now: Time, out: &mut Vec<Output>) {
+        if let Some(held) = self.catalogue_state.pending.clone()
+            && self.can_put_in_force(now, held.version())
         {
-            self.holding.held = None;
+            self.catalogue_state.pending = None;
             self.put_in_force(held, out);
         }
-        if !self.holding.current {
-            self.holding.current = self.finds_current();
+        if !self.catalogue_state.current {
+            self.catalogue_state.current = self.is_up_to_date();
         }
     }
 
-    fn may_put_in_force(&self, now: Time, version: u64) -> bool {
+    fn can_put_in_force(&self, now: Time, version: u64) -> bool {
         if self.config.durable {
-            return self.holding.saved >= version;
+            return self.catalogue_state.saved_version >= version;
         }
         let all_hold = self
             .peers
             .local()
             .all(|(_, peer)| peer.pending_catalogue >= version);
-        all_hold || now.since(self.holding.since) >= PATIENCE
+        all_hold || now.since(self.catalogue_state.pending_since) >= PENDING_TIMEOUT
     }
 
     /// Whether what is in force can be no older than what an earlier life had in force.
     ///
     /// Either another entry of the data centre lived on, for all that were alive held what was in
     /// force; or a majority of the keepers was heard, one of which has every accepted version.
-    fn finds_current(&self) -> bool {
+    fn is_up_to_date(&self) -> bool {
         let version = self.catalogue.version();
         if version == 0 {
             return false;
@@ -189,10 +194,10 @@
         let all_known = local
             .iter()
             .all(|p| p.has_heartbeat || p.state == PeerState::Dead);
-        caught_up && (lived_on && all_known || self.met_keepers())
+        caught_up && (lived_on && all_known || self.has_keeper_majority())
     }
 
-    fn met_keepers(&self) -> bool {
+    fn has_keeper_majority(&self) -> bool {
         let keepers = &self.config.keepers;
         let me = self.me();
         let met =
--- a/crates/celerywinch_entry/src/claims.rs
+++ b/crates/celerywinch_entry/src/claims.rs
@@ -7,11 +7,11 @@
 };
 
 use crate::job::Phase;
-use crate::submit::outcome_unknown;
+use crate::submit::unknown_outcome;
 use crate::{Entry, Event, Output, Reply};
 
 /// The most keys told of in one message.
-const DECIDED_MOST: usize = 4096;
+const MAX_DECIDED_KEYS: usize = 4096;
 
 impl Entry {
     pub(crate) fn claim_msg(
@@ -22,7 +22,7 @@
         out: &mut Vec<Output>,
     ) {
         match msg {
-            ClaimMsg::Decided(keys) => self.learn(&keys),
+            ClaimMsg::Decided(keys) => self.learn_decided(&keys),
             ClaimMsg::Reply(reply) => self.claim_reply(now, from, reply, out),
             request => {
                 if let Some(reply) = self.replica_reply(now, request) {
@@ -38,7 +38,7 @@
         self.replicas.get_mut(&home)
     }
 
-    fn learn(&mut self, keys: &[(Key, Ballot)]) {
+    fn learn_decided(&mut self, keys: &[(Key, Ballot)]) {
         for (key, ballot) in keys {
             if let Some(replica) = self.replica(key) {
                 replica.learn(key, *ballot);
@@ -85,7 +85,7 @@
     }
 
     /// Asks all replicas that have not answered for their vote, the own one first.
-    pub(crate) fn ask_votes(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
+    pub(crate) fn request_votes(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(Phase::Voting(claim)) = self.jobs.get(id).map(|job| &job.phase) else {
             return;
         };
@@ -122,7 +122,7 @@
     ) {
         match reply {
             ClaimReply::Voted { key, holder, grant } => {
-                if let Some(id) = self.by_key.get(&key).copied() {
+                if let Some(id) = self.submissions.get(&key).copied() {
                     self.voted(now, id, from, (holder, grant), out);
                 }
             }
@@ -138,12 +138,12 @@
                     digest,
                     accepted,
                 };
-                for id in self.jobs_of(&key) {
+                for id in self.jobs_for_key(&key) {
                     self.promised(now, id, from, ballot, promise.clone(), out);
                 }
             }
             ClaimReply::Accepted { key, ballot } => {
-                for id in self.jobs_of(&key) {
+                for id in self.jobs_for_key(&key) {
                     self.accepted(id, from, ballot, out);
                 }
             }
@@ -152,8 +152,8 @@
                 ballot,
                 promised,
             } => {
-                for id in self.jobs_of(&key) {
-                    self.outbid(now, id, ballot, promised);
+                for id in self.jobs_for_key(&key) {
+                    self.preempted(now, id, ballot, promised);
                 }
             }
             ClaimReply::Found {
@@ -164,7 +164,7 @@
                 settling,
             } => self.found(now, from, &key, (vote, digest, decided, settling), out),
             ClaimReply::Abstained { key } => {
-                for id in self.jobs_of(&key) {
+                for id in self.jobs_for_key(&key) {
                     self.abstained(now, id, from, out);
                 }
             }
@@ -172,8 +172,8 @@
     }
 
     /// The submission and the lookup of a key that are open here.
-    pub(crate) fn jobs_of(&self, key: &Key) -> Vec<JobId> {
-        let maps = [self.by_key.get(key), self.lookups.get(key)];
+    pub(crate) fn jobs_for_key(&self, key: &Key) -> Vec<JobId> {
+        let maps = [self.submissions.get(key), self.lookups.get(key)];
         maps.into_iter().flatten().copied().collect()
     }
 
@@ -195,57 +195,57 @@
             return;
         }
         match claim.answer(from, grant) {
-            Progress::Pending if granted && from != self.me() => self.ask_votes(now, id, out),
+            Progress::Pending if granted && from != self.me() => self.request_votes(now, id, out),
             Progress::Pending => {}
-            Progress::Done(verdict) => self.vote_over(now, id, verdict, out),
+            Progress::Done(verdict) => self.vote_finished(now, id, verdict, out),
         }
     }
 
-    fn vote_over(&mut self, now: Time, id: JobId, verdict: Verdict, out: &mut Vec<Output>) {
+    fn vote_finished(&mut self, now: Time, id: JobId, verdict: Verdict, out: &mut Vec<Output>) {
         let key = self.jobs[id].key.clone();
         match verdict {
             Verdict::Won => self.claim_won(now, id, out),
             Verdict::Decided(outcome) => {
                 self.abandon(id);
-                self.conclude(id, &outcome, out);
+                self.complete_job(id, &outcome, out);
             }
             Verdict::Lost(holder) => {
                 self.abandon(id);
                 out.push(Output::Event(Event::ClaimLost { key, holder }));
-                self.watch(now, id, holder, out);
+                self.watch_holder(now, id, holder, out);
             }
             Verdict::Settling => {
                 self.abandon(id);
-                self.settle(now, id, Ballot::default(), out);
+                self.start_settling(now, id, Ballot::default(), out);
             }
-            Verdict::Conflict => self.reply_and_forget(id, &Reply::Conflict, out),
-            Verdict::TooNew => self.reply_and_forget(id, &Reply::TooNew, out),
+            Verdict::Conflict => self.reply_and_discard(id, &Reply::Conflict, out),
+            Verdict::TooNew => self.reply_and_discard(id, &Reply::TooNew, out),
             Verdict::TooOld => {
-                self.reply_and_forget(id, &Reply::Outcome(outcome_unknown()), out);
+                self.reply_and_discard(id, &Reply::Outcome(unknown_outcome()), out);
             }
             Verdict::NoQuorum => {
                 let detail = "too few replicas can vote on this key at present";
-                self.undecided(id, detail, out);
+                self.reply_undecided(id, detail, out);
             }
         }
     }
 
     /// Ends a job whose reply is not an agreed outcome.
-    pub(crate) fn reply_and_forget(&mut self, id: JobId, reply: &Reply, out: &mut Vec<Output>) {
+    pub(crate) fn reply_and_discard(&mut self, id: JobId, reply: &Reply, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let (key, digest) = (job.key.clone(), job.digest);
         for waiter in std::mem::take(&mut job.waiters) {
-            self.tell(waiter, &key, digest, reply.clone(), out);
+            self.send_reply(waiter, &key, digest, reply.clone(), out);
         }
         self.abandon(id);
-        self.forget(id);
+        self.discard(id);
     }
 
     fn claim_won(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let job = &mut self.jobs[id];
-        let Phase::Voting(claim) = std::mem::replace(&mut job.phase, Phase::Moving) else {
+        let Phase::Voting(claim) = std::mem::replace(&mut job.phase, Phase::Transition) else {
             return;
         };
         match claim.into_held() {
@@ -258,26 +258,32 @@
         out.push(Output::Event(Event::Claimed {
             key: job.key.clone(),
         }));
-        self.start_work(now, id, out);
+        self.admit_job(now, id, out);
     }
 
     /// Proposes an outcome under the claim; only the holder comes here.
-    pub(crate) fn decide(&mut self, now: Time, id: JobId, outcome: Outcome, out: &mut Vec<Output>) {
+    pub(crate) fn propose(
+        &mut self,
+        now: Time,
+        id: JobId,
+        outcome: Outcome,
+        out: &mut Vec<Output>,
+    ) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let phase = std::mem::replace(&mut job.phase, Phase::Moving);
+        let phase = std::mem::replace(&mut job.phase, Phase::Transition);
         let Phase::Running(claim) = phase else {
             job.phase = phase;
             return;
         };
         job.phase = Phase::Deciding(claim.decide(outcome));
         self.dispatch.drop_job(id);
-        self.ask_accept(now, id, out);
+        self.request_accepts(now, id, out);
     }
 
     /// Asks the replicas that have not accepted the outcome to do so, the own one first.
-    pub(crate) fn ask_accept(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
+    pub(crate) fn request_accepts(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(Phase::Deciding(claim)) = self.jobs.get(id).map(|job| &job.phase) else {
             return;
         };
@@ -290,7 +296,7 @@
             ballot,
             outcome: outcome.clone(),
         };
-        self.schedule_resend(now, id, crate::submit::RESEND);
+        self.schedule_resend(now, id, crate::submit::RESEND_DELAY);
         let me = self.me();
         // The others first: their round trip runs while the own replica accepts.
         for peer in silent.iter().filter(|peer| **peer != me) {
@@ -313,7 +319,7 @@
         let (key, group) = (claim.key().clone(), claim.group().clone());
         let digest = claim.digest();
         for member in group.members() {
-            self.decided
+            self.unsent_decisions
                 .entry(*member)
                 .or_default()
                 .push((key.clone(), ballot));
@@ -321,18 +327,18 @@
         if let Some(replica) = self.replica(&key) {
             replica.learn(&key, ballot);
         }
-        self.conflict_if_other(id, digest, out);
-        self.conclude(id, &outcome, out);
+        self.check_conflict(id, digest, out);
+        self.complete_job(id, &outcome, out);
     }
 
     /// Tells replicas which keys are decided, many in one message.
-    pub(crate) fn tell_decided(&mut self, out: &mut Vec<Output>) {
+    pub(crate) fn send_decided(&mut self, out: &mut Vec<Output>) {
         let me = self.me();
-        for (peer, keys) in std::mem::take(&mut self.decided) {
+        for (peer, keys) in std::mem::take(&mut self.unsent_decisions) {
             if peer == me {
                 continue;
             }
-            for part in keys.chunks(DECIDED_MOST) {
+            for part in keys.chunks(MAX_DECIDED_KEYS) {
                 let msg = PeerMsg::Claim(ClaimMsg::Decided(part.to_vec()));
                 out.push(Output::Send(peer, msg));
             }
@@ -345,23 +351,23 @@
             return;
         };
         // A later phase has a later timer of its own.
-        if job.resend > now {
+        if job.resend_at > now {
             return;
         }
         match &job.phase {
             Phase::Voting(_) => {
-                self.schedule_resend(now, id, crate::submit::RESEND);
-                self.ask_votes(now, id, out);
+                self.schedule_resend(now, id, crate::submit::RESEND_DELAY);
+                self.request_votes(now, id, out);
             }
-            Phase::Deciding(_) => self.ask_accept(now, id, out),
-            Phase::Settling(_) => self.settle_again(now, id, out),
+            Phase::Deciding(_) => self.request_accepts(now, id, out),
+            Phase::Settling(_) => self.restart_settling(now, id, out),
             Phase::Watching(holder) => {
                 let holder = *holder;
-                self.watch(now, id, holder, out);
+                self.watch_holder(now, id, holder, out);
             }
             Phase::Inspecting(_) => self.inspect(now, id, out),
-            Phase::Relayed(_) => self.relay_again(now, id, out),
-            Phase::Running(_) | Phase::Moving => {}
+            Phase::Relayed(_) => self.send_relayed(now, id, out),
+            Phase::Running(_) | Phase::Transition => {}
         }
     }
 }
@@ -375,18 +381,18 @@
             digest: promise.digest,
             accepted: promise.accepted,
         },
-        Err(refused) => refusal_reply(key, ballot, refused),
+        Err(refused) => rejection_reply(key, ballot, refused),
     }
 }
 
 fn accept_reply(key: Key, ballot: Ballot, accepted: Result<(), Rejection>) -> ClaimReply {
     match accepted {
         Ok(()) => ClaimReply::Accepted { key, ballot },
-        Err(refused) => refusal_reply(key, ballot, refused),
+        Err(refused) => rejection_reply(key, ballot, refused),
     }
 }
 
-fn refusal_reply(key: Key, ballot: Ballot, refused: Rejection) -> ClaimReply {
+fn rejection_reply(key: Key, ballot: Ballot, refused: Rejection) -> ClaimReply {
     match refused {
         Rejection::Preempted(promised) => ClaimReply::Preempted {
             key,
--- a/crates/celerywinch_entry/src/config.rs
+++ b/crates/celerywinch_entry/src/config.rs
@@ -12,13 +12,13 @@
 pub struct Config {
     pub(crate) me: Process,
     pub(crate) dc: DataCentreId,
-    pub(crate) wall: WallMs,
+    pub(crate) start_wall: WallMs,
     pub(crate) seed: u64,
     pub(crate) instances: Vec<(InstanceId, DataCentreId, String)>,
     pub(crate) limits: Limits,
     pub(crate) detector: DetectorConfig,
     pub(crate) policy: Policy,
-    pub(crate) margin: Duration,
+    pub(crate) deadline_margin: Duration,
     pub(crate) keepers: Vec<InstanceId>,
     pub(crate) durable: bool,
 }
@@ -41,7 +41,7 @@
         Self(Config {
             me,
             dc,
-            wall,
+            start_wall: wall,
             seed: u64::from(me.instance.0),
             instances,
             limits: Limits {
@@ -51,7 +51,7 @@
             },
             detector: DetectorConfig::default(),
             policy: Policy::default(),
-            margin: Duration::from_millis(3),
+            deadline_margin: Duration::from_millis(3),
             keepers: Vec::new(),
             durable: false,
         })
--- a/crates/celerywinch_entry/src/entry.rs
+++ b/crates/celerywinch_entry/src/entry.rs
@@ -15,17 +15,17 @@
 use rand_chacha::ChaCha8Rng;
 use slotmap::SlotMap;
 
-use crate::catalogues::Holding;
+use crate::catalogues::CatalogueState;
 use crate::job::{Job, Phase, Waiter};
-use crate::tasks::OpenCall;
+use crate::tasks::PendingCall;
 use crate::{CallId, Config, Event, Input, Invariant, Output, Reply};
 
 /// Between two rounds of housekeeping.
-const HOUSEKEEPING: Duration = Duration::from_millis(20);
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(20);
 /// Between two messages about decided keys to a replica.
-const DECIDED_EVERY: Duration = Duration::from_millis(50);
+const DECIDED_INTERVAL: Duration = Duration::from_millis(50);
 /// The most records a replica forgets in one round of housekeeping.
-const EXPIRE_MOST: usize = 2000;
+const MAX_EXPIRED: usize = 2000;
 
 /// What a timer of a job is for.
 #[derive(Clone, Copy, Debug)]
@@ -69,29 +69,29 @@
     pub(crate) config: Config,
     pub(crate) homes: Homes,
     pub(crate) catalogue: Arc<Catalogue>,
-    pub(crate) holding: Holding,
+    pub(crate) catalogue_state: CatalogueState,
     pub(crate) replicas: BTreeMap<DataCentreId, Replica>,
     pub(crate) peers: Peers,
     pub(crate) endpoints: Endpoints,
     pub(crate) dispatch: Dispatch,
     pub(crate) jobs: SlotMap<JobId, Job>,
     /// Open submissions.
-    pub(crate) by_key: HashMap<Key, JobId>,
+    pub(crate) submissions: HashMap<Key, JobId>,
     /// Open lookups; apart, for they have no tasks that a submission could join.
     pub(crate) lookups: HashMap<Key, JobId>,
-    pub(crate) calls: HashMap<CallId, OpenCall>,
+    pub(crate) calls: HashMap<CallId, PendingCall>,
     pub(crate) next_call: u64,
     pub(crate) timers: TimerQueue<Timer>,
-    pub(crate) decided: BTreeMap<InstanceId, Vec<(Key, Ballot)>>,
+    pub(crate) unsent_decisions: BTreeMap<InstanceId, Vec<(Key, Ballot)>>,
     pub(crate) stopping: bool,
-    pub(crate) beats: u64,
-    pub(crate) renewed: Time,
-    pub(crate) borrowed: Time,
-    pub(crate) settling: u32,
+    pub(crate) heartbeat_sequence: u64,
+    pub(crate) last_renewals: Time,
+    pub(crate) last_borrow: Time,
+    pub(crate) settle_round: u32,
     pub(crate) attempts: u64,
     pub(crate) violations: u64,
-    pub(crate) random: ChaCha8Rng,
-    started: Time,
+    pub(crate) rng: ChaCha8Rng,
+    started_at: Time,
 }
 
 impl Entry {
@@ -100,38 +100,38 @@
     pub fn new(config: Config, now: Time) -> Self {
         let homes = Homes::new(&config.instances);
         let me = config.me.instance;
-        let replica = |dc| (dc, Replica::new(config.limits, config.wall));
+        let replica = |dc| (dc, Replica::new(config.limits, config.start_wall));
         let replicas = homes.memberships(me).map(replica).collect();
         let others = config.instances.iter().filter(|(id, ..)| *id != me);
         let others = others.map(|(id, dc, _)| (*id, *dc));
         let mut timers = TimerQueue::default();
         timers.subscribe(now, Timer::Housekeeping);
-        timers.subscribe(now + DECIDED_EVERY, Timer::Decided);
+        timers.subscribe(now + DECIDED_INTERVAL, Timer::Decided);
         Self {
             peers: Peers::new(config.dc, config.detector, others),
             dispatch: Dispatch::new(me, config.policy, config.seed),
-            random: ChaCha8Rng::seed_from_u64(config.seed),
+            rng: ChaCha8Rng::seed_from_u64(config.seed),
             homes,
             replicas,
             timers,
             config,
             catalogue: Arc::new(Catalogue::default()),
-            holding: Holding::default(),
+            catalogue_state: CatalogueState::default(),
             endpoints: Endpoints::default(),
             jobs: SlotMap::with_key(),
-            by_key: HashMap::new(),
+            submissions: HashMap::new(),
             lookups: HashMap::new(),
             calls: HashMap::new(),
             next_call: 0,
-            decided: BTreeMap::new(),
+            unsent_decisions: BTreeMap::new(),
             stopping: false,
-            beats: 0,
-            renewed: now,
-            borrowed: now,
-            settling: 0,
+            heartbeat_sequence: 0,
+            last_renewals: now,
+            last_borrow: now,
+            settle_round: 0,
             attempts: 0,
             violations: 0,
-            started: now,
+            started_at: now,
         }
     }
 
@@ -143,20 +143,20 @@
             }
             Input::Lookup(id, key) => self.lookup(now, Waiter::Caller(id), key, out),
             Input::Cancel(id, keys) => self.cancel(now, id, keys, out),
-            Input::PeerMessage(from, msg) => self.peer(now, from, msg, out),
-            Input::ConnectionRefused(id) => self.peer_gone(now, id, out),
+            Input::PeerMessage(from, msg) => self.peer_msg(now, from, msg, out),
+            Input::ConnectionRefused(id) => self.connection_refused(now, id, out),
             Input::Announce(note) => self.announce(now, note, out),
             Input::CallEnded(id, end) => self.call_ended(now, id, end, out),
-            Input::InitialCatalogue(catalogue) => self.start_catalogue(catalogue, out),
+            Input::InitialCatalogue(catalogue) => self.initial_catalogue(catalogue, out),
             Input::CatalogueCommitted(catalogue, leads) => {
-                self.committed(now, catalogue, leads, out)
+                self.catalogue_committed(now, catalogue, leads, out)
             }
-            Input::CatalogueSaved(version) => self.saved(now, version, out),
+            Input::CatalogueSaved(version) => self.catalogue_saved(now, version, out),
             Input::Stop => self.stop(out),
             Input::Tick => {}
         }
         self.run_timers(now, out);
-        self.pump(now, out);
+        self.start_queued(now, out);
         self.borrow_slots(now, out);
     }
 
@@ -177,7 +177,7 @@
             suspended,
             claim_records: self.replicas.values().map(Replica::len).sum(),
             catalogue_version: self.catalogue.version(),
-            current: self.holding.current,
+            current: self.catalogue_state.current,
             stopping: self.stopping,
             violations: self.violations,
         }
@@ -204,7 +204,7 @@
     /// Whether this entry may serve by the catalogue in force.
     #[must_use]
     pub fn is_current(&self) -> bool {
-        self.holding.current
+        self.catalogue_state.current
     }
 
     /// Whether a planned stop has nothing left to wait for.
@@ -215,9 +215,9 @@
 
     /// The wall clock, which does not jump while the process lives.
     pub(crate) fn wall(&self, now: Time) -> WallMs {
-        let passed = now.since(self.started).as_millis();
+        let passed = now.since(self.started_at).as_millis();
         let passed = u64::try_from(passed).unwrap_or(u64::MAX);
-        WallMs(self.config.wall.0.saturating_add(passed))
+        WallMs(self.config.start_wall.0.saturating_add(passed))
     }
 
     pub(crate) fn me(&self) -> InstanceId {
@@ -249,43 +249,44 @@
             out.push(Output::Send(peer, PeerMsg::Member(MemberMsg::Leave)));
         }
         self.refresh_owners();
-        self.tell_decided(out);
+        self.send_decided(out);
     }
 
     fn run_timers(&mut self, now: Time, out: &mut Vec<Output>) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
-                Timer::Deadline(id) => self.deadline(now, id, out),
+                Timer::Deadline(id) => self.deadline_passed(now, id, out),
                 Timer::Resend(id) => self.resend(now, id, out),
                 Timer::Housekeeping => {
                     self.housekeeping(now, out);
                     self.timers
-                        .subscribe(now + HOUSEKEEPING, Timer::Housekeeping);
+                        .subscribe(now + HOUSEKEEPING_INTERVAL, Timer::Housekeeping);
                 }
                 Timer::Decided => {
-                    self.tell_decided(out);
-                    self.timers.subscribe(now + DECIDED_EVERY, Timer::Decided);
+                    self.send_decided(out);
+                    self.timers
+                        .subscribe(now + DECIDED_INTERVAL, Timer::Decided);
                 }
             }
         }
     }
 
     fn housekeeping(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.watch_members(now, out);
+        self.tick_members(now, out);
         let wall = self.wall(now);
         for replica in self.replicas.values_mut() {
-            replica.expire(wall, EXPIRE_MOST);
+            replica.expire(wall, MAX_EXPIRED);
         }
         for job in self.dispatch.infeasible_jobs(now) {
-            self.give_up(now, job, out);
+            self.end_infeasible(now, job, out);
         }
-        self.trade_slots(now, out);
-        self.tend_catalogue(now, out);
+        self.tick_slots(now, out);
+        self.tick_catalogue(now, out);
     }
 
     /// Answers everyone who waits for a job and forgets it.
-    pub(crate) fn conclude(&mut self, id: JobId, outcome: &Outcome, out: &mut Vec<Output>) {
-        let Some(job) = self.remove(id) else {
+    pub(crate) fn complete_job(&mut self, id: JobId, outcome: &Outcome, out: &mut Vec<Output>) {
+        let Some(job) = self.remove_job(id) else {
             return;
         };
         self.check_outcome(&job, outcome, out);
@@ -300,7 +301,7 @@
             detail,
         }));
         for waiter in &job.waiters {
-            self.tell(
+            self.send_reply(
                 *waiter,
                 &job.key,
                 job.digest,
--- a/crates/celerywinch_entry/src/job.rs
+++ b/crates/celerywinch_entry/src/job.rs
@@ -33,7 +33,7 @@
     /// Passed to its home data centre.
     Relayed(Relay),
     /// Between two phases, never seen from outside a function.
-    Moving,
+    Transition,
 }
 
 /// Where a submission was passed to.
@@ -54,7 +54,7 @@
     /// Gave its result.
     Done(TaskBody),
     /// Failed or was lost.
-    Ended,
+    Failed,
 }
 
 #[derive(Debug)]
@@ -69,9 +69,9 @@
     pub(crate) phase: Phase,
     pub(crate) cancelled: bool,
     /// When the pending messages are sent again.
-    pub(crate) resend: Time,
+    pub(crate) resend_at: Time,
     /// The waiters were told that there is no outcome yet.
-    pub(crate) told: bool,
+    pub(crate) undecided_sent: bool,
 }
 
 impl Job {
@@ -90,7 +90,7 @@
     pub(crate) fn calls(&self) -> Vec<CallId> {
         let running = self.tasks.iter().filter_map(|task| match task {
             TaskState::Running(call, _) => Some(*call),
-            TaskState::Queued | TaskState::Done(_) | TaskState::Ended => None,
+            TaskState::Queued | TaskState::Done(_) | TaskState::Failed => None,
         });
         running.collect()
     }
@@ -99,7 +99,7 @@
     pub(crate) fn answer(&self) -> Option<Outcome> {
         let results = self.tasks.iter().map(|task| match task {
             TaskState::Done(body) => Some(body.clone()),
-            TaskState::Queued | TaskState::Running(..) | TaskState::Ended => None,
+            TaskState::Queued | TaskState::Running(..) | TaskState::Failed => None,
         });
         results.collect::<Option<Vec<_>>>().map(Outcome::Answer)
     }
--- a/crates/celerywinch_entry/src/lookup.rs
+++ b/crates/celerywinch_entry/src/lookup.rs
@@ -9,21 +9,24 @@
 };
 
 use crate::job::{Phase, Waiter};
-use crate::submit::{RESEND, outcome_unknown};
+use crate::submit::{RESEND_DELAY, unknown_outcome};
 use crate::{Entry, Output, Reply};
 
 /// How long a lookup waits for a key that is in work.
-const LOOKUP_WAIT: Duration = Duration::from_secs(35);
+const LOOKUP_TIMEOUT: Duration = Duration::from_secs(35);
 
 impl Entry {
     pub(crate) fn lookup(&mut self, now: Time, waiter: Waiter, key: Key, out: &mut Vec<Output>) {
         let known = self.replicas.values().find_map(|r| r.decided(&key));
         if let Some((digest, outcome)) = known {
             let reply = Reply::Outcome(outcome.clone());
-            self.tell(waiter, &key, digest, reply, out);
+            self.send_reply(waiter, &key, digest, reply, out);
             return;
         }
-        let open = self.by_key.get(&key).or_else(|| self.lookups.get(&key));
+        let open = self
+            .submissions
+            .get(&key)
+            .or_else(|| self.lookups.get(&key));
         if let Some(job) = open.copied().and_then(|id| self.jobs.get_mut(id)) {
             job.add_waiter(waiter);
             return;
@@ -46,14 +49,14 @@
             kind: Arc::from(""),
             team: Arc::from(""),
             digest: 0,
-            remaining: LOOKUP_WAIT,
+            remaining: LOOKUP_TIMEOUT,
             tasks: Vec::new(),
         };
         let events = out.len();
-        let id = self.open(now, waiter, submission, out);
+        let id = self.open_job(now, waiter, submission, out);
         // A lookup is no submission: it is not written to the time line as one.
         out.truncate(events);
-        self.by_key.remove(&key);
+        self.submissions.remove(&key);
         self.lookups.insert(key, id);
         id
     }
@@ -63,11 +66,11 @@
             return;
         };
         if !self.has_quorum(&group) {
-            self.undecided(id, "too few replicas of this data centre answer", out);
+            self.reply_undecided(id, "too few replicas of this data centre answer", out);
             return;
         }
         let key = self.jobs[id].key.clone();
-        self.schedule_resend(now, id, RESEND * 2);
+        self.schedule_resend(now, id, RESEND_DELAY * 2);
         let me = self.me();
         let inspect = || ClaimMsg::Inspect { key: key.clone() };
         for peer in group.members().iter().filter(|peer| **peer != me) {
@@ -104,16 +107,16 @@
         };
         if let Some(outcome) = decided {
             self.jobs[id].digest = digest;
-            self.conclude(id, &outcome, out);
+            self.complete_job(id, &outcome, out);
             return;
         }
         if settling {
-            self.settle(now, id, Ballot::default(), out);
+            self.start_settling(now, id, Ballot::default(), out);
             return;
         }
         match vote {
             VoteState::For(holder) => {
-                self.watch(now, id, holder, out);
+                self.watch_holder(now, id, holder, out);
                 return;
             }
             VoteState::None | VoteState::Void(_) => {}
@@ -126,11 +129,11 @@
         if group.is_some_and(|group| count >= group.majority()) {
             let old = self.config.limits.too_old(key, self.wall(now));
             let reply = if old {
-                Reply::Outcome(outcome_unknown())
+                Reply::Outcome(unknown_outcome())
             } else {
                 Reply::Unknown
             };
-            self.reply_and_forget(id, &reply, out);
+            self.reply_and_discard(id, &reply, out);
         }
     }
 }
--- a/crates/celerywinch_entry/src/members.rs
+++ b/crates/celerywinch_entry/src/members.rs
@@ -10,10 +10,16 @@
 use crate::{Entry, Event, Output};
 
 /// A wall clock further behind a peer's than this is taken to have been set back.
-const CLOCK_SET_BACK: Duration = Duration::from_millis(100);
+const MAX_CLOCK_LAG: Duration = Duration::from_millis(100);
 
 impl Entry {
-    pub(crate) fn peer(&mut self, now: Time, from: Process, msg: PeerMsg, out: &mut Vec<Output>) {
+    pub(crate) fn peer_msg(
+        &mut self,
+        now: Time,
+        from: Process,
+        msg: PeerMsg,
+        out: &mut Vec<Output>,
+    ) {
         let mut changes = Vec::new();
         self.peers
             .record_contact(now, from.instance, from.incarnation, &mut changes);
@@ -28,32 +34,32 @@
         }
     }
 
-    pub(crate) fn peer_gone(&mut self, now: Time, id: InstanceId, out: &mut Vec<Output>) {
+    pub(crate) fn connection_refused(&mut self, now: Time, id: InstanceId, out: &mut Vec<Output>) {
         let mut changes = Vec::new();
         self.peers.record_refusal(id, &mut changes);
         self.peer_changes(now, changes, out);
     }
 
-    pub(crate) fn watch_members(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(crate) fn tick_members(&mut self, now: Time, out: &mut Vec<Output>) {
         let mut changes = Vec::new();
         self.peers.tick(now, &mut changes);
         self.peer_changes(now, changes, out);
         let mut endpoints = Vec::new();
         self.endpoints.tick(now, &mut endpoints);
         self.endpoint_changes(endpoints, out);
-        if now.since(self.renewed) >= RENEWAL_INTERVAL {
-            self.renewed = now;
-            self.spread_renewals(now, out);
+        if now.since(self.last_renewals) >= RENEWAL_INTERVAL {
+            self.last_renewals = now;
+            self.send_renewals(now, out);
         }
     }
 
     fn peer_changes(&mut self, now: Time, changes: Vec<PeerChange>, out: &mut Vec<Output>) {
         for change in changes {
             match change {
-                PeerChange::HeartbeatDue(peer) => self.beat(now, peer, out),
+                PeerChange::HeartbeatDue(peer) => self.send_heartbeat(now, peer, out),
                 PeerChange::Up(peer) => {
                     out.push(Output::Event(Event::PeerUp { peer }));
-                    self.ask_endpoints(peer, out);
+                    self.request_endpoints(peer, out);
                     self.refresh_owners();
                 }
                 PeerChange::Probe(peer) => {
@@ -67,7 +73,7 @@
                 PeerChange::Restarted(peer, _) => {
                     out.push(Output::Event(Event::PeerRestarted { peer }));
                     self.peer_lost(now, peer, out);
-                    self.ask_endpoints(peer, out);
+                    self.request_endpoints(peer, out);
                 }
             }
         }
@@ -76,11 +82,11 @@
     /// What a life of a peer held is settled, and what was passed to it goes elsewhere.
     fn peer_lost(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         self.refresh_owners();
-        self.settle_after(now, peer, out);
+        self.recheck_watched(now, peer, out);
         self.reroute(now, peer, out);
     }
 
-    fn ask_endpoints(&mut self, peer: InstanceId, out: &mut Vec<Output>) {
+    fn request_endpoints(&mut self, peer: InstanceId, out: &mut Vec<Output>) {
         let local = self.peers.get(peer).is_some_and(|p| p.dc == self.config.dc);
         if local {
             let msg = PeerMsg::Member(MemberMsg::EndpointsWanted);
@@ -95,21 +101,21 @@
         self.dispatch.set_owners(owners);
     }
 
-    pub(crate) fn beat(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
+    pub(crate) fn send_heartbeat(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         let Some((echo, hears, knows)) = self.peers.heartbeat_fields(now, peer) else {
             return;
         };
-        self.beats += 1;
+        self.heartbeat_sequence += 1;
         let beat = Heartbeat {
-            sequence: self.beats,
+            sequence: self.heartbeat_sequence,
             wall: self.wall(now),
             sent: now,
             echo,
             receives: hears,
             known_incarnation: knows,
             catalogue: self.catalogue.version(),
-            pending_catalogue: self.held_version(),
-            current: self.holding.current,
+            pending_catalogue: self.latest_version(),
+            current: self.catalogue_state.current,
             stopping: self.stopping,
             queued: u32::try_from(self.dispatch.queued()).unwrap_or(u32::MAX),
         };
@@ -124,17 +130,17 @@
                 self.check_clock(wall, beat.wall);
                 self.peers.record_heartbeat(now, wall, from, &beat);
                 self.refresh_owners();
-                self.compare_catalogues(now, from, out);
+                self.check_peer_version(now, from, out);
             }
-            MemberMsg::Endpoints(notes) => self.notes_heard(now, notes, out),
-            MemberMsg::Renewals(renewals) => self.renewals_heard(now, from, renewals, out),
+            MemberMsg::Endpoints(notes) => self.receive_announcements(now, notes, out),
+            MemberMsg::Renewals(renewals) => self.receive_renewals(now, from, renewals, out),
             MemberMsg::EndpointsWanted => {
                 let msg = MemberMsg::Endpoints(self.endpoints.announcements(now));
                 out.push(Output::Send(from, PeerMsg::Member(msg)));
             }
             MemberMsg::CatalogueWanted => self.send_catalogue(from, out),
             MemberMsg::Catalogue { version, document } => {
-                self.catalogue_heard(now, version, &document, out);
+                self.receive_catalogue(now, version, &document, out);
             }
             MemberMsg::Leave => {
                 self.peers.record_leave(from);
@@ -146,7 +152,7 @@
     /// A clock that was set back during a restart would make forgotten keys look new.
     fn check_clock(&mut self, own: WallMs, peer: WallMs) {
         let behind = Duration::from_millis(peer.0.saturating_sub(own.0));
-        if behind > CLOCK_SET_BACK {
+        if behind > MAX_CLOCK_LAG {
             for replica in self.replicas.values_mut() {
                 replica.raise_start(behind);
             }
@@ -183,7 +189,12 @@
         self.peers.local().map(|(id, _)| id).collect()
     }
 
-    fn notes_heard(&mut self, now: Time, notes: Vec<EndpointAnnouncement>, out: &mut Vec<Output>) {
+    fn receive_announcements(
+        &mut self,
+        now: Time,
+        notes: Vec<EndpointAnnouncement>,
+        out: &mut Vec<Output>,
+    ) {
         let mut changes = Vec::new();
         for note in notes.into_iter().filter(|note| note.dc == self.config.dc) {
             self.endpoints
@@ -192,7 +203,7 @@
         self.endpoint_changes(changes, out);
     }
 
-    fn renewals_heard(
+    fn receive_renewals(
         &mut self,
         now: Time,
         from: InstanceId,
@@ -206,13 +217,13 @@
         }
         self.endpoint_changes(changes, out);
         if unknown {
-            self.ask_endpoints(from, out);
+            self.request_endpoints(from, out);
         }
     }
 
     /// Only renewals that arrived here are passed on, each once, so that one costs one message a
     /// peer and copies do not travel in circles.
-    fn spread_renewals(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn send_renewals(&mut self, now: Time, out: &mut Vec<Output>) {
         let renewals = self.endpoints.renewals(now);
         if renewals.is_empty() {
             return;
--- a/crates/celerywinch_entry/src/relay.rs
+++ b/crates/celerywinch_entry/src/relay.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 use crate::job::{Phase, Relay, Waiter};
-use crate::submit::{QUORUM_RETRY_MS, RESEND};
+use crate::submit::{QUORUM_RETRY_MS, RESEND_DELAY};
 use crate::{Entry, Event, Output, Reply};
 
 impl Entry {
@@ -19,9 +19,9 @@
         home: DataCentreId,
         out: &mut Vec<Output>,
     ) {
-        let Some(via) = self.entry_in(home) else {
+        let Some(via) = self.choose_entry(home) else {
             let detail = "no entry of the key's home data centre answers";
-            self.undecided(id, detail, out);
+            self.reply_undecided(id, detail, out);
             return;
         };
         let lookup = self.lookups.values().any(|open| *open == id);
@@ -30,10 +30,10 @@
             key: self.jobs[id].key.clone(),
             via,
         }));
-        self.relay_again(now, id, out);
+        self.send_relayed(now, id, out);
     }
 
-    fn entry_in(&mut self, dc: DataCentreId) -> Option<InstanceId> {
+    fn choose_entry(&mut self, dc: DataCentreId) -> Option<InstanceId> {
         let entries = self
             .peers
             .iter()
@@ -42,11 +42,11 @@
         if entries.is_empty() {
             return None;
         }
-        Some(entries[self.random.random_range(0..entries.len())])
+        Some(entries[self.rng.random_range(0..entries.len())])
     }
 
     /// Sends a relayed submission (again); the receiver takes a second copy for the same one.
-    pub(crate) fn relay_again(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
+    pub(crate) fn send_relayed(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -67,7 +67,7 @@
             })
         };
         out.push(Output::Send(via, PeerMsg::Relay(msg)));
-        self.schedule_resend(now, id, RESEND * 5);
+        self.schedule_resend(now, id, RESEND_DELAY * 5);
     }
 
     /// Jobs that were passed to a peer which is gone go to another entry of the same home; the
@@ -95,43 +95,43 @@
             RelayMsg::Submit(submission) => {
                 let key = submission.key.clone();
                 self.submit(now, Waiter::Peer(peer), submission, out);
-                if self.by_key.contains_key(&key) {
+                if self.submissions.contains_key(&key) {
                     out.push(Output::Send(peer, PeerMsg::Relay(RelayMsg::Working(key))));
                 }
             }
-            RelayMsg::Watch(key) => self.watched(peer, key, out),
+            RelayMsg::Watch(key) => self.watch_requested(peer, key, out),
             RelayMsg::Outcome {
                 key,
                 digest,
                 outcome,
-            } => self.outcome_heard(peer, &key, digest, &outcome, out),
+            } => self.receive_outcome(peer, &key, digest, &outcome, out),
             RelayMsg::NotHeld(key) => self.not_held(now, peer, &key, out),
             RelayMsg::Working(key) => self.working(now, peer, &key),
-            RelayMsg::Conflict(key) => self.relayed_reply(peer, &key, &Reply::Conflict, out),
-            RelayMsg::Unknown(key) => self.relayed_reply(peer, &key, &Reply::Unknown, out),
+            RelayMsg::Conflict(key) => self.receive_reply(peer, &key, &Reply::Conflict, out),
+            RelayMsg::Unknown(key) => self.receive_reply(peer, &key, &Reply::Unknown, out),
             RelayMsg::Undecided(key) => {
                 let reply = Reply::Undecided {
                     retry_ms: QUORUM_RETRY_MS,
                     detail: "the key's home data centre cannot agree on an outcome now".into(),
                 };
-                self.relayed_reply(peer, &key, &reply, out);
+                self.receive_reply(peer, &key, &reply, out);
             }
             RelayMsg::Cancel(key) => {
-                self.cancel_here(now, &key, out);
+                self.cancel_local(now, &key, out);
             }
             RelayMsg::Lookup(key) => self.lookup(now, Waiter::Peer(peer), key, out),
         }
     }
 
     /// A peer asks for the outcome of a key that it believes to be held here.
-    fn watched(&mut self, peer: InstanceId, key: Key, out: &mut Vec<Output>) {
+    fn watch_requested(&mut self, peer: InstanceId, key: Key, out: &mut Vec<Output>) {
         let known = self.replicas.values().find_map(|r| r.decided(&key));
         if let Some((digest, outcome)) = known {
             let reply = Reply::Outcome(outcome.clone());
-            self.tell(Waiter::Peer(peer), &key, digest, reply, out);
+            self.send_reply(Waiter::Peer(peer), &key, digest, reply, out);
             return;
         }
-        let id = self.by_key.get(&key).copied();
+        let id = self.submissions.get(&key).copied();
         let job = id.and_then(|id| self.jobs.get_mut(id));
         // One that waits itself must not be waited for: two could wait for each other for ever.
         let holds = |phase: &Phase| {
@@ -151,7 +151,7 @@
     }
 
     /// The outcome of a key, from the process that held it or that this one passed it to.
-    fn outcome_heard(
+    fn receive_outcome(
         &mut self,
         peer: InstanceId,
         key: &Key,
@@ -159,7 +159,7 @@
         outcome: &Outcome,
         out: &mut Vec<Output>,
     ) {
-        for id in self.jobs_of(key) {
+        for id in self.jobs_for_key(key) {
             let asked = match &self.jobs[id].phase {
                 Phase::Watching(holder) => holder.process.instance == peer,
                 Phase::Relayed(relay) => relay.via == peer,
@@ -167,43 +167,43 @@
                 _ => false,
             };
             if asked {
-                self.conflict_if_other(id, digest, out);
-                self.conclude(id, outcome, out);
+                self.check_conflict(id, digest, out);
+                self.complete_job(id, outcome, out);
             }
         }
     }
 
     /// The supposed holder does not hold the key (any more): find out what became of it.
     fn not_held(&mut self, now: Time, peer: InstanceId, key: &Key, out: &mut Vec<Output>) {
-        for id in self.jobs_of(key) {
+        for id in self.jobs_for_key(key) {
             let watching = matches!(
                 self.jobs[id].phase,
                 Phase::Watching(holder) if holder.process.instance == peer
             );
             if watching {
-                self.settle(now, id, Ballot::default(), out);
+                self.start_settling(now, id, Ballot::default(), out);
             }
         }
     }
 
     fn working(&mut self, now: Time, peer: InstanceId, key: &Key) {
-        for id in self.jobs_of(key) {
+        for id in self.jobs_for_key(key) {
             let relayed = matches!(&self.jobs[id].phase, Phase::Relayed(r) if r.via == peer);
             if relayed {
-                self.schedule_resend(now, id, RESEND * 25);
+                self.schedule_resend(now, id, RESEND_DELAY * 25);
             }
         }
     }
 
-    fn relayed_reply(&mut self, peer: InstanceId, key: &Key, reply: &Reply, out: &mut Vec<Output>) {
-        for id in self.jobs_of(key) {
+    fn receive_reply(&mut self, peer: InstanceId, key: &Key, reply: &Reply, out: &mut Vec<Output>) {
+        for id in self.jobs_for_key(key) {
             let asked = match &self.jobs[id].phase {
                 Phase::Relayed(relay) => relay.via == peer,
                 Phase::Watching(holder) => holder.process.instance == peer,
                 _ => false,
             };
             if asked {
-                self.reply_and_forget(id, reply, out);
+                self.reply_and_discard(id, reply, out);
             }
         }
     }
--- a/crates/celerywinch_entry/src/settle.rs
+++ b/crates/celerywinch_entry/src/settle.rs
@@ -10,25 +10,31 @@
 use rand::Rng;
 
 use crate::job::Phase;
-use crate::submit::RESEND;
+use crate::submit::RESEND_DELAY;
 use crate::{Entry, Event, Output, Reply};
 
 /// Between two questions to a holder that is working on a key.
-const WATCH_EVERY: Duration = Duration::from_millis(300);
+const WATCH_INTERVAL: Duration = Duration::from_millis(300);
 /// The longest pause before a ballot that was outbid is raised, so that two who settle the same
 /// key do not outbid each other for ever.
-const DUEL_PAUSE_MS: u64 = 40;
+const MAX_BACKOFF_MS: u64 = 40;
 
 impl Entry {
     /// Waits for the outcome of a key that another process holds, or settles it if that is gone.
-    pub(crate) fn watch(&mut self, now: Time, id: JobId, holder: Holder, out: &mut Vec<Output>) {
+    pub(crate) fn watch_holder(
+        &mut self,
+        now: Time,
+        id: JobId,
+        holder: Holder,
+        out: &mut Vec<Output>,
+    ) {
         let own_earlier_attempt = holder.process.instance == self.me();
         if own_earlier_attempt
             || self
                 .peers
                 .has_ended(holder.process.instance, holder.process.incarnation)
         {
-            self.settle(now, id, Ballot::default(), out);
+            self.start_settling(now, id, Ballot::default(), out);
             return;
         }
         let Some(job) = self.jobs.get_mut(id) else {
@@ -37,34 +43,40 @@
         job.phase = Phase::Watching(holder);
         let msg = PeerMsg::Relay(RelayMsg::Watch(job.key.clone()));
         out.push(Output::Send(holder.process.instance, msg));
-        self.schedule_resend(now, id, WATCH_EVERY);
+        self.schedule_resend(now, id, WATCH_INTERVAL);
     }
 
     /// Jobs that wait for a life of a peer that is over are settled at once.
-    pub(crate) fn settle_after(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
+    pub(crate) fn recheck_watched(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         let waiting = self.jobs.iter().filter_map(|(id, job)| match job.phase {
             Phase::Watching(holder) if holder.process.instance == peer => Some((id, holder)),
             _ => None,
         });
         let waiting: Vec<_> = waiting.collect();
         for (id, holder) in waiting {
-            self.watch(now, id, holder, out);
+            self.watch_holder(now, id, holder, out);
         }
     }
 
     /// Finds out the outcome of a key, or ends the key if nobody can give it one any more.
-    pub(crate) fn settle(&mut self, now: Time, id: JobId, seen: Ballot, out: &mut Vec<Output>) {
+    pub(crate) fn start_settling(
+        &mut self,
+        now: Time,
+        id: JobId,
+        seen: Ballot,
+        out: &mut Vec<Output>,
+    ) {
         let Some(group) = self.homes.group(self.config.dc).cloned() else {
             return;
         };
         if !self.has_quorum(&group) {
-            self.undecided(id, "too few replicas of this data centre answer", out);
+            self.reply_undecided(id, "too few replicas of this data centre answer", out);
             return;
         }
         // Rounds are never used twice by one process: a submission and a lookup of the same key
         // could propose different outcomes with the same ballot.
-        let round = seen.round.max(self.settling).max(1) + 1;
-        self.settling = round;
+        let round = seen.round.max(self.settle_round).max(1) + 1;
+        self.settle_round = round;
         let ballot = Ballot {
             round,
             proposer: self.config.me,
@@ -76,7 +88,7 @@
         let claim = Claim::settle_key(key.clone(), digest, group.clone(), ballot);
         job.phase = Phase::Settling(claim);
         out.push(Output::Event(Event::Settling { key: key.clone() }));
-        self.schedule_resend(now, id, RESEND * 2);
+        self.schedule_resend(now, id, RESEND_DELAY * 2);
         let me = self.me();
         let prepare = || ClaimMsg::Prepare {
             key: key.clone(),
@@ -86,10 +98,10 @@
             out.push(Output::Send(*peer, PeerMsg::Claim(prepare())));
         }
         let own = self.replica_reply(now, prepare());
-        self.own_prepare(now, id, own, out);
+        self.own_prepare_reply(now, id, own, out);
     }
 
-    fn own_prepare(
+    fn own_prepare_reply(
         &mut self,
         now: Time,
         id: JobId,
@@ -114,16 +126,16 @@
             }
             Some(ClaimReply::Preempted {
                 ballot, promised, ..
-            }) => self.outbid(now, id, ballot, promised),
+            }) => self.preempted(now, id, ballot, promised),
             Some(ClaimReply::Abstained { .. }) => self.abstained(now, id, me, out),
             _ => {}
         }
     }
 
-    pub(crate) fn settle_again(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
+    pub(crate) fn restart_settling(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         if let Some(Phase::Settling(claim)) = self.jobs.get(id).map(|job| &job.phase) {
             let seen = claim.ballot();
-            self.settle(now, id, seen, out);
+            self.start_settling(now, id, seen, out);
         }
     }
 
@@ -145,15 +157,15 @@
         let Progress::Done((digest, outcome)) = claim.promise(from, ballot, promise) else {
             return;
         };
-        let Phase::Settling(claim) = std::mem::replace(&mut job.phase, Phase::Moving) else {
+        let Phase::Settling(claim) = std::mem::replace(&mut job.phase, Phase::Transition) else {
             return;
         };
         job.phase = Phase::Deciding(claim.decide(digest, outcome));
-        self.ask_accept(now, id, out);
+        self.request_accepts(now, id, out);
     }
 
     /// A higher ballot is about: whoever uses it may have decided, so find out after a pause.
-    pub(crate) fn outbid(&mut self, now: Time, id: JobId, ballot: Ballot, promised: Ballot) {
+    pub(crate) fn preempted(&mut self, now: Time, id: JobId, ballot: Ballot, promised: Ballot) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -171,7 +183,7 @@
         let claim = Claim::settle_key(job.key.clone(), job.digest, group, promised);
         // The resend timer raises the ballot above the one seen.
         job.phase = Phase::Settling(claim);
-        let pause = Duration::from_millis(self.random.random_range(1..=DUEL_PAUSE_MS));
+        let pause = Duration::from_millis(self.rng.random_range(1..=MAX_BACKOFF_MS));
         self.schedule_resend(now, id, pause);
     }
 
@@ -196,24 +208,24 @@
             _ => false,
         };
         if hopeless {
-            self.no_memory(now, id, out);
+            self.settling_impossible(now, id, out);
         }
     }
 
     /// Too few replicas remember times as early as the key's.
-    fn no_memory(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
+    fn settling_impossible(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let key = self.jobs[id].key.clone();
         if self.config.limits.too_old(&key, self.wall(now)) {
-            let reply = Reply::Outcome(crate::submit::outcome_unknown());
-            self.reply_and_forget(id, &reply, out);
+            let reply = Reply::Outcome(crate::submit::unknown_outcome());
+            self.reply_and_discard(id, &reply, out);
             return;
         }
         let detail = "replicas restarted and do not remember a key this old";
-        self.undecided(id, detail, out);
+        self.reply_undecided(id, detail, out);
     }
 
     /// A settled key may turn out to have been used with another body.
-    pub(crate) fn conflict_if_other(&mut self, id: JobId, digest: u64, out: &mut Vec<Output>) {
+    pub(crate) fn check_conflict(&mut self, id: JobId, digest: u64, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -222,7 +234,7 @@
         }
         let (key, own) = (job.key.clone(), job.digest);
         for waiter in std::mem::take(&mut job.waiters) {
-            self.tell(waiter, &key, own, Reply::Conflict, out);
+            self.send_reply(waiter, &key, own, Reply::Conflict, out);
         }
     }
 }
--- a/crates/celerywinch_entry/src/slots.rs
+++ b/crates/celerywinch_entry/src/slots.rs
@@ -8,11 +8,11 @@
 use crate::{Entry, Output};
 
 /// Between two requests for slots.
-const BORROW_EVERY: Duration = Duration::from_millis(3);
+const BORROW_INTERVAL: Duration = Duration::from_millis(3);
 
 impl Entry {
     /// Gives back what is not needed, and asks a peer with nothing in its queue for slots.
-    pub(crate) fn trade_slots(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(crate) fn tick_slots(&mut self, now: Time, out: &mut Vec<Output>) {
         self.return_slots(now, out);
         self.borrow_slots(now, out);
     }
@@ -31,10 +31,10 @@
     /// while only peers were asked whose last heartbeat told of an empty queue, slots stood idle at
     /// one entry and tasks waited at another.
     pub(crate) fn borrow_slots(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.dispatch.queued() == 0 || now.since(self.borrowed) < BORROW_EVERY {
+        if self.dispatch.queued() == 0 || now.since(self.last_borrow) < BORROW_INTERVAL {
             return;
         }
-        self.borrowed = now;
+        self.last_borrow = now;
         let lenders: Vec<_> = self.peers.local().map(|(id, _)| id).collect();
         for lender in lenders {
             for (kind, count) in self.dispatch.slot_demand() {
--- a/crates/celerywinch_entry/src/submit.rs
+++ b/crates/celerywinch_entry/src/submit.rs
@@ -13,7 +13,7 @@
 use crate::{Entry, Event, Output, Reply};
 
 /// When requests that got no reply are sent again.
-pub(crate) const RESEND: Duration = Duration::from_millis(40);
+pub(crate) const RESEND_DELAY: Duration = Duration::from_millis(40);
 /// When a caller should come back while too few replicas answer.
 pub(crate) const QUORUM_RETRY_MS: u32 = 500;
 /// When a caller should come back after it met a stopping entry.
@@ -28,18 +28,18 @@
         out: &mut Vec<Output>,
     ) {
         let key = submission.key.clone();
-        if let Some(id) = self.by_key.get(&key).copied() {
-            self.join(id, waiter, submission.digest, out);
+        if let Some(id) = self.submissions.get(&key).copied() {
+            self.join_submission(id, waiter, submission.digest, out);
             return;
         }
         if let Some(reply) = self.answer_without_claim(now, &submission) {
-            self.tell(waiter, &key, submission.digest, reply, out);
+            self.send_reply(waiter, &key, submission.digest, reply, out);
             return;
         }
         let Some(home) = self.homes.home(&key) else {
             return;
         };
-        let id = self.open(now, waiter, submission, out);
+        let id = self.open_job(now, waiter, submission, out);
         if home == self.config.dc {
             self.start_voting(now, id, out);
         } else {
@@ -48,17 +48,17 @@
     }
 
     /// A resubmission while the first is under way waits for the same outcome.
-    fn join(&mut self, id: JobId, waiter: Waiter, digest: u64, out: &mut Vec<Output>) {
+    fn join_submission(&mut self, id: JobId, waiter: Waiter, digest: u64, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         if job.digest != digest {
             let key = job.key.clone();
-            self.tell(waiter, &key, digest, Reply::Conflict, out);
+            self.send_reply(waiter, &key, digest, Reply::Conflict, out);
             return;
         }
         job.add_waiter(waiter);
-        job.told = false;
+        job.undecided_sent = false;
     }
 
     /// Replies that need no agreement: the outcome is known here, or the key cannot be run.
@@ -76,7 +76,7 @@
             return Some(Reply::TooNew);
         }
         if self.config.limits.too_old(key, wall) {
-            return Some(Reply::Outcome(outcome_unknown()));
+            return Some(Reply::Outcome(unknown_outcome()));
         }
         // "Not run" would not be certain: the key may be in work at another entry.
         if self.stopping {
@@ -88,7 +88,7 @@
         None
     }
 
-    pub(crate) fn open(
+    pub(crate) fn open_job(
         &mut self,
         now: Time,
         waiter: Waiter,
@@ -97,7 +97,7 @@
     ) -> JobId {
         let class = self.catalogue.kind(&submission.kind).map(|kind| kind.class);
         let tasks = submission.tasks.len();
-        let margin = self.config.margin.min(submission.remaining / 8);
+        let margin = self.config.deadline_margin.min(submission.remaining / 8);
         let deadline = now + submission.remaining.saturating_sub(margin);
         let key = submission.key.clone();
         let id = self.jobs.insert(Job {
@@ -112,13 +112,13 @@
             tasks: vec![TaskState::Queued; tasks],
             refusals: 0,
             waiters: vec![waiter],
-            phase: Phase::Moving,
+            phase: Phase::Transition,
             cancelled: false,
-            resend: Time::NEVER,
-            told: false,
+            resend_at: Time::NEVER,
+            undecided_sent: false,
             key: submission.key,
         });
-        self.by_key.insert(key.clone(), id);
+        self.submissions.insert(key.clone(), id);
         self.timers.subscribe(deadline, Timer::Deadline(id));
         let kind = self.jobs[id].work.kind.to_string();
         let tasks = u32::try_from(tasks).unwrap_or(u32::MAX);
@@ -131,7 +131,7 @@
             return;
         };
         if !self.has_quorum(&group) {
-            self.undecided(id, "too few replicas of this data centre answer", out);
+            self.reply_undecided(id, "too few replicas of this data centre answer", out);
             return;
         }
         let (key, digest) = (self.jobs[id].key.clone(), self.jobs[id].digest);
@@ -147,7 +147,7 @@
             .find(|r| *r == me || self.peers.is_reachable(*r));
         let claim = Claim::new(key.clone(), digest, group, holder, first);
         self.jobs[id].phase = Phase::Voting(claim);
-        self.schedule_resend(now, id, RESEND);
+        self.schedule_resend(now, id, RESEND_DELAY);
         match first {
             Some(first) if first != me => {
                 let msg = ClaimMsg::Vote {
@@ -157,7 +157,7 @@
                 };
                 out.push(Output::Send(first, PeerMsg::Claim(msg)));
             }
-            _ => self.ask_votes(now, id, out),
+            _ => self.request_votes(now, id, out),
         }
     }
 
@@ -170,30 +170,30 @@
 
     /// Tells the waiters that there is no outcome yet, at once, and gives the job up if it has
     /// not started anything.
-    pub(crate) fn undecided(&mut self, id: JobId, detail: &str, out: &mut Vec<Output>) {
+    pub(crate) fn reply_undecided(&mut self, id: JobId, detail: &str, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let (key, digest) = (job.key.clone(), job.digest);
-        if !job.told {
+        if !job.undecided_sent {
             out.push(Output::Event(Event::Undecided {
                 key: key.clone(),
                 detail: detail.into(),
             }));
         }
-        job.told = true;
+        job.undecided_sent = true;
         for waiter in std::mem::take(&mut job.waiters) {
             let reply = Reply::Undecided {
                 retry_ms: QUORUM_RETRY_MS,
                 detail: detail.into(),
             };
-            self.tell(waiter, &key, digest, reply, out);
+            self.send_reply(waiter, &key, digest, reply, out);
         }
         if matches!(self.jobs[id].phase, Phase::Running(_) | Phase::Deciding(_)) {
             return;
         }
         self.abandon(id);
-        self.forget(id);
+        self.discard(id);
     }
 
     /// Declares that an attempt for the claim is over before any task was started.
@@ -212,14 +212,14 @@
         }
     }
 
-    pub(crate) fn forget(&mut self, id: JobId) {
-        self.remove(id);
+    pub(crate) fn discard(&mut self, id: JobId) {
+        self.remove_job(id);
     }
 
-    pub(crate) fn remove(&mut self, id: JobId) -> Option<Job> {
+    pub(crate) fn remove_job(&mut self, id: JobId) -> Option<Job> {
         let job = self.jobs.remove(id)?;
-        if self.by_key.get(&job.key) == Some(&id) {
-            self.by_key.remove(&job.key);
+        if self.submissions.get(&job.key) == Some(&id) {
+            self.submissions.remove(&job.key);
         }
         if self.lookups.get(&job.key) == Some(&id) {
             self.lookups.remove(&job.key);
@@ -230,13 +230,13 @@
 
     pub(crate) fn schedule_resend(&mut self, now: Time, id: JobId, after: Duration) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.resend = now + after;
+            job.resend_at = now + after;
             self.timers.subscribe(now + after, Timer::Resend(id));
         }
     }
 
     /// Answers one who waits.
-    pub(crate) fn tell(
+    pub(crate) fn send_reply(
         &mut self,
         waiter: Waiter,
         key: &Key,
@@ -269,7 +269,7 @@
 }
 
 /// What is said of a key that is older than replicas are bound to remember.
-pub(crate) fn outcome_unknown() -> Outcome {
+pub(crate) fn unknown_outcome() -> Outcome {
     Outcome::failure(
         Ran::Maybe,
         Step::Claim,
--- a/crates/celerywinch_entry/src/tasks.rs
+++ b/crates/celerywinch_entry/src/tasks.rs
@@ -20,14 +20,14 @@
 /// When a caller that met a lack of endpoints should come back.
 const ENDPOINT_RETRY_MS: u32 = 200;
 /// How long a decided job that cannot be agreed on is kept after its deadline.
-const AFTER_DEADLINE: Duration = Duration::from_secs(20);
+const UNDECIDED_RETENTION: Duration = Duration::from_secs(20);
 
 /// A call that is under way.
 #[derive(Debug)]
-pub(crate) struct OpenCall {
+pub(crate) struct PendingCall {
     pub(crate) task: TaskRef,
     pub(crate) endpoint: EndpointId,
-    pub(crate) sent: Time,
+    pub(crate) sent_at: Time,
     pub(crate) aborted: bool,
     kind: celerywinch_types::KindName,
     team: std::sync::Arc<str>,
@@ -35,11 +35,11 @@
 
 impl Entry {
     /// The claim is won: admits the job and queues its tasks.
-    pub(crate) fn start_work(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
+    pub(crate) fn admit_job(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let job = &self.jobs[id];
         if job.cancelled {
-            let outcome = cancelled(job);
-            self.decide(now, id, outcome, out);
+            let outcome = cancelled_outcome(job);
+            self.propose(now, id, outcome, out);
             return;
         }
         let tasks = job.tasks.len();
@@ -49,17 +49,17 @@
                 let tasks = u32::try_from(tasks).unwrap_or(u32::MAX);
                 self.dispatch.enqueue(id, work, tasks);
             }
-            Err(refusal) => self.decide(now, id, Outcome::Refusal(refusal), out),
+            Err(refusal) => self.propose(now, id, Outcome::Refusal(refusal), out),
         }
     }
 
     /// Starts whatever can be started.
-    pub(crate) fn pump(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(crate) fn start_queued(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.dispatch.queued() == 0 || !self.holds_lease(now) {
             return;
         }
         while let Some(start) = self.dispatch.next_start(now) {
-            self.start(now, &start, out);
+            self.start_task(now, &start, out);
         }
     }
 
@@ -76,7 +76,7 @@
         members.filter(|r| **r == me || heard(**r)).count() >= group.majority()
     }
 
-    fn start(&mut self, now: Time, start: &Start, out: &mut Vec<Output>) {
+    fn start_task(&mut self, now: Time, start: &Start, out: &mut Vec<Output>) {
         let TaskRef { job: id, index } = start.task;
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -102,10 +102,10 @@
         job.tasks[slot] = TaskState::Running(call, start.endpoint);
         self.calls.insert(
             call,
-            OpenCall {
+            PendingCall {
                 task: start.task,
                 endpoint: start.endpoint,
-                sent: now,
+                sent_at: now,
                 aborted: false,
                 kind: job.work.kind.clone(),
                 team: job.team().clone(),
@@ -138,7 +138,7 @@
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
-        self.note_health(now, &call, &end, out);
+        self.record_health(now, &call, &end, out);
         let TaskRef { job, index } = call.task;
         let slot = index as usize;
         let state = self.jobs.get(job).and_then(|job| job.tasks.get(slot));
@@ -147,11 +147,11 @@
         }
         match end {
             CallEnd::Done(body) => {
-                self.event_result(&call, out);
+                self.push_result(&call, out);
                 let job_state = &mut self.jobs[job];
                 job_state.tasks[slot] = TaskState::Done(body);
                 if job_state.finished() {
-                    self.all_done(now, job, out);
+                    self.propose_answer(now, job, out);
                 }
             }
             CallEnd::TaskFailed { detail, .. } => {
@@ -162,10 +162,16 @@
         }
     }
 
-    fn note_health(&mut self, now: Time, call: &OpenCall, end: &CallEnd, out: &mut Vec<Output>) {
+    fn record_health(
+        &mut self,
+        now: Time,
+        call: &PendingCall,
+        end: &CallEnd,
+        out: &mut Vec<Output>,
+    ) {
         let end = match end {
             _ if call.aborted => HealthEnd::Cancelled,
-            CallEnd::Done(_) => HealthEnd::Done(now.since(call.sent)),
+            CallEnd::Done(_) => HealthEnd::Done(now.since(call.sent_at)),
             CallEnd::NotRun { refused: true, .. } => HealthEnd::Refused,
             CallEnd::TaskFailed {
                 task_fault: true, ..
@@ -174,11 +180,11 @@
                 HealthEnd::Failed
             }
         };
-        let endpoint = self.addr_of(call.endpoint);
+        let endpoint = self.endpoint_addr(call.endpoint);
         let work = (&call.kind, &call.team);
         let change = self
             .dispatch
-            .finish(now, call.endpoint, call.sent, work, end);
+            .finish(now, call.endpoint, call.sent_at, work, end);
         if let Some(change) = change {
             let state = match change {
                 HealthChange::Quarantined => "set_aside",
@@ -191,31 +197,37 @@
         }
     }
 
-    fn event_result(&self, call: &OpenCall, out: &mut Vec<Output>) {
+    fn push_result(&self, call: &PendingCall, out: &mut Vec<Output>) {
         out.push(Output::Event(Event::Result {
             key: self.jobs[call.task.job].key.clone(),
             index: call.task.index,
-            endpoint: self.addr_of(call.endpoint),
+            endpoint: self.endpoint_addr(call.endpoint),
         }));
     }
 
-    fn addr_of(&self, endpoint: EndpointId) -> std::net::SocketAddr {
+    fn endpoint_addr(&self, endpoint: EndpointId) -> std::net::SocketAddr {
         let unknown = std::net::SocketAddr::from(([0, 0, 0, 0], 0));
         self.dispatch
             .announcement(endpoint)
             .map_or(unknown, |note| note.addr)
     }
 
-    fn all_done(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
+    fn propose_answer(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         if let Some(answer) = self.jobs[id].answer() {
-            self.decide(now, id, answer, out);
+            self.propose(now, id, answer, out);
         }
     }
 
     /// The task did not run, so it may be sent elsewhere.
-    fn task_not_run(&mut self, now: Time, call: &OpenCall, detail: String, out: &mut Vec<Output>) {
+    fn task_not_run(
+        &mut self,
+        now: Time,
+        call: &PendingCall,
+        detail: String,
+        out: &mut Vec<Output>,
+    ) {
         let TaskRef { job: id, index } = call.task;
-        let endpoint = self.addr_of(call.endpoint);
+        let endpoint = self.endpoint_addr(call.endpoint);
         let job = &mut self.jobs[id];
         job.tasks[index as usize] = TaskState::Queued;
         job.refusals += 1;
@@ -248,15 +260,15 @@
     fn task_lost(
         &mut self,
         now: Time,
-        call: &OpenCall,
+        call: &PendingCall,
         ran: Ran,
         detail: String,
         out: &mut Vec<Output>,
     ) {
         let TaskRef { job: id, index } = call.task;
-        let endpoint = self.addr_of(call.endpoint);
+        let endpoint = self.endpoint_addr(call.endpoint);
         let job = &mut self.jobs[id];
-        job.tasks[index as usize] = TaskState::Ended;
+        job.tasks[index as usize] = TaskState::Failed;
         out.push(Output::Event(Event::TaskLost {
             key: job.key.clone(),
             index,
@@ -288,45 +300,45 @@
                 out.push(Output::Abort(call));
             }
         }
-        self.decide(now, id, outcome, out);
+        self.propose(now, id, outcome, out);
     }
 
     /// A queued task can no longer end in time.
-    pub(crate) fn give_up(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
+    pub(crate) fn end_infeasible(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get(id) else {
             self.dispatch.drop_job(id);
             return;
         };
-        let outcome = out_of_time(job, "no slot came free in time");
+        let outcome = timeout_outcome(job, "no slot came free in time");
         self.end_job(now, id, outcome, out);
     }
 
-    pub(crate) fn deadline(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
+    pub(crate) fn deadline_passed(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
         match &job.phase {
             Phase::Running(_) => {
-                let outcome = out_of_time(job, "the deadline passed");
+                let outcome = timeout_outcome(job, "the deadline passed");
                 self.end_job(now, id, outcome, out);
             }
-            Phase::Deciding(_) if !job.told => {
+            Phase::Deciding(_) if !job.undecided_sent => {
                 let detail = "the replicas did not agree on the outcome before the deadline";
-                self.undecided(id, detail, out);
+                self.reply_undecided(id, detail, out);
                 self.timers
-                    .subscribe(now + AFTER_DEADLINE, Timer::Deadline(id));
+                    .subscribe(now + UNDECIDED_RETENTION, Timer::Deadline(id));
             }
-            Phase::Deciding(_) => self.forget(id),
+            Phase::Deciding(_) => self.discard(id),
             _ => {
                 let detail = "the outcome is not known before the deadline";
-                self.undecided(id, detail, out);
+                self.reply_undecided(id, detail, out);
             }
         }
     }
 }
 
 /// The outcome of a job that was cancelled.
-pub(crate) fn cancelled(job: &Job) -> Outcome {
+pub(crate) fn cancelled_outcome(job: &Job) -> Outcome {
     if job.started() {
         let detail = "cancelled after tasks were started";
         return Outcome::failure(Ran::Maybe, Step::Run, &"caller", detail);
@@ -335,7 +347,7 @@
     Outcome::refusal(RefusalReason::Cancelled, None, detail)
 }
 
-fn out_of_time(job: &Job, detail: &str) -> Outcome {
+fn timeout_outcome(job: &Job, detail: &str) -> Outcome {
     if !job.started() {
         return Outcome::Refusal(Refusal {
             reason: RefusalReason::Deadline,
