--- a/crates/celerywinch_entry/src/claims.rs
+++ b/crates/celerywinch_entry/src/claims.rs
@@ -1,4 +1,4 @@
-//! Messages about claims: as a replica, and as the one that asks.
+//! Messages about claims: the replies of the local replicas, and the proposer's side of the vote and of the outcome.
 
 use celerywinch_claims::{Progress, Promise, Rejection, Replica, Verdict};
 use celerywinch_dispatch::JobId;
@@ -10,10 +10,11 @@
 use crate::submit::unknown_outcome;
 use crate::{Entry, Event, Output, Reply};
 
-/// The most keys told of in one message.
+/// Largest number of keys in one message about decided keys.
 const MAX_DECIDED_KEYS: usize = 4096;
 
 impl Entry {
+    /// Handles a message about claims, as a replica or as a proposer.
     pub(crate) fn claim_msg(
         &mut self,
         now: Time,
@@ -33,6 +34,7 @@
         }
     }
 
+    /// Returns the local replica of a key, if there is one.
     pub(crate) fn replica(&mut self, key: &Key) -> Option<&mut Replica> {
         let home = self.homes.home(key)?;
         self.replicas.get_mut(&home)
@@ -46,7 +48,7 @@
         }
     }
 
-    /// What the replica here replies to a request; none if there is no replica of the key here.
+    /// Returns the local replica's reply to a request, or `None` if there is no replica of the key here.
     pub(crate) fn replica_reply(&mut self, now: Time, msg: ClaimMsg) -> Option<ClaimReply> {
         let wall = self.wall(now);
         match msg {
@@ -84,20 +86,20 @@
         }
     }
 
-    /// Asks all replicas that have not answered for their vote, the own one first.
+    /// Requests the votes of all replicas that have not answered, the local one first.
     pub(crate) fn request_votes(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(Phase::Voting(claim)) = self.jobs.get(id).map(|job| &job.phase) else {
             return;
         };
         let (key, digest, holder) = (claim.key().clone(), claim.digest(), claim.holder());
-        let silent: Vec<_> = claim.unanswered().collect();
+        let unanswered: Vec<_> = claim.unanswered().collect();
         let vote = || ClaimMsg::Vote {
             key: key.clone(),
             digest,
             holder,
         };
         let me = self.me();
-        if silent.contains(&me)
+        if unanswered.contains(&me)
             && let Some(reply) = self.replica_reply(now, vote())
         {
             self.claim_reply(now, me, reply, out);
@@ -108,7 +110,7 @@
         ) {
             return;
         }
-        for peer in silent.into_iter().filter(|peer| *peer != me) {
+        for peer in unanswered.into_iter().filter(|peer| *peer != me) {
             out.push(Output::Send(peer, PeerMsg::Claim(vote())));
         }
     }
@@ -171,7 +173,7 @@
         }
     }
 
-    /// The submission and the lookup of a key that are open here.
+    /// Returns the open submission and the open lookup of a key.
     pub(crate) fn jobs_for_key(&self, key: &Key) -> Vec<JobId> {
         let maps = [self.submissions.get(key), self.lookups.get(key)];
         maps.into_iter().flatten().copied().collect()
@@ -190,7 +192,7 @@
         let Some(Phase::Voting(claim)) = self.jobs.get_mut(id).map(|job| &mut job.phase) else {
             return;
         };
-        // A late vote for an earlier attempt is no vote for this one.
+        // The vote of an earlier attempt does not count for this one.
         if claim.holder() != holder {
             return;
         }
@@ -201,6 +203,7 @@
         }
     }
 
+    /// Continues a job according to the result of the vote.
     fn vote_finished(&mut self, now: Time, id: JobId, verdict: Verdict, out: &mut Vec<Output>) {
         let key = self.jobs[id].key.clone();
         match verdict {
@@ -224,13 +227,13 @@
                 self.reply_and_discard(id, &Reply::Outcome(unknown_outcome()), out);
             }
             Verdict::NoQuorum => {
-                let detail = "too few replicas can vote on this key at present";
+                let detail = "too few replicas can vote on this key now";
                 self.reply_undecided(id, detail, out);
             }
         }
     }
 
-    /// Ends a job whose reply is not an agreed outcome.
+    /// Replies to the waiters of a job without an agreed outcome, and discards the job.
     pub(crate) fn reply_and_discard(&mut self, id: JobId, reply: &Reply, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -261,7 +264,7 @@
         self.admit_job(now, id, out);
     }
 
-    /// Proposes an outcome under the claim; only the holder comes here.
+    /// Proposes an outcome as the holder of the claim. Has no effect on a job that is not running.
     pub(crate) fn propose(
         &mut self,
         now: Time,
@@ -282,12 +285,12 @@
         self.request_accepts(now, id, out);
     }
 
-    /// Asks the replicas that have not accepted the outcome to do so, the own one first.
+    /// Requests the replicas that have not accepted the outcome to accept it.
     pub(crate) fn request_accepts(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(Phase::Deciding(claim)) = self.jobs.get(id).map(|job| &job.phase) else {
             return;
         };
-        let silent: Vec<_> = claim.unanswered().collect();
+        let unanswered: Vec<_> = claim.unanswered().collect();
         let (key, digest, ballot) = (claim.key().clone(), claim.digest(), claim.ballot());
         let outcome = claim.outcome().clone();
         let accept = || ClaimMsg::Accept {
@@ -298,11 +301,11 @@
         };
         self.schedule_resend(now, id, crate::submit::RESEND_DELAY);
         let me = self.me();
-        // The others first: their round trip runs while the own replica accepts.
-        for peer in silent.iter().filter(|peer| **peer != me) {
+        // The others come first, so that their round trip overlaps with the acceptance by the local replica.
+        for peer in unanswered.iter().filter(|peer| **peer != me) {
             out.push(Output::Send(*peer, PeerMsg::Claim(accept())));
         }
-        if silent.contains(&me)
+        if unanswered.contains(&me)
             && let Some(reply) = self.replica_reply(now, accept())
         {
             self.claim_reply(now, me, reply, out);
@@ -331,26 +334,26 @@
         self.complete_job(id, &outcome, out);
     }
 
-    /// Tells replicas which keys are decided, many in one message.
+    /// Notifies the replicas of decided keys, many in one message.
     pub(crate) fn send_decided(&mut self, out: &mut Vec<Output>) {
         let me = self.me();
         for (peer, keys) in std::mem::take(&mut self.unsent_decisions) {
             if peer == me {
                 continue;
             }
-            for part in keys.chunks(MAX_DECIDED_KEYS) {
-                let msg = PeerMsg::Claim(ClaimMsg::Decided(part.to_vec()));
+            for chunk in keys.chunks(MAX_DECIDED_KEYS) {
+                let msg = PeerMsg::Claim(ClaimMsg::Decided(chunk.to_vec()));
                 out.push(Output::Send(peer, msg));
             }
         }
     }
 
-    /// Sends again what may have been lost.
+    /// Sends again the messages of a job's phase, which may have been lost.
     pub(crate) fn resend(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        // A later phase has a later timer of its own.
+        // The phase that follows has scheduled a later timer of its own.
         if job.resend_at > now {
             return;
         }
@@ -381,19 +384,19 @@
             digest: promise.digest,
             accepted: promise.accepted,
         },
-        Err(refused) => rejection_reply(key, ballot, refused),
+        Err(rejection) => rejection_reply(key, ballot, rejection),
     }
 }
 
 fn accept_reply(key: Key, ballot: Ballot, accepted: Result<(), Rejection>) -> ClaimReply {
     match accepted {
         Ok(()) => ClaimReply::Accepted { key, ballot },
-        Err(refused) => rejection_reply(key, ballot, refused),
+        Err(rejection) => rejection_reply(key, ballot, rejection),
     }
 }
 
-fn rejection_reply(key: Key, ballot: Ballot, refused: Rejection) -> ClaimReply {
-    match refused {
+fn rejection_reply(key: Key, ballot: Ballot, rejection: Rejection) -> ClaimReply {
+    match rejection {
         Rejection::Preempted(promised) => ClaimReply::Preempted {
             key,
             ballot,
--- a/crates/celerywinch_entry/src/submit.rs
+++ b/crates/celerywinch_entry/src/submit.rs
@@ -1,4 +1,4 @@
-//! Taking in a submission and asking for its claim.
+//! Submissions: checks on arrival, and the start of the vote on their claim.
 
 use std::time::Duration;
 
@@ -12,14 +12,16 @@
 use crate::job::{Job, Phase, TaskState, Waiter};
 use crate::{Entry, Event, Output, Reply};
 
-/// When requests that got no reply are sent again.
+/// How long a request to replicas waits for replies before it is sent again.
 pub(crate) const RESEND_DELAY: Duration = Duration::from_millis(40);
-/// When a caller should come back while too few replicas answer.
+/// Retry delay for a caller while too few replicas answer, in ms.
 pub(crate) const QUORUM_RETRY_MS: u32 = 500;
-/// When a caller should come back after it met a stopping entry.
+/// Retry delay for a caller of a stopping entry, in ms; another entry can process the key at once.
 const STOPPING_RETRY_MS: u32 = 1;
 
 impl Entry {
+    /// Processes a submission: joins an open one with the same key, answers it at once, or opens a job and starts the
+    /// vote on its claim or relays it to its home.
     pub(crate) fn submit(
         &mut self,
         now: Time,
@@ -47,7 +49,7 @@
         }
     }
 
-    /// A resubmission while the first is under way waits for the same outcome.
+    /// Adds the caller of a resubmission to those that wait for the outcome of the open submission.
     fn join_submission(&mut self, id: JobId, waiter: Waiter, digest: u64, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -61,7 +63,7 @@
         job.undecided_sent = false;
     }
 
-    /// Replies that need no agreement: the outcome is known here, or the key cannot be run.
+    /// Returns a reply that needs no agreement, if the outcome is known here or the key cannot be run.
     fn answer_without_claim(&self, now: Time, submission: &Submission) -> Option<Reply> {
         let key = &submission.key;
         let known = self.replicas.values().find_map(|r| r.decided(key));
@@ -78,7 +80,7 @@
         if self.config.limits.too_old(key, wall) {
             return Some(Reply::Outcome(unknown_outcome()));
         }
-        // "Not run" would not be certain: the key may be in work at another entry.
+        // No refusal: another entry may be processing the key, so that "not run" would not be certain.
         if self.stopping {
             return Some(Reply::Undecided {
                 retry_ms: STOPPING_RETRY_MS,
@@ -88,6 +90,7 @@
         None
     }
 
+    /// Opens the job of a submission and schedules its deadline.
     pub(crate) fn open_job(
         &mut self,
         now: Time,
@@ -126,6 +129,9 @@
         id
     }
 
+    /// Starts the vote on the claim of a job.
+    ///
+    /// The first reachable replica in the group's order is asked before the others.
     pub(crate) fn start_voting(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(group) = self.homes.group(self.config.dc).cloned() else {
             return;
@@ -161,15 +167,16 @@
         }
     }
 
+    /// Whether a majority of the group is reachable, counting this instance if it is a replica.
     pub(crate) fn has_quorum(&self, group: &Group) -> bool {
         let me = self.me();
         let members = group.members().iter();
-        let answering = members.filter(|r| **r == me || self.peers.is_reachable(**r));
-        answering.count() >= group.majority()
+        let reachable = members.filter(|r| **r == me || self.peers.is_reachable(**r));
+        reachable.count() >= group.majority()
     }
 
-    /// Tells the waiters that there is no outcome yet, at once, and gives the job up if it has
-    /// not started anything.
+    /// Replies to the waiters at once that no outcome is agreed on yet, and discards the job unless it is running or
+    /// its outcome is proposed.
     pub(crate) fn reply_undecided(&mut self, id: JobId, detail: &str, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -196,9 +203,9 @@
         self.discard(id);
     }
 
-    /// Declares that an attempt for the claim is over before any task was started.
+    /// Releases the local replica's vote for an attempt that is over before any task was started.
     ///
-    /// Without it a key whose votes were split could only end in "may have run".
+    /// Without the release, a key whose votes were split could end only as a failure whose tasks may have run.
     pub(crate) fn abandon(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -212,10 +219,12 @@
         }
     }
 
+    /// Removes a job without a reply to its waiters.
     pub(crate) fn discard(&mut self, id: JobId) {
         self.remove_job(id);
     }
 
+    /// Removes a job and its queued tasks.
     pub(crate) fn remove_job(&mut self, id: JobId) -> Option<Job> {
         let job = self.jobs.remove(id)?;
         if self.submissions.get(&job.key) == Some(&id) {
@@ -228,6 +237,7 @@
         Some(job)
     }
 
+    /// Schedules the next resend of a job's messages.
     pub(crate) fn schedule_resend(&mut self, now: Time, id: JobId, after: Duration) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.resend_at = now + after;
@@ -235,7 +245,7 @@
         }
     }
 
-    /// Answers one who waits.
+    /// Sends a reply to a waiter: to a caller directly, to another entry as a message.
     pub(crate) fn send_reply(
         &mut self,
         waiter: Waiter,
@@ -268,7 +278,7 @@
     }
 }
 
-/// What is said of a key that is older than replicas are bound to remember.
+/// Returns the outcome of a key that is too old to be run and of which the replicas need not keep a record.
 pub(crate) fn unknown_outcome() -> Outcome {
     Outcome::failure(
         Ran::Maybe,
--- a/crates/celerywinch_entry/src/tasks.rs
+++ b/crates/celerywinch_entry/src/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks of a job that this process holds: starts, ends, deadlines.
+//! The tasks of the jobs whose claim this process holds: their start, their end and the deadline.
 
 use std::time::Duration;
 
@@ -9,20 +9,19 @@
 use crate::job::{Job, Phase, TaskState};
 use crate::{Call, CallEnd, CallId, Entry, Event, Invariant, Output};
 
-/// How often the tasks of one job may be refused by endpoints, per task: a budget, so that refusals
-/// cannot multiply the load.
+/// Number of refusals by endpoints that a job may have per task. The limit keeps refusals from multiplying the load.
 const REFUSALS_PER_TASK: u32 = 4;
-/// How long a holder may have heard from no majority and still start tasks.
+/// How long after its last contact with a majority of the replicas a holder still starts tasks.
 ///
-/// Others settle the keys of a holder that is silent for longer. Starting tasks then would be no
-/// second start, for nobody else starts them, but wasted work whose answer nobody can get.
+/// Other entries settle the keys of a holder that is silent for longer. Tasks that it starts after that would not run
+/// twice, because no other entry starts them, but would be wasted work, because no caller can get their results.
 const HOLDER_LEASE: Duration = Duration::from_millis(1500);
-/// When a caller that met a lack of endpoints should come back.
+/// Retry delay for a caller whose tasks were refused by endpoints or were not started before the deadline, in ms.
 const ENDPOINT_RETRY_MS: u32 = 200;
-/// How long a decided job that cannot be agreed on is kept after its deadline.
+/// How long a job whose proposed outcome is not yet accepted by a majority is kept after its deadline.
 const UNDECIDED_RETENTION: Duration = Duration::from_secs(20);
 
-/// A call that is under way.
+/// A call in flight.
 #[derive(Debug)]
 pub(crate) struct PendingCall {
     pub(crate) task: TaskRef,
@@ -34,7 +33,7 @@
 }
 
 impl Entry {
-    /// The claim is won: admits the job and queues its tasks.
+    /// Admits a job whose claim is won, and queues its tasks.
     pub(crate) fn admit_job(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let job = &self.jobs[id];
         if job.cancelled {
@@ -53,7 +52,7 @@
         }
     }
 
-    /// Starts whatever can be started.
+    /// Starts all queued tasks that can start now.
     pub(crate) fn start_queued(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.dispatch.queued() == 0 || !self.holds_lease(now) {
             return;
@@ -63,17 +62,18 @@
         }
     }
 
+    /// Whether a majority of the replicas was in contact within [`HOLDER_LEASE`].
     fn holds_lease(&self, now: Time) -> bool {
         let Some(group) = self.homes.group(self.config.dc) else {
             return false;
         };
         let me = self.me();
-        let heard = |id| {
+        let in_contact = |id| {
             let peer = self.peers.get(id);
             peer.is_some_and(|peer| now.since(peer.last_contact) < HOLDER_LEASE)
         };
         let members = group.members().iter();
-        members.filter(|r| **r == me || heard(**r)).count() >= group.majority()
+        members.filter(|r| **r == me || in_contact(**r)).count() >= group.majority()
     }
 
     fn start_task(&mut self, now: Time, start: &Start, out: &mut Vec<Output>) {
@@ -84,16 +84,16 @@
         let slot = index as usize;
         let key = job.key.clone();
         let queued = job.tasks.get(slot) == Some(&TaskState::Queued);
-        let held = matches!(job.phase, Phase::Running(_));
+        let claimed = matches!(job.phase, Phase::Running(_));
         let serving = self
             .dispatch
             .announcement(start.endpoint)
-            .is_some_and(|note| note.state == EndpointState::Serving);
+            .is_some_and(|announcement| announcement.state == EndpointState::Serving);
         let detail = || format!("task {index} of key {key}");
         self.assert(queued, Invariant::SingleStart, detail, out);
-        self.assert(held, Invariant::ClaimedStart, detail, out);
+        self.assert(claimed, Invariant::ClaimedStart, detail, out);
         self.assert(serving, Invariant::LeavingQuiet, detail, out);
-        if !queued || !held {
+        if !queued || !claimed {
             return;
         }
         self.next_call += 1;
@@ -128,6 +128,7 @@
         }));
     }
 
+    /// Records the end of a call for the health of its endpoint, and applies it to the job unless the job has ended.
     pub(crate) fn call_ended(
         &mut self,
         now: Time,
@@ -209,7 +210,7 @@
         let unknown = std::net::SocketAddr::from(([0, 0, 0, 0], 0));
         self.dispatch
             .announcement(endpoint)
-            .map_or(unknown, |note| note.addr)
+            .map_or(unknown, |announcement| announcement.addr)
     }
 
     fn propose_answer(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
@@ -218,7 +219,8 @@
         }
     }
 
-    /// The task did not run, so it may be sent elsewhere.
+    /// Queues a task that did not run, so that it may be sent to another endpoint, or ends the job if its budget of
+    /// refusals is exhausted.
     fn task_not_run(
         &mut self,
         now: Time,
@@ -233,7 +235,7 @@
         job.refusals += 1;
         let tasks = u32::try_from(job.tasks.len()).unwrap_or(u32::MAX);
         let budget = REFUSALS_PER_TASK.saturating_mul(tasks);
-        let spent = job.refusals > budget;
+        let exhausted = job.refusals > budget;
         out.push(Output::Event(Event::NotRun {
             key: job.key.clone(),
             index,
@@ -243,20 +245,20 @@
         if !matches!(job.phase, Phase::Running(_)) {
             return;
         }
-        if !spent {
+        if !exhausted {
             self.dispatch.requeue(call.task);
             return;
         }
         let outcome = if job.started() {
             Outcome::failure(Ran::Yes, Step::Connect, &endpoint, &detail)
         } else {
-            let detail = "endpoints kept refusing the tasks; none ran";
+            let detail = "the endpoints refused the tasks repeatedly; no task ran";
             Outcome::refusal(RefusalReason::NoEndpoint, Some(ENDPOINT_RETRY_MS), detail)
         };
         self.end_job(now, id, outcome, out);
     }
 
-    /// The task ran and failed, or may have run: it is never started again, so the job fails.
+    /// Fails the job of a task that failed or may have run. Such a task is never started again.
     fn task_lost(
         &mut self,
         now: Time,
@@ -280,7 +282,7 @@
         self.end_job(now, id, outcome, out);
     }
 
-    /// Ends a running job: stops what is under way and proposes the outcome at once.
+    /// Ends a running job: aborts its calls in flight and proposes the outcome without waiting for their end.
     pub(crate) fn end_job(
         &mut self,
         now: Time,
@@ -303,7 +305,7 @@
         self.propose(now, id, outcome, out);
     }
 
-    /// A queued task can no longer end in time.
+    /// Ends a job with a queued task that can no longer end before the deadline.
     pub(crate) fn end_infeasible(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get(id) else {
             self.dispatch.drop_job(id);
@@ -313,6 +315,7 @@
         self.end_job(now, id, outcome, out);
     }
 
+    /// Ends a running job at its deadline. In any other phase, replies to the waiters that no outcome is known.
     pub(crate) fn deadline_passed(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -330,14 +333,14 @@
             }
             Phase::Deciding(_) => self.discard(id),
             _ => {
-                let detail = "the outcome is not known before the deadline";
+                let detail = "no outcome was known before the deadline";
                 self.reply_undecided(id, detail, out);
             }
         }
     }
 }
 
-/// The outcome of a job that was cancelled.
+/// Returns the outcome of a cancelled job.
 pub(crate) fn cancelled_outcome(job: &Job) -> Outcome {
     if job.started() {
         let detail = "cancelled after tasks were started";
@@ -347,6 +350,7 @@
     Outcome::refusal(RefusalReason::Cancelled, None, detail)
 }
 
+/// Returns the outcome of a job that did not end before its deadline, or no longer can.
 fn timeout_outcome(job: &Job, detail: &str) -> Outcome {
     if !job.started() {
         return Outcome::Refusal(Refusal {
