--- a/crates/celerywinch_entry/src/cancel.rs
+++ b/crates/celerywinch_entry/src/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancelling one or many keys.
+//! Cancellation of keys.
 
 use celerywinch_types::{Key, PeerMsg, RelayMsg, Time};
 
@@ -7,10 +7,10 @@
 use crate::{CancelState, Entry, Output, Reply, WaiterId};
 
 impl Entry {
-    /// Cancels keys, wherever they are held; each still gets its one outcome.
+    /// Cancels keys, whichever entry holds their claims. Each key still gets its one outcome.
     ///
-    /// Work in the queue never starts. A cancel that races with a start ends in a failure that
-    /// says the work may have run, never in "not run".
+    /// Queued tasks are never started. A cancellation that races with a start ends in a failure which says that the
+    /// work may have run, never in a refusal.
     pub(crate) fn cancel(
         &mut self,
         now: Time,
@@ -29,6 +29,7 @@
         out.push(Output::Reply(waiter, Reply::Cancelled(states)));
     }
 
+    /// Cancels the job of a key at this entry, and forwards the cancellation to the process that the job waits for.
     pub(crate) fn cancel_local(
         &mut self,
         now: Time,
@@ -56,7 +57,7 @@
                 let msg = PeerMsg::Relay(RelayMsg::Cancel(key.clone()));
                 out.push(Output::Send(relay.via, msg));
             }
-            // Won claims look at `cancelled` before they start anything.
+            // `cancelled` is checked when the claim is won, before anything starts.
             Phase::Voting(_) => {}
             Phase::Deciding(_) | Phase::Settling(_) => return CancelState::Ended,
             Phase::Inspecting(_) | Phase::Transition => return CancelState::Unknown,
@@ -64,7 +65,7 @@
         CancelState::Cancelling
     }
 
-    /// Passes a cancel to the entries of the key's home that may hold it.
+    /// Forwards a cancellation to the entries of the key's home, any of which may hold the claim.
     fn forward_cancel(&mut self, key: &Key, out: &mut Vec<Output>) {
         let Some(home) = self.homes.home(key) else {
             return;
--- a/crates/celerywinch_entry/src/lookup.rs
+++ b/crates/celerywinch_entry/src/lookup.rs
@@ -1,4 +1,4 @@
-//! Looking up the outcome of a key without starting or ending anything.
+//! Lookups: finding the outcome of a key without starting its tasks.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,10 +12,12 @@
 use crate::submit::{RESEND_DELAY, unknown_outcome};
 use crate::{Entry, Output, Reply};
 
-/// How long a lookup waits for a key that is in work.
+/// How long a lookup waits for the outcome of a key that is being processed.
 const LOOKUP_TIMEOUT: Duration = Duration::from_secs(35);
 
 impl Entry {
+    /// Processes a lookup: replies with a known outcome, joins an open job of the key, or asks the replicas or the
+    /// key's home.
     pub(crate) fn lookup(&mut self, now: Time, waiter: Waiter, key: Key, out: &mut Vec<Output>) {
         let known = self.replicas.values().find_map(|r| r.decided(&key));
         if let Some((digest, outcome)) = known {
@@ -54,13 +56,14 @@
         };
         let events = out.len();
         let id = self.open_job(now, waiter, submission, out);
-        // A lookup is no submission: it is not written to the time line as one.
+        // A lookup is not a submission, so its `Accepted` event is removed again.
         out.truncate(events);
         self.submissions.remove(&key);
         self.lookups.insert(key, id);
         id
     }
 
+    /// Asks the replicas what they know of the key.
     pub(crate) fn inspect(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(group) = self.homes.group(self.config.dc).cloned() else {
             return;
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Takes what a replica knows: an outcome, a holder to ask, or nothing.
+    /// Handles a replica's reply to a lookup: an outcome, a holder to watch, or nothing.
     pub(crate) fn found(
         &mut self,
         now: Time,
@@ -102,7 +105,7 @@
             return;
         };
         let (vote, digest, decided, settling) = known;
-        let Phase::Inspecting(nothing) = &mut self.jobs[id].phase else {
+        let Phase::Inspecting(unknown) = &mut self.jobs[id].phase else {
             return;
         };
         if let Some(outcome) = decided {
@@ -121,10 +124,10 @@
             }
             VoteState::None | VoteState::Void(_) => {}
         }
-        if !nothing.contains(&from) {
-            nothing.push(from);
+        if !unknown.contains(&from) {
+            unknown.push(from);
         }
-        let count = nothing.len();
+        let count = unknown.len();
         let group = self.homes.group(self.config.dc);
         if group.is_some_and(|group| count >= group.majority()) {
             let old = self.config.limits.too_old(key, self.wall(now));
--- a/crates/celerywinch_entry/src/relay.rs
+++ b/crates/celerywinch_entry/src/relay.rs
@@ -1,4 +1,4 @@
-//! Submissions whose home is another data centre, and what peers say of keys.
+//! Submissions and lookups of keys whose home is another data centre, and messages of peers about keys.
 
 use celerywinch_dispatch::JobId;
 use celerywinch_types::{
@@ -11,7 +11,7 @@
 use crate::{Entry, Event, Output, Reply};
 
 impl Entry {
-    /// Passes a submission or a lookup to an entry of the key's home.
+    /// Relays a submission or a lookup to an entry of the key's home.
     pub(crate) fn start_relay(
         &mut self,
         now: Time,
@@ -33,6 +33,7 @@
         self.send_relayed(now, id, out);
     }
 
+    /// Returns a random reachable entry of a data centre, other than those that are stopping.
     fn choose_entry(&mut self, dc: DataCentreId) -> Option<InstanceId> {
         let entries = self
             .peers
@@ -45,7 +46,8 @@
         Some(entries[self.rng.random_range(0..entries.len())])
     }
 
-    /// Sends a relayed submission (again); the receiver takes a second copy for the same one.
+    /// Sends a relayed submission or lookup, for the first time or again. The receiver treats a second copy as a
+    /// resubmission of the same key.
     pub(crate) fn send_relayed(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -70,8 +72,8 @@
         self.schedule_resend(now, id, RESEND_DELAY * 5);
     }
 
-    /// Jobs that were passed to a peer which is gone go to another entry of the same home; the
-    /// key's register keeps the tasks from being started twice.
+    /// Relays the jobs that were relayed to the entry `gone` to another entry of the same home. The agreement on the
+    /// key's claim keeps the tasks from being started twice.
     pub(crate) fn reroute(&mut self, now: Time, gone: InstanceId, out: &mut Vec<Output>) {
         let relayed = self.jobs.iter().filter_map(|(id, job)| match &job.phase {
             Phase::Relayed(relay) if relay.via == gone => Some((id, relay.home)),
@@ -83,6 +85,7 @@
         }
     }
 
+    /// Handles a message about a submission or an outcome.
     pub(crate) fn relay_msg(
         &mut self,
         now: Time,
@@ -123,7 +126,7 @@
         }
     }
 
-    /// A peer asks for the outcome of a key that it believes to be held here.
+    /// Handles a peer's request for the outcome of a key whose claim it believes this process to hold.
     fn watch_requested(&mut self, peer: InstanceId, key: Key, out: &mut Vec<Output>) {
         let known = self.replicas.values().find_map(|r| r.decided(&key));
         if let Some((digest, outcome)) = known {
@@ -133,15 +136,15 @@
         }
         let id = self.submissions.get(&key).copied();
         let job = id.and_then(|id| self.jobs.get_mut(id));
-        // One that waits itself must not be waited for: two could wait for each other for ever.
-        let holds = |phase: &Phase| {
+        // A job that itself waits for another entry does not count: two entries could wait for each other forever.
+        let is_active = |phase: &Phase| {
             matches!(
                 phase,
                 Phase::Voting(_) | Phase::Running(_) | Phase::Deciding(_)
             )
         };
         let msg = match job {
-            Some(job) if holds(&job.phase) => {
+            Some(job) if is_active(&job.phase) => {
                 job.add_waiter(Waiter::Peer(peer));
                 RelayMsg::Working(key)
             }
@@ -150,7 +153,7 @@
         out.push(Output::Send(peer, PeerMsg::Relay(msg)));
     }
 
-    /// The outcome of a key, from the process that held it or that this one passed it to.
+    /// Handles the outcome of a key, from the holder of its claim or from the entry to which it was relayed.
     fn receive_outcome(
         &mut self,
         peer: InstanceId,
@@ -160,20 +163,20 @@
         out: &mut Vec<Output>,
     ) {
         for id in self.jobs_for_key(key) {
-            let asked = match &self.jobs[id].phase {
+            let expected = match &self.jobs[id].phase {
                 Phase::Watching(holder) => holder.process.instance == peer,
                 Phase::Relayed(relay) => relay.via == peer,
                 Phase::Inspecting(_) => true,
                 _ => false,
             };
-            if asked {
+            if expected {
                 self.check_conflict(id, digest, out);
                 self.complete_job(id, outcome, out);
             }
         }
     }
 
-    /// The supposed holder does not hold the key (any more): find out what became of it.
+    /// Settles a key whose supposed holder does not hold its claim, or no longer holds it.
     fn not_held(&mut self, now: Time, peer: InstanceId, key: &Key, out: &mut Vec<Output>) {
         for id in self.jobs_for_key(key) {
             let watching = matches!(
@@ -186,6 +189,7 @@
         }
     }
 
+    /// Delays the resend of a relayed submission that the peer is processing.
     fn working(&mut self, now: Time, peer: InstanceId, key: &Key) {
         for id in self.jobs_for_key(key) {
             let relayed = matches!(&self.jobs[id].phase, Phase::Relayed(r) if r.via == peer);
@@ -195,14 +199,15 @@
         }
     }
 
+    /// Handles a reply of a peer that is not an outcome.
     fn receive_reply(&mut self, peer: InstanceId, key: &Key, reply: &Reply, out: &mut Vec<Output>) {
         for id in self.jobs_for_key(key) {
-            let asked = match &self.jobs[id].phase {
+            let expected = match &self.jobs[id].phase {
                 Phase::Relayed(relay) => relay.via == peer,
                 Phase::Watching(holder) => holder.process.instance == peer,
                 _ => false,
             };
-            if asked {
+            if expected {
                 self.reply_and_discard(id, reply, out);
             }
         }
--- a/crates/celerywinch_entry/src/settle.rs
+++ b/crates/celerywinch_entry/src/settle.rs
@@ -1,4 +1,4 @@
-//! Keys held elsewhere: waiting for their outcome, and settling them when the holder is gone.
+//! Keys whose claim another process holds: waiting for their outcome, and settling them when the holder is gone.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
 use crate::submit::RESEND_DELAY;
 use crate::{Entry, Event, Output, Reply};
 
-/// Between two questions to a holder that is working on a key.
+/// Interval between requests for the outcome to the holder of a claim.
 const WATCH_INTERVAL: Duration = Duration::from_millis(300);
-/// The longest pause before a ballot that was outbid is raised, so that two who settle the same
-/// key do not outbid each other for ever.
+/// Longest random delay before a preempted ballot is raised, in ms. It keeps two proposers that settle the same key
+/// from preempting each other forever.
 const MAX_BACKOFF_MS: u64 = 40;
 
 impl Entry {
-    /// Waits for the outcome of a key that another process holds, or settles it if that is gone.
+    /// Waits for the outcome of a key whose claim another process holds, or settles the key if that process is gone.
     pub(crate) fn watch_holder(
         &mut self,
         now: Time,
@@ -46,7 +46,7 @@
         self.schedule_resend(now, id, WATCH_INTERVAL);
     }
 
-    /// Jobs that wait for a life of a peer that is over are settled at once.
+    /// Settles at once the jobs that wait for an incarnation of `peer` that has ended.
     pub(crate) fn recheck_watched(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         let waiting = self.jobs.iter().filter_map(|(id, job)| match job.phase {
             Phase::Watching(holder) if holder.process.instance == peer => Some((id, holder)),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Finds out the outcome of a key, or ends the key if nobody can give it one any more.
+    /// Starts to settle a key: learns its outcome, or decides one if no process can do so any more.
     pub(crate) fn start_settling(
         &mut self,
         now: Time,
@@ -73,8 +73,8 @@
             self.reply_undecided(id, "too few replicas of this data centre answer", out);
             return;
         }
-        // Rounds are never used twice by one process: a submission and a lookup of the same key
-        // could propose different outcomes with the same ballot.
+        // A process never uses a round twice: a submission and a lookup of the same key could propose different
+        // outcomes with the same ballot.
         let round = seen.round.max(self.settle_round).max(1) + 1;
         self.settle_round = round;
         let ballot = Ballot {
@@ -132,6 +132,7 @@
         }
     }
 
+    /// Settles the key again, with a higher ballot.
     pub(crate) fn restart_settling(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         if let Some(Phase::Settling(claim)) = self.jobs.get(id).map(|job| &job.phase) {
             let seen = claim.ballot();
@@ -139,6 +140,7 @@
         }
     }
 
+    /// Records a promise. With a majority, proposes the outcome that the promises require.
     pub(crate) fn promised(
         &mut self,
         now: Time,
@@ -164,29 +166,31 @@
         self.request_accepts(now, id, out);
     }
 
-    /// A higher ballot is about: whoever uses it may have decided, so find out after a pause.
+    /// Handles a rejection due to a higher ballot. Its proposer may have decided the key, so the key is settled again
+    /// after a delay.
     pub(crate) fn preempted(&mut self, now: Time, id: JobId, ballot: Ballot, promised: Ballot) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let mine = match &job.phase {
+        let own = match &job.phase {
             Phase::Settling(claim) => claim.ballot(),
             Phase::Deciding(claim) => claim.ballot(),
             _ => return,
         };
-        if mine != ballot {
+        if own != ballot {
             return;
         }
         let Some(group) = self.homes.group(self.config.dc).cloned() else {
             return;
         };
         let claim = Claim::settle_key(job.key.clone(), job.digest, group, promised);
-        // The resend timer raises the ballot above the one seen.
+        // The resend timer raises the ballot above the promised one.
         job.phase = Phase::Settling(claim);
-        let pause = Duration::from_millis(self.rng.random_range(1..=MAX_BACKOFF_MS));
-        self.schedule_resend(now, id, pause);
+        let backoff = Duration::from_millis(self.rng.random_range(1..=MAX_BACKOFF_MS));
+        self.schedule_resend(now, id, backoff);
     }
 
+    /// Records a replica's abstention for a job that settles or looks up the key.
     pub(crate) fn abstained(
         &mut self,
         now: Time,
@@ -197,7 +201,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let hopeless = match &mut job.phase {
+        let impossible = match &mut job.phase {
             Phase::Settling(claim) => claim.abstain(from) == Progress::Done(()),
             Phase::Inspecting(_) => {
                 let nothing = (VoteState::None, 0, None, false);
@@ -207,12 +211,12 @@
             }
             _ => false,
         };
-        if hopeless {
+        if impossible {
             self.settling_impossible(now, id, out);
         }
     }
 
-    /// Too few replicas remember times as early as the key's.
+    /// Ends a job whose key cannot be settled, because too few replicas have records as old as the key.
     fn settling_impossible(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let key = self.jobs[id].key.clone();
         if self.config.limits.too_old(&key, self.wall(now)) {
@@ -220,11 +224,12 @@
             self.reply_and_discard(id, &reply, out);
             return;
         }
-        let detail = "replicas restarted and do not remember a key this old";
+        let detail = "too few replicas have records as old as the key, because some restarted";
         self.reply_undecided(id, detail, out);
     }
 
-    /// A settled key may turn out to have been used with another body.
+    /// Replies to the waiters with a conflict if the key turns out to have been used with another body, which has the
+    /// hash `digest`.
     pub(crate) fn check_conflict(&mut self, id: JobId, digest: u64, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
--- a/crates/celerywinch_entry/src/slots.rs
+++ b/crates/celerywinch_entry/src/slots.rs
@@ -1,4 +1,4 @@
-//! Borrowing idle slots from other entries, and lending them.
+//! Loans of idle slots between the entries of a data centre.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 
 use crate::{Entry, Output};
 
-/// Between two requests for slots.
+/// Interval between requests for slots.
 const BORROW_INTERVAL: Duration = Duration::from_millis(3);
 
 impl Entry {
-    /// Gives back what is not needed, and asks a peer with nothing in its queue for slots.
+    /// Returns loans that have expired or are not needed, and requests slots if tasks wait.
     pub(crate) fn tick_slots(&mut self, now: Time, out: &mut Vec<Output>) {
         self.return_slots(now, out);
         self.borrow_slots(now, out);
     }
 
-    /// Gives back what is over or of no use.
+    /// Returns loans that have expired or are not used.
     fn return_slots(&mut self, now: Time, out: &mut Vec<Output>) {
         for (peer, loan) in self.dispatch.expire_loans(now) {
             let msg = PeerMsg::Slot(SlotMsg::Return { loan });
@@ -25,11 +25,11 @@
         }
     }
 
-    /// Asks the other entries of the data centre for slots as soon as tasks wait.
+    /// Requests slots from all other entries of the data centre while tasks wait.
     ///
-    /// Which of them has idle slots changes within milliseconds, and heartbeats tell it too late:
-    /// while only peers were asked whose last heartbeat told of an empty queue, slots stood idle at
-    /// one entry and tasks waited at another.
+    /// Which entries have idle slots changes within milliseconds, so heartbeats report it too late: when requests went
+    /// only to peers with an empty queue in their last heartbeat, slots were idle at one entry while tasks waited at
+    /// another.
     pub(crate) fn borrow_slots(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.dispatch.queued() == 0 || now.since(self.last_borrow) < BORROW_INTERVAL {
             return;
@@ -45,6 +45,7 @@
         }
     }
 
+    /// Handles a message about loans of slots.
     pub(crate) fn slot_msg(
         &mut self,
         now: Time,
