--- a/crates/celerywinch_entry/src/members.rs
+++ b/crates/celerywinch_entry/src/members.rs
@@ -1,4 +1,4 @@
-//! Peers and endpoints, and what follows from their changes.
+//! Messages and changes of peers and endpoints.
 
 use std::time::Duration;
 
@@ -9,10 +9,11 @@
 
 use crate::{Entry, Event, Output};
 
-/// A wall clock further behind a peer's than this is taken to have been set back.
+/// Largest lag of the wall clock behind a peer's. With a larger lag, the clock counts as set back.
 const MAX_CLOCK_LAG: Duration = Duration::from_millis(100);
 
 impl Entry {
+    /// Handles a message of another instance, which also shows that the instance is alive.
     pub(crate) fn peer_msg(
         &mut self,
         now: Time,
@@ -29,17 +30,19 @@
             PeerMsg::Member(msg) => self.member_msg(now, from.instance, msg, out),
             PeerMsg::Relay(msg) => self.relay_msg(now, from, msg, out),
             PeerMsg::Slot(msg) => self.slot_msg(now, from.instance, msg, out),
-            // The store is another state machine of the host.
+            // The host passes messages of the store to a state machine of its own.
             PeerMsg::Store(_) => {}
         }
     }
 
+    /// Records that no process listens at a peer's address.
     pub(crate) fn connection_refused(&mut self, now: Time, id: InstanceId, out: &mut Vec<Output>) {
         let mut changes = Vec::new();
         self.peers.record_refusal(id, &mut changes);
         self.peer_changes(now, changes, out);
     }
 
+    /// Advances the failure detector and the leases of endpoints, and sends renewals that are due.
     pub(crate) fn tick_members(&mut self, now: Time, out: &mut Vec<Output>) {
         let mut changes = Vec::new();
         self.peers.tick(now, &mut changes);
@@ -79,13 +82,14 @@
         }
     }
 
-    /// What a life of a peer held is settled, and what was passed to it goes elsewhere.
+    /// Settles the keys whose claims an ended incarnation of a peer held, and relays elsewhere what was relayed to it.
     fn peer_lost(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
         self.refresh_owners();
         self.recheck_watched(now, peer, out);
         self.reroute(now, peer, out);
     }
 
+    /// Requests all endpoints from a peer, if it is in the same data centre.
     fn request_endpoints(&mut self, peer: InstanceId, out: &mut Vec<Output>) {
         let local = self.peers.get(peer).is_some_and(|p| p.dc == self.config.dc);
         if local {
@@ -94,45 +98,49 @@
         }
     }
 
-    /// The entries that share the data centre's slots: those alive and not stopping.
+    /// Updates the entries that share the data centre's slots: those that are reachable and not stopping.
     pub(crate) fn refresh_owners(&mut self) {
         let serving = self.peers.local().filter(|(_, peer)| !peer.stopping);
         let owners = serving.map(|(id, _)| id).collect();
         self.dispatch.set_owners(owners);
     }
 
+    /// Sends a heartbeat to a peer.
     pub(crate) fn send_heartbeat(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
-        let Some((echo, hears, knows)) = self.peers.heartbeat_fields(now, peer) else {
+        let Some((echo, receives, known_incarnation)) = self.peers.heartbeat_fields(now, peer)
+        else {
             return;
         };
         self.heartbeat_sequence += 1;
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             sequence: self.heartbeat_sequence,
             wall: self.wall(now),
             sent: now,
             echo,
-            receives: hears,
-            known_incarnation: knows,
+            receives,
+            known_incarnation,
             catalogue: self.catalogue.version(),
             pending_catalogue: self.latest_version(),
             current: self.catalogue_state.current,
             stopping: self.stopping,
             queued: u32::try_from(self.dispatch.queued()).unwrap_or(u32::MAX),
         };
-        let msg = PeerMsg::Member(MemberMsg::Heartbeat(beat));
+        let msg = PeerMsg::Member(MemberMsg::Heartbeat(heartbeat));
         out.push(Output::Send(peer, msg));
     }
 
     fn member_msg(&mut self, now: Time, from: InstanceId, msg: MemberMsg, out: &mut Vec<Output>) {
         match msg {
-            MemberMsg::Heartbeat(beat) => {
+            MemberMsg::Heartbeat(heartbeat) => {
                 let wall = self.wall(now);
-                self.check_clock(wall, beat.wall);
-                self.peers.record_heartbeat(now, wall, from, &beat);
+                self.check_clock(wall, heartbeat.wall);
+                self.peers.record_heartbeat(now, wall, from, &heartbeat);
                 self.refresh_owners();
                 self.check_peer_version(now, from, out);
             }
-            MemberMsg::Endpoints(notes) => self.receive_announcements(now, notes, out),
+            MemberMsg::Endpoints(announcements) => {
+                self.receive_announcements(now, announcements, out);
+            }
             MemberMsg::Renewals(renewals) => self.receive_renewals(now, from, renewals, out),
             MemberMsg::EndpointsWanted => {
                 let msg = MemberMsg::Endpoints(self.endpoints.announcements(now));
@@ -149,7 +157,8 @@
         }
     }
 
-    /// A clock that was set back during a restart would make forgotten keys look new.
+    /// Extends the span of keys on which the local replicas abstain, if the wall clock is behind a peer's. If the clock
+    /// was set back during a restart, keys of which the records are lost would otherwise look new.
     fn check_clock(&mut self, own: WallMs, peer: WallMs) {
         let behind = Duration::from_millis(peer.0.saturating_sub(own.0));
         if behind > MAX_CLOCK_LAG {
@@ -159,50 +168,56 @@
         }
     }
 
-    /// An endpoint announced itself here: other entries of the data centre get to know at once
-    /// what is new, and renewals with the next batch.
+    /// Records the announcement of an endpoint. A change is sent to the other entries of the data centre at once, a
+    /// renewal with the next batch.
     pub(crate) fn announce(
         &mut self,
         now: Time,
-        note: EndpointAnnouncement,
+        announcement: EndpointAnnouncement,
         out: &mut Vec<Output>,
     ) {
-        let addr = note.addr;
+        let addr = announcement.addr;
         let mut changes = Vec::new();
-        let news = self
+        let is_new = self
             .endpoints
-            .announce(now, note, Source::Endpoint, &mut changes);
+            .announce(now, announcement, Source::Endpoint, &mut changes);
         self.endpoint_changes(changes, out);
-        if !news {
+        if !is_new {
             return;
         }
-        let Some(note) = self.endpoints.announcement(now, addr) else {
+        let Some(announcement) = self.endpoints.announcement(now, addr) else {
             return;
         };
         for peer in self.local_peers() {
-            let msg = MemberMsg::Endpoints(vec![note.clone()]);
+            let msg = MemberMsg::Endpoints(vec![announcement.clone()]);
             out.push(Output::Send(peer, PeerMsg::Member(msg)));
         }
     }
 
+    /// Returns the reachable peers of the same data centre.
     pub(crate) fn local_peers(&self) -> Vec<InstanceId> {
         self.peers.local().map(|(id, _)| id).collect()
     }
 
+    /// Records announcements of endpoints of this data centre that another entry sent on.
     fn receive_announcements(
         &mut self,
         now: Time,
-        notes: Vec<EndpointAnnouncement>,
+        announcements: Vec<EndpointAnnouncement>,
         out: &mut Vec<Output>,
     ) {
         let mut changes = Vec::new();
-        for note in notes.into_iter().filter(|note| note.dc == self.config.dc) {
+        for announcement in announcements
+            .into_iter()
+            .filter(|announcement| announcement.dc == self.config.dc)
+        {
             self.endpoints
-                .announce(now, note, Source::Entry, &mut changes);
+                .announce(now, announcement, Source::Entry, &mut changes);
         }
         self.endpoint_changes(changes, out);
     }
 
+    /// Records renewals that another entry sent on, and requests its endpoints if one of them is not known.
     fn receive_renewals(
         &mut self,
         now: Time,
@@ -221,8 +236,10 @@
         }
     }
 
-    /// Only renewals that arrived here are passed on, each once, so that one costs one message a
-    /// peer and copies do not travel in circles.
+    /// Sends the renewals since the last batch to the other entries of the data centre.
+    ///
+    /// Only renewals that endpoints sent to this entry are sent on, each once. This limits the cost of a renewal to one
+    /// message per peer, and no copies circulate between entries.
     fn send_renewals(&mut self, now: Time, out: &mut Vec<Output>) {
         let renewals = self.endpoints.renewals(now);
         if renewals.is_empty() {
@@ -238,13 +255,13 @@
         for change in changes {
             let (endpoint, state) = match change {
                 Change::Updated(addr) => {
-                    let Some(known) = self.endpoints.get(addr) else {
+                    let Some(record) = self.endpoints.get(addr) else {
                         continue;
                     };
-                    self.dispatch.update(&known.announcement);
+                    self.dispatch.update(&record.announcement);
                     (
                         addr,
-                        format!("{:?}", known.announcement.state).to_lowercase(),
+                        format!("{:?}", record.announcement.state).to_lowercase(),
                     )
                 }
                 Change::Gone(addr) => {
