--- a/crates/celerywinch_entry/src/entry.rs
+++ b/crates/celerywinch_entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! The state and the way of each input.
+//! The state of an entry, and the dispatch of its inputs and timers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -20,46 +20,46 @@
 use crate::tasks::PendingCall;
 use crate::{CallId, Config, Event, Input, Invariant, Output, Reply};
 
-/// Between two rounds of housekeeping.
+/// Interval between rounds of housekeeping.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(20);
-/// Between two messages about decided keys to a replica.
+/// Interval between messages about decided keys to a replica.
 const DECIDED_INTERVAL: Duration = Duration::from_millis(50);
-/// The most records a replica forgets in one round of housekeeping.
+/// Largest number of records that a replica removes in one round of housekeeping.
 const MAX_EXPIRED: usize = 2000;
 
-/// What a timer of a job is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Timer {
-    /// The deadline is about to pass.
+    /// The deadline of a job is about to pass.
     Deadline(JobId),
-    /// Messages may have been lost.
+    /// The messages of a job are sent again, as they may have been lost.
     Resend(JobId),
-    /// Regular work.
+    /// Periodic work.
     Housekeeping,
-    /// Replicas are told which keys are decided.
+    /// Replicas are notified of decided keys.
     Decided,
 }
 
 /// Figures for status pages and metrics.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// Jobs without an outcome.
+    /// The number of jobs without an outcome.
     pub open_jobs: usize,
-    /// Tasks that wait for a slot.
+    /// The number of tasks that wait for a slot.
     pub queued_tasks: usize,
-    /// Endpoints known.
+    /// The number of serving endpoints.
     pub endpoints: usize,
-    /// Endpoints set aside or on probation.
+    /// The number of endpoints that are quarantined or on probation.
     pub suspended: usize,
-    /// Keys remembered by the replicas here.
+    /// The number of keys recorded by the local replicas.
     pub claim_records: usize,
-    /// Version of the catalogue in force.
+    /// The version of the catalogue in force.
     pub catalogue_version: u64,
-    /// Whether this entry may serve by it.
+    /// Whether this entry may serve by that catalogue.
     pub current: bool,
     /// Whether a planned stop is under way.
     pub stopping: bool,
-    /// Assertions that failed.
+    /// The number of assertions that failed.
     pub violations: u64,
 }
 
@@ -75,9 +75,9 @@
     pub(crate) endpoints: Endpoints,
     pub(crate) dispatch: Dispatch,
     pub(crate) jobs: SlotMap<JobId, Job>,
-    /// Open submissions.
+    /// The jobs of open submissions, by key.
     pub(crate) submissions: HashMap<Key, JobId>,
-    /// Open lookups; apart, for they have no tasks that a submission could join.
+    /// The jobs of open lookups. They are kept apart, because they have no tasks that a submission could join.
     pub(crate) lookups: HashMap<Key, JobId>,
     pub(crate) calls: HashMap<CallId, PendingCall>,
     pub(crate) next_call: u64,
@@ -95,7 +95,7 @@
 }
 
 impl Entry {
-    /// Starts an incarnation at `now`.
+    /// Creates the entry of an incarnation that starts at `now`.
     #[must_use]
     pub fn new(config: Config, now: Time) -> Self {
         let homes = Homes::new(&config.instances);
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Takes an input and appends what the host is to do.
+    /// Processes an input and appends the outputs that the host has to carry out.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Submit(id, submission) => {
@@ -145,7 +145,7 @@
             Input::Cancel(id, keys) => self.cancel(now, id, keys, out),
             Input::PeerMessage(from, msg) => self.peer_msg(now, from, msg, out),
             Input::ConnectionRefused(id) => self.connection_refused(now, id, out),
-            Input::Announce(note) => self.announce(now, note, out),
+            Input::Announce(announcement) => self.announce(now, announcement, out),
             Input::CallEnded(id, end) => self.call_ended(now, id, end, out),
             Input::InitialCatalogue(catalogue) => self.initial_catalogue(catalogue, out),
             Input::CatalogueCommitted(catalogue, leads) => {
@@ -160,13 +160,13 @@
         self.borrow_slots(now, out);
     }
 
-    /// When the next [`Input::Tick`] is of use at the latest.
+    /// Returns the latest time at which the next [`Input::Tick`] is needed.
     #[must_use]
     pub fn next_due(&self) -> Option<Time> {
         self.timers.next_due()
     }
 
-    /// Figures for status pages and metrics.
+    /// Returns the figures for status pages and metrics.
     #[must_use]
     pub fn status(&self) -> Status {
         let (endpoints, suspended) = self.dispatch.endpoint_counts();
@@ -183,19 +183,19 @@
         }
     }
 
-    /// The other instances, for status pages.
+    /// Returns the other instances, for status pages.
     #[must_use]
     pub fn peers(&self) -> &Peers {
         &self.peers
     }
 
-    /// The endpoints known, for status pages.
+    /// Returns the known endpoints, for status pages.
     #[must_use]
     pub fn endpoints(&self) -> &Endpoints {
         &self.endpoints
     }
 
-    /// The catalogue in force.
+    /// Returns the catalogue in force.
     #[must_use]
     pub fn catalogue(&self) -> &Arc<Catalogue> {
         &self.catalogue
@@ -207,13 +207,13 @@
         self.catalogue_state.current
     }
 
-    /// Whether a planned stop has nothing left to wait for.
+    /// Whether a planned stop is under way and no job or call is left.
     #[must_use]
     pub fn is_drained(&self) -> bool {
         self.stopping && self.jobs.is_empty() && self.calls.is_empty()
     }
 
-    /// The wall clock, which does not jump while the process lives.
+    /// Returns the wall-clock time. It is derived from the monotonic clock and does not jump while the process runs.
     pub(crate) fn wall(&self, now: Time) -> WallMs {
         let passed = now.since(self.started_at).as_millis();
         let passed = u64::try_from(passed).unwrap_or(u64::MAX);
@@ -224,7 +224,7 @@
         self.config.me.instance
     }
 
-    /// Notes that an assertion failed, or does nothing if it holds.
+    /// Records a violation of an invariant if `holds` is false.
     pub(crate) fn assert(
         &mut self,
         holds: bool,
@@ -240,6 +240,7 @@
         out.push(Output::Event(Event::Violation { invariant, detail }));
     }
 
+    /// Begins a planned stop.
     fn stop(&mut self, out: &mut Vec<Output>) {
         self.stopping = true;
         let open = u32::try_from(self.jobs.len()).unwrap_or(u32::MAX);
@@ -284,7 +285,7 @@
         self.tick_catalogue(now, out);
     }
 
-    /// Answers everyone who waits for a job and forgets it.
+    /// Removes a job and replies to all of its waiters with the outcome.
     pub(crate) fn complete_job(&mut self, id: JobId, outcome: &Outcome, out: &mut Vec<Output>) {
         let Some(job) = self.remove_job(id) else {
             return;
@@ -311,15 +312,16 @@
         }
     }
 
+    /// Checks the invariants of an outcome.
     fn check_outcome(&mut self, job: &Job, outcome: &Outcome, out: &mut Vec<Output>) {
-        let ours = !job.tasks.is_empty() && !matches!(job.phase, Phase::Relayed(_));
+        let local = !job.tasks.is_empty() && !matches!(job.phase, Phase::Relayed(_));
         let detail = || format!("key {}", job.key);
         match outcome {
             Outcome::Answer(results) if !job.bodies.is_empty() => {
-                let whole = results.len() == job.bodies.len();
-                self.assert(whole, Invariant::WholeAnswer, detail, out);
+                let complete = results.len() == job.bodies.len();
+                self.assert(complete, Invariant::WholeAnswer, detail, out);
             }
-            Outcome::Refusal(_) if ours => {
+            Outcome::Refusal(_) if local => {
                 self.assert(!job.started(), Invariant::TrueRefusal, detail, out);
             }
             Outcome::Answer(_) | Outcome::Failure(_) | Outcome::Refusal(_) => {}
--- a/crates/celerywinch_entry/src/event.rs
+++ b/crates/celerywinch_entry/src/event.rs
@@ -1,81 +1,81 @@
-//! Typed events of the time line.
+//! The events of the timeline.
 
 use std::net::SocketAddr;
 
 use celerywinch_types::{Holder, InstanceId, Key, Ran, domain};
 
 domain! {
-    /// What must always hold; an assertion in the decision code checks each.
+    /// An invariant of the state machine, checked by an assertion at run time.
     #[derive(Copy, Hash, PartialOrd, Ord)]
     #[serde(rename_all = "snake_case")]
     pub enum Invariant {
-        /// A task starts at most once.
+        /// A task is started at most once.
         SingleStart,
-        /// A task starts only under the claim.
+        /// A task is started only by the holder of the claim.
         ClaimedStart,
-        /// An answer has every task's result.
+        /// An answer contains the result of every task.
         WholeAnswer,
-        /// "Not run" is said only if no task was started.
+        /// A submission is refused only if none of its tasks was started.
         TrueRefusal,
         /// A key has one outcome.
         SingleOutcome,
-        /// A catalogue never goes back to an earlier version.
+        /// The catalogue in force is never replaced by an earlier version.
         NoRevert,
-        /// A leaving endpoint gets no new work.
+        /// An endpoint that is leaving gets no new tasks.
         LeavingQuiet,
     }
 
-    /// One event at one process.
-    #[expect(missing_docs, reason = "the fields are named for what they hold")]
+    /// An event in one process.
+    #[expect(missing_docs, reason = "the names of the fields describe them")]
     #[serde(tag = "event", rename_all = "snake_case")]
     pub enum Event {
-        /// A submission was taken in.
+        /// A submission was accepted for processing.
         Accepted { key: Key, kind: String, tasks: u32 },
-        /// This process holds the claim.
+        /// This process won the claim.
         Claimed { key: Key },
         /// Another process holds the claim.
         ClaimLost { key: Key, holder: Holder },
-        /// A task was sent.
+        /// A task was sent to an endpoint.
         Sent { key: Key, index: u32, endpoint: SocketAddr },
-        /// A task gave its result.
+        /// A task returned its result.
         Result { key: Key, index: u32, endpoint: SocketAddr },
-        /// A task did not run at an endpoint and waits again.
+        /// A task did not run at an endpoint. It is queued again unless the job ends.
         NotRun { key: Key, index: u32, endpoint: SocketAddr, detail: String },
         /// A task failed or was lost.
         TaskLost { key: Key, index: u32, endpoint: SocketAddr, ran: Ran, detail: String },
         /// The outcome of a key is decided.
         Outcome { key: Key, outcome: String, detail: String },
-        /// No outcome could be agreed on.
+        /// No outcome could be agreed on so far.
         Undecided { key: Key, detail: String },
-        /// A submission was passed to its home.
+        /// A submission or lookup was relayed to the key's home data centre.
         Relayed { key: Key, via: InstanceId },
         /// A key whose holder is gone is being settled.
         Settling { key: Key },
-        /// A peer answers.
+        /// A peer is alive, for the first time or again.
         PeerUp { peer: InstanceId },
-        /// A peer is silent.
+        /// A peer is suspected, because it is silent.
         PeerSuspect { peer: InstanceId },
-        /// A peer is gone.
+        /// A peer is dead.
         PeerDown { peer: InstanceId },
-        /// A peer has a new life.
+        /// A peer has a new incarnation.
         PeerRestarted { peer: InstanceId },
-        /// An endpoint is new or changed.
+        /// An endpoint is new or has changed, or its lease has expired.
         Endpoint { endpoint: SocketAddr, state: String },
-        /// An endpoint is set aside or trusted again.
+        /// An endpoint was quarantined or is healthy again.
         Health { endpoint: SocketAddr, state: String },
-        /// A catalogue is in force.
+        /// A catalogue was put in force.
         Catalogue { version: u64 },
         /// A connection to a peer was opened, replaced or lost.
         Connection { peer: InstanceId, state: String },
         /// A planned stop began or ended.
         Stop { open: u32 },
-        /// An assertion failed: a fault of the program.
+        /// An assertion failed because of a bug in the program.
         Violation { invariant: Invariant, detail: String },
     }
 }
 
 impl Event {
-    /// The name of the event, as in the time line.
+    /// Returns the name of the event in the timeline.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
--- a/crates/celerywinch_entry/src/io.rs
+++ b/crates/celerywinch_entry/src/io.rs
@@ -13,15 +13,15 @@
 
 use crate::Event;
 
-/// A caller that waits; chosen by the host.
+/// The number of a waiting caller, chosen by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaiterId(pub u64);
 
-/// A call to an endpoint; never used twice by one [`crate::Entry`].
+/// The number of a call to an endpoint, never reused by the same [`crate::Entry`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// What happened outside.
+/// An event that the host reports.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A caller submits a request or job.
@@ -30,22 +30,22 @@
     Lookup(WaiterId, Key),
     /// A caller cancels keys.
     Cancel(WaiterId, Vec<Key>),
-    /// A message of another instance.
+    /// A message of another instance arrived.
     PeerMessage(Process, PeerMsg),
-    /// Nothing listens at an instance's address: its process is gone.
+    /// A connection to an instance was refused because no process listens at its address, so its process is gone.
     ConnectionRefused(InstanceId),
-    /// An endpoint announced itself here.
+    /// An endpoint announced itself at this entry.
     Announce(EndpointAnnouncement),
     /// A call ended.
     CallEnded(CallId, CallEnd),
-    /// A catalogue that was in force before, from the own disk, or one given at the start.
+    /// A catalogue from the local disk, which was in force before, or one given at the start.
     InitialCatalogue(Arc<Catalogue>),
-    /// The store here committed a catalogue; the flag tells whether this is the leader, and so the
-    /// one to spread it.
+    /// The local store committed a catalogue. The flag tells whether this instance is the leader, which sends the
+    /// catalogue to all others.
     CatalogueCommitted(Arc<Catalogue>, bool),
-    /// A catalogue of this version, asked for by [`Output::SaveCatalogue`], is on the disk.
+    /// The catalogue of this version, from [`Output::SaveCatalogue`], is on the disk.
     CatalogueSaved(u64),
-    /// A planned stop: take no new work, finish what there is.
+    /// A planned stop begins: the entry accepts no new work and finishes its open jobs.
     Stop,
     /// Time passed.
     Tick,
@@ -54,99 +54,99 @@
 /// How a call to an endpoint ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// The task ran and gave this result.
+    /// The task ran and returned this result.
     Done(TaskBody),
     /// The task ran and failed.
     TaskFailed {
-        /// Whether the endpoint blames the task itself; otherwise the endpoint is suspected.
+        /// Whether the endpoint attributes the failure to the task; otherwise it is attributed to the endpoint.
         task_fault: bool,
-        /// One sentence.
+        /// A sentence that explains the failure.
         detail: String,
     },
-    /// The task did not run: the connection was never made, or the endpoint said so.
+    /// The task did not run: no connection was made, or the endpoint refused the task.
     NotRun {
-        /// Whether the endpoint itself said so; otherwise it could not be reached.
+        /// Whether the endpoint refused the task; otherwise it could not be reached.
         refused: bool,
-        /// One sentence.
+        /// A sentence that explains why.
         detail: String,
     },
-    /// The connection was lost after the task was sent: it may have run.
+    /// The connection was lost after the task was sent, so the task may have run.
     Lost(String),
 }
 
-/// A task to be sent to an endpoint.
+/// A task to send to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Names the call.
+    /// The number of the call.
     pub id: CallId,
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its address.
     pub addr: SocketAddr,
-    /// The job.
+    /// The key of the job.
     pub key: Key,
-    /// The index of the task in it.
+    /// The index of the task in the job.
     pub index: u32,
     /// The kind.
     pub kind: KindName,
     /// The body.
     pub body: TaskBody,
-    /// Time left until the deadline.
+    /// The time left until the deadline.
     pub remaining: Duration,
 }
 
 domain! {
-    /// What became of one cancelled key.
+    /// The state of a key after a request to cancel it.
     #[derive(Copy)]
     #[serde(rename_all = "snake_case")]
     pub enum CancelState {
-        /// It is being cancelled; its outcome tells whether it ran.
+        /// It is being cancelled; its outcome will tell whether it ran.
         Cancelling,
-        /// It had its outcome before.
+        /// Its outcome is already decided or being agreed on.
         Ended,
-        /// Nothing is known of it here.
+        /// It is not known to this entry.
         Unknown,
     }
 }
 
-/// What a caller gets.
+/// A reply to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// The outcome of the key.
     Outcome(Outcome),
     /// The key was used with another body.
     Conflict,
-    /// The key's time lies in the future.
+    /// The creation time of the key lies in the future.
     TooNew,
-    /// No outcome can be agreed on or found at present. Nothing more will be started for this
-    /// submission here; the same key may be sent again, to learn or get its outcome.
+    /// No outcome can be agreed on or found at present. This entry starts nothing more for the submission. The caller
+    /// may send the same key again to get its outcome.
     Undecided {
-        /// When to come back, in milliseconds.
+        /// The time after which another request is worth a try, in ms.
         retry_ms: u32,
-        /// One sentence.
+        /// A sentence that explains why.
         detail: String,
     },
     /// Nothing is known of the key.
     Unknown,
-    /// What became of cancelled keys.
+    /// The states of the keys that were to be cancelled.
     Cancelled(Vec<(Key, CancelState)>),
 }
 
-/// What the host is to do.
+/// An action for the host.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Send a message.
+    /// Send a message to another instance.
     Send(InstanceId, PeerMsg),
-    /// Save a catalogue so that it outlives the process, then say so by [`Input::CatalogueSaved`].
+    /// Save a catalogue so that it outlives the process, and then report [`Input::CatalogueSaved`].
     SaveCatalogue(Arc<Catalogue>),
-    /// Open a new connection to a silent instance and replace the old one if it answers.
+    /// Open a new connection to a silent instance, and replace the old one if the instance answers.
     Probe(InstanceId),
-    /// Send a task to an endpoint, once.
+    /// Send a task to an endpoint, at most once.
     Start(Call),
-    /// Tell the endpoint to cancel a call; its end is still reported.
+    /// Tell the endpoint to cancel a call. The end of the call is still reported.
     Abort(CallId),
-    /// Answer a caller.
+    /// Send a reply to a caller.
     Reply(WaiterId, Reply),
-    /// Write to the time line.
+    /// Write an event to the timeline.
     Event(Event),
 }
--- a/crates/celerywinch_entry/src/job.rs
+++ b/crates/celerywinch_entry/src/job.rs
@@ -1,4 +1,4 @@
-//! A submission on its way to its outcome.
+//! Jobs: the state of open submissions and lookups.
 
 use std::sync::Arc;
 
@@ -8,35 +8,35 @@
 
 use crate::{CallId, WaiterId};
 
-/// Who waits for the outcome.
+/// A caller or peer that waits for the outcome of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Waiter {
     Caller(WaiterId),
     Peer(InstanceId),
 }
 
-/// Where a job stands. Only `Running` has tasks under way.
+/// The phase of a job. Tasks are in flight only in `Running`.
 #[derive(Debug)]
 pub(crate) enum Phase {
-    /// Asking for votes.
+    /// Waits for the votes on its claim.
     Voting(Claim<Voting>),
     /// This process holds the claim and runs the tasks.
     Running(Claim<Held>),
-    /// Another process holds the claim; this one waits for its outcome.
+    /// Waits for the outcome from the process that holds the claim.
     Watching(Holder),
-    /// Asking the replicas what is known, for a lookup.
+    /// Looks up what the replicas know of the key; lists those that know nothing.
     Inspecting(Vec<InstanceId>),
-    /// Finding out, or ending, what a holder that is gone has left.
+    /// Learns or decides the outcome of a key whose holder is gone.
     Settling(Claim<Settling>),
-    /// Asking the replicas to accept the outcome.
+    /// Waits for the replicas to accept the outcome.
     Deciding(Claim<Deciding>),
-    /// Passed to its home data centre.
+    /// Relayed to the key's home data centre.
     Relayed(Relay),
-    /// Between two phases, never seen from outside a function.
+    /// Placeholder within a function that replaces the phase; no job keeps it.
     Transition,
 }
 
-/// Where a submission was passed to.
+/// The entry to which a submission or lookup was relayed.
 #[derive(Clone, Debug)]
 pub(crate) struct Relay {
     pub(crate) home: DataCentreId,
@@ -44,19 +44,20 @@
     pub(crate) lookup: bool,
 }
 
-/// Where a task stands.
+/// The state of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum TaskState {
-    /// Waits for a slot; it has provably not run.
+    /// It waits for a slot and has provably not run.
     Queued,
-    /// Was sent to an endpoint.
+    /// It was sent to an endpoint.
     Running(CallId, EndpointId),
-    /// Gave its result.
+    /// It returned its result.
     Done(TaskBody),
-    /// Failed or was lost.
+    /// It failed, or its call was lost.
     Failed,
 }
 
+/// An open submission or lookup.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) key: Key,
@@ -68,25 +69,26 @@
     pub(crate) waiters: Vec<Waiter>,
     pub(crate) phase: Phase,
     pub(crate) cancelled: bool,
-    /// When the pending messages are sent again.
+    /// When the messages of the phase are sent again.
     pub(crate) resend_at: Time,
-    /// The waiters were told that there is no outcome yet.
+    /// Whether the waiters got the reply that no outcome is agreed on yet.
     pub(crate) undecided_sent: bool,
 }
 
 impl Job {
-    /// Whether some task was sent, or may have been.
+    /// Whether any task was sent, or may have been.
     pub(crate) fn started(&self) -> bool {
         self.tasks.iter().any(|task| *task != TaskState::Queued)
     }
 
+    /// Whether all tasks have returned their results.
     pub(crate) fn finished(&self) -> bool {
         self.tasks
             .iter()
             .all(|task| matches!(task, TaskState::Done(_)))
     }
 
-    /// The calls that are under way.
+    /// Returns the calls in flight.
     pub(crate) fn calls(&self) -> Vec<CallId> {
         let running = self.tasks.iter().filter_map(|task| match task {
             TaskState::Running(call, _) => Some(*call),
@@ -95,7 +97,7 @@
         running.collect()
     }
 
-    /// The whole answer, once every task has given its result.
+    /// Returns the answer once every task has returned its result.
     pub(crate) fn answer(&self) -> Option<Outcome> {
         let results = self.tasks.iter().map(|task| match task {
             TaskState::Done(body) => Some(body.clone()),
--- a/crates/celerywinch_entry/src/lib.rs
+++ b/crates/celerywinch_entry/src/lib.rs
@@ -1,17 +1,16 @@
-//! The state machine of an entry instance: from submissions to exactly one outcome each.
+//! The state machine of an entry instance, which gives every submission exactly one outcome.
 //!
-//! [`Entry`] is what others embed. It has no clock, socket, thread or global: the host calls
-//! [`Entry::handle`] with the time and an [`Input`], and carries out the [`Output`]s. The daemon,
-//! the tests and the randomised runs all drive this same code.
+//! [`Entry`] has no clock, socket, thread or global state: the host calls [`Entry::handle`] with the time and an
+//! [`Input`], and carries out the [`Output`]s. The daemon, the tests and the randomised runs all drive the same code.
 //!
-//! What the host must guarantee:
+//! The host guarantees that:
 //!
 //! - `now` never goes back, and one `Entry` stands for one incarnation;
-//! - messages are attributed to the instance and incarnation that sent them; they may be lost,
-//!   delayed, duplicated and reordered;
-//! - a [`Output::Start`] is sent to the endpoint at most once, and its end is reported as
-//!   [`CallEnd::NotRun`] only if the endpoint provably did not get the task or said so itself;
-//! - [`Input::Tick`] comes at least every few milliseconds while there is work.
+//! - messages are attributed to the instance and incarnation that sent them; they may be lost, delayed, duplicated and
+//!   reordered;
+//! - the task of an [`Output::Start`] is sent to the endpoint at most once, and its end is reported as
+//!   [`CallEnd::NotRun`] only if the endpoint provably did not get the task or has refused it;
+//! - an [`Input::Tick`] comes at least every few milliseconds while there is work.
 
 mod cancel;
 mod catalogues;
