--- a/crates/celerywinch_bench/src/slopes/store.rs
+++ b/crates/celerywinch_bench/src/slopes/store.rs
@@ -67,7 +67,7 @@
         ..CONDOR
     };
     let cluster = Cluster::start_keepers(&deployment, 1, folder, Policy::default(), 3).await?;
-    let operators = cluster.bound(0).operators;
+    let operators = cluster.listen_addrs(0).operators;
     let page = cluster
         .caller
         .get(operators, "/v1/catalogue", Some(SECRET))
@@ -138,10 +138,10 @@
             disk: 1,
         },
         instances: vec![InstanceId(1)],
-        forms: true,
-        voters: usize::MAX,
-        heartbeat: Duration::from_millis(100),
-        election: Duration::from_millis(400),
+        bootstrap: true,
+        max_voters: usize::MAX,
+        heartbeat_interval: Duration::from_millis(100),
+        election_timeout: Duration::from_millis(400),
         compact_after: 128,
         seed: 1,
     };
@@ -172,7 +172,7 @@
     let mut records = Vec::new();
     for index in 1..=changes {
         let edit = Edit {
-            change: format!("change-{index}"),
+            change_id: format!("change-{index}"),
             base: index - 1,
             document: document.clone(),
         };
--- a/crates/celerywinch_store/tests/reads.rs
+++ b/crates/celerywinch_store/tests/reads.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use celerywinch_store::{
-    Entry, Group, Input, KeeperId, Output, Payload, Raft, RaftConfig, RaftMsg, Role, Snapshot,
+    Entry, Input, KeeperId, Membership, Output, Payload, Raft, RaftConfig, RaftMsg, Role, Snapshot,
 };
 use celerywinch_types::{InstanceId, Time};
 use rstest::rstest;
@@ -20,21 +20,21 @@
     let config = RaftConfig {
         me: keeper(1),
         instances: (1..=3).map(InstanceId).collect(),
-        forms: true,
-        voters: 3,
-        heartbeat: Duration::from_millis(100),
-        election: Duration::from_millis(400),
+        bootstrap: true,
+        max_voters: 3,
+        heartbeat_interval: Duration::from_millis(100),
+        election_timeout: Duration::from_millis(400),
         compact_after: 128,
         seed: 1,
     };
-    let group = Group {
+    let membership = Membership {
         voters: (1..=3).map(keeper).collect(),
         learners: Vec::new(),
     };
     let formed = Entry {
         index: 1,
         term: 1,
-        payload: Payload::Group(group),
+        payload: Payload::Membership(membership),
     };
     let mut raft = Raft::new(config, now, (1, None), Snapshot::default(), vec![formed]);
     let later = now + Duration::from_secs(1);
@@ -48,7 +48,7 @@
         handle(&mut raft, now, Input::Tick);
     }
     from(&mut raft, 2, RaftMsg::PreVoteReply { term: 2, granted });
-    handle(&mut raft, NOW, Input::Written(1));
+    handle(&mut raft, NOW, Input::Synced(1));
     from(&mut raft, 2, RaftMsg::VoteReply { term: 2, granted });
     assert_eq!((raft.role(), raft.term()), (Role::Leader, 2));
     raft
@@ -66,21 +66,21 @@
 fn from(raft: &mut Raft, instance: u32, msg: RaftMsg) -> Vec<u64> {
     let out = handle(raft, NOW, Input::Message(keeper(instance), msg));
     let readable = out.iter().filter_map(|output| match output {
-        Output::Readable(id) => Some(*id),
+        Output::ReadReady(id) => Some(*id),
         _ => None,
     });
     readable.collect()
 }
 
 fn commit_first_entry(raft: &mut Raft) {
-    handle(raft, NOW, Input::Written(1));
+    handle(raft, NOW, Input::Synced(1));
     let taken = RaftMsg::AppendReply {
         term: 2,
         index: 2,
-        taken: true,
+        accepted: true,
     };
     from(raft, 2, taken);
-    assert_eq!(raft.commit(), 2);
+    assert_eq!(raft.commit_index(), 2);
 }
 
 struct Case {
@@ -108,19 +108,19 @@
         let Output::Send(_, _, msg) = output else {
             return false;
         };
-        *msg == RaftMsg::Confirm { term: 2, round: 1 }
+        *msg == RaftMsg::ConfirmLeader { term: 2, round: 1 }
     });
     assert_eq!(asks.count(), 2);
-    assert!(!out.contains(&Output::Readable(7)));
+    assert!(!out.contains(&Output::ReadReady(7)));
     let (term, round) = case.answer;
-    let released = from(&mut raft, 2, RaftMsg::ConfirmReply { term, round });
+    let released = from(&mut raft, 2, RaftMsg::ConfirmLeaderReply { term, round });
     assert_eq!(released, if case.released { vec![7] } else { Vec::new() });
     if !case.committed {
-        handle(&mut raft, NOW, Input::Written(1));
+        handle(&mut raft, NOW, Input::Synced(1));
         let taken = RaftMsg::AppendReply {
             term: 2,
             index: 2,
-            taken: true,
+            accepted: true,
         };
         assert_eq!(from(&mut raft, 2, taken), [7], "once that is committed");
     }
@@ -132,9 +132,9 @@
     let mut raft = leader(Time(10_000_000));
     commit_first_entry(&mut raft);
     handle(&mut raft, NOW, Input::Read(7));
-    let later = RaftMsg::Confirm { term: 3, round: 1 };
+    let later = RaftMsg::ConfirmLeader { term: 3, round: 1 };
     assert_eq!(from(&mut raft, 3, later), Vec::<u64>::new());
     assert_eq!(raft.role(), Role::Follower(Some(keeper(3))));
-    let late = RaftMsg::ConfirmReply { term: 2, round: 1 };
+    let late = RaftMsg::ConfirmLeaderReply { term: 2, round: 1 };
     assert_eq!(from(&mut raft, 2, late), Vec::<u64>::new());
 }
