--- a/crates/celerywinch_entry/src/tasks.rs
+++ b/crates/celerywinch_entry/src/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks of a job that this process holds: starts, ends, deadlines.
+//! The tasks of the jobs whose claim this process holds: their start, their end and the deadline.
 
 use std::time::Duration;
 
@@ -9,37 +9,36 @@
 use crate::job::{Job, Phase, TaskState};
 use crate::{Call, CallEnd, CallId, Entry, Event, Invariant, Output};
 
-/// How often the tasks of one job may be refused by endpoints, per task: a budget, so that refusals
-/// cannot multiply the load.
+/// Number of refusals by endpoints that a job may have per task. The limit keeps refusals from multiplying the load.
 const REFUSALS_PER_TASK: u32 = 4;
-/// How long a holder may have heard from no majority and still start tasks.
+/// How long after its last contact with a majority of the replicas a holder still starts tasks.
 ///
-/// Others settle the keys of a holder that is silent for longer. Starting tasks then would be no
-/// second start, for nobody else starts them, but wasted work whose answer nobody can get.
+/// Other entries settle the keys of a holder that is silent for longer. Tasks that it starts after that would not run
+/// twice, because no other entry starts them, but would be wasted work, because no caller can get their results.
 const HOLDER_LEASE: Duration = Duration::from_millis(1500);
-/// When a caller that met a lack of endpoints should come back.
+/// Retry delay for a caller whose tasks were refused by endpoints or were not started before the deadline, in ms.
 const ENDPOINT_RETRY_MS: u32 = 200;
-/// How long a decided job that cannot be agreed on is kept after its deadline.
-const AFTER_DEADLINE: Duration = Duration::from_secs(20);
+/// How long a job whose proposed outcome is not yet accepted by a majority is kept after its deadline.
+const UNDECIDED_RETENTION: Duration = Duration::from_secs(20);
 
-/// A call that is under way.
+/// A call in flight.
 #[derive(Debug)]
-pub(crate) struct OpenCall {
+pub(crate) struct PendingCall {
     pub(crate) task: TaskRef,
     pub(crate) endpoint: EndpointId,
-    pub(crate) sent: Time,
+    pub(crate) sent_at: Time,
     pub(crate) aborted: bool,
     kind: celerywinch_types::KindName,
     team: std::sync::Arc<str>,
 }
 
 impl Entry {
-    /// The claim is won: admits the job and queues its tasks.
-    pub(crate) fn start_work(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
+    /// Admits a job whose claim is won, and queues its tasks.
+    pub(crate) fn admit_job(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let job = &self.jobs[id];
         if job.cancelled {
-            let outcome = cancelled(job);
-            self.decide(now, id, outcome, out);
+            let outcome = cancelled_outcome(job);
+            self.propose(now, id, outcome, out);
             return;
         }
         let tasks = job.tasks.len();
@@ -49,34 +48,35 @@
                 let tasks = u32::try_from(tasks).unwrap_or(u32::MAX);
                 self.dispatch.enqueue(id, work, tasks);
             }
-            Err(refusal) => self.decide(now, id, Outcome::Refusal(refusal), out),
+            Err(refusal) => self.propose(now, id, Outcome::Refusal(refusal), out),
         }
     }
 
-    /// Starts whatever can be started.
-    pub(crate) fn pump(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// Starts all queued tasks that can start now.
+    pub(crate) fn start_queued(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.dispatch.queued() == 0 || !self.holds_lease(now) {
             return;
         }
         while let Some(start) = self.dispatch.next_start(now) {
-            self.start(now, &start, out);
+            self.start_task(now, &start, out);
         }
     }
 
+    /// Whether a majority of the replicas was in contact within [`HOLDER_LEASE`].
     fn holds_lease(&self, now: Time) -> bool {
         let Some(group) = self.homes.group(self.config.dc) else {
             return false;
         };
         let me = self.me();
-        let heard = |id| {
+        let in_contact = |id| {
             let peer = self.peers.get(id);
             peer.is_some_and(|peer| now.since(peer.last_contact) < HOLDER_LEASE)
         };
         let members = group.members().iter();
-        members.filter(|r| **r == me || heard(**r)).count() >= group.majority()
+        members.filter(|r| **r == me || in_contact(**r)).count() >= group.majority()
     }
 
-    fn start(&mut self, now: Time, start: &Start, out: &mut Vec<Output>) {
+    fn start_task(&mut self, now: Time, start: &Start, out: &mut Vec<Output>) {
         let TaskRef { job: id, index } = start.task;
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -84,16 +84,16 @@
         let slot = index as usize;
         let key = job.key.clone();
         let queued = job.tasks.get(slot) == Some(&TaskState::Queued);
-        let held = matches!(job.phase, Phase::Running(_));
+        let claimed = matches!(job.phase, Phase::Running(_));
         let serving = self
             .dispatch
             .announcement(start.endpoint)
-            .is_some_and(|note| note.state == EndpointState::Serving);
+            .is_some_and(|announcement| announcement.state == EndpointState::Serving);
         let detail = || format!("task {index} of key {key}");
         self.assert(queued, Invariant::SingleStart, detail, out);
-        self.assert(held, Invariant::ClaimedStart, detail, out);
+        self.assert(claimed, Invariant::ClaimedStart, detail, out);
         self.assert(serving, Invariant::LeavingQuiet, detail, out);
-        if !queued || !held {
+        if !queued || !claimed {
             return;
         }
         self.next_call += 1;
@@ -102,10 +102,10 @@
         job.tasks[slot] = TaskState::Running(call, start.endpoint);
         self.calls.insert(
             call,
-            OpenCall {
+            PendingCall {
                 task: start.task,
                 endpoint: start.endpoint,
-                sent: now,
+                sent_at: now,
                 aborted: false,
                 kind: job.work.kind.clone(),
                 team: job.team().clone(),
@@ -128,6 +128,7 @@
         }));
     }
 
+    /// Records the end of a call for the health of its endpoint, and applies it to the job unless the job has ended.
     pub(crate) fn call_ended(
         &mut self,
         now: Time,
@@ -138,7 +139,7 @@
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
-        self.note_health(now, &call, &end, out);
+        self.record_health(now, &call, &end, out);
         let TaskRef { job, index } = call.task;
         let slot = index as usize;
         let state = self.jobs.get(job).and_then(|job| job.tasks.get(slot));
@@ -147,11 +148,11 @@
         }
         match end {
             CallEnd::Done(body) => {
-                self.event_result(&call, out);
+                self.push_result(&call, out);
                 let job_state = &mut self.jobs[job];
                 job_state.tasks[slot] = TaskState::Done(body);
                 if job_state.finished() {
-                    self.all_done(now, job, out);
+                    self.propose_answer(now, job, out);
                 }
             }
             CallEnd::TaskFailed { detail, .. } => {
@@ -162,10 +163,16 @@
         }
     }
 
-    fn note_health(&mut self, now: Time, call: &OpenCall, end: &CallEnd, out: &mut Vec<Output>) {
+    fn record_health(
+        &mut self,
+        now: Time,
+        call: &PendingCall,
+        end: &CallEnd,
+        out: &mut Vec<Output>,
+    ) {
         let end = match end {
             _ if call.aborted => HealthEnd::Cancelled,
-            CallEnd::Done(_) => HealthEnd::Done(now.since(call.sent)),
+            CallEnd::Done(_) => HealthEnd::Done(now.since(call.sent_at)),
             CallEnd::NotRun { refused: true, .. } => HealthEnd::Refused,
             CallEnd::TaskFailed {
                 task_fault: true, ..
@@ -174,11 +181,11 @@
                 HealthEnd::Failed
             }
         };
-        let endpoint = self.addr_of(call.endpoint);
+        let endpoint = self.endpoint_addr(call.endpoint);
         let work = (&call.kind, &call.team);
         let change = self
             .dispatch
-            .finish(now, call.endpoint, call.sent, work, end);
+            .finish(now, call.endpoint, call.sent_at, work, end);
         if let Some(change) = change {
             let state = match change {
                 HealthChange::Quarantined => "set_aside",
@@ -191,37 +198,44 @@
         }
     }
 
-    fn event_result(&self, call: &OpenCall, out: &mut Vec<Output>) {
+    fn push_result(&self, call: &PendingCall, out: &mut Vec<Output>) {
         out.push(Output::Event(Event::Result {
             key: self.jobs[call.task.job].key.clone(),
             index: call.task.index,
-            endpoint: self.addr_of(call.endpoint),
+            endpoint: self.endpoint_addr(call.endpoint),
         }));
     }
 
-    fn addr_of(&self, endpoint: EndpointId) -> std::net::SocketAddr {
+    fn endpoint_addr(&self, endpoint: EndpointId) -> std::net::SocketAddr {
         let unknown = std::net::SocketAddr::from(([0, 0, 0, 0], 0));
         self.dispatch
             .announcement(endpoint)
-            .map_or(unknown, |note| note.addr)
+            .map_or(unknown, |announcement| announcement.addr)
     }
 
-    fn all_done(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
+    fn propose_answer(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         if let Some(answer) = self.jobs[id].answer() {
-            self.decide(now, id, answer, out);
+            self.propose(now, id, answer, out);
         }
     }
 
-    /// The task did not run, so it may be sent elsewhere.
-    fn task_not_run(&mut self, now: Time, call: &OpenCall, detail: String, out: &mut Vec<Output>) {
+    /// Queues a task that did not run, so that it may be sent to another endpoint, or ends the job if its budget of
+    /// refusals is exhausted.
+    fn task_not_run(
+        &mut self,
+        now: Time,
+        call: &PendingCall,
+        detail: String,
+        out: &mut Vec<Output>,
+    ) {
         let TaskRef { job: id, index } = call.task;
-        let endpoint = self.addr_of(call.endpoint);
+        let endpoint = self.endpoint_addr(call.endpoint);
         let job = &mut self.jobs[id];
         job.tasks[index as usize] = TaskState::Queued;
         job.refusals += 1;
         let tasks = u32::try_from(job.tasks.len()).unwrap_or(u32::MAX);
         let budget = REFUSALS_PER_TASK.saturating_mul(tasks);
-        let spent = job.refusals > budget;
+        let exhausted = job.refusals > budget;
         out.push(Output::Event(Event::NotRun {
             key: job.key.clone(),
             index,
@@ -231,32 +245,32 @@
         if !matches!(job.phase, Phase::Running(_)) {
             return;
         }
-        if !spent {
+        if !exhausted {
             self.dispatch.requeue(call.task);
             return;
         }
         let outcome = if job.started() {
             Outcome::failure(Ran::Yes, Step::Connect, &endpoint, &detail)
         } else {
-            let detail = "endpoints kept refusing the tasks; none ran";
+            let detail = "the endpoints refused the tasks repeatedly; no task ran";
             Outcome::refusal(RefusalReason::NoEndpoint, Some(ENDPOINT_RETRY_MS), detail)
         };
         self.end_job(now, id, outcome, out);
     }
 
-    /// The task ran and failed, or may have run: it is never started again, so the job fails.
+    /// Fails the job of a task that failed or may have run. Such a task is never started again.
     fn task_lost(
         &mut self,
         now: Time,
-        call: &OpenCall,
+        call: &PendingCall,
         ran: Ran,
         detail: String,
         out: &mut Vec<Output>,
     ) {
         let TaskRef { job: id, index } = call.task;
-        let endpoint = self.addr_of(call.endpoint);
+        let endpoint = self.endpoint_addr(call.endpoint);
         let job = &mut self.jobs[id];
-        job.tasks[index as usize] = TaskState::Ended;
+        job.tasks[index as usize] = TaskState::Failed;
         out.push(Output::Event(Event::TaskLost {
             key: job.key.clone(),
             index,
@@ -268,7 +282,7 @@
         self.end_job(now, id, outcome, out);
     }
 
-    /// Ends a running job: stops what is under way and proposes the outcome at once.
+    /// Ends a running job: aborts its calls in flight and proposes the outcome without waiting for their end.
     pub(crate) fn end_job(
         &mut self,
         now: Time,
@@ -288,45 +302,46 @@
                 out.push(Output::Abort(call));
             }
         }
-        self.decide(now, id, outcome, out);
+        self.propose(now, id, outcome, out);
     }
 
-    /// A queued task can no longer end in time.
-    pub(crate) fn give_up(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
+    /// Ends a job with a queued task that can no longer end before the deadline.
+    pub(crate) fn end_infeasible(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get(id) else {
             self.dispatch.drop_job(id);
             return;
         };
-        let outcome = out_of_time(job, "no slot came free in time");
+        let outcome = timeout_outcome(job, "no slot came free in time");
         self.end_job(now, id, outcome, out);
     }
 
-    pub(crate) fn deadline(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
+    /// Ends a running job at its deadline. In any other phase, replies to the waiters that no outcome is known.
+    pub(crate) fn deadline_passed(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
         match &job.phase {
             Phase::Running(_) => {
-                let outcome = out_of_time(job, "the deadline passed");
+                let outcome = timeout_outcome(job, "the deadline passed");
                 self.end_job(now, id, outcome, out);
             }
-            Phase::Deciding(_) if !job.told => {
+            Phase::Deciding(_) if !job.undecided_sent => {
                 let detail = "the replicas did not agree on the outcome before the deadline";
-                self.undecided(id, detail, out);
+                self.reply_undecided(id, detail, out);
                 self.timers
-                    .subscribe(now + AFTER_DEADLINE, Timer::Deadline(id));
+                    .subscribe(now + UNDECIDED_RETENTION, Timer::Deadline(id));
             }
-            Phase::Deciding(_) => self.forget(id),
+            Phase::Deciding(_) => self.discard(id),
             _ => {
-                let detail = "the outcome is not known before the deadline";
-                self.undecided(id, detail, out);
+                let detail = "no outcome was known before the deadline";
+                self.reply_undecided(id, detail, out);
             }
         }
     }
 }
 
-/// The outcome of a job that was cancelled.
-pub(crate) fn cancelled(job: &Job) -> Outcome {
+/// Returns the outcome of a cancelled job.
+pub(crate) fn cancelled_outcome(job: &Job) -> Outcome {
     if job.started() {
         let detail = "cancelled after tasks were started";
         return Outcome::failure(Ran::Maybe, Step::Run, &"caller", detail);
@@ -335,7 +350,8 @@
     Outcome::refusal(RefusalReason::Cancelled, None, detail)
 }
 
-fn out_of_time(job: &Job, detail: &str) -> Outcome {
+/// Returns the outcome of a job that did not end before its deadline, or no longer can.
+fn timeout_outcome(job: &Job, detail: &str) -> Outcome {
     if !job.started() {
         return Outcome::Refusal(Refusal {
             reason: RefusalReason::Deadline,
