--- a/crates/celerywinch/src/commands/soak.rs
+++ b/crates/celerywinch/src/commands/soak.rs
@@ -150,7 +150,7 @@
             evacuated: matches.opt_present("evacuated"),
             resets: matches.opt_present("resets"),
             many: matches.opt_present("many"),
-            without: matches.opt_str("without").unwrap_or_default().parse()?,
+            disabled: matches.opt_str("without").unwrap_or_default().parse()?,
         };
         return Ok(members(seed, runs, kinds, job));
     }
@@ -209,7 +209,7 @@
     evacuated: bool,
     resets: bool,
     many: bool,
-    without: DisabledMechanisms,
+    disabled: DisabledMechanisms,
 }
 
 /// The brief's kinds of jobs. Where messages are late or lost for seconds their callers wait longer, or none
@@ -244,10 +244,10 @@
             FEW_ENTRIES
         },
         workers: 48,
-        shard: shards[(seed % shards.len() as u64) as usize],
-        without: kinds.without,
-        link: None,
-        length: if kinds.congested {
+        shard_size: shards[(seed % shards.len() as u64) as usize],
+        disabled: kinds.disabled,
+        link_rate: None,
+        load_ms: if kinds.congested {
             CONGESTED_LOAD
         } else {
             MEMBERS_LOAD
--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -61,13 +61,13 @@
     /// Workers, spread over them.
     pub workers: u32,
     /// The most workers that one dispatcher takes.
-    pub shard: usize,
+    pub shard_size: usize,
     /// Mechanisms of dispatching that are left out.
-    pub without: DisabledMechanisms,
+    pub disabled: DisabledMechanisms,
     /// Bytes a second that the link of a member carries each way; none for no bound.
-    pub link: Option<u64>,
+    pub link_rate: Option<u64>,
     /// How long there is load, in ms.
-    pub length: u64,
+    pub load_ms: u64,
     /// The load.
     pub load: LoadPlan,
     /// Orders to all workers that get no answer, if any.
@@ -195,7 +195,7 @@
 #[must_use]
 pub fn run(options: MembersOptions) -> MembersReport {
     let mut world = World::new(options);
-    let end = Time(world.options.length * 1_000);
+    let end = Time(world.options.load_ms * 1_000);
     let rest = end + world.rest();
     while let Some(due) = world.events.next_due() {
         if due > rest {
@@ -507,13 +507,13 @@
 
     /// When so many bytes that a member sends now have left it.
     pub(crate) fn leave(&mut self, from: usize, bytes: usize) -> Time {
-        let rate = self.options.link;
+        let rate = self.options.link_rate;
         self.members[from].outgoing.pass(self.now, bytes, rate)
     }
 
     /// When so many bytes that come to a member at `at` are there.
     pub(crate) fn reach(&mut self, to: usize, at: Time, bytes: usize) -> Time {
-        let rate = self.options.link;
+        let rate = self.options.link_rate;
         self.members[to].incoming.pass(at, bytes, rate)
     }
 
@@ -555,9 +555,9 @@
             part: ProcessKind::Entry,
             dc: DataCentreId(host.dc),
             dcs: (0..self.options.dcs).map(DataCentreId).collect(),
-            shard_size: self.options.shard,
+            shard_size: self.options.shard_size,
             pool: PoolConfig {
-                disabled: self.options.without,
+                disabled: self.options.disabled,
                 ..PoolConfig::default()
             },
         };
--- a/crates/celerywinch_bench/tests/members.rs
+++ b/crates/celerywinch_bench/tests/members.rs
@@ -7,16 +7,16 @@
 use celerywinch_types::DisabledMechanisms;
 use rstest::rstest;
 
-fn options(seed: u64, length: u64) -> MembersOptions {
+fn options(seed: u64, load_ms: u64) -> MembersOptions {
     MembersOptions {
         seed,
         dcs: 3,
         entries: 7,
         workers: 48,
-        shard: 80,
-        without: DisabledMechanisms::default(),
-        link: None,
-        length,
+        shard_size: 80,
+        disabled: DisabledMechanisms::default(),
+        link_rate: None,
+        load_ms,
         load: LoadPlan {
             classes: brief_classes(),
             cpu: BRIEF_CPU,
@@ -95,10 +95,10 @@
 fn seeds_with_wrong_clocks_that_failed_once(
     #[case] seed: u64,
     #[case] every: u64,
-    #[case] shard: usize,
+    #[case] shard_size: usize,
 ) {
     let mut options = options(seed, 15_000);
-    options.shard = shard;
+    options.shard_size = shard_size;
     options.faults = Some(FaultPlan {
         every,
         members: true,
@@ -131,7 +131,7 @@
 #[case(10_482)]
 fn seeds_with_messages_held_up_that_failed_once(#[case] seed: u64) {
     let mut options = options(seed, 15_000);
-    options.shard = [80, 8, 16][(seed % 3) as usize];
+    options.shard_size = [80, 8, 16][(seed % 3) as usize];
     let classes = &mut options.load.classes;
     classes.iter_mut().for_each(|class| class.timeout = 8_000);
     options.faults = Some(FaultPlan {
@@ -155,7 +155,7 @@
 #[case(72_011, true)]
 fn seeds_with_evacuations_that_failed_once(#[case] seed: u64, #[case] held: bool) {
     let mut options = options(seed, 15_000);
-    options.shard = [80, 8, 16][(seed % 3) as usize];
+    options.shard_size = [80, 8, 16][(seed % 3) as usize];
     let classes = &mut options.load.classes;
     classes.iter_mut().for_each(|class| class.timeout = 8_000);
     options.faults = Some(FaultPlan {
@@ -184,7 +184,7 @@
 #[case::answers_lost(96)]
 fn seeds_with_late_answers_that_failed_once(#[case] seed: u64) {
     let mut options = options(seed, 64_000);
-    options.shard = [80, 8, 16][(seed % 3) as usize];
+    options.shard_size = [80, 8, 16][(seed % 3) as usize];
     let classes = &mut options.load.classes;
     classes.iter_mut().for_each(|class| class.timeout = 8_000);
     options.load.lull = Some(Lull {
@@ -235,7 +235,7 @@
     classes.iter_mut().for_each(|class| class.timeout = 8_000);
     let mut options = options(seed, 64_000);
     options.entries = 24;
-    options.shard = [6, 6, 12][(seed % 3) as usize];
+    options.shard_size = [6, 6, 12][(seed % 3) as usize];
     options.load.classes = classes;
     options.load.lull = Some(Lull {
         every: 30_000,
--- a/crates/celerywinch_bench/tests/members_divided.rs
+++ b/crates/celerywinch_bench/tests/members_divided.rs
@@ -9,7 +9,7 @@
 /// The brief's catalogue service after it has grown: 350 workers, seven times as many as today, and 28
 /// entries, each so small that 16 dispatchers have 22 workers each. Six times today's jobs come, of
 /// tasks that need half of a usual worker: 80% of the workers are busy.
-fn options(seed: u64, length: u64) -> MembersOptions {
+fn options(seed: u64, load_ms: u64) -> MembersOptions {
     let grown = |class: ClassPlan| ClassPlan {
         rate: class.rate * 6.0,
         ..class
@@ -19,10 +19,10 @@
         dcs: 3,
         entries: 28,
         workers: 350,
-        shard: 32,
-        without: DisabledMechanisms::default(),
-        link: None,
-        length,
+        shard_size: 32,
+        disabled: DisabledMechanisms::default(),
+        link_rate: None,
+        load_ms,
         load: LoadPlan {
             classes: brief_classes().into_iter().map(grown).collect(),
             cpu: 16_000,
@@ -44,7 +44,7 @@
 
 /// Callers are refused, or wait, though there is room at other dispatchers: the one that was asked is
 /// full, and what its origin knew of its room was as old as most tasks are long. With one queue over
-/// all workers (`shard: 1000`) 1000, 1000 and 980 of 1000 jobs are served in aim; without handing on what finds no
+/// all workers (`shard_size: 1000`) 1000, 1000 and 980 of 1000 jobs are served in aim; without handing on what finds no
 /// room it was 991, 932 and 813. One seed differs from the next by up to 15 in a burst, so three count.
 #[rstest]
 #[case::ordinary(1.0, 998)]
--- a/crates/celerywinch_bench/tests/members_links.rs
+++ b/crates/celerywinch_bench/tests/members_links.rs
@@ -11,7 +11,7 @@
 
 /// A small part of a deployment of hundreds of machines: 17 entries, 120 workers, and the jobs that belong to them, with
 /// a burst of 1.2 times the load for 4 s.
-fn options(seed: u64, mbits: u64, shard: usize) -> MembersOptions {
+fn options(seed: u64, mbits: u64, shard_size: usize) -> MembersOptions {
     let thin = |class: ClassPlan| ClassPlan {
         rate: class.rate * 0.56,
         ..class
@@ -21,10 +21,10 @@
         dcs: 5,
         entries: 17,
         workers: 120,
-        shard,
-        without: DisabledMechanisms::default(),
-        link: Some(mbits * MBIT),
-        length: 14_000,
+        shard_size,
+        disabled: DisabledMechanisms::default(),
+        link_rate: Some(mbits * MBIT),
+        load_ms: 14_000,
         load: LoadPlan {
             classes: brief_classes().into_iter().map(thin).collect(),
             cpu: 16_000,
@@ -52,9 +52,9 @@
 #[case::very_narrow(2, 16)]
 #[case::narrow(6, 38)]
 #[case::wide(25, 38)]
-fn service_holds_on_narrow_links(#[case] mbits: u64, #[case] shard: usize) {
+fn service_holds_on_narrow_links(#[case] mbits: u64, #[case] shard_size: usize) {
     for seed in [1, 2] {
-        let report = run(options(seed, mbits, shard));
+        let report = run(options(seed, mbits, shard_size));
         assert_eq!(report.violations, Vec::<Violation>::new());
         let served = served(&report);
         assert!(served >= 950, "seed {seed}: {served} of 1000 are served");
@@ -65,7 +65,7 @@
 #[test]
 fn fixed_times_for_answers_feed_the_overload() {
     let mut options = options(1, 2, 38);
-    options.without = DisabledMechanisms::default().with(Mechanism::Patience);
+    options.disabled = DisabledMechanisms::default().with(Mechanism::Patience);
     let served = served(&run(options));
     assert!(served < 800, "{served} of 1000 are served");
 }
--- a/crates/celerywinch_bench/tests/members_lives.rs
+++ b/crates/celerywinch_bench/tests/members_lives.rs
@@ -9,7 +9,7 @@
 /// What callers wait where messages are held up, in ms.
 const PATIENT: u32 = 8_000;
 
-fn play(seed: u64, shard: usize, faults: FaultPlan) -> MembersReport {
+fn play(seed: u64, shard_size: usize, faults: FaultPlan) -> MembersReport {
     let mut classes = brief_classes();
     if faults.held {
         classes.iter_mut().for_each(|class| class.timeout = PATIENT);
@@ -19,10 +19,10 @@
         dcs: 3,
         entries: 7,
         workers: 48,
-        shard,
-        without: DisabledMechanisms::default(),
-        link: None,
-        length: 15_000,
+        shard_size,
+        disabled: DisabledMechanisms::default(),
+        link_rate: None,
+        load_ms: 15_000,
         load: LoadPlan {
             classes,
             cpu: BRIEF_CPU,
@@ -67,8 +67,8 @@
 #[case::crashing(FaultPlan { crashing: true, reborn: false, ..REBORN }, 4, 16)]
 #[case::all(ALL, 5, 80)]
 #[case::all_divided(ALL, 6, 16)]
-fn history_holds(#[case] faults: FaultPlan, #[case] seed: u64, #[case] shard: usize) {
-    let report = play(seed, shard, faults);
+fn history_holds(#[case] faults: FaultPlan, #[case] seed: u64, #[case] shard_size: usize) {
+    let report = play(seed, shard_size, faults);
     assert_eq!(report.violations, Vec::<Violation>::new());
     assert!(report.runs.0 > 1_000, "the run did too little: {report:?}");
 }
@@ -88,9 +88,9 @@
         clocks: seed % 5 >= 3,
         ..faults
     };
-    let shard = [80, 8, 16][(seed % 3) as usize];
+    let shard_size = [80, 8, 16][(seed % 3) as usize];
     assert_eq!(
-        play(seed, shard, faults).violations,
+        play(seed, shard_size, faults).violations,
         Vec::<Violation>::new()
     );
 }
@@ -100,7 +100,7 @@
 #[rstest]
 #[case::one_dispatcher(80)]
 #[case::several(16)]
-fn jobs_that_end_workers_leave_room_for_the_others(#[case] shard: usize) {
+fn jobs_that_end_workers_leave_room_for_the_others(#[case] shard_size: usize) {
     let calm = FaultPlan {
         every: 1_000_000,
         ..FaultPlan::default()
@@ -110,7 +110,7 @@
         ..calm
     };
     let served = |faults: FaultPlan| {
-        let report = play(7, shard, faults);
+        let report = play(7, shard_size, faults);
         assert_eq!(report.violations, Vec::<Violation>::new());
         let asked: usize = report.classes.iter().map(|class| class.asked).sum();
         let in_aim: usize = report.classes.iter().map(|class| class.in_aim).sum();
