--- a/crates/celerywinch_bench/src/members/judge.rs
+++ b/crates/celerywinch_bench/src/members/judge.rs
@@ -6,7 +6,7 @@
 use super::callers::CallerJob;
 use super::faults::FaultPlan;
 use super::history::{Violation, done, overlaps};
-use super::load::ClassFigures;
+use super::load::ClassStats;
 use super::world::{MembersReport, World};
 
 /// Of a task by which three workers have ended, so many more starts break the users' bound.
@@ -20,7 +20,7 @@
             self.history.extend(host.history());
         }
         let mut report = MembersReport {
-            classes: vec![ClassFigures::default(); self.options.load.classes.len()],
+            classes: vec![ClassStats::default(); self.options.load.classes.len()],
             violations: overlaps(&self.history),
             ..MembersReport::default()
         };
@@ -67,11 +67,11 @@
 
     fn judge(&self, job: &CallerJob, report: &mut MembersReport) {
         let figures = &mut report.classes[job.class];
-        figures.asked += 1;
+        figures.submitted += 1;
         match job.end {
             Some((at, JobEnd::Completed)) => {
                 if at <= job.due {
-                    figures.in_aim += 1;
+                    figures.on_time += 1;
                 } else {
                     figures.late += 1;
                 }
@@ -87,7 +87,7 @@
             Some((at, JobEnd::Refused(_))) => {
                 figures.refused += 1;
                 let took = at.since(job.sent).as_millis() as u32;
-                figures.slowest_refusal = figures.slowest_refusal.max(took);
+                figures.max_refusal_ms = figures.max_refusal_ms.max(took);
                 let ran = self.history.iter().find(|ran| ran.task.job == job.id);
                 if let Some(ran) = ran.filter(|_| job.tries == 1) {
                     report
--- a/crates/celerywinch_bench/src/members/load.rs
+++ b/crates/celerywinch_bench/src/members/load.rs
@@ -97,11 +97,11 @@
 
 /// How a kind of job was served.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ClassFigures {
+pub struct ClassStats {
     /// Jobs.
-    pub asked: usize,
+    pub submitted: usize,
     /// Answered within the objective.
-    pub in_aim: usize,
+    pub on_time: usize,
     /// Answered later.
     pub late: usize,
     /// Refused as not run.
@@ -111,5 +111,5 @@
     /// Jobs that were told to have failed.
     pub failed: usize,
     /// The longest time to a refusal, in ms.
-    pub slowest_refusal: u32,
+    pub max_refusal_ms: u32,
 }
--- a/crates/celerywinch_bench/src/members/mod.rs
+++ b/crates/celerywinch_bench/src/members/mod.rs
@@ -18,7 +18,7 @@
 
 pub use faults::FaultPlan;
 pub use history::{Violation, overlaps};
-pub use load::{BRIEF_CPU, ClassFigures, ClassPlan, LoadPlan, Lull, brief_classes};
+pub use load::{BRIEF_CPU, ClassPlan, ClassStats, LoadPlan, Lull, brief_classes};
 pub use wire::Control;
 pub use workers::Unanswered;
 pub use world::{MembersOptions, MembersReport, run};
--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -20,7 +20,7 @@
 use super::faults::FaultPlan;
 use super::history::Violation;
 use super::lives::Word;
-use super::load::{ClassFigures, LoadPlan};
+use super::load::{ClassStats, LoadPlan};
 use super::refusals::Refusals;
 use super::resets::Resets;
 use super::wire::{Control, Wire, size_of};
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MembersReport {
     /// Figures by kind of job, in the order of the plan.
-    pub classes: Vec<ClassFigures>,
+    pub classes: Vec<ClassStats>,
     /// Broken promises.
     pub violations: Vec<Violation>,
     /// Runs on workers, and those that ended without a result.
--- a/crates/celerywinch_bench/tests/members.rs
+++ b/crates/celerywinch_bench/tests/members.rs
@@ -30,9 +30,9 @@
 }
 
 fn share_in_aim(report: &MembersReport) -> f64 {
-    let asked: usize = report.classes.iter().map(|class| class.asked).sum();
-    let in_aim: usize = report.classes.iter().map(|class| class.in_aim).sum();
-    in_aim as f64 / asked as f64
+    let submitted: usize = report.classes.iter().map(|class| class.submitted).sum();
+    let on_time: usize = report.classes.iter().map(|class| class.on_time).sum();
+    on_time as f64 / submitted as f64
 }
 
 /// An ordinary day: 48 workers about 75% busy, no faults. One queue over all data centres serves
@@ -220,8 +220,8 @@
         panic!("three kinds of jobs");
     };
     assert!(share_in_aim(&report) > 0.945, "{:?}", report.classes);
-    assert!(price.in_aim * 100 >= price.asked * 99, "{price:?}");
-    assert!(hold.in_aim * 100 >= hold.asked * 94, "{hold:?}");
+    assert!(price.on_time * 100 >= price.submitted * 99, "{price:?}");
+    assert!(hold.on_time * 100 >= hold.submitted * 94, "{hold:?}");
     // Without counting what comes in above them, 10 to 19 of these were given up by their callers.
     assert!(scan.lost <= 3 && scan.late <= 3, "{scan:?}");
 }
--- a/crates/celerywinch_bench/tests/members_divided.rs
+++ b/crates/celerywinch_bench/tests/members_divided.rs
@@ -1,7 +1,7 @@
 //! A deployment so large that its workers are divided among many dispatchers, in simulated time.
 
 use celerywinch_bench::members::{
-    ClassFigures, ClassPlan, FaultPlan, LoadPlan, MembersOptions, Violation, brief_classes, run,
+    ClassPlan, ClassStats, FaultPlan, LoadPlan, MembersOptions, Violation, brief_classes, run,
 };
 use celerywinch_types::DisabledMechanisms;
 use rstest::rstest;
@@ -36,10 +36,10 @@
 }
 
 /// The share of jobs that end within their objectives, in thousandths.
-fn in_aim(classes: &[ClassFigures]) -> usize {
-    let asked: usize = classes.iter().map(|class| class.asked).sum();
-    let in_aim: usize = classes.iter().map(|class| class.in_aim).sum();
-    in_aim * 1_000 / asked
+fn on_time(classes: &[ClassStats]) -> usize {
+    let submitted: usize = classes.iter().map(|class| class.submitted).sum();
+    let on_time: usize = classes.iter().map(|class| class.on_time).sum();
+    on_time * 1_000 / submitted
 }
 
 /// Callers are refused, or wait, though there is room at other dispatchers: the one that was asked is
@@ -60,7 +60,7 @@
     let reports = plays.map(|play| play.join().expect("a run that ends"));
     let shares = reports.each_ref().map(|report| {
         assert_eq!(report.violations, Vec::<Violation>::new());
-        in_aim(&report.classes)
+        on_time(&report.classes)
     });
     let mean = shares.iter().sum::<usize>() / shares.len();
     assert!(mean >= wanted, "{shares:?} of 1000");
--- a/crates/celerywinch_bench/tests/members_links.rs
+++ b/crates/celerywinch_bench/tests/members_links.rs
@@ -39,10 +39,10 @@
 
 /// The share of jobs that are served at all, in thousandths.
 fn served(report: &MembersReport) -> usize {
-    let asked: usize = report.classes.iter().map(|class| class.asked).sum();
+    let submitted: usize = report.classes.iter().map(|class| class.submitted).sum();
     let classes = report.classes.iter();
-    let served: usize = classes.map(|class| class.in_aim + class.late).sum();
-    served * 1_000 / asked
+    let served: usize = classes.map(|class| class.on_time + class.late).sum();
+    served * 1_000 / submitted
 }
 
 /// Callers wait in vain on a day without any fault: the eight orders of a price check take 45 ms of a link of 2 Mbit/s,
--- a/crates/celerywinch_bench/tests/members_lives.rs
+++ b/crates/celerywinch_bench/tests/members_lives.rs
@@ -112,10 +112,10 @@
     let served = |faults: FaultPlan| {
         let report = play(7, shard_size, faults);
         assert_eq!(report.violations, Vec::<Violation>::new());
-        let asked: usize = report.classes.iter().map(|class| class.asked).sum();
-        let in_aim: usize = report.classes.iter().map(|class| class.in_aim).sum();
+        let submitted: usize = report.classes.iter().map(|class| class.submitted).sum();
+        let on_time: usize = report.classes.iter().map(|class| class.on_time).sum();
         println!("{:?}", report.classes);
-        in_aim as f64 / asked as f64
+        on_time as f64 / submitted as f64
     };
     let (without, with) = (served(calm), served(ending));
     // One job in 50 cannot be served itself.
--- a/crates/celerywinch_bench/tests/members_unanswered.rs
+++ b/crates/celerywinch_bench/tests/members_unanswered.rs
@@ -47,8 +47,8 @@
 fn unanswered_calls_cost_little(#[case] seed: u64) {
     let report = run(options(seed));
     assert_eq!(report.violations, Vec::<Violation>::new());
-    let asked: usize = report.classes.iter().map(|class| class.asked).sum();
-    let in_aim: usize = report.classes.iter().map(|class| class.in_aim).sum();
-    let share = in_aim * 1_000 / asked;
+    let submitted: usize = report.classes.iter().map(|class| class.submitted).sum();
+    let on_time: usize = report.classes.iter().map(|class| class.on_time).sum();
+    let share = on_time * 1_000 / submitted;
     assert!(share >= 940, "{share} of 1000: {:?}", report.classes);
 }
