--- a/crates/celerywinch_bench/src/members/mod.rs
+++ b/crates/celerywinch_bench/src/members/mod.rs
@@ -19,6 +19,6 @@
 pub use faults::FaultPlan;
 pub use history::{Violation, overlaps};
 pub use load::{BRIEF_CPU, ClassPlan, ClassStats, LoadPlan, Lull, brief_classes};
-pub use wire::Control;
-pub use workers::Unanswered;
+pub use wire::ControlTraffic;
+pub use workers::UnansweredCalls;
 pub use world::{MembersOptions, MembersReport, run};
--- a/crates/celerywinch_bench/src/members/wire.rs
+++ b/crates/celerywinch_bench/src/members/wire.rs
@@ -35,14 +35,14 @@
 
 /// What a member sends that is not callers' work.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Control {
+pub struct ControlTraffic {
     /// Messages.
     pub messages: usize,
     /// Their bytes.
     pub bytes: usize,
 }
 
-impl Control {
+impl ControlTraffic {
     pub(crate) fn add(&mut self, msg: &FleetMsg, bytes: usize) {
         if !matches!(msg, FleetMsg::Work(_)) {
             self.messages += 1;
--- a/crates/celerywinch_bench/src/members/workers.rs
+++ b/crates/celerywinch_bench/src/members/workers.rs
@@ -19,18 +19,18 @@
 /// A share of the calls to all workers, orders and looks, that get no answer and are carried out seconds
 /// later.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Unanswered {
+pub struct UnansweredCalls {
     /// From when, in ms.
-    pub from: u64,
+    pub start_ms: u64,
     /// Until when, in ms.
-    pub to: u64,
+    pub end_ms: u64,
     /// How many of the orders, 0 to 1.
     pub share: f64,
 }
 
-impl Unanswered {
+impl UnansweredCalls {
     fn share_at(self, now: Time) -> Option<f64> {
-        let there = self.from * 1_000..self.to * 1_000;
+        let there = self.start_ms * 1_000..self.end_ms * 1_000;
         there.contains(&now.0).then_some(self.share)
     }
 }
--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -23,8 +23,8 @@
 use super::load::{ClassStats, LoadPlan};
 use super::refusals::Refusals;
 use super::resets::Resets;
-use super::wire::{Control, Wire, size_of};
-use super::workers::{OnWay, Unanswered, WorkerHost};
+use super::wire::{ControlTraffic, Wire, size_of};
+use super::workers::{OnWay, UnansweredCalls, WorkerHost};
 
 /// When the load begins: all members are ready by then.
 const LOAD_FROM: Time = Time(1_500_000);
@@ -71,7 +71,7 @@
     /// The load.
     pub load: LoadPlan,
     /// Orders to all workers that get no answer, if any.
-    pub unanswered: Option<Unanswered>,
+    pub unanswered: Option<UnansweredCalls>,
     /// Faults, if any.
     pub faults: Option<FaultPlan>,
     /// Print what happens to this job, and to members.
@@ -88,7 +88,7 @@
     /// Runs on workers, and those that ended without a result.
     pub runs: (usize, usize),
     /// What each member has sent, since the load began, that is not callers' work.
-    pub control: Vec<Control>,
+    pub control: Vec<ControlTraffic>,
 }
 
 #[derive(Clone, Debug)]
@@ -146,7 +146,7 @@
     pub(crate) backlog: Backlog,
     outgoing: Wire,
     incoming: Wire,
-    pub(crate) control: Control,
+    pub(crate) control: ControlTraffic,
 }
 
 impl MemberHost {
@@ -244,7 +244,7 @@
                 backlog: Backlog::default(),
                 outgoing: Wire::default(),
                 incoming: Wire::default(),
-                control: Control::default(),
+                control: ControlTraffic::default(),
             });
             world.at(Time(0), Event::Start(index as usize));
         }
--- a/crates/celerywinch_bench/tests/members_unanswered.rs
+++ b/crates/celerywinch_bench/tests/members_unanswered.rs
@@ -1,7 +1,7 @@
 //! Workers that leave calls unanswered, in simulated time.
 
 use celerywinch_bench::members::{
-    BRIEF_CPU, LoadPlan, MembersOptions, Unanswered, Violation, brief_classes, run,
+    BRIEF_CPU, LoadPlan, MembersOptions, UnansweredCalls, Violation, brief_classes, run,
 };
 use celerywinch_types::DisabledMechanisms;
 use rstest::rstest;
@@ -24,9 +24,9 @@
             burst: None,
             lull: None,
         },
-        unanswered: Some(Unanswered {
-            from: 4_000,
-            to: 8_600,
+        unanswered: Some(UnansweredCalls {
+            start_ms: 4_000,
+            end_ms: 8_600,
             share: 0.055,
         }),
         faults: None,
