--- a/crates/celerywinch/src/commands/soak.rs
+++ b/crates/celerywinch/src/commands/soak.rs
@@ -217,7 +217,9 @@
 fn classes(kinds: Kinds) -> Vec<members::ClassPlan> {
     let mut classes = members::brief_classes();
     if kinds.held || kinds.congested || kinds.refused {
-        classes.iter_mut().for_each(|class| class.timeout = PATIENT);
+        classes
+            .iter_mut()
+            .for_each(|class| class.timeout_ms = PATIENT);
     }
     classes
 }
@@ -225,9 +227,9 @@
 fn members_options(seed: u64, kinds: Kinds, follow: Option<u64>) -> members::MembersOptions {
     let every = MEMBERS_FAULTS[(seed % MEMBERS_FAULTS.len() as u64) as usize];
     let lull = members::Lull {
-        every: LULL_EVERY,
-        lasts: LULL_LASTS,
-        calm: LULL_CALM,
+        period_ms: LULL_EVERY,
+        length_ms: LULL_LASTS,
+        calm_ms: LULL_CALM,
         factor: LULL_LOADS[(seed / 4 % LULL_LOADS.len() as u64) as usize],
     };
     let shards = if kinds.many {
--- a/crates/celerywinch_bench/src/members/callers.rs
+++ b/crates/celerywinch_bench/src/members/callers.rs
@@ -63,8 +63,8 @@
     }
 
     fn new_job(&mut self, class: usize, plan: ClassPlan) -> CallerJob {
-        let base = f64::from(plan.takes) * self.around(SPREAD);
-        let width = (f64::from(plan.width) * self.around(SPREAD))
+        let base = f64::from(plan.task_ms) * self.around(SPREAD);
+        let width = (f64::from(plan.mean_tasks) * self.around(SPREAD))
             .round()
             .max(1.0) as u16;
         let takes: Vec<_> = (0..width)
@@ -141,7 +141,7 @@
             return;
         }
         self.input(entry, Input::Flush);
-        let limit = Duration::from_millis(class.timeout.into());
+        let limit = Duration::from_millis(class.timeout_ms.into());
         let tries = self.jobs[index].tries;
         self.at(self.now + limit, Event::GiveUp(index, tries));
     }
@@ -198,7 +198,7 @@
         attempts: 3,
         slack: SLACK,
         target: TARGET,
-        timeout: class.timeout,
+        timeout: class.timeout_ms,
         advised: false,
     }
 }
--- a/crates/celerywinch_bench/src/members/load.rs
+++ b/crates/celerywinch_bench/src/members/load.rs
@@ -12,11 +12,11 @@
     /// Jobs a second, over all entries.
     pub rate: f64,
     /// Tasks of a job, on average.
-    pub width: u16,
+    pub mean_tasks: u16,
     /// Ms of a task, on average.
-    pub takes: u32,
+    pub task_ms: u32,
     /// What callers wait at most, in ms.
-    pub timeout: u32,
+    pub timeout_ms: u32,
 }
 
 /// A load.
@@ -37,20 +37,20 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lull {
     /// The period, in ms.
-    pub every: u64,
+    pub period_ms: u64,
     /// How long the load is low in each, in ms.
-    pub lasts: u64,
+    pub length_ms: u64,
     /// That many times the usual load there is then.
     pub factor: f64,
     /// For how long from its start no fault strikes, in ms: any change of hands, and any congestion, has
     /// workers asked, and none would be idle for long.
-    pub calm: u64,
+    pub calm_ms: u64,
 }
 
 impl Lull {
     /// For how long it has lasted, in ms.
     fn age(&self, now: Time) -> Option<u64> {
-        (now.0 / 1_000 % self.every).checked_sub(self.every - self.lasts)
+        (now.0 / 1_000 % self.period_ms).checked_sub(self.period_ms - self.length_ms)
     }
 }
 
@@ -59,13 +59,13 @@
 /// as on an ordinary day.
 #[must_use]
 pub fn brief_classes() -> Vec<ClassPlan> {
-    let class = |name, priority, rate, width, takes| ClassPlan {
+    let class = |name, priority, rate, mean_tasks, task_ms| ClassPlan {
         name,
         priority,
         rate,
-        width,
-        takes,
-        timeout: 1_500,
+        mean_tasks,
+        task_ms,
+        timeout_ms: 1_500,
     };
     vec![
         class("price", 0, 34.4, 8, 60),
@@ -91,7 +91,7 @@
     /// Whether no fault is to strike.
     pub(crate) fn is_calm(&self, now: Time) -> bool {
         let lull = self.lull.as_ref();
-        lull.is_some_and(|lull| lull.age(now).is_some_and(|age| age < lull.calm))
+        lull.is_some_and(|lull| lull.age(now).is_some_and(|age| age < lull.calm_ms))
     }
 }
 
--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -680,7 +680,7 @@
 
     fn rest(&self) -> Duration {
         let classes = self.options.load.classes.iter();
-        let longest = classes.map(|class| class.timeout).max().unwrap_or(0);
+        let longest = classes.map(|class| class.timeout_ms).max().unwrap_or(0);
         REST.max(Duration::from_millis(longest.into()) + AFTER_LAST)
     }
 }
--- a/crates/celerywinch_bench/tests/members.rs
+++ b/crates/celerywinch_bench/tests/members.rs
@@ -133,7 +133,9 @@
     let mut options = options(seed, 15_000);
     options.shard_size = [80, 8, 16][(seed % 3) as usize];
     let classes = &mut options.load.classes;
-    classes.iter_mut().for_each(|class| class.timeout = 8_000);
+    classes
+        .iter_mut()
+        .for_each(|class| class.timeout_ms = 8_000);
     options.faults = Some(FaultPlan {
         every: [900, 500, 300, 150][(seed % 4) as usize],
         members: true,
@@ -157,7 +159,9 @@
     let mut options = options(seed, 15_000);
     options.shard_size = [80, 8, 16][(seed % 3) as usize];
     let classes = &mut options.load.classes;
-    classes.iter_mut().for_each(|class| class.timeout = 8_000);
+    classes
+        .iter_mut()
+        .for_each(|class| class.timeout_ms = 8_000);
     options.faults = Some(FaultPlan {
         every: [900, 500, 300, 150][(seed % 4) as usize],
         members: true,
@@ -186,12 +190,14 @@
     let mut options = options(seed, 64_000);
     options.shard_size = [80, 8, 16][(seed % 3) as usize];
     let classes = &mut options.load.classes;
-    classes.iter_mut().for_each(|class| class.timeout = 8_000);
+    classes
+        .iter_mut()
+        .for_each(|class| class.timeout_ms = 8_000);
     options.load.lull = Some(Lull {
-        every: 30_000,
-        lasts: 26_000,
+        period_ms: 30_000,
+        length_ms: 26_000,
         factor: [0.05, 0.4, 0.1, 0.2][(seed / 4 % 4) as usize],
-        calm: 22_000,
+        calm_ms: 22_000,
     });
     options.faults = Some(FaultPlan {
         every: [900, 500, 300, 150][(seed % 4) as usize],
@@ -232,15 +238,17 @@
 fn seed_that_left_a_job_behind() {
     let seed = 7_310_047;
     let mut classes = brief_classes();
-    classes.iter_mut().for_each(|class| class.timeout = 8_000);
+    classes
+        .iter_mut()
+        .for_each(|class| class.timeout_ms = 8_000);
     let mut options = options(seed, 64_000);
     options.entries = 24;
     options.shard_size = [6, 6, 12][(seed % 3) as usize];
     options.load.classes = classes;
     options.load.lull = Some(Lull {
-        every: 30_000,
-        lasts: 26_000,
-        calm: 22_000,
+        period_ms: 30_000,
+        length_ms: 26_000,
+        calm_ms: 22_000,
         factor: [0.05, 0.4, 0.1, 0.2][(seed / 4 % 4) as usize],
     });
     options.faults = Some(FaultPlan {
--- a/crates/celerywinch_bench/tests/members_lives.rs
+++ b/crates/celerywinch_bench/tests/members_lives.rs
@@ -12,7 +12,9 @@
 fn play(seed: u64, shard_size: usize, faults: FaultPlan) -> MembersReport {
     let mut classes = brief_classes();
     if faults.held {
-        classes.iter_mut().for_each(|class| class.timeout = PATIENT);
+        classes
+            .iter_mut()
+            .for_each(|class| class.timeout_ms = PATIENT);
     }
     run(MembersOptions {
         seed,
