--- a/crates/celerywinch/src/commands/soak.rs
+++ b/crates/celerywinch/src/commands/soak.rs
@@ -225,7 +225,7 @@
 }
 
 fn members_options(seed: u64, kinds: Kinds, follow: Option<u64>) -> members::MembersOptions {
-    let every = MEMBERS_FAULTS[(seed % MEMBERS_FAULTS.len() as u64) as usize];
+    let interval_ms = MEMBERS_FAULTS[(seed % MEMBERS_FAULTS.len() as u64) as usize];
     let lull = members::Lull {
         period_ms: LULL_EVERY,
         length_ms: LULL_LASTS,
@@ -262,15 +262,15 @@
         },
         unanswered: None,
         faults: Some(members::FaultPlan {
-            every,
+            interval_ms,
             members: true,
             workers: true,
-            clocks: seed % 5 >= 3,
-            held: kinds.held,
+            clock_skew: seed % 5 >= 3,
+            partitioned: kinds.held,
             congested: kinds.congested,
             refused: kinds.refused,
             drift: kinds.drift,
-            reborn: kinds.reborn,
+            reused_names: kinds.reborn,
             shrinking: kinds.shrinking,
             crashing: kinds.crashing,
             evacuated: kinds.evacuated,
--- a/crates/celerywinch_bench/src/members/callers.rs
+++ b/crates/celerywinch_bench/src/members/callers.rs
@@ -149,7 +149,7 @@
     /// Above all that were used for a job that was sent before, unless clocks are wrong.
     fn first_run(&self, entry: usize) -> RunNumber {
         match self.options.faults {
-            Some(plan) if plan.clocks => RunNumber(self.wall(entry)),
+            Some(plan) if plan.clock_skew => RunNumber(self.wall(entry)),
             _ => RunNumber(self.now.0),
         }
     }
--- a/crates/celerywinch_bench/src/members/evacuations.rs
+++ b/crates/celerywinch_bench/src/members/evacuations.rs
@@ -82,7 +82,7 @@
             return;
         };
         let plan = self.options.faults.unwrap_or_default();
-        let max_delay = if plan.held || plan.congested {
+        let max_delay = if plan.partitioned || plan.congested {
             MAX_START_DELAY_LONG_CUTS
         } else {
             MAX_START_DELAY
--- a/crates/celerywinch_bench/src/members/faults.rs
+++ b/crates/celerywinch_bench/src/members/faults.rs
@@ -8,20 +8,20 @@
 
 use super::world::World;
 
-/// Which faults strike; one of them every `every` ms.
+/// Which faults strike; one of them every `interval_ms` ms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultPlan {
     /// Ms between two faults.
-    pub every: u64,
+    pub interval_ms: u64,
     /// Whether members are killed, stopped as planned and frozen, and data centres are cut off.
     pub members: bool,
     /// Whether the wall clocks of members are wrong, each life of one by another time.
-    pub clocks: bool,
+    pub clock_skew: bool,
     /// Whether workers crash, hang, slow down and fail, and their calls are lost or carried out late.
     pub workers: bool,
     /// Whether many entries at once are cut off from all other members, while workers and callers
     /// reach them; what was sent as the cut began arrives up to some seconds after it has healed.
-    pub held: bool,
+    pub partitioned: bool,
     /// Whether the incoming paths of members are congested: answers of workers, messages and heartbeats
     /// reach them up to 2 s late, in order, while what they send goes out in time; and whether answers of
     /// single workers are lost though their orders were carried out.
@@ -30,7 +30,7 @@
     /// whether calls are refused by workers that are down, and by some that are alive.
     pub refused: bool,
     /// Whether workers keep their names when they start again, may say that they leave, and are heard of out of order.
-    pub reborn: bool,
+    pub reused_names: bool,
     /// Whether workers do not guard their room, and it shrinks and grows.
     pub shrinking: bool,
     /// Whether the tasks of some jobs end their workers.
@@ -98,19 +98,19 @@
         }
         let members = MEMBER_FAULTS.iter().filter(|_| plan.members);
         let workers = WORKER_FAULTS.iter().filter(|_| plan.workers);
-        let held = HELD_FAULTS.iter().filter(|_| plan.held);
+        let partitioned = HELD_FAULTS.iter().filter(|_| plan.partitioned);
         let congested = CONGESTED_FAULTS.iter().filter(|_| plan.congested);
         let refused = REFUSED_FAULTS.iter().filter(|_| plan.refused);
-        let reborn = REBORN_FAULTS.iter().filter(|_| plan.reborn);
+        let reused_names = REBORN_FAULTS.iter().filter(|_| plan.reused_names);
         let shrinking = SHRINKING_FAULTS.iter().filter(|_| plan.shrinking);
         let evacuated = EVACUATED_FAULTS.iter().filter(|_| plan.evacuated);
         let resets = RESET_FAULTS.iter().filter(|_| plan.resets);
         let Some(fault) = members
             .chain(workers)
-            .chain(held)
+            .chain(partitioned)
             .chain(congested)
             .chain(refused)
-            .chain(reborn)
+            .chain(reused_names)
             .chain(shrinking)
             .chain(evacuated)
             .chain(resets)
--- a/crates/celerywinch_bench/src/members/judge.rs
+++ b/crates/celerywinch_bench/src/members/judge.rs
@@ -49,7 +49,7 @@
     /// Tasks that were started on and on though they end their workers. The bound holds for members that hear each other:
     /// where messages are held up, late or refused a caller sends its job to the other side of a cut, which knows of nothing.
     fn restarted(&self) -> Vec<Violation> {
-        let apart = |plan: &FaultPlan| plan.held || plan.congested || plan.refused;
+        let apart = |plan: &FaultPlan| plan.partitioned || plan.congested || plan.refused;
         if self.options.faults.as_ref().is_some_and(apart) {
             return Vec::new();
         }
--- a/crates/celerywinch_bench/src/members/lives.rs
+++ b/crates/celerywinch_bench/src/members/lives.rs
@@ -58,7 +58,7 @@
 
 impl World {
     fn keeps_names(&self) -> bool {
-        self.options.faults.is_some_and(|plan| plan.reborn)
+        self.options.faults.is_some_and(|plan| plan.reused_names)
     }
 
     /// What a worker says of itself.
@@ -146,7 +146,7 @@
     /// What a worker that starts now says of when it did; its clock may have been set back since the last time.
     fn born(&mut self) -> Incarnation {
         let right = EPOCH_MS + self.now.0 / 1_000;
-        let wrong = self.options.faults.is_some_and(|plan| plan.clocks);
+        let wrong = self.options.faults.is_some_and(|plan| plan.clock_skew);
         let skew = if wrong {
             self.random.random_range(0..2 * SKEW_MS)
         } else {
--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -262,7 +262,7 @@
             let plan = world.options.faults.unwrap_or_default();
             let mut worker = LeasedWorker::new(Time(0), &format!("worker-{index}-0"), room);
             worker.guards = !plan.shrinking;
-            worker.incarnation = plan.reborn.then_some(Incarnation(EPOCH_MS));
+            worker.incarnation = plan.reused_names.then_some(Incarnation(EPOCH_MS));
             world.workers.push(WorkerHost {
                 worker,
                 word: Word::new(room),
@@ -327,7 +327,7 @@
             Event::Strike => {
                 if let Some(plan) = self.options.faults {
                     self.strike(plan);
-                    let next = self.now + Duration::from_millis(plan.every);
+                    let next = self.now + Duration::from_millis(plan.interval_ms);
                     self.at(next, Event::Strike);
                 }
             }
@@ -532,7 +532,7 @@
     /// What a member's wall clock shows, in ms since 1970.
     pub(crate) fn wall(&self, index: usize) -> u64 {
         let right = EPOCH_MS + self.now.0 / 1_000;
-        if self.options.faults.is_none_or(|plan| !plan.clocks) {
+        if self.options.faults.is_none_or(|plan| !plan.clock_skew) {
             return right;
         }
         let life = self.members[index].life;
--- a/crates/celerywinch_bench/tests/members.rs
+++ b/crates/celerywinch_bench/tests/members.rs
@@ -48,12 +48,12 @@
 /// lose calls and carry orders out late. No task may have two runs at once, an answer of
 /// completion or refusal must be true, and every caller at a living entry gets one.
 #[rstest]
-#[case::members(FaultPlan { every: 700, members: true, workers: false, ..FaultPlan::default() }, 1)]
-#[case::members_again(FaultPlan { every: 500, members: true, workers: false, ..FaultPlan::default() }, 2)]
-#[case::workers(FaultPlan { every: 150, members: false, workers: true, ..FaultPlan::default() }, 3)]
-#[case::both(FaultPlan { every: 300, members: true, workers: true, ..FaultPlan::default() }, 4)]
-#[case::both_again(FaultPlan { every: 400, members: true, workers: true, ..FaultPlan::default() }, 5)]
-#[case::evacuated(FaultPlan { every: 300, members: true, workers: true, evacuated: true, ..FaultPlan::default() }, 6)]
+#[case::members(FaultPlan { interval_ms: 700, members: true, workers: false, ..FaultPlan::default() }, 1)]
+#[case::members_again(FaultPlan { interval_ms: 500, members: true, workers: false, ..FaultPlan::default() }, 2)]
+#[case::workers(FaultPlan { interval_ms: 150, members: false, workers: true, ..FaultPlan::default() }, 3)]
+#[case::both(FaultPlan { interval_ms: 300, members: true, workers: true, ..FaultPlan::default() }, 4)]
+#[case::both_again(FaultPlan { interval_ms: 400, members: true, workers: true, ..FaultPlan::default() }, 5)]
+#[case::evacuated(FaultPlan { interval_ms: 300, members: true, workers: true, evacuated: true, ..FaultPlan::default() }, 6)]
 fn history_holds(#[case] faults: FaultPlan, #[case] seed: u64) {
     let mut options = options(seed, 15_000);
     options.faults = Some(faults);
@@ -72,14 +72,14 @@
 #[case(229, 500)]
 #[case(31, 150)]
 #[case(43, 150)]
-fn seeds_that_failed_once(#[case] seed: u64, #[case] every: u64) {
+fn seeds_that_failed_once(#[case] seed: u64, #[case] interval_ms: u64) {
     let mut options = options(seed, 15_000);
     options.faults = Some(FaultPlan {
-        every,
+        interval_ms,
         members: true,
         workers: true,
-        clocks: false,
-        held: false,
+        clock_skew: false,
+        partitioned: false,
         ..FaultPlan::default()
     });
     assert_eq!(run(options).violations, Vec::<Violation>::new());
@@ -94,17 +94,17 @@
 #[case(94, 300, 8)]
 fn seeds_with_wrong_clocks_that_failed_once(
     #[case] seed: u64,
-    #[case] every: u64,
+    #[case] interval_ms: u64,
     #[case] shard_size: usize,
 ) {
     let mut options = options(seed, 15_000);
     options.shard_size = shard_size;
     options.faults = Some(FaultPlan {
-        every,
+        interval_ms,
         members: true,
         workers: true,
-        clocks: true,
-        held: false,
+        clock_skew: true,
+        partitioned: false,
         ..FaultPlan::default()
     });
     assert_eq!(run(options).violations, Vec::<Violation>::new());
@@ -137,11 +137,11 @@
         .iter_mut()
         .for_each(|class| class.timeout_ms = 8_000);
     options.faults = Some(FaultPlan {
-        every: [900, 500, 300, 150][(seed % 4) as usize],
+        interval_ms: [900, 500, 300, 150][(seed % 4) as usize],
         members: true,
         workers: true,
-        clocks: seed % 5 >= 3,
-        held: true,
+        clock_skew: seed % 5 >= 3,
+        partitioned: true,
         ..FaultPlan::default()
     });
     assert_eq!(run(options).violations, Vec::<Violation>::new());
@@ -155,7 +155,7 @@
 #[case(51_031, true)]
 #[case(72_006, true)]
 #[case(72_011, true)]
-fn seeds_with_evacuations_that_failed_once(#[case] seed: u64, #[case] held: bool) {
+fn seeds_with_evacuations_that_failed_once(#[case] seed: u64, #[case] partitioned: bool) {
     let mut options = options(seed, 15_000);
     options.shard_size = [80, 8, 16][(seed % 3) as usize];
     let classes = &mut options.load.classes;
@@ -163,13 +163,13 @@
         .iter_mut()
         .for_each(|class| class.timeout_ms = 8_000);
     options.faults = Some(FaultPlan {
-        every: [900, 500, 300, 150][(seed % 4) as usize],
+        interval_ms: [900, 500, 300, 150][(seed % 4) as usize],
         members: true,
         workers: true,
-        clocks: seed % 5 >= 3,
-        held,
+        clock_skew: seed % 5 >= 3,
+        partitioned,
         refused: true,
-        drift: held,
+        drift: partitioned,
         evacuated: true,
         ..FaultPlan::default()
     });
@@ -200,10 +200,10 @@
         calm_ms: 22_000,
     });
     options.faults = Some(FaultPlan {
-        every: [900, 500, 300, 150][(seed % 4) as usize],
+        interval_ms: [900, 500, 300, 150][(seed % 4) as usize],
         members: true,
         workers: true,
-        clocks: seed % 5 >= 3,
+        clock_skew: seed % 5 >= 3,
         congested: true,
         ..FaultPlan::default()
     });
@@ -252,11 +252,11 @@
         factor: [0.05, 0.4, 0.1, 0.2][(seed / 4 % 4) as usize],
     });
     options.faults = Some(FaultPlan {
-        every: [900, 500, 300, 150][(seed % 4) as usize],
+        interval_ms: [900, 500, 300, 150][(seed % 4) as usize],
         members: true,
         workers: true,
-        clocks: seed % 5 >= 3,
-        held: true,
+        clock_skew: seed % 5 >= 3,
+        partitioned: true,
         congested: true,
         refused: true,
         drift: true,
--- a/crates/celerywinch_bench/tests/members_divided.rs
+++ b/crates/celerywinch_bench/tests/members_divided.rs
@@ -75,7 +75,7 @@
 fn history_holds_over_resets_of_connections(#[case] seed: u64) {
     let mut options = options(seed, 6_000);
     options.faults = Some(FaultPlan {
-        every: 300,
+        interval_ms: 300,
         resets: true,
         ..FaultPlan::default()
     });
--- a/crates/celerywinch_bench/tests/members_lives.rs
+++ b/crates/celerywinch_bench/tests/members_lives.rs
@@ -11,7 +11,7 @@
 
 fn play(seed: u64, shard_size: usize, faults: FaultPlan) -> MembersReport {
     let mut classes = brief_classes();
-    if faults.held {
+    if faults.partitioned {
         classes
             .iter_mut()
             .for_each(|class| class.timeout_ms = PATIENT);
@@ -38,14 +38,14 @@
 }
 
 const REBORN: FaultPlan = FaultPlan {
-    every: 150,
+    interval_ms: 150,
     members: true,
-    clocks: true,
+    clock_skew: true,
     workers: true,
-    held: false,
+    partitioned: false,
     congested: false,
     refused: false,
-    reborn: true,
+    reused_names: true,
     shrinking: false,
     crashing: false,
     evacuated: false,
@@ -63,10 +63,10 @@
 /// other: workers crash, leave and come back under their names, with clocks set back, what earlier lives said is heard late, rooms
 /// shrink and grow, and tasks of some jobs end their workers; while members are killed, stopped, frozen and cut off.
 #[rstest]
-#[case::reborn(REBORN, 1, 80)]
+#[case::reused_names(REBORN, 1, 80)]
 #[case::reborn_divided(REBORN, 2, 8)]
-#[case::shrinking(FaultPlan { shrinking: true, reborn: false, ..REBORN }, 3, 80)]
-#[case::crashing(FaultPlan { crashing: true, reborn: false, ..REBORN }, 4, 16)]
+#[case::shrinking(FaultPlan { shrinking: true, reused_names: false, ..REBORN }, 3, 80)]
+#[case::crashing(FaultPlan { crashing: true, reused_names: false, ..REBORN }, 4, 16)]
 #[case::all(ALL, 5, 80)]
 #[case::all_divided(ALL, 6, 16)]
 fn history_holds(#[case] faults: FaultPlan, #[case] seed: u64, #[case] shard_size: usize) {
@@ -83,11 +83,11 @@
 #[case(20194, ALL)]
 #[case(61058, ALL)]
 #[case(15000058, ALL)]
-#[case(30053, FaultPlan { held: true, refused: true, drift: true, ..ALL })]
+#[case(30053, FaultPlan { partitioned: true, refused: true, drift: true, ..ALL })]
 fn seeds_that_failed_once(#[case] seed: u64, #[case] faults: FaultPlan) {
     let faults = FaultPlan {
-        every: [900, 500, 300, 150][(seed % 4) as usize],
-        clocks: seed % 5 >= 3,
+        interval_ms: [900, 500, 300, 150][(seed % 4) as usize],
+        clock_skew: seed % 5 >= 3,
         ..faults
     };
     let shard_size = [80, 8, 16][(seed % 3) as usize];
@@ -104,7 +104,7 @@
 #[case::several(16)]
 fn jobs_that_end_workers_leave_room_for_the_others(#[case] shard_size: usize) {
     let calm = FaultPlan {
-        every: 1_000_000,
+        interval_ms: 1_000_000,
         ..FaultPlan::default()
     };
     let ending = FaultPlan {
