--- a/crates/celerywinch/src/commands/soak.rs
+++ b/crates/celerywinch/src/commands/soak.rs
@@ -215,7 +215,7 @@
 /// The brief's kinds of jobs. Where messages are late or lost for seconds their callers wait longer, or none
 /// would wait any more when they arrive.
 fn classes(kinds: Kinds) -> Vec<members::ClassPlan> {
-    let mut classes = members::brief_classes();
+    let mut classes = members::reference_classes();
     if kinds.held || kinds.congested || kinds.refused {
         classes
             .iter_mut()
@@ -256,7 +256,7 @@
         },
         load: members::LoadPlan {
             classes: classes(kinds),
-            cpu: members::BRIEF_CPU,
+            cpu: members::REFERENCE_CPU,
             burst: None,
             lull: kinds.congested.then_some(lull),
         },
--- a/crates/celerywinch_bench/src/members/load.rs
+++ b/crates/celerywinch_bench/src/members/load.rs
@@ -58,7 +58,7 @@
 /// matching (few long ones), stock holds; at rates that keep 48 workers of its size about 75% busy,
 /// as on an ordinary day.
 #[must_use]
-pub fn brief_classes() -> Vec<ClassPlan> {
+pub fn reference_classes() -> Vec<ClassPlan> {
     let class = |name, priority, rate, mean_tasks, task_ms| ClassPlan {
         name,
         priority,
@@ -75,7 +75,7 @@
 }
 
 /// What a task needs on average in the brief's catalogue service: two or three fit on a worker.
-pub const BRIEF_CPU: u32 = 14_000;
+pub const REFERENCE_CPU: u32 = 14_000;
 
 impl LoadPlan {
     /// How many times the usual load there is at a moment.
--- a/crates/celerywinch_bench/src/members/mod.rs
+++ b/crates/celerywinch_bench/src/members/mod.rs
@@ -18,7 +18,7 @@
 
 pub use faults::FaultPlan;
 pub use history::{Violation, overlaps};
-pub use load::{BRIEF_CPU, ClassPlan, ClassStats, LoadPlan, Lull, brief_classes};
+pub use load::{ClassPlan, ClassStats, LoadPlan, Lull, REFERENCE_CPU, reference_classes};
 pub use wire::ControlTraffic;
 pub use workers::UnansweredCalls;
 pub use world::{MembersOptions, MembersReport, run};
--- a/crates/celerywinch_bench/tests/members.rs
+++ b/crates/celerywinch_bench/tests/members.rs
@@ -1,8 +1,8 @@
 //! Members and workers in simulated time: histories under faults, and service under load.
 
 use celerywinch_bench::members::{
-    BRIEF_CPU, FaultPlan, LoadPlan, Lull, MembersOptions, MembersReport, Violation, brief_classes,
-    run,
+    FaultPlan, LoadPlan, Lull, MembersOptions, MembersReport, REFERENCE_CPU, Violation,
+    reference_classes, run,
 };
 use celerywinch_types::DisabledMechanisms;
 use rstest::rstest;
@@ -18,8 +18,8 @@
         link_rate: None,
         load_ms,
         load: LoadPlan {
-            classes: brief_classes(),
-            cpu: BRIEF_CPU,
+            classes: reference_classes(),
+            cpu: REFERENCE_CPU,
             burst: None,
             lull: None,
         },
@@ -237,7 +237,7 @@
 #[test]
 fn seed_that_left_a_job_behind() {
     let seed = 7_310_047;
-    let mut classes = brief_classes();
+    let mut classes = reference_classes();
     classes
         .iter_mut()
         .for_each(|class| class.timeout_ms = 8_000);
--- a/crates/celerywinch_bench/tests/members_control.rs
+++ b/crates/celerywinch_bench/tests/members_control.rs
@@ -1,6 +1,6 @@
 //! What members tell each other that is not callers' work, by their number, in simulated time.
 
-use celerywinch_bench::members::{LoadPlan, MembersOptions, brief_classes, run};
+use celerywinch_bench::members::{LoadPlan, MembersOptions, reference_classes, run};
 use celerywinch_types::DisabledMechanisms;
 use rstest::rstest;
 
@@ -19,7 +19,7 @@
         link_rate: None,
         load_ms: LENGTH,
         load: LoadPlan {
-            classes: brief_classes(),
+            classes: reference_classes(),
             cpu: 16_000,
             burst: None,
             lull: None,
--- a/crates/celerywinch_bench/tests/members_divided.rs
+++ b/crates/celerywinch_bench/tests/members_divided.rs
@@ -1,7 +1,7 @@
 //! A deployment so large that its workers are divided among many dispatchers, in simulated time.
 
 use celerywinch_bench::members::{
-    ClassPlan, ClassStats, FaultPlan, LoadPlan, MembersOptions, Violation, brief_classes, run,
+    ClassPlan, ClassStats, FaultPlan, LoadPlan, MembersOptions, Violation, reference_classes, run,
 };
 use celerywinch_types::DisabledMechanisms;
 use rstest::rstest;
@@ -24,7 +24,7 @@
         link_rate: None,
         load_ms,
         load: LoadPlan {
-            classes: brief_classes().into_iter().map(grown).collect(),
+            classes: reference_classes().into_iter().map(grown).collect(),
             cpu: 16_000,
             burst: None,
             lull: None,
--- a/crates/celerywinch_bench/tests/members_links.rs
+++ b/crates/celerywinch_bench/tests/members_links.rs
@@ -1,7 +1,7 @@
 //! Members whose links are narrow, in simulated time.
 
 use celerywinch_bench::members::{
-    ClassPlan, LoadPlan, MembersOptions, MembersReport, Violation, brief_classes, run,
+    ClassPlan, LoadPlan, MembersOptions, MembersReport, Violation, reference_classes, run,
 };
 use celerywinch_types::{DisabledMechanisms, Mechanism};
 use rstest::rstest;
@@ -26,7 +26,7 @@
         link_rate: Some(mbits * MBIT),
         load_ms: 14_000,
         load: LoadPlan {
-            classes: brief_classes().into_iter().map(thin).collect(),
+            classes: reference_classes().into_iter().map(thin).collect(),
             cpu: 16_000,
             burst: Some((4_000, 8_000, 1.2)),
             lull: None,
--- a/crates/celerywinch_bench/tests/members_lives.rs
+++ b/crates/celerywinch_bench/tests/members_lives.rs
@@ -1,7 +1,8 @@
 //! Workers that come back under their names, leave, shrink, or are ended by tasks, in simulated time.
 
 use celerywinch_bench::members::{
-    BRIEF_CPU, FaultPlan, LoadPlan, MembersOptions, MembersReport, Violation, brief_classes, run,
+    FaultPlan, LoadPlan, MembersOptions, MembersReport, REFERENCE_CPU, Violation,
+    reference_classes, run,
 };
 use celerywinch_types::DisabledMechanisms;
 use rstest::rstest;
@@ -10,7 +11,7 @@
 const PATIENT: u32 = 8_000;
 
 fn play(seed: u64, shard_size: usize, faults: FaultPlan) -> MembersReport {
-    let mut classes = brief_classes();
+    let mut classes = reference_classes();
     if faults.partitioned {
         classes
             .iter_mut()
@@ -27,7 +28,7 @@
         load_ms: 15_000,
         load: LoadPlan {
             classes,
-            cpu: BRIEF_CPU,
+            cpu: REFERENCE_CPU,
             burst: None,
             lull: None,
         },
--- a/crates/celerywinch_bench/tests/members_unanswered.rs
+++ b/crates/celerywinch_bench/tests/members_unanswered.rs
@@ -1,7 +1,7 @@
 //! Workers that leave calls unanswered, in simulated time.
 
 use celerywinch_bench::members::{
-    BRIEF_CPU, LoadPlan, MembersOptions, UnansweredCalls, Violation, brief_classes, run,
+    LoadPlan, MembersOptions, REFERENCE_CPU, UnansweredCalls, Violation, reference_classes, run,
 };
 use celerywinch_types::DisabledMechanisms;
 use rstest::rstest;
@@ -19,8 +19,8 @@
         link_rate: None,
         load_ms: 12_000,
         load: LoadPlan {
-            classes: brief_classes(),
-            cpu: BRIEF_CPU,
+            classes: reference_classes(),
+            cpu: REFERENCE_CPU,
             burst: None,
             lull: None,
         },
