--- a/crates/celerywinch_bench/src/members/congestion.rs
+++ b/crates/celerywinch_bench/src/members/congestion.rs
@@ -13,13 +13,13 @@
 /// The longest that a message waits, in ms: an incoming path of 25 Mbit/s with 6 MB to carry.
 const BACKLOG_MS: std::ops::Range<u64> = 200..2_000;
 /// Draining takes this many times the longest wait. With less than 1 messages would overtake others.
-const DRAIN: std::ops::Range<f64> = 1.05..3.0;
+const DRAIN_FACTOR: std::ops::Range<f64> = 1.05..3.0;
 /// A ping is answered within this time, or its link is replaced; and a new one opens within this time, or
 /// is tried again (`celerywinch_links`).
-const PING: Duration = Duration::from_millis(700);
-const CONNECT: Duration = Duration::from_millis(300);
+const PING_TIMEOUT: Duration = Duration::from_millis(700);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Workers announce themselves, and keepers tell of them, that often.
-const ANNOUNCE: Duration = Duration::from_millis(1_500);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// How long what comes in at a moment waits: ever longer up to a peak, then ever shorter.
 #[derive(Clone, Copy, Debug, Default)]
@@ -27,7 +27,7 @@
     from: Time,
     peak: Time,
     end: Time,
-    most: Duration,
+    max_delay: Duration,
 }
 
 impl Backlog {
@@ -35,22 +35,23 @@
         if now <= self.from || now >= self.end {
             Duration::ZERO
         } else if now < self.peak {
-            self.most.mul_f64(share(now, self.from, self.peak))
+            self.max_delay.mul_f64(share(now, self.from, self.peak))
         } else {
-            self.most.mul_f64(1.0 - share(now, self.peak, self.end))
+            self.max_delay
+                .mul_f64(1.0 - share(now, self.peak, self.end))
         }
     }
 
     /// From when to when links are down: from the first ping that is answered too late, until the wait
     /// is short enough that a new link opens.
     fn outage(&self) -> Option<(Time, Time)> {
-        let most = self.most.as_secs_f64();
-        let reached = PING.as_secs_f64() / most;
-        let left = 1.0 - CONNECT.as_secs_f64() / most;
+        let max_delay = self.max_delay.as_secs_f64();
+        let reached = PING_TIMEOUT.as_secs_f64() / max_delay;
+        let left = 1.0 - CONNECT_TIMEOUT.as_secs_f64() / max_delay;
         if reached >= 1.0 {
             return None;
         }
-        let from = self.from + self.peak.since(self.from).mul_f64(reached) + PING;
+        let from = self.from + self.peak.since(self.from).mul_f64(reached) + PING_TIMEOUT;
         let to = self.peak + self.end.since(self.peak).mul_f64(left);
         (from < to).then_some((from, to))
     }
@@ -62,7 +63,7 @@
 
 impl World {
     /// When what comes in at a member at a moment has passed its backlog.
-    pub(crate) fn arrival(&self, to: usize, due: Time) -> Time {
+    pub(crate) fn after_backlog(&self, to: usize, due: Time) -> Time {
         due + self.members[to].backlog.at(due)
     }
 
@@ -73,38 +74,38 @@
     }
 
     /// Congests the incoming path of one member, of half of them, or of all.
-    pub(crate) fn congest(&mut self, lasts: Duration) {
+    pub(crate) fn congest(&mut self, duration: Duration) {
         let all = self.members.len();
         let counts = [1, all.div_ceil(2), all];
         let count = *counts.choose(&mut self.random).expect("three counts");
         for index in sample(&mut self.random, all, count) {
-            let most = Duration::from_millis(self.random.random_range(BACKLOG_MS));
-            let drain = most.mul_f64(self.random.random_range(DRAIN));
+            let max_delay = Duration::from_millis(self.random.random_range(BACKLOG_MS));
+            let drain = max_delay.mul_f64(self.random.random_range(DRAIN_FACTOR));
             if self.members[index].backlog.end > self.now {
                 continue;
             }
-            let peak = self.now + lasts;
+            let peak = self.now + duration;
             let backlog = Backlog {
                 from: self.now,
                 peak,
                 end: peak + drain,
-                most,
+                max_delay,
             };
             self.members[index].backlog = backlog;
-            self.say(|| format!("member {index} gets all up to {most:?} late"));
+            self.trace(|| format!("member {index} gets all up to {max_delay:?} late"));
             if let Some((_, to)) = backlog.outage() {
-                self.at(to, Event::Online(index));
+                self.schedule(to, Event::ReopenLinks(index));
             }
         }
     }
 
     /// The links of a member open again.
-    pub(crate) fn online(&mut self, index: usize) {
+    pub(crate) fn reopen_links(&mut self, index: usize) {
         for other in (0..self.members.len()).filter(|other| *other != index) {
             self.reset_link(index, other);
             self.reset_link(other, index);
         }
-        self.introduce();
+        self.announce_unknown_peers();
     }
 
     /// All workers are told of again: a dispatcher may have forgotten one that it did not hear.
@@ -114,6 +115,6 @@
                 self.announce(index);
             }
         }
-        self.at(self.now + ANNOUNCE, Event::AnnounceAll);
+        self.schedule(self.now + ANNOUNCE_INTERVAL, Event::AnnounceAll);
     }
 }
--- a/crates/celerywinch_bench/src/members/evacuations.rs
+++ b/crates/celerywinch_bench/src/members/evacuations.rs
@@ -50,7 +50,7 @@
     /// both come from a peer, whose heartbeat carries evacuations as new as its configuration version.
     /// A member that is cut off receives those in force when the most recent cut began.
     pub(crate) fn evacuations_at_start(&self, member: usize) -> Evacuations {
-        let cut = self.cut.contains(&self.members[member].dc) || self.apart.contains(member);
+        let cut = self.cut_dcs.contains(&self.members[member].dc) || self.isolated.contains(member);
         if cut {
             self.acknowledged.at_cut_start.clone()
         } else {
@@ -68,7 +68,7 @@
 
     pub(crate) fn send_evacuations_to(&mut self, member: usize) {
         let host = &self.members[member];
-        let cut = self.cut.contains(&host.dc) || self.apart.contains(member);
+        let cut = self.cut_dcs.contains(&host.dc) || self.isolated.contains(member);
         if cut || !host.is_up() || host.is_frozen() || self.acknowledged.evacuations.revision == 0 {
             return;
         }
@@ -77,7 +77,7 @@
     }
 
     /// Records a violation if the call starts a task in a data centre after the permitted delay.
-    pub(crate) fn judge_evacuated_start(&mut self, index: usize, call: &Call) {
+    pub(crate) fn check_evacuated_start(&mut self, index: usize, call: &Call) {
         let Request::Start { task, .. } = call.request else {
             return;
         };
@@ -91,7 +91,7 @@
         let since = self.acknowledged.since.get(&dc);
         if since.is_some_and(|since| self.now.since(*since) > max_delay) {
             let worker = self.workers[index].worker.id.clone();
-            self.broken
+            self.violations
                 .push(Violation::InEvacuatedDataCentre(task, worker));
         }
     }
--- a/crates/celerywinch_bench/src/members/faults.rs
+++ b/crates/celerywinch_bench/src/members/faults.rs
@@ -69,7 +69,7 @@
 }
 
 const MEMBER_FAULTS: [Fault; 4] = [Fault::Kill, Fault::Leave, Fault::Freeze, Fault::Cut];
-const HELD_FAULTS: [Fault; 1] = [Fault::CutEntries];
+const PARTITION_FAULTS: [Fault; 1] = [Fault::CutEntries];
 /// Congestion as often as three others, or it would rarely strike the dispatcher beside all else.
 const CONGESTED_FAULTS: [Fault; 4] = [
     Fault::Congest,
@@ -78,7 +78,7 @@
     Fault::LoseAnswers,
 ];
 const REFUSED_FAULTS: [Fault; 3] = [Fault::Refuse, Fault::Refuse, Fault::RefuseCalls];
-const REBORN_FAULTS: [Fault; 4] = [Fault::Drain, Fault::Drain, Fault::Crash, Fault::Crash];
+const NAME_REUSE_FAULTS: [Fault; 4] = [Fault::Drain, Fault::Drain, Fault::Crash, Fault::Crash];
 const SHRINKING_FAULTS: [Fault; 4] = [Fault::Shrink; 4];
 const EVACUATED_FAULTS: [Fault; 3] = [Fault::Evacuate; 3];
 const RESET_FAULTS: [Fault; 3] = [Fault::Reset; 3];
@@ -92,16 +92,16 @@
 ];
 
 impl World {
-    pub(crate) fn strike(&mut self, plan: FaultPlan) {
+    pub(crate) fn inject_fault(&mut self, plan: FaultPlan) {
         if self.options.load.is_calm(self.now) {
             return;
         }
         let members = MEMBER_FAULTS.iter().filter(|_| plan.members);
         let workers = WORKER_FAULTS.iter().filter(|_| plan.workers);
-        let partitioned = HELD_FAULTS.iter().filter(|_| plan.partitioned);
+        let partitioned = PARTITION_FAULTS.iter().filter(|_| plan.partitioned);
         let congested = CONGESTED_FAULTS.iter().filter(|_| plan.congested);
         let refused = REFUSED_FAULTS.iter().filter(|_| plan.refused);
-        let reused_names = REBORN_FAULTS.iter().filter(|_| plan.reused_names);
+        let reused_names = NAME_REUSE_FAULTS.iter().filter(|_| plan.reused_names);
         let shrinking = SHRINKING_FAULTS.iter().filter(|_| plan.shrinking);
         let evacuated = EVACUATED_FAULTS.iter().filter(|_| plan.evacuated);
         let resets = RESET_FAULTS.iter().filter(|_| plan.resets);
@@ -119,29 +119,29 @@
         else {
             return;
         };
-        let lasts = Duration::from_millis(self.random.random_range(200..2_500));
-        self.say(|| format!("fault: {fault:?} for {lasts:?}"));
+        let duration = Duration::from_millis(self.random.random_range(200..2_500));
+        self.trace(|| format!("fault: {fault:?} for {duration:?}"));
         match fault {
-            Fault::Kill => self.kill_member(lasts),
+            Fault::Kill => self.kill_member(duration),
             Fault::Leave => self.stop_member(),
-            Fault::Freeze => self.freeze_member(lasts),
-            Fault::Cut => self.cut(lasts),
-            Fault::CutEntries => self.cut_entries(lasts),
-            Fault::Crash => self.crash_worker(lasts),
-            Fault::Hang => self.weaken(Health::Hangs, lasts),
+            Fault::Freeze => self.freeze_member(duration),
+            Fault::Cut => self.cut_data_centre(duration),
+            Fault::CutEntries => self.isolate_entries(duration),
+            Fault::Crash => self.crash_random_worker(duration),
+            Fault::Hang => self.impair_worker(Health::Hangs, duration),
             Fault::Slow => {
                 let slower = self.random.random_range(2.0..8.0);
-                self.weaken(Health::Sound(slower), lasts);
+                self.impair_worker(Health::Sound(slower), duration);
             }
-            Fault::Fail => self.weaken(Health::Fails, lasts),
-            Fault::LoseCalls => self.lose_calls(lasts),
-            Fault::LateOrders => self.late_orders(lasts),
-            Fault::Congest => self.congest(lasts),
-            Fault::LoseAnswers => self.lose_answers(lasts),
-            Fault::Refuse => self.refuse_links(lasts),
-            Fault::RefuseCalls => self.refuse_calls(lasts),
+            Fault::Fail => self.impair_worker(Health::Fails, duration),
+            Fault::LoseCalls => self.lose_calls(duration),
+            Fault::LateOrders => self.delay_requests(duration),
+            Fault::Congest => self.congest(duration),
+            Fault::LoseAnswers => self.lose_answers(duration),
+            Fault::Refuse => self.refuse_links(duration),
+            Fault::RefuseCalls => self.refuse_calls(duration),
             Fault::Drain => self.drain_worker(),
-            Fault::Shrink => self.shrink_worker(lasts),
+            Fault::Shrink => self.shrink_worker(duration),
             Fault::Evacuate => self.evacuate(),
             Fault::Reset => self.reset_connections(),
         }
--- a/crates/celerywinch_bench/src/members/history.rs
+++ b/crates/celerywinch_bench/src/members/history.rs
@@ -47,7 +47,7 @@
 }
 
 /// Whether a task has a run that was done.
-pub(crate) fn done(runs: &[Ran], task: TaskId) -> bool {
+pub(crate) fn has_completed_run(runs: &[Ran], task: TaskId) -> bool {
     runs.iter()
         .any(|ran| ran.task == task && ran.how == RunEnd::Done)
 }
--- a/crates/celerywinch_bench/src/members/wire.rs
+++ b/crates/celerywinch_bench/src/members/links.rs
@@ -6,30 +6,30 @@
 use celerywinch_types::{FleetMsg, Time};
 
 /// Headers of a message between members, by TCP, HTTP/2 and its frame.
-const FRAME: usize = 60;
+const MESSAGE_OVERHEAD: usize = 60;
 /// A call to a worker or its answer without what it is about: TCP, HTTP/1.1 and the JSON around it.
-const CALL: usize = 350;
+const CALL_OVERHEAD: usize = 350;
 /// What a caller gives with a job is handed on with each start of a task; the mean of the brief's service.
-const SPEC: usize = 1_000;
+const SPEC_BYTES: usize = 1_000;
 /// A row of a worker's lists.
-const ROW: usize = 60;
+const ROW_BYTES: usize = 60;
 
 /// One direction of a link.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Wire {
+pub(crate) struct LinkDirection {
     /// When all that was put on it has passed.
-    free: Time,
+    busy_until: Time,
 }
 
-impl Wire {
+impl LinkDirection {
     /// When so many bytes that come at `at` have passed.
-    pub(crate) fn pass(&mut self, at: Time, bytes: usize, rate: Option<u64>) -> Time {
+    pub(crate) fn transmit(&mut self, at: Time, bytes: usize, rate: Option<u64>) -> Time {
         let Some(rate) = rate else {
             return at;
         };
-        let takes = Duration::from_secs_f64(bytes as f64 / rate as f64);
-        self.free = self.free.max(at) + takes;
-        self.free
+        let duration = Duration::from_secs_f64(bytes as f64 / rate as f64);
+        self.busy_until = self.busy_until.max(at) + duration;
+        self.busy_until
     }
 }
 
@@ -51,25 +51,27 @@
     }
 }
 
-pub(crate) fn size_of(msg: &FleetMsg) -> usize {
+pub(crate) fn message_size(msg: &FleetMsg) -> usize {
     let encoded = bincode::serde::encode_to_vec(msg, bincode::config::standard());
     let spec = match msg {
-        FleetMsg::Work(celerywinch_types::WorkMsg::Submit(_)) => SPEC,
+        FleetMsg::Work(celerywinch_types::WorkMsg::Submit(_)) => SPEC_BYTES,
         _ => 0,
     };
-    FRAME + spec + encoded.expect("plain data encodes").len()
+    MESSAGE_OVERHEAD + spec + encoded.expect("plain data encodes").len()
 }
 
-pub(crate) fn size_of_order(order: &Request) -> usize {
+pub(crate) fn call_size(order: &Request) -> usize {
     match order {
-        Request::Start { .. } => CALL + SPEC,
-        Request::Stop { .. } | Request::Poll { .. } => CALL,
+        Request::Start { .. } => CALL_OVERHEAD + SPEC_BYTES,
+        Request::Stop { .. } | Request::Poll { .. } => CALL_OVERHEAD,
     }
 }
 
-pub(crate) fn size_of_answer(answer: &Answer) -> usize {
+pub(crate) fn answer_size(answer: &Answer) -> usize {
     match answer {
-        Answer::Lists { running, ended, .. } => CALL + ROW * (running.len() + ended.len()),
-        _ => CALL,
+        Answer::Lists { running, ended, .. } => {
+            CALL_OVERHEAD + ROW_BYTES * (running.len() + ended.len())
+        }
+        _ => CALL_OVERHEAD,
     }
 }
--- a/crates/celerywinch_bench/src/members/mod.rs
+++ b/crates/celerywinch_bench/src/members/mod.rs
@@ -3,22 +3,22 @@
 
 mod callers;
 mod congestion;
-mod cuts;
 mod evacuations;
 mod faults;
 mod history;
-mod judge;
-mod lives;
+mod lifecycle;
+mod links;
 mod load;
+mod partitions;
 mod refusals;
+mod report;
 mod resets;
-mod wire;
 mod workers;
 mod world;
 
 pub use faults::FaultPlan;
 pub use history::{Violation, overlaps};
+pub use links::ControlTraffic;
 pub use load::{ClassPlan, ClassStats, LoadPlan, Lull, REFERENCE_CPU, reference_classes};
-pub use wire::ControlTraffic;
 pub use workers::UnansweredCalls;
 pub use world::{MembersOptions, MembersReport, run};
--- a/crates/celerywinch_bench/src/members/refusals.rs
+++ b/crates/celerywinch_bench/src/members/refusals.rs
@@ -9,11 +9,11 @@
 use super::world::{Event, World};
 
 /// Of the members, so many are refused at once at most, in tenths.
-const TENTHS: usize = 4;
+const MAX_REFUSED_TENTHS: usize = 4;
 /// A link is tried again after this time (`celerywinch_links`).
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// This many times as long as other faults, up to 5 s: longer than a lease and the wait for its end.
-const LONGER: u32 = 2;
+const DURATION_FACTOR: u32 = 2;
 
 /// Pairs of members of which the first cannot connect to the second.
 #[derive(Debug, Default)]
@@ -22,26 +22,28 @@
 }
 
 impl Refusals {
-    pub(crate) fn contain(&self, from: usize, to: usize) -> bool {
+    pub(crate) fn contains(&self, from: usize, to: usize) -> bool {
         self.pairs.contains(&(from, to))
     }
 }
 
 impl World {
     /// Some members are refused by all others, or refuse them, or both.
-    pub(crate) fn refuse_links(&mut self, lasts: Duration) {
+    pub(crate) fn refuse_links(&mut self, duration: Duration) {
         if !self.refusals.pairs.is_empty() {
             return;
         }
         let all = self.members.len();
-        let count = self.random.random_range(1..=(all * TENTHS).div_ceil(10));
+        let count = self
+            .random
+            .random_range(1..=(all * MAX_REFUSED_TENTHS).div_ceil(10));
         let (outgoing, incoming) = match self.random.random_range(0..3) {
             0 => (true, false),
             1 => (false, true),
             _ => (true, true),
         };
         for one in sample(&mut self.random, all, count) {
-            self.say(|| format!("member {one} is refused: {outgoing}, refuses: {incoming}"));
+            self.trace(|| format!("member {one} is refused: {outgoing}, refuses: {incoming}"));
             for other in (0..all).filter(|other| *other != one) {
                 if outgoing {
                     self.refusals.pairs.insert((one, other));
@@ -51,28 +53,28 @@
                 }
             }
         }
-        self.refuse_again();
-        self.at(self.now + lasts * LONGER, Event::Admit);
+        self.retry_refused_links();
+        self.schedule(self.now + duration * DURATION_FACTOR, Event::EndRefusals);
     }
 
     /// Each link that is refused is tried, and told to be refused, again and again.
-    pub(crate) fn refuse_again(&mut self) {
+    pub(crate) fn retry_refused_links(&mut self) {
         if self.refusals.pairs.is_empty() {
             return;
         }
         for (from, to) in self.refusals.pairs.clone() {
-            let life = self.members[from].life();
-            self.at(self.now, Event::Refused(from, life, to));
+            let incarnation = self.members[from].incarnation();
+            self.schedule(self.now, Event::ConnectionRefused(from, incarnation, to));
         }
-        self.at(self.now + PAUSE, Event::RefuseAgain);
+        self.schedule(self.now + RETRY_INTERVAL, Event::RetryRefusedLinks);
     }
 
     /// Links open again.
-    pub(crate) fn admit(&mut self) {
+    pub(crate) fn end_refusals(&mut self) {
         for (from, to) in std::mem::take(&mut self.refusals.pairs) {
             self.reset_link(from, to);
             self.reset_link(to, from);
         }
-        self.introduce();
+        self.announce_unknown_peers();
     }
 }
--- a/crates/celerywinch_bench/src/members/judge.rs
+++ b/crates/celerywinch_bench/src/members/report.rs
@@ -5,12 +5,12 @@
 
 use super::callers::CallerJob;
 use super::faults::FaultPlan;
-use super::history::{Violation, done, overlaps};
+use super::history::{Violation, has_completed_run, overlaps};
 use super::load::ClassStats;
 use super::world::{MembersReport, World};
 
 /// Of a task by which three workers have ended, so many more starts break the users' bound.
-const MOST_RESTARTS: usize = 3;
+const RESTART_LIMIT: usize = 3;
 
 impl World {
     /// Compares what was seen with what was promised.
@@ -24,13 +24,15 @@
             violations: overlaps(&self.history),
             ..MembersReport::default()
         };
-        report.violations.extend(std::mem::take(&mut self.broken));
-        report.violations.extend(self.restarted());
+        report
+            .violations
+            .extend(std::mem::take(&mut self.violations));
+        report.violations.extend(self.excessive_restarts());
         let cut = |ran: &&Ran| ran.how == celerywinch_pool::RunEnd::Interrupted;
         report.runs = (self.history.len(), self.history.iter().filter(cut).count());
         report.control = self.members.iter().map(|host| host.control).collect();
         for job in &self.jobs {
-            self.judge(job, &mut report);
+            self.check_job(job, &mut report);
         }
         for (index, host) in self.members.iter().enumerate() {
             if let Some(member) = &host.member
@@ -48,12 +50,12 @@
 
     /// Tasks that were started on and on though they end their workers. The bound holds for members that hear each other:
     /// where messages are held up, late or refused a caller sends its job to the other side of a cut, which knows of nothing.
-    fn restarted(&self) -> Vec<Violation> {
+    fn excessive_restarts(&self) -> Vec<Violation> {
         let apart = |plan: &FaultPlan| plan.partitioned || plan.congested || plan.refused;
         if self.options.faults.as_ref().is_some_and(apart) {
             return Vec::new();
         }
-        let ended = self.ended_workers.iter();
+        let ended = self.worker_crashes.iter();
         let third = ended.filter_map(|(task, ends)| Some((*task, *ends.get(2)?)));
         let later = third.map(|(task, third)| {
             let runs = self.history.iter();
@@ -61,11 +63,11 @@
             Violation::Restarted(task, later.count())
         });
         later
-            .filter(|found| matches!(found, Violation::Restarted(_, starts) if *starts >= MOST_RESTARTS))
+            .filter(|found| matches!(found, Violation::Restarted(_, starts) if *starts >= RESTART_LIMIT))
             .collect()
     }
 
-    fn judge(&self, job: &CallerJob, report: &mut MembersReport) {
+    fn check_job(&self, job: &CallerJob, report: &mut MembersReport) {
         let figures = &mut report.classes[job.class];
         figures.submitted += 1;
         match job.end {
@@ -75,21 +77,21 @@
                 } else {
                     figures.late += 1;
                 }
-                let tasks = (0..job.takes.len() as u16).map(|index| TaskId {
+                let tasks = (0..job.task_times.len() as u16).map(|index| TaskId {
                     job: job.id,
                     step: 0,
                     index,
                 });
-                let missing = tasks.filter(|task| !done(&self.history, *task));
+                let missing = tasks.filter(|task| !has_completed_run(&self.history, *task));
                 report.violations.extend(missing.map(Violation::NotDone));
             }
             Some((_, JobEnd::Failed)) => figures.failed += 1,
             Some((at, JobEnd::Refused(_))) => {
                 figures.refused += 1;
-                let took = at.since(job.sent).as_millis() as u32;
+                let took = at.since(job.sent_at).as_millis() as u32;
                 figures.max_refusal_ms = figures.max_refusal_ms.max(took);
                 let ran = self.history.iter().find(|ran| ran.task.job == job.id);
-                if let Some(ran) = ran.filter(|_| job.tries == 1) {
+                if let Some(ran) = ran.filter(|_| job.attempts == 1) {
                     report
                         .violations
                         .push(Violation::FalseRefusal(job.id, *ran));
@@ -97,10 +99,10 @@
             }
             Some((_, JobEnd::Unsure)) | None => {
                 figures.lost += 1;
-                if !job.gave_up && job.end.is_none() && job.tries == 1 {
+                if !job.abandoned && job.end.is_none() && job.attempts == 1 {
                     report
                         .violations
-                        .push(Violation::NoAnswer(job.id, job.first));
+                        .push(Violation::NoAnswer(job.id, job.first_sent));
                 }
             }
         }
--- a/crates/celerywinch_bench/src/members/resets.rs
+++ b/crates/celerywinch_bench/src/members/resets.rs
@@ -11,13 +11,13 @@
 use super::world::{Event, World};
 
 /// The share of the connections that a reset breaks.
-const SHARE: f64 = 0.5;
+const BROKEN_SHARE: f64 = 0.5;
 /// What waits at an entry as a reset strikes is read within this time, each request together with the break of its connection.
-const BACKLOG: Duration = Duration::from_millis(50);
+const READ_WINDOW: Duration = Duration::from_millis(50);
 /// A link is open again after a time up to this.
-const REOPEN: Duration = Duration::from_millis(60);
+const MAX_REOPEN_DELAY: Duration = Duration::from_millis(60);
 /// A caller whose connection broke as it sent its job sends it again within this time.
-const AT_ONCE: Duration = Duration::from_millis(25);
+const MAX_RESEND_DELAY: Duration = Duration::from_millis(25);
 
 /// Connections that were reset.
 #[derive(Debug, Default)]
@@ -39,20 +39,21 @@
 impl World {
     /// Breaks half of the links, and half of the connections of callers that are about to send.
     pub(crate) fn reset_connections(&mut self) {
-        self.resets.backlog = self.now + BACKLOG;
+        self.resets.backlog = self.now + READ_WINDOW;
         for from in 0..self.members.len() {
             for to in 0..self.members.len() {
-                if from != to && self.random.random_bool(SHARE) {
-                    let until = self.now + self.random.random_range(Duration::ZERO..REOPEN);
+                if from != to && self.random.random_bool(BROKEN_SHARE) {
+                    let until =
+                        self.now + self.random.random_range(Duration::ZERO..MAX_REOPEN_DELAY);
                     self.resets.links.insert((from, to), until);
-                    self.at(until, Event::Reopened(from, to));
+                    self.schedule(until, Event::ReopenLink(from, to));
                 }
             }
         }
     }
 
     /// A link is open again, unless it was reset once more meanwhile.
-    pub(crate) fn reopened(&mut self, from: usize, to: usize) {
+    pub(crate) fn reopen_link(&mut self, from: usize, to: usize) {
         if !self.resets.loses(self.now, from, to) {
             self.reset_link(from, to);
             self.reset_link(to, from);
@@ -61,15 +62,15 @@
 
     /// Whether the connection of a request that is read now has broken.
     pub(crate) fn is_broken_connection(&mut self) -> bool {
-        self.now < self.resets.backlog && self.random.random_bool(SHARE)
+        self.now < self.resets.backlog && self.random.random_bool(BROKEN_SHARE)
     }
 
     /// The entry reads the break right after the request, and the caller sends its job again at once.
     pub(crate) fn break_connection(&mut self, index: usize, caller: CallerId) {
-        let (entry, tries) = (self.jobs[index].entry, self.jobs[index].tries);
+        let (entry, attempts) = (self.jobs[index].entry, self.jobs[index].attempts);
         self.input(entry, Input::CallerGone(caller));
         self.input(entry, Input::Flush);
-        let due = self.now + self.random.random_range(Duration::ZERO..AT_ONCE);
-        self.at(due, Event::Resubmit(index, tries));
+        let due = self.now + self.random.random_range(Duration::ZERO..MAX_RESEND_DELAY);
+        self.schedule(due, Event::Resubmit(index, attempts));
     }
 }
--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -15,37 +15,37 @@
 
 use super::callers::CallerJob;
 use super::congestion::Backlog;
-use super::cuts::Apart;
 use super::evacuations::AcknowledgedEvacuations;
 use super::faults::FaultPlan;
 use super::history::Violation;
-use super::lives::Word;
+use super::lifecycle::AnnouncedState;
+use super::links::{ControlTraffic, LinkDirection, message_size};
 use super::load::{ClassStats, LoadPlan};
+use super::partitions::IsolatedEntries;
 use super::refusals::Refusals;
 use super::resets::Resets;
-use super::wire::{ControlTraffic, Wire, size_of};
-use super::workers::{OnWay, UnansweredCalls, WorkerHost};
+use super::workers::{CallInFlight, UnansweredCalls, WorkerHost};
 
 /// When the load begins: all members are ready by then.
-const LOAD_FROM: Time = Time(1_500_000);
+const LOAD_START: Time = Time(1_500_000);
 /// Between two ticks of a member.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 /// One way within a data centre, and between two; the brief's figures.
-const NEAR: Duration = Duration::from_micros(100);
-const FAR: Duration = Duration::from_micros(1_400);
+const LOCAL_DELAY: Duration = Duration::from_micros(100);
+const REMOTE_DELAY: Duration = Duration::from_micros(1_400);
 /// A member that was stopped as planned, or killed, starts again after this time.
-const RESTART: Duration = Duration::from_millis(600);
+const RESTART_DELAY: Duration = Duration::from_millis(600);
 /// A member that is told to stop goes on for this long.
-const GRACE: Duration = Duration::from_millis(1_500);
+const STOP_GRACE: Duration = Duration::from_millis(1_500);
 /// How long the world goes on after the load, until all must be at rest, ...
-const REST: Duration = Duration::from_secs(8);
+const SETTLE_TIME: Duration = Duration::from_secs(8);
 /// ... and after the last caller has left: its tasks are stopped, and 400 ms later workers are told that their
 /// ends are known.
-const AFTER_LAST: Duration = Duration::from_secs(2);
+const LAST_CALLER_MARGIN: Duration = Duration::from_secs(2);
 /// When a run begins, in ms since 1970, and how far wall clocks are wrong at most where they are; by
 /// the users' page they jump by seconds.
-pub(crate) const EPOCH_MS: u64 = 1_700_000_000_000;
-pub(crate) const SKEW_MS: u64 = 5_000;
+pub(crate) const START_WALL_MS: u64 = 1_700_000_000_000;
+pub(crate) const MAX_SKEW_MS: u64 = 5_000;
 /// What a worker has; every third one has half as much again.
 const WORKER_CPU: u32 = 32_000;
 
@@ -95,40 +95,40 @@
 pub(crate) enum Event {
     Tick(usize, u64),
     Deliver(usize, u64, Source, FleetMsg),
-    Order(usize, OnWay),
-    LateOrder(usize, OnWay),
+    ReceiveCall(usize, CallInFlight),
+    ExecuteLate(usize, CallInFlight),
     Answer(usize, u64, CallKey, Answer),
     LateAnswer(usize, u64, Duration),
-    Refused(usize, u64, usize),
-    Reset(usize, u64, usize),
-    Arrive(usize),
+    ConnectionRefused(usize, u64, usize),
+    LinkReset(usize, u64, usize),
+    NewJob(usize),
     Resubmit(usize, u32),
-    GiveUp(usize, u32),
-    Strike,
-    Start(usize),
-    End(usize, u64),
-    Thaw(usize),
-    Join(u8),
-    JoinEntries,
+    AbandonJob(usize, u32),
+    InjectFault,
+    StartMember(usize),
+    EndMember(usize, u64),
+    Unfreeze(usize),
+    HealDataCentre(u8),
+    EndIsolation,
     Announce(usize),
-    WorkerBack(usize),
-    WorkerLeaves(usize, u32),
-    Grow(usize, u32),
-    Stale(WorkerAnnouncement),
-    EndedBy(usize, u32, TaskId),
-    Heal(usize),
+    RestartWorker(usize),
+    FinishDraining(usize, u32),
+    RestoreCapacity(usize, u32),
+    StaleAnnouncement(WorkerAnnouncement),
+    CrashByTask(usize, u32, TaskId),
+    RestoreHealth(usize),
     AnnounceAll,
-    Online(usize),
-    RefuseAgain,
-    Admit,
-    Reopened(usize, usize),
+    ReopenLinks(usize),
+    RetryRefusedLinks,
+    EndRefusals,
+    ReopenLink(usize, usize),
 }
 
 /// Which process of a member has sent a message.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Source {
     index: usize,
-    life: u64,
+    incarnation: u64,
 }
 
 /// A member and its process.
@@ -136,22 +136,22 @@
 pub(crate) struct MemberHost {
     pub(crate) member: Option<Member>,
     pub(crate) dc: u8,
-    life: u64,
+    incarnation: u64,
     frozen: bool,
     leaving: bool,
     /// What arrives while it is frozen.
-    held: Vec<Event>,
+    deferred: Vec<Event>,
     /// The latest process of each other member that a message came from.
-    latest: BTreeMap<usize, u64>,
+    latest_incarnations: BTreeMap<usize, u64>,
     pub(crate) backlog: Backlog,
-    outgoing: Wire,
-    incoming: Wire,
+    outgoing: LinkDirection,
+    incoming: LinkDirection,
     pub(crate) control: ControlTraffic,
 }
 
 impl MemberHost {
-    pub(crate) fn life(&self) -> u64 {
-        self.life
+    pub(crate) fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
     pub(crate) fn is_frozen(&self) -> bool {
@@ -173,13 +173,13 @@
     pub(crate) jobs: Vec<CallerJob>,
     pub(crate) history: Vec<Ran>,
     /// What was found broken while it happened.
-    pub(crate) broken: Vec<Violation>,
+    pub(crate) violations: Vec<Violation>,
     /// When workers ended by each task.
-    pub(crate) ended_workers: HashMap<TaskId, Vec<Time>>,
+    pub(crate) worker_crashes: HashMap<TaskId, Vec<Time>>,
     /// Data centres that are cut off.
-    pub(crate) cut: BTreeSet<u8>,
+    pub(crate) cut_dcs: BTreeSet<u8>,
     /// Entries that are cut off from all other members.
-    pub(crate) apart: Apart,
+    pub(crate) isolated: IsolatedEntries,
     /// Members that are refused connections.
     pub(crate) refusals: Refusals,
     pub(crate) resets: Resets,
@@ -196,16 +196,16 @@
 pub fn run(options: MembersOptions) -> MembersReport {
     let mut world = World::new(options);
     let end = Time(world.options.load_ms * 1_000);
-    let rest = end + world.rest();
+    let stop_at = end + world.settle_time();
     while let Some(due) = world.events.next_due() {
-        if due > rest {
+        if due > stop_at {
             break;
         }
         world.now = due.max(world.now);
         let Some(event) = world.events.pop_due(world.now) else {
             break;
         };
-        let load = matches!(event, Event::Arrive(_) | Event::Strike);
+        let load = matches!(event, Event::NewJob(_) | Event::InjectFault);
         if !load || world.now < end {
             world.handle(event);
         }
@@ -223,10 +223,10 @@
             workers: Vec::new(),
             jobs: Vec::new(),
             history: Vec::new(),
-            broken: Vec::new(),
-            ended_workers: HashMap::new(),
-            cut: BTreeSet::new(),
-            apart: Apart::default(),
+            violations: Vec::new(),
+            worker_crashes: HashMap::new(),
+            cut_dcs: BTreeSet::new(),
+            isolated: IsolatedEntries::default(),
             refusals: Refusals::default(),
             resets: Resets::default(),
             acknowledged: AcknowledgedEvacuations::default(),
@@ -236,17 +236,17 @@
             world.members.push(MemberHost {
                 member: None,
                 dc: (index % u32::from(world.options.dcs)) as u8,
-                life: 0,
+                incarnation: 0,
                 frozen: false,
                 leaving: false,
-                held: Vec::new(),
-                latest: BTreeMap::new(),
+                deferred: Vec::new(),
+                latest_incarnations: BTreeMap::new(),
                 backlog: Backlog::default(),
-                outgoing: Wire::default(),
-                incoming: Wire::default(),
+                outgoing: LinkDirection::default(),
+                incoming: LinkDirection::default(),
                 control: ControlTraffic::default(),
             });
-            world.at(Time(0), Event::Start(index as usize));
+            world.schedule(Time(0), Event::StartMember(index as usize));
         }
         for index in 0..world.options.workers {
             let cpu = if index % 3 == 2 {
@@ -262,30 +262,30 @@
             let plan = world.options.faults.unwrap_or_default();
             let mut worker = LeasedWorker::new(Time(0), &format!("worker-{index}-0"), room);
             worker.guards = !plan.shrinking;
-            worker.incarnation = plan.reused_names.then_some(Incarnation(EPOCH_MS));
+            worker.incarnation = plan.reused_names.then_some(Incarnation(START_WALL_MS));
             world.workers.push(WorkerHost {
                 worker,
-                word: Word::new(room),
+                announced: AnnouncedState::new(room),
                 dc: (index % u32::from(world.options.dcs)) as u8,
                 up: true,
-                lives: 0,
-                since: Time(0),
-                called: false,
-                loses: Time(0),
-                late: Time(0),
-                mute: Time(0),
-                refuses: Time(0),
-                rate: world.clock_rate(index),
+                restarts: 0,
+                started_at: Time(0),
+                received_call: false,
+                drop_until: Time(0),
+                late_until: Time(0),
+                mute_until: Time(0),
+                refuse_until: Time(0),
+                clock_rate: world.clock_rate(index),
             });
         }
         for class in 0..world.options.load.classes.len() {
-            world.at(LOAD_FROM, Event::Arrive(class));
+            world.schedule(LOAD_START, Event::NewJob(class));
         }
         if world.options.faults.is_some() {
-            world.at(Time(2_500_000), Event::Strike);
+            world.schedule(Time(2_500_000), Event::InjectFault);
         }
         if world.options.faults.is_some_and(|plan| plan.congested) {
-            world.at(Time(1_500_000), Event::AnnounceAll);
+            world.schedule(Time(1_500_000), Event::AnnounceAll);
         }
         world
     }
@@ -299,12 +299,16 @@
         1.0 - MAX_CLOCK_DRIFT * drawn as f64 / 2.0
     }
 
-    pub(crate) fn at(&mut self, due: Time, event: Event) {
+    pub(crate) fn schedule(&mut self, due: Time, event: Event) {
         self.events.subscribe(due, event);
     }
 
-    pub(crate) fn delay(&self, from: u8, to: u8) -> Duration {
-        if from == to { NEAR } else { FAR }
+    pub(crate) fn link_delay(&self, from: u8, to: u8) -> Duration {
+        if from == to {
+            LOCAL_DELAY
+        } else {
+            REMOTE_DELAY
+        }
     }
 
     fn handle(&mut self, event: Event) {
@@ -313,96 +317,98 @@
             | Event::Deliver(..)
             | Event::Answer(..)
             | Event::LateAnswer(..)
-            | Event::Refused(..)
-            | Event::Reset(..) => self.reach_member(event),
-            Event::Order(worker, way) => self.ordered(worker, way),
-            Event::LateOrder(worker, way) => {
-                if self.workers[worker].up && !self.beats_the_first_call(worker, &way.call) {
-                    self.carry_out_sent(worker, &way);
+            | Event::ConnectionRefused(..)
+            | Event::LinkReset(..) => self.handle_member_event(event),
+            Event::ReceiveCall(worker, in_flight) => self.receive_call(worker, in_flight),
+            Event::ExecuteLate(worker, in_flight) => {
+                if self.workers[worker].up && !self.precedes_first_call(worker, &in_flight.call) {
+                    self.execute_call(worker, &in_flight);
                 }
             }
-            Event::Arrive(class) => self.arrive(class),
-            Event::Resubmit(job, tries) => self.resubmit(job, tries),
-            Event::GiveUp(job, tries) => self.give_up(job, tries),
-            Event::Strike => {
+            Event::NewJob(class) => self.arrive(class),
+            Event::Resubmit(job, attempts) => self.resubmit(job, attempts),
+            Event::AbandonJob(job, attempts) => self.abandon_job(job, attempts),
+            Event::InjectFault => {
                 if let Some(plan) = self.options.faults {
-                    self.strike(plan);
+                    self.inject_fault(plan);
                     let next = self.now + Duration::from_millis(plan.interval_ms);
-                    self.at(next, Event::Strike);
+                    self.schedule(next, Event::InjectFault);
                 }
             }
-            Event::Start(member) => self.start(member),
-            Event::End(member, life) => self.end(member, life),
-            Event::Thaw(member) => self.thaw(member),
-            Event::Join(dc) => self.join(dc),
-            Event::JoinEntries => self.join_entries(),
+            Event::StartMember(member) => self.start_member(member),
+            Event::EndMember(member, incarnation) => self.end_member(member, incarnation),
+            Event::Unfreeze(member) => self.unfreeze(member),
+            Event::HealDataCentre(dc) => self.heal_data_centre(dc),
+            Event::EndIsolation => self.end_isolation(),
             Event::Announce(worker) => self.announce(worker),
-            Event::WorkerBack(worker) => self.worker_back(worker),
-            Event::WorkerLeaves(worker, lives) => self.worker_leaves(worker, lives),
-            Event::Grow(worker, lives) => self.grow_worker(worker, lives),
-            Event::Stale(note) => self.tell_all(&note),
-            Event::EndedBy(worker, lives, task) => self.ended_by(worker, lives, task),
-            Event::Heal(worker) => self.heal(worker),
+            Event::RestartWorker(worker) => self.restart_worker(worker),
+            Event::FinishDraining(worker, restarts) => self.finish_draining(worker, restarts),
+            Event::RestoreCapacity(worker, restarts) => self.restore_capacity(worker, restarts),
+            Event::StaleAnnouncement(announcement) => self.announce_to_all(&announcement),
+            Event::CrashByTask(worker, restarts, task) => {
+                self.crash_by_task(worker, restarts, task)
+            }
+            Event::RestoreHealth(worker) => self.restore_health(worker),
             Event::AnnounceAll => self.announce_all(),
-            Event::Online(member) => self.online(member),
-            Event::RefuseAgain => self.refuse_again(),
-            Event::Admit => self.admit(),
-            Event::Reopened(from, to) => self.reopened(from, to),
+            Event::ReopenLinks(member) => self.reopen_links(member),
+            Event::RetryRefusedLinks => self.retry_refused_links(),
+            Event::EndRefusals => self.end_refusals(),
+            Event::ReopenLink(from, to) => self.reopen_link(from, to),
         }
     }
 
-    fn reach_member(&mut self, event: Event) {
-        let (index, life) = match &event {
-            Event::Tick(index, life)
-            | Event::Deliver(index, life, ..)
-            | Event::Answer(index, life, ..)
-            | Event::LateAnswer(index, life, _)
-            | Event::Refused(index, life, _)
-            | Event::Reset(index, life, _) => (*index, *life),
+    fn handle_member_event(&mut self, event: Event) {
+        let (index, incarnation) = match &event {
+            Event::Tick(index, incarnation)
+            | Event::Deliver(index, incarnation, ..)
+            | Event::Answer(index, incarnation, ..)
+            | Event::LateAnswer(index, incarnation, _)
+            | Event::ConnectionRefused(index, incarnation, _)
+            | Event::LinkReset(index, incarnation, _) => (*index, *incarnation),
             _ => return,
         };
         let host = &mut self.members[index];
-        if host.life != life || host.member.is_none() {
+        if host.incarnation != incarnation || host.member.is_none() {
             return;
         }
         if host.frozen {
-            host.held.push(event);
+            host.deferred.push(event);
             return;
         }
         match event {
             Event::Tick(..) => {
-                self.at(self.now + TICK, Event::Tick(index, life));
+                self.schedule(self.now + TICK_INTERVAL, Event::Tick(index, incarnation));
                 self.input(index, Input::Tick);
             }
-            Event::Deliver(_, _, from, msg) => self.deliver_now(index, from, msg),
+            Event::Deliver(_, _, from, msg) => self.receive_message(index, from, msg),
             Event::Answer(_, _, key, answer) => self.input(index, Input::Answered(key, answer)),
             Event::LateAnswer(_, _, took) => self.input(index, Input::AnsweredLate(took)),
-            Event::Refused(_, _, peer) => {
+            Event::ConnectionRefused(_, _, peer) => {
                 self.input(index, Input::ConnectionRefused(instance(peer)))
             }
-            Event::Reset(_, _, peer) => self.input(index, Input::LinkReset(instance(peer))),
+            Event::LinkReset(_, _, peer) => self.input(index, Input::LinkReset(instance(peer))),
             _ => {}
         }
     }
 
     /// Links drop what a process had sent that another one of its instance has replaced.
-    fn deliver_now(&mut self, index: usize, from: Source, msg: FleetMsg) {
-        let latest = self.members[index].latest.entry(from.index);
-        let latest = latest.or_insert(from.life);
-        if from.life < *latest {
+    fn receive_message(&mut self, index: usize, from: Source, msg: FleetMsg) {
+        let latest = self.members[index].latest_incarnations.entry(from.index);
+        let latest = latest.or_insert(from.incarnation);
+        if from.incarnation < *latest {
             return;
         }
-        *latest = from.life;
+        *latest = from.incarnation;
         if let FleetMsg::Work(msg) = &msg {
-            self.follow(index, &(from.index, msg), false);
+            self.trace_event(index, &(from.index, msg), false);
         }
         let from = self.process(from);
         let input = match msg {
-            FleetMsg::Heartbeat(beat) => Input::Heartbeat(from, beat),
+            FleetMsg::Heartbeat(heartbeat) => Input::Heartbeat(from, heartbeat),
             FleetMsg::Work(msg) => Input::Work(from, msg),
-            FleetMsg::Workers(notes) => Input::Workers(notes),
+            FleetMsg::Workers(announcements) => Input::Workers(announcements),
             FleetMsg::Learned(learned) => Input::Learned(learned),
-            FleetMsg::Crashes(told) => Input::Crashes(told),
+            FleetMsg::Crashes(crashes) => Input::Crashes(crashes),
             FleetMsg::ProbeQueues(queues) => Input::ProbeQueues(queues),
             _ => return,
         };
@@ -412,8 +418,8 @@
 
     /// The number of a process is drawn: that of a later one may be lower.
     fn process(&self, source: Source) -> Process {
-        let Source { index, life } = source;
-        let drawn = score(self.options.seed, (index as u64) << 32 | life);
+        let Source { index, incarnation } = source;
+        let drawn = score(self.options.seed, (index as u64) << 32 | incarnation);
         Process {
             instance: instance(index),
             incarnation: Incarnation(drawn),
@@ -431,41 +437,41 @@
             match output {
                 Output::Call(call) => self.call(index, call),
                 Output::Send(to, msg) => self.deliver(index, to.0 as usize - 1, msg),
-                Output::Answer(caller, end) => self.answer(caller, end),
+                Output::Answer(caller, end) => self.receive_answer(caller, end),
                 Output::NewPeer(_)
                 | Output::PeerAlive(_)
                 | Output::RemovePeer(_)
                 | Output::Stage(_) => {}
-                Output::Member(note) => self.follow(index, &note, true),
-                Output::Dispatch(note) => {
+                Output::Member(event) => self.trace_event(index, &event, true),
+                Output::Dispatch(event) => {
                     let of_members = matches!(
-                        note,
+                        event,
                         PoolEvent::Acquired { .. }
                             | PoolEvent::Resigned { .. }
                             | PoolEvent::WorkerGone { .. }
                     );
-                    self.follow(index, &note, of_members);
+                    self.trace_event(index, &event, of_members);
                 }
-                Output::Origin(note) => self.follow(index, &note, false),
+                Output::Origin(event) => self.trace_event(index, &event, false),
             }
         }
     }
 
     /// Prints what happens, if a job is followed.
-    pub(crate) fn say(&self, text: impl FnOnce() -> String) {
+    pub(crate) fn trace(&self, text: impl FnOnce() -> String) {
         if self.options.follow.is_some() {
             println!("{:>10} {}", self.now.0, text());
         }
     }
 
     /// Prints a note about the job that is followed, or about members.
-    fn follow(&self, index: usize, note: &impl std::fmt::Debug, always: bool) {
+    fn trace_event(&self, index: usize, event: &impl std::fmt::Debug, always: bool) {
         let Some(job) = self.options.follow else {
             return;
         };
-        let text = format!("{note:?}");
+        let text = format!("{event:?}");
         if always || text.contains(&job.0.to_string()) {
-            self.say(|| format!("member {index}: {text}"));
+            self.trace(|| format!("member {index}: {text}"));
         }
     }
 
@@ -475,46 +481,46 @@
             return;
         }
         let down = from != to && (self.is_offline(from) || self.is_offline(to));
-        if down || self.refusals.contain(from, to) || self.resets.loses(self.now, from, to) {
+        if down || self.refusals.contains(from, to) || self.resets.loses(self.now, from, to) {
             return;
         }
-        let life = self.members[to].life;
+        let incarnation = self.members[to].incarnation;
         let source = Source {
             index: from,
-            life: self.members[from].life,
+            incarnation: self.members[from].incarnation,
         };
-        let event = Event::Deliver(to, life, source, msg);
-        if self.apart.divides(from, to) {
-            self.apart.hold(self.now, from, to, event);
+        let event = Event::Deliver(to, incarnation, source, msg);
+        if self.isolated.separates(from, to) {
+            self.isolated.defer(self.now, from, to, event);
             return;
         }
         let Event::Deliver(.., msg) = &event else {
             return;
         };
-        let bytes = size_of(msg);
-        if self.now >= LOAD_FROM && from != to {
+        let bytes = message_size(msg);
+        if self.now >= LOAD_START && from != to {
             self.members[from].control.add(msg, bytes);
         }
         let due = if from == to {
             self.now
         } else {
-            let left = self.leave(from, bytes) + self.delay(here, there);
-            self.reach(to, left, bytes)
+            let left = self.enqueue_outgoing(from, bytes) + self.link_delay(here, there);
+            self.enqueue_incoming(to, left, bytes)
         };
-        let due = self.arrival(to, due);
-        self.at(due, event);
+        let due = self.after_backlog(to, due);
+        self.schedule(due, event);
     }
 
     /// When so many bytes that a member sends now have left it.
-    pub(crate) fn leave(&mut self, from: usize, bytes: usize) -> Time {
+    pub(crate) fn enqueue_outgoing(&mut self, from: usize, bytes: usize) -> Time {
         let rate = self.options.link_rate;
-        self.members[from].outgoing.pass(self.now, bytes, rate)
+        self.members[from].outgoing.transmit(self.now, bytes, rate)
     }
 
     /// When so many bytes that come to a member at `at` are there.
-    pub(crate) fn reach(&mut self, to: usize, at: Time, bytes: usize) -> Time {
+    pub(crate) fn enqueue_incoming(&mut self, to: usize, at: Time, bytes: usize) -> Time {
         let rate = self.options.link_rate;
-        self.members[to].incoming.pass(at, bytes, rate)
+        self.members[to].incoming.transmit(at, bytes, rate)
     }
 
     /// An entry that takes new callers.
@@ -530,25 +536,25 @@
     }
 
     /// What a member's wall clock shows, in ms since 1970.
-    pub(crate) fn wall(&self, index: usize) -> u64 {
-        let right = EPOCH_MS + self.now.0 / 1_000;
+    pub(crate) fn wall_clock_ms(&self, index: usize) -> u64 {
+        let right = START_WALL_MS + self.now.0 / 1_000;
         if self.options.faults.is_none_or(|plan| !plan.clock_skew) {
             return right;
         }
-        let life = self.members[index].life;
-        let drawn = score(self.options.seed, (index as u64) << 32 | life);
-        right + drawn % (2 * SKEW_MS) - SKEW_MS
+        let incarnation = self.members[index].incarnation;
+        let drawn = score(self.options.seed, (index as u64) << 32 | incarnation);
+        right + drawn % (2 * MAX_SKEW_MS) - MAX_SKEW_MS
     }
 
-    fn start(&mut self, index: usize) {
+    fn start_member(&mut self, index: usize) {
         let host = &mut self.members[index];
-        host.life += 1;
+        host.incarnation += 1;
         host.frozen = false;
         host.leaving = false;
-        host.held.clear();
-        host.latest.clear();
-        let life = host.life;
-        let me = self.process(Source { index, life });
+        host.deferred.clear();
+        host.latest_incarnations.clear();
+        let incarnation = host.incarnation;
+        let me = self.process(Source { index, incarnation });
         let host = &self.members[index];
         let config = MemberConfig {
             me,
@@ -561,33 +567,33 @@
                 ..PoolConfig::default()
             },
         };
-        let wall = WallMs(self.wall(index));
-        self.members[index].member = Some(Member::new(config, self.now, wall));
-        self.at(self.now + TICK, Event::Tick(index, life));
+        let wall_clock_ms = WallMs(self.wall_clock_ms(index));
+        self.members[index].member = Some(Member::new(config, self.now, wall_clock_ms));
+        self.schedule(self.now + TICK_INTERVAL, Event::Tick(index, incarnation));
         self.input(index, Input::ConfigVersion(1));
         let evacuations = self.evacuations_at_start(index);
         self.input(index, Input::Evacuations(evacuations));
         for worker in 0..self.workers.len() {
-            let note = self.note(worker);
-            self.deliver(index, index, FleetMsg::Workers(vec![note]));
+            let announcement = self.announcement(worker);
+            self.deliver(index, index, FleetMsg::Workers(vec![announcement]));
         }
-        self.greet(index);
+        self.exchange_heartbeats(index);
     }
 
     /// Heartbeats to and from all others, as when links open.
-    fn greet(&mut self, index: usize) {
+    fn exchange_heartbeats(&mut self, index: usize) {
         for other in 0..self.members.len() {
             if other == index || !self.members[other].is_up() {
                 continue;
             }
-            let mine = self.beat_of(index, other);
-            let theirs = self.beat_of(other, index);
+            let mine = self.heartbeat_from(index, other);
+            let theirs = self.heartbeat_from(other, index);
             self.deliver(index, other, FleetMsg::Heartbeat(mine));
             self.deliver(other, index, FleetMsg::Heartbeat(theirs));
         }
     }
 
-    pub(crate) fn beat_of(&self, index: usize, to: usize) -> FleetHeartbeat {
+    pub(crate) fn heartbeat_from(&self, index: usize, to: usize) -> FleetHeartbeat {
         let member = self.members[index].member.as_ref();
         let peer = InstanceId(to as u32 + 1);
         let member = member.expect("a member that is up");
@@ -606,35 +612,35 @@
         Some(up[pick])
     }
 
-    pub(crate) fn kill_member(&mut self, lasts: Duration) {
+    pub(crate) fn kill_member(&mut self, duration: Duration) {
         if let Some(index) = self.pick_member() {
-            let life = self.members[index].life;
-            self.end(index, life);
-            self.at(self.now + lasts, Event::Start(index));
+            let incarnation = self.members[index].incarnation;
+            self.end_member(index, incarnation);
+            self.schedule(self.now + duration, Event::StartMember(index));
         }
     }
 
     /// The process ends; its callers' connections break.
-    fn end(&mut self, index: usize, life: u64) {
+    fn end_member(&mut self, index: usize, incarnation: u64) {
         let host = &mut self.members[index];
-        if host.life != life || host.member.is_none() {
+        if host.incarnation != incarnation || host.member.is_none() {
             return;
         }
         let planned = host.leaving;
         host.member = None;
-        host.life += 1;
+        host.incarnation += 1;
         for job in 0..self.jobs.len() {
-            let open = self.jobs[job].end.is_none() && !self.jobs[job].gave_up;
-            if open && self.jobs[job].entry == index && self.jobs[job].life == life {
+            let open = self.jobs[job].end.is_none() && !self.jobs[job].abandoned;
+            if open && self.jobs[job].entry == index && self.jobs[job].incarnation == incarnation {
                 let due = self.now + Duration::from_millis(1_300);
-                let tries = self.jobs[job].tries;
-                self.at(due, Event::Resubmit(job, tries));
+                let attempts = self.jobs[job].attempts;
+                self.schedule(due, Event::Resubmit(job, attempts));
             }
         }
         for other in 0..self.members.len() {
-            let apart = self.apart.divides(other, index);
+            let separated = self.isolated.separates(other, index);
             if self.members[other].is_up()
-                && !apart
+                && !separated
                 && !self.is_cut(self.members[other].dc, self.members[index].dc)
             {
                 self.input(
@@ -644,43 +650,43 @@
             }
         }
         if planned {
-            self.at(self.now + RESTART, Event::Start(index));
+            self.schedule(self.now + RESTART_DELAY, Event::StartMember(index));
         }
     }
 
     pub(crate) fn stop_member(&mut self) {
         if let Some(index) = self.pick_member() {
             self.members[index].leaving = true;
-            let life = self.members[index].life;
+            let incarnation = self.members[index].incarnation;
             self.input(index, Input::Stop);
-            self.at(self.now + GRACE, Event::End(index, life));
+            self.schedule(self.now + STOP_GRACE, Event::EndMember(index, incarnation));
         }
     }
 
-    pub(crate) fn freeze_member(&mut self, lasts: Duration) {
+    pub(crate) fn freeze_member(&mut self, duration: Duration) {
         if let Some(index) = self.pick_member() {
             self.members[index].frozen = true;
-            self.at(self.now + lasts, Event::Thaw(index));
+            self.schedule(self.now + duration, Event::Unfreeze(index));
         }
     }
 
-    fn thaw(&mut self, index: usize) {
+    fn unfreeze(&mut self, index: usize) {
         let host = &mut self.members[index];
         if !host.frozen {
             return;
         }
         host.frozen = false;
-        let held = std::mem::take(&mut host.held);
+        let deferred = std::mem::take(&mut host.deferred);
         self.input(index, Input::Paused);
         self.send_evacuations_to(index);
-        for event in held {
-            self.reach_member(event);
+        for event in deferred {
+            self.handle_member_event(event);
         }
     }
 
-    fn rest(&self) -> Duration {
+    fn settle_time(&self) -> Duration {
         let classes = self.options.load.classes.iter();
         let longest = classes.map(|class| class.timeout_ms).max().unwrap_or(0);
-        REST.max(Duration::from_millis(longest.into()) + AFTER_LAST)
+        SETTLE_TIME.max(Duration::from_millis(longest.into()) + LAST_CALLER_MARGIN)
     }
 }
