--- a/crates/celerywinch_bench/src/members/callers.rs
+++ b/crates/celerywinch_bench/src/members/callers.rs
@@ -1,4 +1,4 @@
-//! Callers and their jobs.
+//! Simulated callers and their jobs.
 
 use std::time::Duration;
 
@@ -10,42 +10,54 @@
 use super::load::ClassPlan;
 use super::world::{Event, World};
 
-/// A job on time ends within its longest chain of work times this, in thousandths, ...
+/// Factor of the critical path in the objective of a job, in thousandths.
 const SLACK_PER_MILLE: u32 = 1_600;
-/// ... and so many ms.
+/// Fixed part of the objective of a job, in ms.
 const TARGET_MS: u32 = 60;
-/// A caller without an answer sends its job again after this time.
+/// Delay until a caller submits its job again, after an undetermined result or where no entry accepts callers.
 const RESEND_DELAY: Duration = Duration::from_millis(1_300);
-/// A caller stops resending a job after so many tries that ended without a known result.
+/// Maximum number of attempts; the caller abandons the job when this many have ended without a known result.
 const MAX_ATTEMPTS: u32 = 4;
-/// How far tasks of one job differ, and jobs of one kind, and guesses from the truth.
+/// Relative variation of the run times of the tasks of one job.
 const TASK_SPREAD: f64 = 0.15;
+/// Relative variation of the run times and the task counts of jobs of one class, and of estimates around run times.
+/// Relative variation of the run times and the task counts of jobs of one class, and of estimates around run times.
 const JOB_SPREAD: f64 = 0.4;
 
-/// A job as its caller sees it.
+/// Job from the point of view of its caller.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerJob {
     pub(crate) id: JobId,
     pub(crate) class: usize,
+    /// Time of the first attempt.
+    /// Time of the first attempt.
     pub(crate) first_sent: Time,
+    /// Time of the latest attempt.
+    /// Time of the latest attempt.
     pub(crate) sent_at: Time,
     pub(crate) attempts: u32,
+    /// Entry of the latest attempt.
+    /// Entry of the latest attempt.
     pub(crate) entry: usize,
+    /// Incarnation of that entry.
+    /// Incarnation of that entry.
     pub(crate) incarnation: u64,
     pub(crate) end: Option<(Time, JobEnd)>,
+    /// Whether the caller has stopped waiting for a result.
+    /// Whether the caller has stopped waiting for a result.
     pub(crate) abandoned: bool,
-    /// The end of the objective.
+    /// Time by which the job meets its objective.
     pub(crate) due: Time,
     pub(crate) plan: JobPlan,
-    /// What each task takes on a sound worker.
+    /// Run time of each task on a healthy worker.
     pub(crate) task_times: Vec<Duration>,
-    /// Whether its tasks end their workers.
+    /// Whether the tasks of the job crash their workers.
     pub(crate) crashes_workers: bool,
 }
 
 impl World {
-    /// A new job, and when the next one comes.
-    pub(crate) fn arrive(&mut self, class: usize) {
+    /// Submits a new job, and schedules the next one of its class.
+    pub(crate) fn submit_new_job(&mut self, class: usize) {
         let plan = self.options.load.classes[class];
         let job = self.new_job(class, plan);
         self.jobs.push(job);
@@ -58,6 +70,8 @@
         );
     }
 
+    /// Draws a factor between `1 - spread` and `1 + spread`.
+    /// Draws a factor between `1 - spread` and `1 + spread`.
     fn jitter(&mut self, spread: f64) -> f64 {
         self.random.random_range(1.0 - spread..1.0 + spread)
     }
@@ -106,7 +120,7 @@
         }
     }
 
-    /// Sends a job again that had no answer, unless that was done meanwhile.
+    /// Submits a job again if it still has no answer and no attempt was made since.
     pub(crate) fn resubmit(&mut self, index: usize, attempts: u32) {
         let job = &self.jobs[index];
         if job.end.is_none() && !job.abandoned && job.attempts == attempts {
@@ -114,6 +128,8 @@
         }
     }
 
+    /// Submits a job to a random entry, or tries again later if no entry accepts callers.
+    /// Submits a job to a random entry, or tries again later if no entry accepts callers.
     pub(crate) fn submit(&mut self, index: usize) {
         let Some(entry) = self.pick_entry() else {
             let attempts = self.jobs[index].attempts;
@@ -141,12 +157,13 @@
             return;
         }
         self.input(entry, Input::Flush);
-        let limit = Duration::from_millis(class.timeout_ms.into());
+        let timeout = Duration::from_millis(class.timeout_ms.into());
         let attempts = self.jobs[index].attempts;
-        self.schedule(self.now + limit, Event::AbandonJob(index, attempts));
+        self.schedule(self.now + timeout, Event::AbandonJob(index, attempts));
     }
 
-    /// Above all that were used for a job that was sent before, unless clocks are wrong.
+    /// Returns the first run number of a submission. It is above all that earlier attempts of the job have used, unless
+    /// wall clocks are wrong.
     fn first_run(&self, entry: usize) -> RunNumber {
         match self.options.faults {
             Some(plan) if plan.clock_skew => RunNumber(self.wall_clock_ms(entry)),
@@ -154,6 +171,8 @@
         }
     }
 
+    /// Handles the answer to the latest attempt of a job; answers to earlier attempts are ignored.
+    /// Handles the answer to the latest attempt of a job; answers to earlier attempts are ignored.
     pub(crate) fn receive_answer(&mut self, caller: CallerId, end: JobEnd) {
         let index = (caller.0 / 1_000) as usize;
         let now = self.now;
@@ -173,7 +192,7 @@
         }
     }
 
-    /// The caller waits no more; the connection to its entry is closed.
+    /// Handles the timeout of a caller: it abandons the job and closes the connection to its entry.
     pub(crate) fn abandon_job(&mut self, index: usize, attempts: u32) {
         let job = &mut self.jobs[index];
         if job.end.is_some() || job.attempts != attempts {
--- a/crates/celerywinch_bench/src/members/evacuations.rs
+++ b/crates/celerywinch_bench/src/members/evacuations.rs
@@ -12,18 +12,18 @@
 use super::world::World;
 
 /// How long tasks may still be started in a data centre after its evacuation was acknowledged.
-/// Cuts and freezes of members last up to 2.5 s.
+/// Partitions of data centres and freezes of members last up to 2.5 s.
 const MAX_START_DELAY: Duration = Duration::from_secs(3);
-/// The same for fault plans with longer cuts of members or with congested incoming paths.
-const MAX_START_DELAY_LONG_CUTS: Duration = Duration::from_secs(6);
+/// The same for fault plans with longer partitions of members or with congested incoming paths.
+const MAX_START_DELAY_DEGRADED: Duration = Duration::from_secs(6);
 
-/// The evacuations that the keepers hold, and since when each is in force.
+/// Evacuations that the keepers have acknowledged, and the time since which each is in force.
 #[derive(Debug, Default)]
 pub(crate) struct AcknowledgedEvacuations {
     pub(crate) evacuations: Evacuations,
     since: BTreeMap<DataCentreId, Time>,
-    /// Snapshot of `evacuations` taken when the most recent cut began.
-    at_cut_start: Evacuations,
+    /// Snapshot of `evacuations` taken when the most recent partition began.
+    at_partition: Evacuations,
 }
 
 impl World {
@@ -42,17 +42,19 @@
         self.send_evacuations();
     }
 
+    /// Records the evacuations in force when a partition begins.
     pub(crate) fn snapshot_evacuations(&mut self) {
-        self.acknowledged.at_cut_start = self.acknowledged.evacuations.clone();
+        self.acknowledged.at_partition = self.acknowledged.evacuations.clone();
     }
 
-    /// The evacuations that a starting member receives along with its configuration: in a real fleet
+    /// Returns the evacuations that a starting member receives along with its configuration. In a real fleet
     /// both come from a peer, whose heartbeat carries evacuations as new as its configuration version.
-    /// A member that is cut off receives those in force when the most recent cut began.
+    /// A partitioned member receives those in force when the most recent partition began.
     pub(crate) fn evacuations_at_start(&self, member: usize) -> Evacuations {
-        let cut = self.cut_dcs.contains(&self.members[member].dc) || self.isolated.contains(member);
-        if cut {
-            self.acknowledged.at_cut_start.clone()
+        let unreachable =
+            self.cut_dcs.contains(&self.members[member].dc) || self.isolated.contains(member);
+        if unreachable {
+            self.acknowledged.at_partition.clone()
         } else {
             self.acknowledged.evacuations.clone()
         }
@@ -68,8 +70,12 @@
 
     pub(crate) fn send_evacuations_to(&mut self, member: usize) {
         let host = &self.members[member];
-        let cut = self.cut_dcs.contains(&host.dc) || self.isolated.contains(member);
-        if cut || !host.is_up() || host.is_frozen() || self.acknowledged.evacuations.revision == 0 {
+        let unreachable = self.cut_dcs.contains(&host.dc) || self.isolated.contains(member);
+        if unreachable
+            || !host.is_up()
+            || host.is_frozen()
+            || self.acknowledged.evacuations.revision == 0
+        {
             return;
         }
         let evacuations = self.acknowledged.evacuations.clone();
@@ -83,7 +89,7 @@
         };
         let plan = self.options.faults.unwrap_or_default();
         let max_delay = if plan.partitioned || plan.congested {
-            MAX_START_DELAY_LONG_CUTS
+            MAX_START_DELAY_DEGRADED
         } else {
             MAX_START_DELAY
         };
--- a/crates/celerywinch_bench/src/members/faults.rs
+++ b/crates/celerywinch_bench/src/members/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that strike members, workers and the paths between them.
+//! Fault injection into members, workers and the links between them.
 
 use std::time::Duration;
 
@@ -8,43 +8,44 @@
 
 use super::world::World;
 
-/// Which faults strike; one of them every `interval_ms` ms.
+/// Kinds of faults that are injected, one fault at a time at a fixed interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultPlan {
-    /// Ms between two faults.
+    /// Interval between two faults, in ms.
     pub interval_ms: u64,
-    /// Whether members are killed, stopped as planned and frozen, and data centres are cut off.
+    /// Whether members are killed, stopped as planned and frozen, and data centres are partitioned.
     pub members: bool,
-    /// Whether the wall clocks of members are wrong, each life of one by another time.
+    /// Whether the wall clocks of members are wrong, by a different offset in each incarnation. Restarted workers that
+    /// reuse their names may have their clocks set back.
     pub clock_skew: bool,
-    /// Whether workers crash, hang, slow down and fail, and their calls are lost or carried out late.
+    /// Whether workers crash, hang, slow down and fail, and calls to them are lost or executed late.
     pub workers: bool,
-    /// Whether many entries at once are cut off from all other members, while workers and callers
-    /// reach them; what was sent as the cut began arrives up to some seconds after it has healed.
+    /// Whether many entries at once are partitioned from all other members, while workers and callers can still reach
+    /// them. Messages sent as the partition began arrive up to some seconds after it has healed.
     pub partitioned: bool,
-    /// Whether the incoming paths of members are congested: answers of workers, messages and heartbeats
-    /// reach them up to 2 s late, in order, while what they send goes out in time; and whether answers of
-    /// single workers are lost though their orders were carried out.
+    /// Whether the incoming paths of members are congested: answers of workers, messages and heartbeats reach them up to
+    /// 2 s late, in order, while what they send is not delayed. Also, answers of single workers are lost although their
+    /// calls were executed.
     pub congested: bool,
-    /// Whether members that are alive are refused connections by others: those count as lost at once; and
-    /// whether calls are refused by workers that are down, and by some that are alive.
+    /// Whether connections between members that are alive are refused, so that the refusing member counts as lost at
+    /// once. Also, calls are refused by workers that are down and by some that are alive.
     pub refused: bool,
-    /// Whether workers keep their names when they start again, may say that they leave, and are heard of out of order.
+    /// Whether workers keep their names when they restart, may drain, and have announcements that arrive out of order.
     pub reused_names: bool,
-    /// Whether workers do not guard their room, and it shrinks and grows.
+    /// Whether workers accept tasks that exceed their capacity, and the capacity shrinks and grows.
     pub shrinking: bool,
-    /// Whether the tasks of some jobs end their workers.
+    /// Whether the tasks of some jobs crash their workers.
     pub crashing: bool,
     /// Whether operators start and end evacuations of data centres.
     pub evacuated: bool,
-    /// Whether many connections are reset at once, and callers whose connections broke as they sent their jobs send them
-    /// again at once.
+    /// Whether many connections are reset at once, and callers whose connections broke while they submitted their jobs
+    /// submit them again within 25 ms.
     pub resets: bool,
-    /// Whether the steady clocks of workers are up to 2% slow, each by its own share.
+    /// Whether the monotonic clocks of workers are up to 2% slow, each at its own rate.
     pub drift: bool,
 }
 
-/// A fault.
+/// Fault to be injected. Traces print its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     Kill,
@@ -70,7 +71,7 @@
 
 const MEMBER_FAULTS: [Fault; 4] = [Fault::Kill, Fault::Leave, Fault::Freeze, Fault::Cut];
 const PARTITION_FAULTS: [Fault; 1] = [Fault::CutEntries];
-/// Congestion as often as three others, or it would rarely strike the dispatcher beside all else.
+/// Congestion is listed three times; otherwise it would rarely affect the dispatcher among all other faults.
 const CONGESTED_FAULTS: [Fault; 4] = [
     Fault::Congest,
     Fault::Congest,
@@ -92,6 +93,7 @@
 ];
 
 impl World {
+    /// Injects a random fault of the plan, unless the load is in its calm time.
     pub(crate) fn inject_fault(&mut self, plan: FaultPlan) {
         if self.options.load.is_calm(self.now) {
             return;
--- a/crates/celerywinch_bench/src/members/history.rs
+++ b/crates/celerywinch_bench/src/members/history.rs
@@ -1,4 +1,4 @@
-//! Checks of what workers and callers have seen.
+//! Violations of guarantees, and checks of the history of runs.
 
 use std::collections::HashMap;
 
@@ -6,30 +6,31 @@
 use celerywinch_standin::Ran;
 use celerywinch_types::{JobId, TaskId, Time};
 
-/// A broken promise.
+/// Violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// Two runs of a task at the same time.
+    /// Two runs of one task overlapped.
     TwoRuns(Ran, Ran),
-    /// A job was told to be completed and a task of it never was.
+    /// A job was reported as completed, but this task of it never was.
     NotDone(TaskId),
-    /// A job was told not to have run, and a task of it has.
+    /// A job was refused as not run, but a task of it has run.
     FalseRefusal(JobId, Ran),
-    /// A caller at a living entry got no answer.
+    /// A caller at a live entry got no answer.
     NoAnswer(JobId, Time),
-    /// A task was started on a worker long after that had said that it leaves.
+    /// A task was started on a worker after the permitted delay since the worker announced that it drains.
     AfterNotice(TaskId, String),
-    /// A task was started on a worker that had no room for it, nor had had for long.
+    /// A task was started on a worker without the capacity for it, after the permitted delay since the announcement of that
+    /// capacity.
     OverRoom(TaskId, String),
     /// A task was started on a worker of an evacuated data centre after the permitted delay.
     InEvacuatedDataCentre(TaskId, String),
-    /// A task was started so often more after three workers had ended by it.
+    /// A task was started this many more times after it had crashed three workers.
     Restarted(TaskId, usize),
-    /// A member did not come to rest after the load.
+    /// A member still had open work at the end of the run.
     Restless(String),
 }
 
-/// Finds runs of one task that overlap.
+/// Returns a violation for each pair of overlapping runs of one task.
 #[must_use]
 pub fn overlaps(runs: &[Ran]) -> Vec<Violation> {
     let mut by_task: HashMap<TaskId, Vec<Ran>> = HashMap::new();
@@ -46,7 +47,7 @@
     found
 }
 
-/// Whether a task has a run that was done.
+/// Returns whether a run of the task was completed.
 pub(crate) fn has_completed_run(runs: &[Ran], task: TaskId) -> bool {
     runs.iter()
         .any(|ran| ran.task == task && ran.how == RunEnd::Done)
--- a/crates/celerywinch_bench/src/members/lifecycle.rs
+++ b/crates/celerywinch_bench/src/members/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Lives of workers: crashes, returns under the same name, leaves, and rooms that shrink.
+//! Lifecycle of simulated workers: crashes, restarts under the same name, draining, and capacity that shrinks.
 
 use std::time::Duration;
 
@@ -13,34 +13,36 @@
 use super::history::Violation;
 use super::world::{Event, MAX_SKEW_MS, START_WALL_MS, World};
 
-/// How long a new worker takes to announce itself.
+/// Delay until a worker that has started announces itself.
 const ANNOUNCE_DELAY: Duration = Duration::from_millis(300);
-/// A worker that has said that it leaves serves on for so long; from then on nothing may be started there.
+/// Time that a worker serves on after it has announced that it drains. Afterwards no task may be started on it.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
-/// Then it ends, ...
-const DRAIN_END: Duration = Duration::from_millis(300);
-/// ... and so long it takes until dispatchers whose incoming paths are congested have heard of anything.
+/// Time from the end of the draining period until the worker stops.
+const STOP_DELAY: Duration = Duration::from_millis(300);
+/// Maximum delay until announcements reach dispatchers whose incoming paths are congested.
 const CONGESTION_DELAY: Duration = Duration::from_secs(2);
-/// A room that shrinks counts so long after its worker has said so.
+/// Time after an announcement of less capacity from which on the capacity may not be exceeded by new tasks.
 const SHRINK_GRACE: Duration = Duration::from_secs(1);
-/// What a life that is over has said arrives up to so many ms after the next one has begun.
+/// Maximum delay, in ms, after the start of an incarnation at which an announcement of the previous one arrives.
 const MAX_STALE_MS: u64 = 3_000;
-/// The share of jobs whose tasks end their workers, where there are such jobs.
+/// Share of jobs whose tasks crash their workers, in runs with such jobs.
 const CRASHING_JOB_SHARE: f64 = 0.02;
-/// How long after its start such a task ends its worker, in ms, and how long that is down.
+/// Time from the start of such a task until it crashes its worker, in ms.
 const CRASH_DELAY_MS: std::ops::Range<u64> = 5..40;
+/// Time that a worker is down after such a crash or after it has drained, in ms.
+/// Time that a worker is down after such a crash or after it has drained, in ms.
 const DOWN_MS: std::ops::Range<u64> = 500..3_000;
 
-/// What a worker has said of itself in its present life.
+/// State that a worker has announced in its present incarnation.
 #[derive(Clone, Debug)]
 pub(crate) struct AnnouncedState {
     pub(crate) stage: WorkerStage,
     pub(crate) sequence: u64,
-    /// When it said that it leaves.
+    /// Time at which it announced that it drains.
     pub(crate) leaving_since: Option<Time>,
-    /// Since when it has the room that it has.
+    /// Time since which its capacity is unchanged.
     pub(crate) capacity_since: Time,
-    /// What it has where nothing is taken from it.
+    /// Capacity when it is not reduced by a fault.
     pub(crate) full_capacity: Resources,
 }
 
@@ -57,11 +59,13 @@
 }
 
 impl World {
+    /// Returns whether workers keep their names when they start again.
+    /// Returns whether workers keep their names when they start again.
     fn reuses_names(&self) -> bool {
         self.options.faults.is_some_and(|plan| plan.reused_names)
     }
 
-    /// What a worker says of itself.
+    /// Returns the present announcement of a worker.
     pub(crate) fn announcement(&self, index: usize) -> WorkerAnnouncement {
         let host = &self.workers[index];
         let incarnation = host.worker.incarnation;
@@ -80,7 +84,7 @@
         }
     }
 
-    /// All members hear of a worker, as by the keepers.
+    /// Sends the announcement of a worker to all members, as keepers do.
     pub(crate) fn announce(&mut self, index: usize) {
         self.announce_to_all(&self.announcement(index));
     }
@@ -94,12 +98,14 @@
         }
     }
 
+    /// Announces a worker under the next sequence number.
+    /// Announces a worker under the next sequence number.
     fn announce_change(&mut self, index: usize) {
         self.workers[index].announced.sequence += 1;
         self.announce(index);
     }
 
-    /// A worker is down for a while, and comes back as another life.
+    /// Crashes a random worker, which restarts as another incarnation after `duration`.
     pub(crate) fn crash_random_worker(&mut self, duration: Duration) {
         let index = self.pick_worker();
         self.crash_worker(index, duration);
@@ -116,6 +122,8 @@
         self.schedule(now + duration, Event::RestartWorker(index));
     }
 
+    /// Starts a worker again. In runs with reused names a late announcement of the previous incarnation follows.
+    /// Starts a worker again. In runs with reused names a late announcement of the previous incarnation follows.
     pub(crate) fn restart_worker(&mut self, index: usize) {
         let now = self.now;
         let reuses = self.reuses_names();
@@ -143,19 +151,20 @@
         }
     }
 
-    /// What a worker that starts now says of when it did; its clock may have been set back since the last time.
+    /// Draws the incarnation of a worker that starts now, which it takes from its wall clock. With clock skew the clock may
+    /// have been set back since the previous start.
     fn draw_incarnation(&mut self) -> Incarnation {
-        let right = START_WALL_MS + self.now.0 / 1_000;
-        let wrong = self.options.faults.is_some_and(|plan| plan.clock_skew);
-        let skew = if wrong {
+        let exact = START_WALL_MS + self.now.0 / 1_000;
+        let skewed = self.options.faults.is_some_and(|plan| plan.clock_skew);
+        let skew = if skewed {
             self.random.random_range(0..2 * MAX_SKEW_MS)
         } else {
             MAX_SKEW_MS
         };
-        Incarnation(right + skew - MAX_SKEW_MS)
+        Incarnation(exact + skew - MAX_SKEW_MS)
     }
 
-    /// A worker says that it leaves, serves on for a while, ends, and is back later.
+    /// Drains a random worker: it announces that it leaves, serves on for a while, stops, and restarts later.
     pub(crate) fn drain_worker(&mut self) {
         let index = self.pick_worker();
         let now = self.now;
@@ -168,11 +177,13 @@
         let restarts = host.restarts;
         self.announce_change(index);
         self.schedule(
-            now + DRAIN_TIME + DRAIN_END,
+            now + DRAIN_TIME + STOP_DELAY,
             Event::FinishDraining(index, restarts),
         );
     }
 
+    /// Stops a worker that has drained, unless it has restarted meanwhile.
+    /// Stops a worker that has drained, unless it has restarted meanwhile.
     pub(crate) fn finish_draining(&mut self, index: usize, restarts: u32) {
         let host = &mut self.workers[index];
         if !host.up || host.restarts != restarts {
@@ -184,7 +195,7 @@
         self.crash_worker(index, duration);
     }
 
-    /// A worker has less room for a while, and does not end what is there.
+    /// Reduces the capacity of a random worker for `duration`. Tasks that are running go on.
     pub(crate) fn shrink_worker(&mut self, duration: Duration) {
         let index = self.pick_worker();
         let share = self.random.random_range(0.2..0.9);
@@ -195,6 +206,8 @@
         self.schedule(self.now + duration, Event::RestoreCapacity(index, restarts));
     }
 
+    /// Restores the full capacity of a worker, unless it has restarted meanwhile.
+    /// Restores the full capacity of a worker, unless it has restarted meanwhile.
     pub(crate) fn restore_capacity(&mut self, index: usize, restarts: u32) {
         if self.workers[index].restarts == restarts {
             self.set_cpu(index, self.workers[index].announced.full_capacity.cpu);
@@ -212,14 +225,15 @@
         self.announce_change(index);
     }
 
-    /// Whether an order reaches a later life than it was sent to, to which no call that was sent since it began has come yet.
-    /// Nothing at a dispatcher can keep that life from obeying it.
+    /// Returns whether a late start reaches an incarnation that has not executed any call issued since its own start. The
+    /// start may have been meant for an earlier incarnation, and no dispatcher can prevent this one from executing it.
     pub(crate) fn precedes_first_call(&self, index: usize, call: &Call) -> bool {
         let host = &self.workers[index];
         self.reuses_names() && !host.received_call && matches!(call.request, Request::Start { .. })
     }
 
-    /// A start was carried out: whether it should have been, and what it does to the worker.
+    /// Checks a start that was executed against the announcements of the worker, and schedules the crash if the task
+    /// crashes its worker.
     pub(crate) fn check_start(&mut self, index: usize, task: TaskId) {
         let now = self.now;
         let plan = self.options.faults.unwrap_or_default();
@@ -233,14 +247,14 @@
         if leaving_since
             .is_some_and(|leaving_since| now.since(leaving_since) > DRAIN_TIME + extra_delay)
         {
-            let late = Violation::AfterNotice(task, host.worker.id.clone());
-            self.violations.push(late);
+            let violation = Violation::AfterNotice(task, host.worker.id.clone());
+            self.violations.push(violation);
         }
         let host = &self.workers[index];
-        let over = !host.worker.room.fits(host.worker.taken());
-        if over && now.since(host.announced.capacity_since) > SHRINK_GRACE + extra_delay {
-            let over = Violation::OverRoom(task, host.worker.id.clone());
-            self.violations.push(over);
+        let exceeded = !host.worker.room.fits(host.worker.taken());
+        if exceeded && now.since(host.announced.capacity_since) > SHRINK_GRACE + extra_delay {
+            let violation = Violation::OverRoom(task, host.worker.id.clone());
+            self.violations.push(violation);
         }
         if self.crashes_workers(task) {
             let after = Duration::from_millis(self.random.random_range(CRASH_DELAY_MS));
@@ -249,25 +263,27 @@
         }
     }
 
-    /// Whether the next job ends its workers.
+    /// Draws whether the tasks of the next job crash their workers.
     pub(crate) fn draw_crashing_job(&mut self) -> bool {
-        let ends = self.options.faults.is_some_and(|plan| plan.crashing);
-        ends && self.random.random_bool(CRASHING_JOB_SHARE)
+        let enabled = self.options.faults.is_some_and(|plan| plan.crashing);
+        enabled && self.random.random_bool(CRASHING_JOB_SHARE)
     }
 
+    /// Returns whether a task crashes its worker.
+    /// Returns whether a task crashes its worker.
     fn crashes_workers(&self, task: TaskId) -> bool {
         let plan = self.options.faults;
         let job = self.jobs.iter().rev().find(|job| job.id == task.job);
         plan.is_some_and(|plan| plan.crashing) && job.is_some_and(|job| job.crashes_workers)
     }
 
-    /// A task ends its worker, if it is still there.
+    /// Crashes a worker by a task, if the task is still running there.
     pub(crate) fn crash_by_task(&mut self, index: usize, restarts: u32, task: TaskId) {
         let now = self.now;
         let host = &mut self.workers[index];
         host.worker.advance(host.local(now));
-        let there = host.up && host.restarts == restarts && host.worker.has(task);
-        if there {
+        let is_running = host.up && host.restarts == restarts && host.worker.has(task);
+        if is_running {
             self.worker_crashes.entry(task).or_default().push(now);
             let duration = Duration::from_millis(self.random.random_range(DOWN_MS));
             self.crash_worker(index, duration);
--- a/crates/celerywinch_bench/src/members/links.rs
+++ b/crates/celerywinch_bench/src/members/links.rs
@@ -1,28 +1,29 @@
-//! Links of members that carry so many bytes a second, and what members send over them.
+//! Links of members with limited bandwidth, and the sizes of what members send over them.
 
 use std::time::Duration;
 
 use celerywinch_pool::{Answer, Request};
 use celerywinch_types::{FleetMsg, Time};
 
-/// Headers of a message between members, by TCP, HTTP/2 and its frame.
+/// Bytes of the headers of a message between members: TCP, HTTP/2 and its frame.
 const MESSAGE_OVERHEAD: usize = 60;
-/// A call to a worker or its answer without what it is about: TCP, HTTP/1.1 and the JSON around it.
+/// Bytes of a call to a worker, or of its answer, without the payload: TCP, HTTP/1.1 and the JSON around it.
 const CALL_OVERHEAD: usize = 350;
-/// What a caller gives with a job is handed on with each start of a task; the mean of the brief's service.
+/// Bytes of the specification that a caller submits with a job, which is sent with each start of a task. Mean of the
+/// reference service.
 const SPEC_BYTES: usize = 1_000;
-/// A row of a worker's lists.
+/// Bytes of a row in a worker's lists.
 const ROW_BYTES: usize = 60;
 
-/// One direction of a link.
+/// One direction of a link, which transmits one message after the other.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LinkDirection {
-    /// When all that was put on it has passed.
+    /// Time at which all bytes put on it so far have passed.
     busy_until: Time,
 }
 
 impl LinkDirection {
-    /// When so many bytes that come at `at` have passed.
+    /// Transmits bytes that arrive at `at` at `rate` bytes per second and returns when they have passed.
     pub(crate) fn transmit(&mut self, at: Time, bytes: usize, rate: Option<u64>) -> Time {
         let Some(rate) = rate else {
             return at;
@@ -33,12 +34,12 @@
     }
 }
 
-/// What a member sends that is not callers' work.
+/// Control traffic that a member sends: all messages but those about callers' tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ControlTraffic {
-    /// Messages.
+    /// Number of messages.
     pub messages: usize,
-    /// Their bytes.
+    /// Their size, in bytes.
     pub bytes: usize,
 }
 
@@ -51,6 +52,7 @@
     }
 }
 
+/// Returns the size of a message between members, in bytes.
 pub(crate) fn message_size(msg: &FleetMsg) -> usize {
     let encoded = bincode::serde::encode_to_vec(msg, bincode::config::standard());
     let spec = match msg {
@@ -60,13 +62,15 @@
     MESSAGE_OVERHEAD + spec + encoded.expect("plain data encodes").len()
 }
 
-pub(crate) fn call_size(order: &Request) -> usize {
-    match order {
+/// Returns the size of a call to a worker, in bytes.
+pub(crate) fn call_size(request: &Request) -> usize {
+    match request {
         Request::Start { .. } => CALL_OVERHEAD + SPEC_BYTES,
         Request::Stop { .. } | Request::Poll { .. } => CALL_OVERHEAD,
     }
 }
 
+/// Returns the size of a worker's answer, in bytes.
 pub(crate) fn answer_size(answer: &Answer) -> usize {
     match answer {
         Answer::Lists { running, ended, .. } => {
--- a/crates/celerywinch_bench/src/members/load.rs
+++ b/crates/celerywinch_bench/src/members/load.rs
@@ -1,62 +1,61 @@
-//! Loads and how they were served.
+//! Simulated loads, and statistics of how they were served.
 
 use celerywinch_types::Time;
 
-/// One kind of job.
+/// Class of jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassPlan {
-    /// The queue's name.
+    /// Name of the queue.
     pub name: &'static str,
-    /// 0 comes first.
+    /// Priority of the queue; 0 is the highest.
     pub priority: u8,
-    /// Jobs a second, over all entries.
+    /// Jobs per second, over all entries.
     pub rate: f64,
-    /// Tasks of a job, on average.
+    /// Mean number of tasks of a job.
     pub mean_tasks: u16,
-    /// Ms of a task, on average.
+    /// Mean run time of a task, in ms.
     pub task_ms: u32,
-    /// What callers wait at most, in ms.
+    /// Time after which a caller stops waiting, in ms.
     pub timeout_ms: u32,
 }
 
-/// A load.
+/// Load of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadPlan {
-    /// The kinds of jobs.
+    /// Classes of jobs.
     pub classes: Vec<ClassPlan>,
-    /// What a task needs on average, in thousandths of a core; workers have 32,000, every third one
-    /// half as much again.
+    /// Mean CPU of a task, in thousandths of a core. Workers have 32,000, every third one 50% more.
     pub cpu: u32,
-    /// From when to when, in ms, the load is that many times as high.
+    /// Start and end of a burst, in ms, and the factor by which the load is higher in it.
     pub burst: Option<(u64, u64, f64)>,
-    /// Spells of low load, if any.
+    /// Periods of low load, if any.
     pub lull: Option<Lull>,
 }
 
-/// Spells of low load, one at the end of each period.
+/// Recurring low load, at the end of each period.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lull {
-    /// The period, in ms.
+    /// Length of a period, in ms.
     pub period_ms: u64,
-    /// How long the load is low in each, in ms.
+    /// Length of the low load in each period, in ms.
     pub length_ms: u64,
-    /// That many times the usual load there is then.
+    /// Factor of the low load to the usual load.
     pub factor: f64,
-    /// For how long from its start no fault strikes, in ms: any change of hands, and any congestion, has
-    /// workers asked, and none would be idle for long.
+    /// Time from the start of the low load in which no fault is injected, in ms. A change of ownership or congestion makes
+    /// dispatchers poll workers, so that none would be idle for long.
     pub calm_ms: u64,
 }
 
 impl Lull {
-    /// For how long it has lasted, in ms.
+    /// Returns for how long the load has been low, in ms, or `None` if it is not low.
     fn age(&self, now: Time) -> Option<u64> {
         (now.0 / 1_000 % self.period_ms).checked_sub(self.period_ms - self.length_ms)
     }
 }
 
-/// The three kinds of jobs of the brief's catalogue service: price checks (many short tasks), scan
-/// matching (few long ones), stock holds; at rates that keep 48 workers of its size about 75% busy,
-/// as on an ordinary day.
+/// Returns the three classes of jobs of the reference catalogue service: price checks (many short tasks), stock holds
+/// and scan matching (few long tasks). Their rates keep 48 workers of the reference size about 75% busy, as on an
+/// ordinary day.
 #[must_use]
 pub fn reference_classes() -> Vec<ClassPlan> {
     let class = |name, priority, rate, mean_tasks, task_ms| ClassPlan {
@@ -74,11 +73,11 @@
     ]
 }
 
-/// What a task needs on average in the brief's catalogue service: two or three fit on a worker.
+/// Mean CPU of a task in the reference catalogue service, in thousandths of a core. Two or three tasks fit on a worker.
 pub const REFERENCE_CPU: u32 = 14_000;
 
 impl LoadPlan {
-    /// How many times the usual load there is at a moment.
+    /// Returns the factor of the load at a time to the usual load.
     pub(crate) fn factor(&self, now: Time) -> f64 {
         let lull = self.lull.filter(|lull| lull.age(now).is_some());
         let low = lull.map_or(1.0, |lull| lull.factor);
@@ -88,28 +87,28 @@
         }
     }
 
-    /// Whether no fault is to strike.
+    /// Returns whether no fault may be injected.
     pub(crate) fn is_calm(&self, now: Time) -> bool {
         let lull = self.lull.as_ref();
         lull.is_some_and(|lull| lull.age(now).is_some_and(|age| age < lull.calm_ms))
     }
 }
 
-/// How a kind of job was served.
+/// Statistics of a class of jobs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ClassStats {
-    /// Jobs.
+    /// Jobs submitted.
     pub submitted: usize,
-    /// Answered within the objective.
+    /// Jobs completed within their objectives.
     pub on_time: usize,
-    /// Answered later.
+    /// Jobs completed later.
     pub late: usize,
-    /// Refused as not run.
+    /// Jobs refused as not run.
     pub refused: usize,
-    /// Given up by the caller, or told that it is not known.
+    /// Jobs without a known result: abandoned by the caller or answered as undetermined.
     pub lost: usize,
-    /// Jobs that were told to have failed.
+    /// Jobs answered as failed.
     pub failed: usize,
-    /// The longest time to a refusal, in ms.
+    /// Longest time to a refusal, in ms.
     pub max_refusal_ms: u32,
 }
--- a/crates/celerywinch_bench/src/members/mod.rs
+++ b/crates/celerywinch_bench/src/members/mod.rs
@@ -1,5 +1,5 @@
-//! Members of a fleet and their workers in simulated time, without network: for randomised runs with
-//! faults, whose histories are checked, and for loads, whose service is measured.
+//! Simulation of the members of a fleet and their workers, with a virtual clock and without a network: for randomised
+//! runs under faults, whose histories are checked, and for loads, whose service is measured.
 
 mod callers;
 mod congestion;
--- a/crates/celerywinch_bench/src/members/partitions.rs
+++ b/crates/celerywinch_bench/src/members/partitions.rs
@@ -1,4 +1,4 @@
-//! Cuts between members, and what they do to messages.
+//! Network partitions between members, and their effect on messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,16 +10,16 @@
 
 use super::world::{Event, World};
 
-/// Of the entries, so many are cut off at once, in tenths.
+/// Share of the entries that are isolated at once, in tenths.
 const ISOLATED_TENTHS: usize = 4;
-/// A cut of many entries lasts so many times as long as other faults, up to 5 s: longer than a lease
-/// and the silence after which a process counts as lost, by several times.
+/// Duration of an isolation of entries as a multiple of that of other faults. It lasts up to 5 s: several times as long
+/// as a lease, and as the time without contact after which a process counts as lost.
 const DURATION_FACTOR: u32 = 2;
-/// What is sent for this long after a cut has begun is on a connection that nobody has given up yet: a
-/// ping is sent every 300 ms, and its answer waited for 700 ms.
+/// Time after the start of a partition until members close their broken connections: a ping is sent every 300 ms and
+/// times out after 700 ms. Messages that are sent earlier are delayed, later ones are lost.
 const DETECTION_TIME: Duration = Duration::from_millis(1_000);
 
-/// Entries that are cut off from all other members, and the messages that wait for the end of that.
+/// Entries that are partitioned from all other members, and the messages deferred until the partition heals.
 #[derive(Debug, Default)]
 pub(crate) struct IsolatedEntries {
     entries: BTreeSet<usize>,
@@ -28,7 +28,7 @@
 }
 
 impl IsolatedEntries {
-    /// Whether two members do not reach each other.
+    /// Returns whether two members cannot reach each other.
     pub(crate) fn separates(&self, one: usize, other: usize) -> bool {
         one != other && (self.entries.contains(&one) || self.entries.contains(&other))
     }
@@ -37,8 +37,7 @@
         self.entries.contains(&entry)
     }
 
-    /// Keeps a message that is sent on a connection which the sender still takes for sound; later ones
-    /// are lost.
+    /// Defers a message that is sent on a connection which the sender has not closed yet. Later messages are lost.
     pub(crate) fn defer(&mut self, now: Time, from: usize, to: usize, event: Event) {
         if now.since(self.since) <= DETECTION_TIME {
             self.deferred.entry((from, to)).or_default().push(event);
@@ -47,10 +46,14 @@
 }
 
 impl World {
+    /// Returns whether two data centres are partitioned from each other.
+    /// Returns whether two data centres are partitioned from each other.
     pub(crate) fn is_cut(&self, from: u8, to: u8) -> bool {
         from != to && (self.cut_dcs.contains(&from) || self.cut_dcs.contains(&to))
     }
 
+    /// Partitions a random data centre from all others, unless one is partitioned already.
+    /// Partitions a random data centre from all others, unless one is partitioned already.
     pub(crate) fn cut_data_centre(&mut self, duration: Duration) {
         let dc = self.random.random_range(0..self.options.dcs);
         if self.cut_dcs.is_empty() {
@@ -60,6 +63,8 @@
         }
     }
 
+    /// Ends the partition of a data centre.
+    /// Ends the partition of a data centre.
     pub(crate) fn heal_data_centre(&mut self, dc: u8) {
         self.cut_dcs.remove(&dc);
         self.reset_links();
@@ -67,6 +72,8 @@
         self.send_evacuations();
     }
 
+    /// Isolates some entries from all other members, unless some are isolated already.
+    /// Isolates some entries from all other members, unless some are isolated already.
     pub(crate) fn isolate_entries(&mut self, duration: Duration) {
         if !self.isolated.entries.is_empty() {
             return;
@@ -80,14 +87,14 @@
         self.schedule(self.now + duration * DURATION_FACTOR, Event::EndIsolation);
     }
 
-    /// The cut has healed: links open anew, and what was held up on the old ones arrives at some time
-    /// after that, in the order in which it was sent. The system sends again what is not acknowledged
-    /// after pauses that double, so the last pause is as long as the cut at most.
+    /// Ends the isolation of entries: links are reopened, and the messages deferred on the old ones arrive later, in the
+    /// order in which they were sent. TCP retransmits with exponential backoff, so the last pause is at most as long as
+    /// the partition.
     pub(crate) fn end_isolation(&mut self) {
         self.isolated.entries.clear();
-        let longest = self.now.since(self.isolated.since);
+        let max_pause = self.now.since(self.isolated.since);
         for (_, events) in std::mem::take(&mut self.isolated.deferred) {
-            let pause = self.random.random_range(Duration::ZERO..longest);
+            let pause = self.random.random_range(Duration::ZERO..max_pause);
             let due = self.now + pause;
             for event in events {
                 self.schedule(due, event);
@@ -98,7 +105,7 @@
         self.send_evacuations();
     }
 
-    /// Links open again after a cut.
+    /// Resets all links of members after a partition.
     fn reset_links(&mut self) {
         for index in 0..self.members.len() {
             for other in 0..self.members.len() {
@@ -109,14 +116,15 @@
         }
     }
 
-    /// Messages between two members may have been lost.
+    /// Reports to a member that messages on its link to a peer may have been lost.
     pub(crate) fn reset_link(&mut self, index: usize, peer: usize) {
         let incarnation = self.members[index].incarnation();
         self.schedule(self.now, Event::LinkReset(index, incarnation, peer));
     }
 
-    /// Members that started on two sides of a cut learn of each other when it has healed, as keepers
-    /// tell in a deployment. Without that two of them would dispatch for one data centre for ever.
+    /// Sends heartbeats to members from all peers that they do not know. Members that started on different sides of a
+    /// partition learn of each other from the keepers in a deployment. Without that, two of them would dispatch for one
+    /// data centre indefinitely.
     pub(crate) fn announce_unknown_peers(&mut self) {
         for index in 0..self.members.len() {
             for other in 0..self.members.len() {
--- a/crates/celerywinch_bench/src/members/refusals.rs
+++ b/crates/celerywinch_bench/src/members/refusals.rs
@@ -1,4 +1,4 @@
-//! Members whose connections to others are refused though both sides are alive.
+//! Refused connections between members that are both alive.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 
 use super::world::{Event, World};
 
-/// Of the members, so many are refused at once at most, in tenths.
+/// Maximum share of the members whose connections are refused at once, in tenths.
 const MAX_REFUSED_TENTHS: usize = 4;
-/// A link is tried again after this time (`celerywinch_links`).
+/// Interval at which a refused link is tried again, as in `celerywinch_links`.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// This many times as long as other faults, up to 5 s: longer than a lease and the wait for its end.
+/// Duration as a multiple of that of other faults. It lasts up to 5 s: longer than a lease and the wait for its end.
 const DURATION_FACTOR: u32 = 2;
 
 /// Pairs of members of which the first cannot connect to the second.
@@ -28,7 +28,7 @@
 }
 
 impl World {
-    /// Some members are refused by all others, or refuse them, or both.
+    /// Refuses the outgoing connections, the incoming ones, or both, of some random members.
     pub(crate) fn refuse_links(&mut self, duration: Duration) {
         if !self.refusals.pairs.is_empty() {
             return;
@@ -43,7 +43,11 @@
             _ => (true, true),
         };
         for one in sample(&mut self.random, all, count) {
-            self.trace(|| format!("member {one} is refused: {outgoing}, refuses: {incoming}"));
+            self.trace(|| {
+                format!(
+                    "member {one}: connections refused: outgoing {outgoing}, incoming {incoming}"
+                )
+            });
             for other in (0..all).filter(|other| *other != one) {
                 if outgoing {
                     self.refusals.pairs.insert((one, other));
@@ -57,7 +61,7 @@
         self.schedule(self.now + duration * DURATION_FACTOR, Event::EndRefusals);
     }
 
-    /// Each link that is refused is tried, and told to be refused, again and again.
+    /// Reports each refused link to the member that tries to open it, and schedules the next try.
     pub(crate) fn retry_refused_links(&mut self) {
         if self.refusals.pairs.is_empty() {
             return;
@@ -69,7 +73,7 @@
         self.schedule(self.now + RETRY_INTERVAL, Event::RetryRefusedLinks);
     }
 
-    /// Links open again.
+    /// Ends the refusals and reopens the links.
     pub(crate) fn end_refusals(&mut self) {
         for (from, to) in std::mem::take(&mut self.refusals.pairs) {
             self.reset_link(from, to);
--- a/crates/celerywinch_bench/src/members/report.rs
+++ b/crates/celerywinch_bench/src/members/report.rs
@@ -1,4 +1,4 @@
-//! What came of a run: figures, and broken promises.
+//! Report of a run: statistics and violations.
 
 use celerywinch_standin::Ran;
 use celerywinch_types::{JobEnd, TaskId};
@@ -9,11 +9,11 @@
 use super::load::ClassStats;
 use super::world::{MembersReport, World};
 
-/// Of a task by which three workers have ended, so many more starts break the users' bound.
+/// Number of starts of a task, after it has crashed three workers, that violates the bound the users require.
 const RESTART_LIMIT: usize = 3;
 
 impl World {
-    /// Compares what was seen with what was promised.
+    /// Checks the history of the run and collects its statistics.
     pub(crate) fn report(mut self) -> MembersReport {
         for host in &mut self.workers {
             host.worker.advance(host.local(self.now));
@@ -28,8 +28,11 @@
             .violations
             .extend(std::mem::take(&mut self.violations));
         report.violations.extend(self.excessive_restarts());
-        let cut = |ran: &&Ran| ran.how == celerywinch_pool::RunEnd::Interrupted;
-        report.runs = (self.history.len(), self.history.iter().filter(cut).count());
+        let interrupted = |ran: &&Ran| ran.how == celerywinch_pool::RunEnd::Interrupted;
+        report.runs = (
+            self.history.len(),
+            self.history.iter().filter(interrupted).count(),
+        );
         report.control = self.members.iter().map(|host| host.control).collect();
         for job in &self.jobs {
             self.check_job(job, &mut report);
@@ -48,34 +51,36 @@
         report
     }
 
-    /// Tasks that were started on and on though they end their workers. The bound holds for members that hear each other:
-    /// where messages are held up, late or refused a caller sends its job to the other side of a cut, which knows of nothing.
+    /// Returns the tasks that were restarted too often although they crash their workers. The bound holds only while members
+    /// can communicate: where messages are deferred, late or refused, a caller may submit its job to the other side of a
+    /// partition, which does not know of the crashes.
     fn excessive_restarts(&self) -> Vec<Violation> {
-        let apart = |plan: &FaultPlan| plan.partitioned || plan.congested || plan.refused;
-        if self.options.faults.as_ref().is_some_and(apart) {
+        let separates = |plan: &FaultPlan| plan.partitioned || plan.congested || plan.refused;
+        if self.options.faults.as_ref().is_some_and(separates) {
             return Vec::new();
         }
-        let ended = self.worker_crashes.iter();
-        let third = ended.filter_map(|(task, ends)| Some((*task, *ends.get(2)?)));
-        let later = third.map(|(task, third)| {
+        let crashes = self.worker_crashes.iter();
+        let third = crashes.filter_map(|(task, times)| Some((*task, *times.get(2)?)));
+        let violations = third.map(|(task, third)| {
             let runs = self.history.iter();
             let later = runs.filter(|ran| ran.task == task && ran.from > third);
             Violation::Restarted(task, later.count())
         });
-        later
-            .filter(|found| matches!(found, Violation::Restarted(_, starts) if *starts >= RESTART_LIMIT))
+        violations
+            .filter(|violation| matches!(violation, Violation::Restarted(_, starts) if *starts >= RESTART_LIMIT))
             .collect()
     }
 
+    /// Checks the result of a job and adds it to the statistics of its class.
     fn check_job(&self, job: &CallerJob, report: &mut MembersReport) {
-        let figures = &mut report.classes[job.class];
-        figures.submitted += 1;
+        let stats = &mut report.classes[job.class];
+        stats.submitted += 1;
         match job.end {
             Some((at, JobEnd::Completed)) => {
                 if at <= job.due {
-                    figures.on_time += 1;
+                    stats.on_time += 1;
                 } else {
-                    figures.late += 1;
+                    stats.late += 1;
                 }
                 let tasks = (0..job.task_times.len() as u16).map(|index| TaskId {
                     job: job.id,
@@ -85,11 +90,11 @@
                 let missing = tasks.filter(|task| !has_completed_run(&self.history, *task));
                 report.violations.extend(missing.map(Violation::NotDone));
             }
-            Some((_, JobEnd::Failed)) => figures.failed += 1,
+            Some((_, JobEnd::Failed)) => stats.failed += 1,
             Some((at, JobEnd::Refused(_))) => {
-                figures.refused += 1;
+                stats.refused += 1;
                 let took = at.since(job.sent_at).as_millis() as u32;
-                figures.max_refusal_ms = figures.max_refusal_ms.max(took);
+                stats.max_refusal_ms = stats.max_refusal_ms.max(took);
                 let ran = self.history.iter().find(|ran| ran.task.job == job.id);
                 if let Some(ran) = ran.filter(|_| job.attempts == 1) {
                     report
@@ -98,7 +103,7 @@
                 }
             }
             Some((_, JobEnd::Unsure)) | None => {
-                figures.lost += 1;
+                stats.lost += 1;
                 if !job.abandoned && job.end.is_none() && job.attempts == 1 {
                     report
                         .violations
--- a/crates/celerywinch_bench/src/members/resets.rs
+++ b/crates/celerywinch_bench/src/members/resets.rs
@@ -1,4 +1,4 @@
-//! Resets of many connections at once, in series.
+//! Resets of many connections at once.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,26 +10,27 @@
 
 use super::world::{Event, World};
 
-/// The share of the connections that a reset breaks.
+/// Share of the connections that a reset breaks.
 const BROKEN_SHARE: f64 = 0.5;
-/// What waits at an entry as a reset strikes is read within this time, each request together with the break of its connection.
+/// Time within which entries read the requests that were waiting at the time of the reset. The break of a connection is
+/// read together with its request.
 const READ_WINDOW: Duration = Duration::from_millis(50);
-/// A link is open again after a time up to this.
+/// Maximum time until a link is open again.
 const MAX_REOPEN_DELAY: Duration = Duration::from_millis(60);
-/// A caller whose connection broke as it sent its job sends it again within this time.
+/// Maximum time until a caller whose connection broke while it submitted its job submits it again.
 const MAX_RESEND_DELAY: Duration = Duration::from_millis(25);
 
-/// Connections that were reset.
+/// State of the connections that were reset.
 #[derive(Debug, Default)]
 pub(crate) struct Resets {
-    /// Until when requests are read whose connections have broken.
-    backlog: Time,
-    /// Until when each link loses what is sent on it.
+    /// Requests whose connections have broken are read until then.
+    read_until: Time,
+    /// Time until which each link loses its messages.
     links: BTreeMap<(usize, usize), Time>,
 }
 
 impl Resets {
-    /// Whether a link loses what is sent on it now.
+    /// Returns whether a link loses a message that is sent on it now.
     pub(crate) fn loses(&self, now: Time, from: usize, to: usize) -> bool {
         let until = self.links.get(&(from, to));
         until.is_some_and(|until| now < *until)
@@ -37,9 +38,9 @@
 }
 
 impl World {
-    /// Breaks half of the links, and half of the connections of callers that are about to send.
+    /// Breaks half of the links between members, and half of the connections of callers that are submitting jobs.
     pub(crate) fn reset_connections(&mut self) {
-        self.resets.backlog = self.now + READ_WINDOW;
+        self.resets.read_until = self.now + READ_WINDOW;
         for from in 0..self.members.len() {
             for to in 0..self.members.len() {
                 if from != to && self.random.random_bool(BROKEN_SHARE) {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// A link is open again, unless it was reset once more meanwhile.
+    /// Reopens a link, unless it was reset once more meanwhile.
     pub(crate) fn reopen_link(&mut self, from: usize, to: usize) {
         if !self.resets.loses(self.now, from, to) {
             self.reset_link(from, to);
@@ -60,12 +61,13 @@
         }
     }
 
-    /// Whether the connection of a request that is read now has broken.
+    /// Draws whether the connection of a request that is read now has broken.
     pub(crate) fn is_broken_connection(&mut self) -> bool {
-        self.now < self.resets.backlog && self.random.random_bool(BROKEN_SHARE)
+        self.now < self.resets.read_until && self.random.random_bool(BROKEN_SHARE)
     }
 
-    /// The entry reads the break right after the request, and the caller sends its job again at once.
+    /// Breaks the connection of a caller: the entry reads the break right after the request, and the caller soon submits the
+    /// job again.
     pub(crate) fn break_connection(&mut self, index: usize, caller: CallerId) {
         let (entry, attempts) = (self.jobs[index].entry, self.jobs[index].attempts);
         self.input(entry, Input::CallerGone(caller));
--- a/crates/celerywinch_bench/src/members/workers.rs
+++ b/crates/celerywinch_bench/src/members/workers.rs
@@ -1,4 +1,4 @@
-//! Workers, and the calls to them.
+//! Simulated workers, and the calls of members to them.
 
 use std::time::Duration;
 
@@ -11,60 +11,63 @@
 use super::links::{answer_size, call_size};
 use super::world::{Event, World};
 
-/// An answer that is late is listened for so much longer (`celerywinch_fleet`).
+/// Time after a call's timeout in which a late answer is still received, as in `celerywinch_fleet`.
 const LATE_ANSWER_WINDOW: Duration = Duration::from_millis(600);
-/// Between two looks whether a waiting call can be answered.
+/// Interval at which a waiting long poll is checked for an answer.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A share of the calls to all workers, orders and looks, that get no answer and are carried out seconds
-/// later.
+/// Share of the calls to all workers, polls included, that get no answer and are executed 2 to 6 s later.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UnansweredCalls {
-    /// From when, in ms.
+    /// Start, in ms.
     pub start_ms: u64,
-    /// Until when, in ms.
+    /// End, in ms.
     pub end_ms: u64,
-    /// How many of the orders, 0 to 1.
+    /// Share of the calls, 0 to 1.
     pub share: f64,
 }
 
 impl UnansweredCalls {
+    /// Returns the share at a time, or `None` outside of the interval.
+    /// Returns the share at a time, or `None` outside of the interval.
     fn share_at(self, now: Time) -> Option<f64> {
-        let there = self.start_ms * 1_000..self.end_ms * 1_000;
-        there.contains(&now.0).then_some(self.share)
+        let interval = self.start_ms * 1_000..self.end_ms * 1_000;
+        interval.contains(&now.0).then_some(self.share)
     }
 }
 
-/// A worker and the path to it.
+/// Simulated worker and the faults of the path to it.
 #[derive(Debug)]
 pub(crate) struct WorkerHost {
     pub(crate) worker: LeasedWorker,
     pub(crate) dc: u8,
     pub(crate) up: bool,
     pub(crate) restarts: u32,
-    /// When this life began, and whether a call that was sent since then was carried out in it.
+    /// Start of the present incarnation.
     pub(crate) started_at: Time,
+    /// Whether the present incarnation has executed a call that was issued since its start.
+    /// Whether the present incarnation has executed a call that was issued since its start.
     pub(crate) received_call: bool,
-    /// Calls are lost until then.
+    /// Calls to the worker are lost until then.
     pub(crate) drop_until: Time,
-    /// Orders are carried out late, and not answered, until then.
+    /// Until then, half of the starts and stops are executed late and not answered.
     pub(crate) late_until: Time,
-    /// Its answers are lost until then.
+    /// Answers of the worker are lost until then.
     pub(crate) mute_until: Time,
-    /// Calls are refused until then.
+    /// Connections to the worker are refused until then.
     pub(crate) refuse_until: Time,
     pub(crate) announced: AnnouncedState,
-    /// How fast its clock runs.
+    /// Rate of the worker's clock, 1 if it is exact.
     pub(crate) clock_rate: f64,
 }
 
 impl WorkerHost {
-    /// A moment by the worker's clock.
+    /// Converts a time to the worker's clock.
     pub(crate) fn local(&self, now: Time) -> Time {
         Time((now.0 as f64 * self.clock_rate) as u64)
     }
 
-    /// What ended there, by the true time.
+    /// Returns the runs that have ended in this incarnation, with times converted from the worker's clock.
     pub(crate) fn history(&self) -> impl Iterator<Item = Ran> {
         let real = |at: Time| Time((at.0 as f64 / self.clock_rate) as u64);
         self.worker.history.iter().map(move |ran| Ran {
@@ -75,18 +78,22 @@
     }
 }
 
-/// A call on its way.
+/// Call of a member to a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct CallInFlight {
     pub(crate) member: usize,
     pub(crate) incarnation: u64,
     pub(crate) call: Call,
+    /// Time at which the member issued the call.
+    /// Time at which the member issued the call.
     pub(crate) issued_at: Time,
-    /// When it had left the member.
+    /// Time at which the call had left the member's outgoing link.
     pub(crate) sent_at: Time,
 }
 
 impl World {
+    /// Sends a call to a worker and schedules its timeout.
+    /// Sends a call to a worker and schedules its timeout.
     pub(crate) fn call(&mut self, from: usize, call: Call) {
         let incarnation = self.members[from].incarnation();
         let timeout = Event::Answer(from, incarnation, call.key, Answer::NoAnswer);
@@ -105,7 +112,8 @@
         self.schedule(sent_at + delay, Event::ReceiveCall(index, in_flight));
     }
 
-    /// A call arrives at a worker.
+    /// Handles a call at a worker: it is lost, refused, delayed, answered at once, or kept waiting if it is a long poll
+    /// and no run has ended.
     pub(crate) fn receive_call(&mut self, index: usize, in_flight: CallInFlight) {
         let host = &self.workers[index];
         let cut = self.is_cut(self.members[in_flight.member].dc, host.dc);
@@ -123,13 +131,13 @@
             self.reply(index, &in_flight, Answer::OtherIncarnation);
             return;
         }
-        let order = matches!(
+        let changes_run = matches!(
             in_flight.call.request,
             Request::Start { .. } | Request::Stop { .. }
         );
         let delay = self.link_delay(self.members[in_flight.member].dc, self.workers[index].dc);
-        let arrives = self.now <= in_flight.sent_at + delay;
-        if (order && self.draw_late(index)) || (arrives && self.draw_unanswered()) {
+        let first_arrival = self.now <= in_flight.sent_at + delay;
+        if (changes_run && self.draw_late(index)) || (first_arrival && self.draw_unanswered()) {
             let late = Duration::from_millis(self.random.random_range(2_000..6_000));
             self.schedule(self.now + late, Event::ExecuteLate(index, in_flight));
             return;
@@ -151,7 +159,7 @@
         self.reply(index, &in_flight, answer);
     }
 
-    /// Whether an order is to be carried out late.
+    /// Draws whether a start or stop is executed late.
     fn draw_late(&mut self, index: usize) -> bool {
         if self.workers[index].late_until > self.now {
             return self.random.random_bool(0.5);
@@ -159,13 +167,15 @@
         false
     }
 
+    /// Draws whether a call gets no answer.
+    /// Draws whether a call gets no answer.
     fn draw_unanswered(&mut self) -> bool {
-        let all = self.options.unanswered;
-        let share = all.and_then(|all| all.share_at(self.now));
+        let plan = self.options.unanswered;
+        let share = plan.and_then(|plan| plan.share_at(self.now));
         share.is_some_and(|share| self.random.random_bool(share))
     }
 
-    /// The lease counts from the arrival of a look that then waits.
+    /// Extends the worker's lease for a long poll that waits: the lease counts from the arrival of the poll.
     fn extend_lease(&mut self, index: usize, in_flight: &CallInFlight) {
         let mut call = in_flight.call.clone();
         if let Request::Poll { cursor, .. } = &mut call.request {
@@ -178,6 +188,7 @@
         self.execute_call(index, &in_flight);
     }
 
+    /// Executes a call at a worker, and checks a start that the worker accepts.
     pub(crate) fn execute(&mut self, index: usize, call: &Call) -> Answer {
         let (need, run_time) = match &call.request {
             Request::Start { task, .. } => self.work_for(*task),
@@ -188,23 +199,25 @@
         if worker.id != call.worker {
             return Answer::OtherIncarnation;
         }
-        let before = worker.started;
+        let started_before = worker.started;
         let answer = worker.order(now, call.fence, &call.request, need, run_time);
         if let Request::Start { task, .. } = &call.request
-            && worker.started > before
+            && worker.started > started_before
         {
             self.check_start(index, *task);
         }
         answer
     }
 
-    /// Carries a call out, and remembers if it was sent to this life.
+    /// Executes a call, and records whether it was issued since the present incarnation started.
     pub(crate) fn execute_call(&mut self, index: usize, in_flight: &CallInFlight) -> Answer {
         let host = &mut self.workers[index];
         host.received_call |= in_flight.issued_at >= host.started_at;
         self.execute(index, &in_flight.call)
     }
 
+    /// Returns the resources and the run time of a task.
+    /// Returns the resources and the run time of a task.
     fn work_for(&self, task: TaskId) -> (Resources, Duration) {
         let job = self.jobs.iter().rev().find(|job| job.id == task.job);
         let job = job.expect("a task of a job");
@@ -212,6 +225,8 @@
         (job.plan.steps[0].need, run_time)
     }
 
+    /// Sends an answer back to the member.
+    /// Sends an answer back to the member.
     fn reply(&mut self, index: usize, in_flight: &CallInFlight, answer: Answer) {
         if self.workers[index].mute_until > self.now {
             return;
@@ -226,15 +241,15 @@
         );
         let due = self.enqueue_incoming(in_flight.member, self.now + delay, bytes);
         let due = self.after_backlog(in_flight.member, due);
-        let late = due.since(in_flight.issued_at + in_flight.call.timeout);
+        let delay = due.since(in_flight.issued_at + in_flight.call.timeout);
         self.schedule(due, event);
-        if !late.is_zero() && late <= LATE_ANSWER_WINDOW {
-            let took = due
+        if !delay.is_zero() && delay <= LATE_ANSWER_WINDOW {
+            let answer_time = due
                 .since(in_flight.issued_at)
                 .saturating_sub(in_flight.call.request.max_wait());
             self.schedule(
                 due,
-                Event::LateAnswer(in_flight.member, in_flight.incarnation, took),
+                Event::LateAnswer(in_flight.member, in_flight.incarnation, answer_time),
             );
         }
     }
@@ -268,7 +283,7 @@
     pub(crate) fn lose_answers(&mut self, duration: Duration) {
         let index = self.pick_worker();
         self.workers[index].mute_until = self.now + duration;
-        self.trace(|| format!("worker-{index} loses answers"));
+        self.trace(|| format!("worker-{index}: answers are lost"));
     }
 
     pub(crate) fn refuse_calls(&mut self, duration: Duration) {
@@ -276,7 +291,7 @@
         self.workers[index].refuse_until = self.now + duration;
     }
 
-    /// Whether nobody listens at a worker's address, or nobody can connect to it.
+    /// Returns whether connections to a worker are refused: no process listens at its address, or a fault refuses them.
     fn is_refused(&self, index: usize) -> bool {
         let host = &self.workers[index];
         let plan = self.options.faults;
--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -1,4 +1,4 @@
-//! The simulated deployment.
+//! The simulated deployment: its state, its events and the delivery of messages.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -26,71 +26,74 @@
 use super::resets::Resets;
 use super::workers::{CallInFlight, UnansweredCalls, WorkerHost};
 
-/// When the load begins: all members are ready by then.
+/// Start of the load. All members are ready by then.
 const LOAD_START: Time = Time(1_500_000);
-/// Between two ticks of a member.
+/// Interval between two ticks of a member.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
-/// One way within a data centre, and between two; the brief's figures.
+/// One-way network delay within a data centre, of the reference deployment.
 const LOCAL_DELAY: Duration = Duration::from_micros(100);
+/// One-way network delay between two data centres, of the reference deployment.
 const REMOTE_DELAY: Duration = Duration::from_micros(1_400);
-/// A member that was stopped as planned, or killed, starts again after this time.
+/// Delay until a member that was stopped as planned starts again.
 const RESTART_DELAY: Duration = Duration::from_millis(600);
-/// A member that is told to stop goes on for this long.
+/// Time from a request to stop until the process of the member ends.
 const STOP_GRACE: Duration = Duration::from_millis(1_500);
-/// How long the world goes on after the load, until all must be at rest, ...
+/// Minimum time that the simulation runs on after the load; at its end no member may have open work.
 const SETTLE_TIME: Duration = Duration::from_secs(8);
-/// ... and after the last caller has left: its tasks are stopped, and 400 ms later workers are told that their
-/// ends are known.
+/// Time that the simulation runs on after the longest timeout of a caller. When a caller gives up, its tasks are
+/// stopped, and 400 ms later their ends are acknowledged to the workers.
 const LAST_CALLER_MARGIN: Duration = Duration::from_secs(2);
-/// When a run begins, in ms since 1970, and how far wall clocks are wrong at most where they are; by
-/// the users' page they jump by seconds.
+/// Wall-clock time at the start of a run, in ms since 1970.
 pub(crate) const START_WALL_MS: u64 = 1_700_000_000_000;
+/// Maximum error of wall clocks in runs with clock skew, in ms. In real deployments they jump by seconds.
 pub(crate) const MAX_SKEW_MS: u64 = 5_000;
-/// What a worker has; every third one has half as much again.
+/// CPU of a worker, in thousandths of a core. Every third worker has 50% more.
 const WORKER_CPU: u32 = 32_000;
 
-/// A run.
+/// Options of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembersOptions {
     /// Seed of the random source.
     pub seed: u64,
-    /// Data centres.
+    /// Number of data centres.
     pub dcs: u8,
-    /// Entries, spread over them.
+    /// Number of entries, spread over the data centres.
     pub entries: u32,
-    /// Workers, spread over them.
+    /// Number of workers, spread over the data centres.
     pub workers: u32,
-    /// The most workers that one dispatcher takes.
+    /// Maximum number of workers of one dispatcher.
     pub shard_size: usize,
-    /// Mechanisms of dispatching that are left out.
+    /// Mechanisms of dispatching that are disabled.
     pub disabled: DisabledMechanisms,
-    /// Bytes a second that the link of a member carries each way; none for no bound.
+    /// Bandwidth of a member's link in each direction, in bytes per second; `None` for unlimited.
     pub link_rate: Option<u64>,
-    /// How long there is load, in ms.
+    /// Time at which the load ends, in ms from the start of the run.
     pub load_ms: u64,
     /// The load.
     pub load: LoadPlan,
-    /// Orders to all workers that get no answer, if any.
+    /// Calls to workers that get no answer, if any.
     pub unanswered: Option<UnansweredCalls>,
-    /// Faults, if any.
+    /// Injected faults, if any.
     pub faults: Option<FaultPlan>,
-    /// Print what happens to this job, and to members.
+    /// Job whose events are printed, together with those of membership and of faults.
     pub follow: Option<JobId>,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MembersReport {
-    /// Figures by kind of job, in the order of the plan.
+    /// Statistics by class of jobs, in the order of the plan.
     pub classes: Vec<ClassStats>,
-    /// Broken promises.
+    /// Violated guarantees.
     pub violations: Vec<Violation>,
-    /// Runs on workers, and those that ended without a result.
+    /// Number of runs on workers, and how many of them were interrupted.
     pub runs: (usize, usize),
-    /// What each member has sent, since the load began, that is not callers' work.
+    /// Control traffic that each member has sent since the load began.
     pub control: Vec<ControlTraffic>,
 }
 
+/// Scheduled event. The first number is the index of the member, worker, class or job that it concerns; a number after
+/// it is the incarnation of the member, the restarts of the worker or the attempt of the job that it is meant for.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
     Tick(usize, u64),
@@ -124,14 +127,14 @@
     ReopenLink(usize, usize),
 }
 
-/// Which process of a member has sent a message.
+/// Identifies the process that sent a message, by the index and the incarnation of its member.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Source {
     index: usize,
     incarnation: u64,
 }
 
-/// A member and its process.
+/// Simulated member and the state of its process and links.
 #[derive(Debug)]
 pub(crate) struct MemberHost {
     pub(crate) member: Option<Member>,
@@ -139,9 +142,9 @@
     incarnation: u64,
     frozen: bool,
     leaving: bool,
-    /// What arrives while it is frozen.
+    /// Events that have arrived while the process is frozen.
     deferred: Vec<Event>,
-    /// The latest process of each other member that a message came from.
+    /// Latest incarnation of each other member that a message was received from.
     latest_incarnations: BTreeMap<usize, u64>,
     pub(crate) backlog: Backlog,
     outgoing: LinkDirection,
@@ -172,18 +175,19 @@
     pub(crate) workers: Vec<WorkerHost>,
     pub(crate) jobs: Vec<CallerJob>,
     pub(crate) history: Vec<Ran>,
-    /// What was found broken while it happened.
+    /// Violations that were found during the run.
     pub(crate) violations: Vec<Violation>,
-    /// When workers ended by each task.
+    /// Times at which workers were crashed by each task.
     pub(crate) worker_crashes: HashMap<TaskId, Vec<Time>>,
-    /// Data centres that are cut off.
+    /// Data centres that are partitioned from the others.
     pub(crate) cut_dcs: BTreeSet<u8>,
-    /// Entries that are cut off from all other members.
+    /// Entries that are partitioned from all other members.
     pub(crate) isolated: IsolatedEntries,
-    /// Members that are refused connections.
+    /// Pairs of members between which connections are refused.
     pub(crate) refusals: Refusals,
+    /// Links and callers' connections that were reset.
     pub(crate) resets: Resets,
-    /// The evacuations that the keepers have acknowledged.
+    /// Evacuations that the keepers have acknowledged.
     pub(crate) acknowledged: AcknowledgedEvacuations,
 }
 
@@ -191,7 +195,7 @@
     InstanceId(index as u32 + 1)
 }
 
-/// Plays a run.
+/// Runs the simulation and checks its history.
 #[must_use]
 pub fn run(options: MembersOptions) -> MembersReport {
     let mut world = World::new(options);
@@ -254,18 +258,18 @@
             } else {
                 WORKER_CPU
             };
-            let room = Resources {
+            let capacity = Resources {
                 cpu,
                 memory: 65_536,
                 accelerators: 0,
             };
             let plan = world.options.faults.unwrap_or_default();
-            let mut worker = LeasedWorker::new(Time(0), &format!("worker-{index}-0"), room);
+            let mut worker = LeasedWorker::new(Time(0), &format!("worker-{index}-0"), capacity);
             worker.guards = !plan.shrinking;
             worker.incarnation = plan.reused_names.then_some(Incarnation(START_WALL_MS));
             world.workers.push(WorkerHost {
                 worker,
-                announced: AnnouncedState::new(room),
+                announced: AnnouncedState::new(capacity),
                 dc: (index % u32::from(world.options.dcs)) as u8,
                 up: true,
                 restarts: 0,
@@ -290,7 +294,7 @@
         world
     }
 
-    /// How fast the clock of a worker runs: right, or up to 2% slow.
+    /// Returns the rate of a worker's clock: exact, or up to 2% slow.
     fn clock_rate(&self, worker: u32) -> f64 {
         if self.options.faults.is_none_or(|plan| !plan.drift) {
             return 1.0;
@@ -325,7 +329,7 @@
                     self.execute_call(worker, &in_flight);
                 }
             }
-            Event::NewJob(class) => self.arrive(class),
+            Event::NewJob(class) => self.submit_new_job(class),
             Event::Resubmit(job, attempts) => self.resubmit(job, attempts),
             Event::AbandonJob(job, attempts) => self.abandon_job(job, attempts),
             Event::InjectFault => {
@@ -391,7 +395,8 @@
         }
     }
 
-    /// Links drop what a process had sent that another one of its instance has replaced.
+    /// Handles a message, unless one of a later process of the same instance was received before: links drop the messages
+    /// of a process that has been replaced.
     fn receive_message(&mut self, index: usize, from: Source, msg: FleetMsg) {
         let latest = self.members[index].latest_incarnations.entry(from.index);
         let latest = latest.or_insert(from.incarnation);
@@ -416,7 +421,7 @@
         self.input(index, Input::Flush);
     }
 
-    /// The number of a process is drawn: that of a later one may be lower.
+    /// Returns the identity of a process. Its incarnation is drawn at random, so that of a later process may be lower.
     fn process(&self, source: Source) -> Process {
         let Source { index, incarnation } = source;
         let drawn = score(self.options.seed, (index as u64) << 32 | incarnation);
@@ -444,27 +449,27 @@
                 | Output::Stage(_) => {}
                 Output::Member(event) => self.trace_event(index, &event, true),
                 Output::Dispatch(event) => {
-                    let of_members = matches!(
+                    let always = matches!(
                         event,
                         PoolEvent::Acquired { .. }
                             | PoolEvent::Resigned { .. }
                             | PoolEvent::WorkerGone { .. }
                     );
-                    self.trace_event(index, &event, of_members);
+                    self.trace_event(index, &event, always);
                 }
                 Output::Origin(event) => self.trace_event(index, &event, false),
             }
         }
     }
 
-    /// Prints what happens, if a job is followed.
+    /// Prints a line if a job is followed.
     pub(crate) fn trace(&self, text: impl FnOnce() -> String) {
         if self.options.follow.is_some() {
             println!("{:>10} {}", self.now.0, text());
         }
     }
 
-    /// Prints a note about the job that is followed, or about members.
+    /// Prints an event of a member if it names the job that is followed; with `always`, prints it for any job.
     fn trace_event(&self, index: usize, event: &impl std::fmt::Debug, always: bool) {
         let Some(job) = self.options.follow else {
             return;
@@ -511,19 +516,19 @@
         self.schedule(due, event);
     }
 
-    /// When so many bytes that a member sends now have left it.
+    /// Puts bytes on the outgoing link of a member now and returns when they have left it.
     pub(crate) fn enqueue_outgoing(&mut self, from: usize, bytes: usize) -> Time {
         let rate = self.options.link_rate;
         self.members[from].outgoing.transmit(self.now, bytes, rate)
     }
 
-    /// When so many bytes that come to a member at `at` are there.
+    /// Puts bytes that arrive at `at` on the incoming link of a member and returns when they are received.
     pub(crate) fn enqueue_incoming(&mut self, to: usize, at: Time, bytes: usize) -> Time {
         let rate = self.options.link_rate;
         self.members[to].incoming.transmit(at, bytes, rate)
     }
 
-    /// An entry that takes new callers.
+    /// Picks a random entry that accepts new callers.
     pub(crate) fn pick_entry(&mut self) -> Option<usize> {
         let open = |host: &MemberHost| host.is_up() && !host.frozen && !host.leaving;
         let hosts = self.members.iter().enumerate();
@@ -535,7 +540,7 @@
         Some(open[pick])
     }
 
-    /// What a member's wall clock shows, in ms since 1970.
+    /// Returns the time of a member's wall clock, in ms since 1970.
     pub(crate) fn wall_clock_ms(&self, index: usize) -> u64 {
         let right = START_WALL_MS + self.now.0 / 1_000;
         if self.options.faults.is_none_or(|plan| !plan.clock_skew) {
@@ -567,8 +572,8 @@
                 ..PoolConfig::default()
             },
         };
-        let wall_clock_ms = WallMs(self.wall_clock_ms(index));
-        self.members[index].member = Some(Member::new(config, self.now, wall_clock_ms));
+        let wall_clock = WallMs(self.wall_clock_ms(index));
+        self.members[index].member = Some(Member::new(config, self.now, wall_clock));
         self.schedule(self.now + TICK_INTERVAL, Event::Tick(index, incarnation));
         self.input(index, Input::ConfigVersion(1));
         let evacuations = self.evacuations_at_start(index);
@@ -580,7 +585,7 @@
         self.exchange_heartbeats(index);
     }
 
-    /// Heartbeats to and from all others, as when links open.
+    /// Sends heartbeats to and from all other members, as when links open.
     fn exchange_heartbeats(&mut self, index: usize) {
         for other in 0..self.members.len() {
             if other == index || !self.members[other].is_up() {
@@ -604,7 +609,7 @@
         let up = |host: &MemberHost| host.is_up() && !host.frozen && !host.leaving;
         let hosts = self.members.iter().enumerate();
         let up: Vec<_> = hosts.filter(|(_, h)| up(h)).map(|(i, _)| i).collect();
-        // One goes on, so that callers find somebody.
+        // One member is left running to serve callers.
         if up.len() < 2 {
             return None;
         }
@@ -620,7 +625,8 @@
         }
     }
 
-    /// The process ends; its callers' connections break.
+    /// Ends the process of a member. The connections of its callers break, and other members that can reach its machine
+    /// are refused connections.
     fn end_member(&mut self, index: usize, incarnation: u64) {
         let host = &mut self.members[index];
         if host.incarnation != incarnation || host.member.is_none() {
