--- a/crates/celerywinch_node/src/core.rs
+++ b/crates/celerywinch_node/src/core.rs
@@ -15,7 +15,7 @@
 use crate::calls::Calls;
 use crate::links::Links;
 use crate::shared::{CoreMsg, EndpointLine, Figures, PeerLine, Shared, StatusPage};
-use crate::store::StoreIn;
+use crate::store::StoreRequest;
 use crate::timeline::Timeline;
 
 /// The most messages handled before what they led to is sent.
@@ -72,7 +72,10 @@
             CoreMsg::Lookup(key, reply) => Input::Lookup(self.waiter(reply), key),
             CoreMsg::Cancel(keys, reply) => Input::Cancel(self.waiter(reply), keys),
             CoreMsg::Input(Input::Peer(from, PeerMsg::Store(bytes))) => {
-                let _ = self.shared.store.send(StoreIn::Peer(from.instance, bytes));
+                let _ = self
+                    .shared
+                    .store
+                    .send(StoreRequest::Peer(from.instance, bytes));
                 return;
             }
             CoreMsg::Input(input) => input,
@@ -110,7 +113,7 @@
             match output {
                 Output::Send(peer, msg) => self.links.send(peer, msg),
                 Output::Save(catalogue) => {
-                    let _ = self.shared.store.send(StoreIn::Save(catalogue));
+                    let _ = self.shared.store.send(StoreRequest::Save(catalogue));
                 }
                 Output::Probe(peer) => self.links.probe(peer),
                 Output::Start(call) => self.calls.start(call),
--- a/crates/celerywinch_node/src/http/operators.rs
+++ b/crates/celerywinch_node/src/http/operators.rs
@@ -10,7 +10,7 @@
 
 use super::{Problem, read_body};
 use crate::shared::{CoreMsg, Shared};
-use crate::store::{EditAnswer, StoreIn};
+use crate::store::{EditResult, StoreRequest};
 
 /// The longest change, in bytes.
 const LONGEST_EDIT: usize = 8 << 20;
@@ -90,13 +90,13 @@
         return problem.detail("wanted 1 to 128 bytes").response();
     }
     let (sender, receiver) = oneshot::channel();
-    if shared.store.send(StoreIn::Edit(edit, sender)).is_err() {
+    if shared.store.send(StoreRequest::Edit(edit, sender)).is_err() {
         return Problem::internal().response();
     }
     answer(receiver.await.ok().flatten())
 }
 
-fn answer(answer: EditAnswer) -> HttpResponse {
+fn answer(answer: EditResult) -> HttpResponse {
     match answer {
         Some(Ok(applied)) => HttpResponse::Ok().json(&applied),
         Some(Err(error @ ApplyError::Conflict { .. })) => {
@@ -154,7 +154,7 @@
         return unauthorised();
     }
     let (sender, receiver) = oneshot::channel();
-    if shared.store.send(StoreIn::Status(sender)).is_err() {
+    if shared.store.send(StoreRequest::Status(sender)).is_err() {
         return Problem::internal().response();
     }
     match receiver.await {
--- a/crates/celerywinch_node/src/node.rs
+++ b/crates/celerywinch_node/src/node.rs
@@ -27,7 +27,7 @@
 use crate::links::{LinkContext, Links};
 use crate::metrics::Metrics;
 use crate::shared::{CoreMsg, ListenAddrs, Shared};
-use crate::store::{self, StoreIn, StoreOptions};
+use crate::store::{self, StoreOptions, StoreRequest};
 use crate::timeline::Timeline;
 use crate::{Clock, http, incarnation};
 
@@ -223,7 +223,7 @@
     shared: &Arc<Shared>,
     clock: Arc<Clock>,
     given: Option<Document>,
-    inbox: Receiver<StoreIn>,
+    inbox: Receiver<StoreRequest>,
 ) -> anyhow::Result<()> {
     let settings = &shared.settings;
     let document = match (given, &settings.first_catalogue) {
--- a/crates/celerywinch_node/src/shared.rs
+++ b/crates/celerywinch_node/src/shared.rs
@@ -16,7 +16,7 @@
 use tokio::sync::oneshot;
 
 use crate::metrics::Metrics;
-use crate::store::StoreIn;
+use crate::store::StoreRequest;
 
 /// What the core is asked.
 #[derive(Debug)]
@@ -108,7 +108,7 @@
     pub(crate) catalogue: ArcSwap<Catalogue>,
     pub(crate) metrics: Metrics,
     pub(crate) core: UnboundedSender<CoreMsg>,
-    pub(crate) store: Sender<StoreIn>,
+    pub(crate) store: Sender<StoreRequest>,
     pub(crate) stopping: AtomicBool,
     /// Whether the catalogue in force is no older than it was before this process started.
     pub(crate) current: AtomicBool,
--- a/crates/celerywinch_node/src/store.rs
+++ b/crates/celerywinch_node/src/store.rs
@@ -1,6 +1,6 @@
-//! The store's thread: the keeper's state machine and its disk, and the way of operators' changes.
+//! The store thread: drives the keeper's state machine, writes its disk, and proposes operators' changes.
 //!
-//! It is the only thread that waits for a disk; requests of callers never do.
+//! It is the only thread that blocks on disk I/O, so that callers' requests never wait for a disk.
 
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
@@ -23,52 +23,58 @@
 use crate::Clock;
 use crate::shared::CoreMsg;
 
-/// Between two ticks of the state machines.
-const TICK: Duration = Duration::from_millis(10);
-/// Between two heartbeats of the leader.
-const HEARTBEAT: Duration = Duration::from_millis(100);
-/// The shortest time without a leader before an election.
-const ELECTION: Duration = Duration::from_millis(400);
-/// Entries after which a snapshot is made.
-const COMPACT_AFTER: usize = 128;
-/// Between two attempts to use a disk that failed.
-const REOPEN: Duration = Duration::from_secs(2);
-/// The folder of the keeper within the data folder.
+/// Interval between ticks of the state machines.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval between the leader's heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum time without contact to a leader before an election starts.
+const MIN_ELECTION_TIMEOUT: Duration = Duration::from_millis(400);
+/// Number of log entries after which the log is compacted into a snapshot.
+const COMPACT_AFTER_ENTRIES: usize = 128;
+/// Delay before a disk that failed is opened again.
+const REOPEN_DELAY: Duration = Duration::from_secs(2);
+/// The keeper's folder within the data folder.
 const KEEPER_FOLDER: &str = "keeper";
-/// The file with the catalogue in force within the data folder.
+/// The file within the data folder that holds the catalogue in force.
 const CATALOGUE_FILE: &str = "catalogue";
-/// The change that puts in the first catalogue.
-const FIRST_CHANGE: &str = "first-catalogue";
+/// The id of the change that installs the first catalogue.
+const FIRST_CHANGE_ID: &str = "first-catalogue";
 
-/// The answer to an operator; none means that it is not known whether the change was accepted.
-pub(crate) type EditAnswer = Option<Result<Applied, ApplyError>>;
+/// The result of an operator's change; `None` if it is not known whether the change was accepted.
+pub(crate) type EditResult = Option<Result<Applied, ApplyError>>;
 
-/// What the thread is asked.
+/// A request to the store thread.
 #[derive(Debug)]
-pub(crate) enum StoreIn {
+pub(crate) enum StoreRequest {
+    /// An encoded [`StoreMsg`] from another instance.
     Peer(InstanceId, Vec<u8>),
-    Edit(Edit, oneshot::Sender<EditAnswer>),
+    /// An operator's change to propose.
+    Edit(Edit, oneshot::Sender<EditResult>),
+    /// A catalogue in force to write to the data folder.
     Save(Arc<Catalogue>),
+    /// A query for the keeper's status; the answer is `None` if no keeper runs here.
     Status(oneshot::Sender<Option<KeeperStatus>>),
 }
 
-/// What the thread is told at its start.
+/// The configuration of the store thread.
 pub(crate) struct StoreOptions {
     pub(crate) me: Process,
+    /// All instances that are keepers.
     pub(crate) keepers: Vec<InstanceId>,
     pub(crate) data_folder: Option<PathBuf>,
+    /// The catalogue that a keeper proposes while the log has none.
     pub(crate) first_catalogue: Option<Document>,
     pub(crate) clock: Arc<Clock>,
     pub(crate) core: UnboundedSender<CoreMsg>,
 }
 
-/// Starts the thread.
-pub(crate) fn start(options: StoreOptions, inbox: Receiver<StoreIn>) -> anyhow::Result<()> {
+/// Opens the store and starts its thread.
+pub(crate) fn start(options: StoreOptions, inbox: Receiver<StoreRequest>) -> anyhow::Result<()> {
     let mut store = Store::open(options)?;
     let builder = thread::Builder::new().name("store".into());
     builder
         .spawn(move || store.run(&inbox))
-        .context("store: cannot start its thread")?;
+        .context("store: cannot start the store thread")?;
     Ok(())
 }
 
@@ -77,8 +83,10 @@
     proposer: Proposer,
     keeper: Option<Keeper>,
     disk: Option<Disk>,
+    /// When a disk that failed is opened again; [`Time::NEVER`] while the disk works.
     reopen_at: Time,
-    waiting: HashMap<ProposalId, oneshot::Sender<EditAnswer>>,
+    /// Operators that wait for the result of a proposal.
+    waiters: HashMap<ProposalId, oneshot::Sender<EditResult>>,
 }
 
 impl Store {
@@ -89,13 +97,13 @@
             keeper: None,
             disk: None,
             reopen_at: Time::NEVER,
-            waiting: HashMap::new(),
+            waiters: HashMap::new(),
             options,
         };
         if store.is_keeper() {
             store.open_keeper()?;
         }
-        store.load_catalogue()?;
+        store.restore_catalogue()?;
         Ok(store)
     }
 
@@ -107,12 +115,12 @@
         let folder = self.options.data_folder.as_deref();
         let folder = folder.context("store: a keeper needs a data folder")?;
         let me = self.options.me;
-        // The identity of a new disk: no two lives of any instance share it.
-        let fresh = me.incarnation.0 << 16 | u64::from(me.instance.0);
-        let (disk, identity, loaded) = Disk::open(&folder.join(KEEPER_FOLDER), fresh)?;
+        // The identity for a new disk: different for every incarnation of every instance.
+        let new_identity = me.incarnation.0 << 16 | u64::from(me.instance.0);
+        let (disk, identity, loaded) = Disk::open(&folder.join(KEEPER_FOLDER), new_identity)?;
         if loaded.torn > 0 {
             log::warn!(
-                "store: Cut off an unfinished record of {} bytes.",
+                "store: Truncated an incomplete record of {} bytes at the end of the log.",
                 loaded.torn
             );
         }
@@ -124,10 +132,10 @@
             instances: self.options.keepers.clone(),
             forms: true,
             voters: usize::MAX,
-            heartbeat: HEARTBEAT,
-            election: ELECTION,
-            compact_after: COMPACT_AFTER,
-            seed: fresh,
+            heartbeat: HEARTBEAT_INTERVAL,
+            election: MIN_ELECTION_TIMEOUT,
+            compact_after: COMPACT_AFTER_ENTRIES,
+            seed: new_identity,
         };
         let now = self.options.clock.now();
         self.keeper = Some(Keeper::new(config, now, loaded)?);
@@ -135,8 +143,8 @@
         Ok(())
     }
 
-    /// Hands over what was in force before this process started.
-    fn load_catalogue(&self) -> anyhow::Result<()> {
+    /// Sends the core the saved catalogue, which was in force before this process started.
+    fn restore_catalogue(&self) -> anyhow::Result<()> {
         let Some(folder) = &self.options.data_folder else {
             return Ok(());
         };
@@ -146,36 +154,36 @@
         };
         let document: Document = serde_json::from_slice(&document)?;
         if let Ok(catalogue) = Catalogue::check(version, document) {
-            self.tell(EntryInput::Catalogue(Arc::new(catalogue)));
+            self.send_to_core(EntryInput::Catalogue(Arc::new(catalogue)));
         }
         Ok(())
     }
 
-    fn tell(&self, input: EntryInput) {
-        // The core ends before this thread only when the process does.
+    fn send_to_core(&self, input: EntryInput) {
+        // Sending fails only while the process ends: until then the core is alive.
         let _ = self.options.core.send(CoreMsg::Input(input));
     }
 
-    fn run(&mut self, inbox: &Receiver<StoreIn>) {
+    fn run(&mut self, inbox: &Receiver<StoreRequest>) {
         loop {
-            match inbox.recv_timeout(TICK) {
-                Ok(msg) => self.take(msg),
+            match inbox.recv_timeout(TICK_INTERVAL) {
+                Ok(msg) => self.handle(msg),
                 Err(RecvTimeoutError::Timeout) => self.tick(),
                 Err(RecvTimeoutError::Disconnected) => return,
             }
         }
     }
 
-    fn take(&mut self, msg: StoreIn) {
+    fn handle(&mut self, msg: StoreRequest) {
         let now = self.options.clock.now();
         match msg {
-            StoreIn::Peer(from, bytes) => match StoreMsg::decode(&bytes) {
-                Ok(msg) => self.message(now, from, msg),
-                Err(error) => log::warn!("store: Dropped a message of {from}: {error:#}."),
+            StoreRequest::Peer(from, bytes) => match StoreMsg::decode(&bytes) {
+                Ok(msg) => self.handle_message(now, from, msg),
+                Err(error) => log::warn!("store: Dropped a message from {from}: {error:#}."),
             },
-            StoreIn::Edit(edit, answer) => self.edit(now, &edit, Some(answer)),
-            StoreIn::Save(catalogue) => self.save(&catalogue),
-            StoreIn::Status(answer) => {
+            StoreRequest::Edit(edit, answer) => self.propose(now, &edit, Some(answer)),
+            StoreRequest::Save(catalogue) => self.save_catalogue(&catalogue),
+            StoreRequest::Status(answer) => {
                 let _ = answer.send(self.keeper.as_ref().map(Keeper::status));
             }
         }
@@ -186,31 +194,31 @@
         if self.reopen_at <= now {
             self.reopen_at = Time::NEVER;
             if let Err(error) = self.open_keeper() {
-                self.fail(now, &error);
+                self.close_keeper(now, &error);
             }
         }
-        self.input(now, Input::Tick);
+        self.drive_keeper(now, Input::Tick);
         let mut out = Vec::new();
         self.proposer.tick(now, &mut out);
-        self.proposer_outputs(now, out);
+        self.execute_proposer_outputs(now, out);
     }
 
-    fn input(&mut self, now: Time, input: Input) {
+    fn drive_keeper(&mut self, now: Time, input: Input) {
         let mut out = Vec::new();
         if let Some(keeper) = &mut self.keeper {
             keeper.handle(now, input, &mut out);
         }
-        self.keeper_outputs(now, out);
+        self.execute_keeper_outputs(now, out);
     }
 
-    fn message(&mut self, now: Time, from: InstanceId, msg: StoreMsg) {
+    fn handle_message(&mut self, now: Time, from: InstanceId, msg: StoreMsg) {
         let mut out = Vec::new();
         match msg {
             StoreMsg::Log(bytes) => {
                 if let Some(keeper) = &mut self.keeper
                     && let Err(error) = keeper.unwrap(now, &bytes, &mut out)
                 {
-                    log::warn!("store: Dropped a message of {from}: {error:#}.");
+                    log::warn!("store: Dropped a message from {from}: {error:#}.");
                 }
             }
             StoreMsg::Propose { id, edit } => {
@@ -221,32 +229,32 @@
             StoreMsg::Answered { id, answer } => {
                 let mut done = Vec::new();
                 self.proposer.answered(now, from, id, answer, &mut done);
-                self.proposer_outputs(now, done);
+                self.execute_proposer_outputs(now, done);
             }
         }
-        self.keeper_outputs(now, out);
+        self.execute_keeper_outputs(now, out);
     }
 
-    fn edit(&mut self, now: Time, edit: &Edit, answer: Option<oneshot::Sender<EditAnswer>>) {
+    fn propose(&mut self, now: Time, edit: &Edit, answer: Option<oneshot::Sender<EditResult>>) {
         let mut out = Vec::new();
         match self.proposer.propose(now, edit, &mut out) {
             Ok(id) => {
                 if let Some(answer) = answer {
-                    self.waiting.insert(id, answer);
+                    self.waiters.insert(id, answer);
                 }
             }
-            Err(error) => log::error!("store: A change cannot be sent: {error:#}."),
+            Err(error) => log::error!("store: Cannot propose a change: {error:#}."),
         }
-        self.proposer_outputs(now, out);
+        self.execute_proposer_outputs(now, out);
     }
 
-    fn proposer_outputs(&mut self, now: Time, out: Vec<ProposerOutput>) {
+    fn execute_proposer_outputs(&mut self, now: Time, out: Vec<ProposerOutput>) {
         for output in out {
             match output {
                 ProposerOutput::Send(to, msg) => self.send(now, to, &msg),
                 ProposerOutput::Done(id, answer) => {
-                    if let Some(waiting) = self.waiting.remove(&id) {
-                        let _ = waiting.send(answer);
+                    if let Some(waiter) = self.waiters.remove(&id) {
+                        let _ = waiter.send(answer);
                     }
                 }
             }
@@ -255,7 +263,7 @@
 
     fn send(&mut self, now: Time, to: InstanceId, msg: &StoreMsg) {
         if to == self.options.me.instance {
-            self.message(now, to, msg.clone());
+            self.handle_message(now, to, msg.clone());
             return;
         }
         match msg.encode() {
@@ -263,40 +271,41 @@
                 let msg = CoreMsg::Send(to, PeerMsg::Store(bytes));
                 let _ = self.options.core.send(msg);
             }
-            Err(error) => log::error!("store: A message cannot be sent: {error:#}."),
+            Err(error) => log::error!("store: Cannot encode a message: {error:#}."),
         }
     }
 
-    /// Carries outputs out strictly in order; the first that fails ends the keeper's life, so that
-    /// nothing leaves that rests on what is not on the disk.
-    fn keeper_outputs(&mut self, now: Time, out: Vec<KeeperOutput>) {
+    /// Executes outputs strictly in order. At the first failure the keeper is closed, so that no message is
+    /// sent that depends on data missing from the disk.
+    fn execute_keeper_outputs(&mut self, now: Time, out: Vec<KeeperOutput>) {
         let mut writes = 0;
         for output in out {
-            match self.keeper_output(now, output) {
+            match self.execute_keeper_output(now, output) {
                 Ok(written) => writes += usize::from(written),
                 Err(error) => {
-                    self.fail(now, &error);
+                    self.close_keeper(now, &error);
                     return;
                 }
             }
         }
         if writes > 0 {
-            self.input(now, Input::Written(writes));
+            self.drive_keeper(now, Input::Written(writes));
         }
     }
 
-    /// A full or broken disk refuses changes; the process goes on to serve callers.
-    fn fail(&mut self, now: Time, error: &anyhow::Error) {
+    /// Closes the keeper after a disk error, such as a full disk, until the disk can be opened again. Meanwhile the
+    /// keeper accepts no changes, and the process continues to serve callers.
+    fn close_keeper(&mut self, now: Time, error: &anyhow::Error) {
         log::error!("store: The disk cannot be used, changes are refused: {error:#}.");
         self.keeper = None;
         self.disk = None;
-        self.reopen_at = now + REOPEN;
+        self.reopen_at = now + REOPEN_DELAY;
     }
 
-    /// Whether the output was a write to the log's disk.
-    fn keeper_output(&mut self, now: Time, output: KeeperOutput) -> anyhow::Result<bool> {
+    /// Executes one output; returns whether it was a write to the log on disk.
+    fn execute_keeper_output(&mut self, now: Time, output: KeeperOutput) -> anyhow::Result<bool> {
         match output {
-            KeeperOutput::Log(output) => return self.log_output(now, output),
+            KeeperOutput::Log(output) => return self.execute_log_output(now, output),
             KeeperOutput::Answer(to, id, answer) => {
                 self.send(now, to, &StoreMsg::Answered { id, answer });
             }
@@ -305,15 +314,17 @@
                 document,
                 leads,
             } => {
-                let catalogue = Catalogue::check(version, document)
-                    .map_err(|problems| anyhow::anyhow!("store: committed {problems:?}"))?;
-                self.tell(EntryInput::Committed(Arc::new(catalogue), leads));
+                let catalogue = Catalogue::check(version, document).map_err(|problems| {
+                    anyhow::anyhow!("store: the committed catalogue is invalid: {problems:?}")
+                })?;
+                self.send_to_core(EntryInput::Committed(Arc::new(catalogue), leads));
             }
         }
         Ok(false)
     }
 
-    fn log_output(&mut self, now: Time, output: Output) -> anyhow::Result<bool> {
+    /// Executes one output of the log; returns whether it was a write to the disk.
+    fn execute_log_output(&mut self, now: Time, output: Output) -> anyhow::Result<bool> {
         let disk = self.disk.as_mut().context("store: no disk is open")?;
         match output {
             Output::PersistVote { term, vote } => disk.append(&[Record::Vote { term, vote }])?,
@@ -331,10 +342,10 @@
             }
             Output::Role(role) => {
                 log::info!("store: This keeper is now {role:?}.");
-                self.offer_first(now);
+                self.propose_first_catalogue(now);
                 return Ok(false);
             }
-            // Dealt with by the keeper's state machine.
+            // Handled by the keeper's state machine.
             Output::Apply(_) | Output::Restore(_) | Output::Compact(_) | Output::Readable(_) => {
                 return Ok(false);
             }
@@ -342,34 +353,35 @@
         Ok(true)
     }
 
-    /// A log without any catalogue gets the first one; all keepers offer it as the same change.
-    fn offer_first(&mut self, now: Time) {
+    /// Proposes the first catalogue if the log has none. All keepers propose it under the same change id, so
+    /// that it is applied once.
+    fn propose_first_catalogue(&mut self, now: Time) {
         let empty = self.keeper.as_ref().is_some_and(|k| k.catalogue().0 == 0);
         if !empty {
             return;
         }
         if let Some(document) = self.options.first_catalogue.take() {
             let edit = Edit {
-                change_id: FIRST_CHANGE.into(),
+                change_id: FIRST_CHANGE_ID.into(),
                 base: 0,
                 document,
             };
-            self.edit(now, &edit, None);
+            self.propose(now, &edit, None);
         }
     }
 
-    fn save(&self, catalogue: &Catalogue) {
+    fn save_catalogue(&self, catalogue: &Catalogue) {
         let Some(folder) = &self.options.data_folder else {
             return;
         };
-        match save_catalogue(folder, catalogue) {
-            Ok(()) => self.tell(EntryInput::Saved(catalogue.version())),
-            Err(error) => log::error!("store: The catalogue cannot be saved: {error:#}."),
+        match write_catalogue(folder, catalogue) {
+            Ok(()) => self.send_to_core(EntryInput::Saved(catalogue.version())),
+            Err(error) => log::error!("store: Cannot save the catalogue: {error:#}."),
         }
     }
 }
 
-fn save_catalogue(folder: &Path, catalogue: &Catalogue) -> anyhow::Result<()> {
+fn write_catalogue(folder: &Path, catalogue: &Catalogue) -> anyhow::Result<()> {
     let document = serde_json::to_vec(catalogue.document())?;
     save_file(folder, CATALOGUE_FILE, &(catalogue.version(), document))?;
     Ok(())
