--- a/crates/celerywinch_node/src/calls.rs
+++ b/crates/celerywinch_node/src/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to endpoints over HTTP.
 //!
-//! The one matter here is to tell apart what did not run, what may have run, and what ran. Only a
-//! connection that was never made, and the endpoint's own word, count as "not run".
+//! The end of a call distinguishes whether the task did not run, may have run, or ran. Only a connection that
+//! was never established, or a response that says so, counts as "not run".
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::ErrorKind;
@@ -21,35 +21,35 @@
 use crate::metrics::Metrics;
 use crate::shared::CoreMsg;
 
-/// The header by which an endpoint says that it did not run a task.
+/// The response header with which an endpoint reports that it did not run a task.
 pub(crate) const RAN_HEADER: &str = "celerywinch-ran";
-/// How long an idle connection is kept; endpoints must keep theirs longer, see the protocol page.
+/// How long an idle connection is kept open; endpoints must keep theirs longer, see the protocol page.
 ///
-/// If an endpoint closed an idle connection just as a task is sent on it, the task would count as
-/// lost, and its job would fail for nothing.
-const KEEP_IDLE: Seconds = Seconds(5);
-/// More connections than there can be. Without a limit (0) the client never wakes a request that
-/// waits while another opens a connection to the same endpoint: the call would hang for ever.
-const MOST_CONNECTIONS: usize = 1 << 20;
-/// How long past its deadline a call is waited for, so that its slot is not used too early.
-const GRACE: Duration = Duration::from_millis(250);
-/// The longest result of a task, in bytes.
-const LONGEST_RESULT: usize = 4 << 20;
-/// How long a message about cancelled calls may take.
+/// If an endpoint closes an idle connection just as a task is sent on it, the task counts as lost and its job
+/// fails needlessly.
+const IDLE_TIMEOUT: Seconds = Seconds(5);
+/// Maximum number of connections; more than there can be. With no limit (0) the client never wakes a request
+/// that waits while another opens a connection to the same endpoint, so the call would hang forever.
+const MAX_CONNECTIONS: usize = 1 << 20;
+/// How long after its deadline a call may still end, so that its slot is not reused too early.
+const DEADLINE_GRACE: Duration = Duration::from_millis(250);
+/// Maximum size of a task's result, in bytes.
+const MAX_RESULT_BYTES: usize = 4 << 20;
+/// Timeout for a request that cancels calls.
 const CANCEL_TIMEOUT: Millis = Millis(1000);
 
-/// The calls under way.
+/// The calls in flight.
 pub(crate) struct Calls {
     client: Rc<Client>,
     core: UnboundedSender<CoreMsg>,
     metrics: Metrics,
-    open: HashMap<CallId, (SocketAddr, Key, u32)>,
-    aborts: BTreeMap<SocketAddr, Vec<Cancelled>>,
+    in_flight: HashMap<CallId, (SocketAddr, Key, u32)>,
+    pending_aborts: BTreeMap<SocketAddr, Vec<CancelledTask>>,
 }
 
-/// One cancelled task, as endpoints are told.
+/// A cancelled task in the body of a request to its endpoint.
 #[derive(Debug, Serialize)]
-struct Cancelled {
+struct CancelledTask {
     key: Key,
     task: u32,
 }
@@ -59,13 +59,13 @@
         let client = Client::builder()
             .connector::<()>(
                 Connector::default()
-                    .limit(MOST_CONNECTIONS)
-                    .keep_alive(KEEP_IDLE),
+                    .limit(MAX_CONNECTIONS)
+                    .keep_alive(IDLE_TIMEOUT),
             )
             // A redirect would send a task a second time.
             .disable_redirects()
             .disable_timeout()
-            .response_payload_limit(LONGEST_RESULT)
+            .response_payload_limit(MAX_RESULT_BYTES)
             .build(ntex::SharedCfg::new("ENDPOINTS"))
             .await
             .unwrap_or_else(|error| unreachable!("the connector has no options: {error}"));
@@ -73,50 +73,50 @@
             client: Rc::new(client),
             core,
             metrics,
-            open: HashMap::new(),
-            aborts: BTreeMap::new(),
+            in_flight: HashMap::new(),
+            pending_aborts: BTreeMap::new(),
         }
     }
 
-    /// Sends a task, once, and reports its end to the core.
+    /// Sends a task, only once, and reports the end of the call to the core.
     pub(crate) fn start(&mut self, call: Call) {
         self.metrics.endpoint_calls.inc();
-        let entry = (call.addr, call.key.clone(), call.index);
-        self.open.insert(call.id, entry);
+        let target = (call.addr, call.key.clone(), call.index);
+        self.in_flight.insert(call.id, target);
         let (client, core) = (self.client.clone(), self.core.clone());
         ntex::rt::spawn(async move {
             let id = call.id;
-            let limit = call.remaining + GRACE * 2;
-            // The client's own limit begins only when the connection is open.
-            let end = tokio::time::timeout(limit, run(&client, call)).await;
+            let limit = call.remaining + DEADLINE_GRACE * 2;
+            // The client's own timeout starts only when the connection is open.
+            let end = tokio::time::timeout(limit, send_task(&client, call)).await;
             let end = end.unwrap_or_else(|_| CallEnd::Lost("no reply in time".into()));
             let _ = core.send(CoreMsg::Input(Input::CallEnded(id, end)));
         });
     }
 
-    /// Notes a cancelled call; endpoints are told in batches by [`Self::flush_aborts`].
+    /// Queues the cancellation of a call; [`Self::send_aborts`] sends them in batches.
     pub(crate) fn abort(&mut self, id: CallId) {
-        if let Some((addr, key, task)) = self.open.remove(&id) {
-            self.aborts
+        if let Some((addr, key, task)) = self.in_flight.remove(&id) {
+            self.pending_aborts
                 .entry(addr)
                 .or_default()
-                .push(Cancelled { key, task });
+                .push(CancelledTask { key, task });
         }
     }
 
-    /// Forgets a call that ended.
-    pub(crate) fn ended(&mut self, id: CallId) {
-        self.open.remove(&id);
+    /// Removes a call that ended.
+    pub(crate) fn remove(&mut self, id: CallId) {
+        self.in_flight.remove(&id);
     }
 
-    /// Tells every endpoint in one message which of its calls are cancelled.
-    pub(crate) fn flush_aborts(&mut self) {
-        for (addr, cancelled) in std::mem::take(&mut self.aborts) {
+    /// Sends every endpoint one request with all its cancelled calls.
+    pub(crate) fn send_aborts(&mut self) {
+        for (addr, cancelled) in std::mem::take(&mut self.pending_aborts) {
             let client = self.client.clone();
             ntex::rt::spawn(async move {
                 let request = client.post(format!("http://{addr}/v1/cancel"));
                 let sent = request.timeout(CANCEL_TIMEOUT).send_json(&cancelled).await;
-                // The body is read so that the connection can be used again.
+                // The body is read so that the connection can be reused.
                 if let Ok(response) = sent {
                     let _ = response.body().await;
                 }
@@ -125,8 +125,8 @@
     }
 }
 
-async fn run(client: &Client, call: Call) -> CallEnd {
-    let limit = call.remaining + GRACE;
+async fn send_task(client: &Client, call: Call) -> CallEnd {
+    let limit = call.remaining + DEADLINE_GRACE;
     let millis = u32::try_from(limit.as_millis()).unwrap_or(u32::MAX);
     let request = client
         .post(format!("http://{}/v1/run", call.addr))
@@ -140,12 +140,12 @@
         )
         .timeout(Millis(millis));
     match request.send_body(call.body.0.to_string()).await {
-        Ok(response) => read(response).await,
-        Err(error) => lost(&error),
+        Ok(response) => read_response(response).await,
+        Err(error) => classify_error(&error),
     }
 }
 
-async fn read(response: ClientResponse) -> CallEnd {
+async fn read_response(response: ClientResponse) -> CallEnd {
     let status = response.status();
     let not_run = response
         .header(RAN_HEADER)
@@ -179,12 +179,12 @@
     CallEnd::Done(TaskBody(text.into()))
 }
 
-/// What an error says about whether the task ran.
+/// Returns the end of a call that failed with `error`: whether the task cannot have run or may have run.
 ///
-/// The client reports a connection lost after the request was written as the same kind of error as
-/// one that was never made. Only errors that an established connection cannot give count as not
-/// run; with any other, a task that ran would be sent to a second endpoint.
-fn lost(error: &ClientError) -> CallEnd {
+/// The client reports a connection that was lost after the request was written with the same kind of error as
+/// one that was never established. Only errors that an established connection cannot give count as "not run":
+/// otherwise a task that ran could be sent to a second endpoint.
+fn classify_error(error: &ClientError) -> CallEnd {
     let never_connected = match error {
         ClientError::Connect(ConnectError::Disconnected(Some(cause))) => {
             cause.kind() == ErrorKind::ConnectionRefused
--- a/crates/celerywinch_node/src/core.rs
+++ b/crates/celerywinch_node/src/core.rs
@@ -1,4 +1,4 @@
-//! The core thread: drives the entry's state machine and carries out what it decides.
+//! The core thread: drives the entry's state machine and executes its outputs.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,14 +14,14 @@
 use crate::Clock;
 use crate::calls::Calls;
 use crate::links::Links;
-use crate::shared::{CoreMsg, EndpointLine, Figures, PeerLine, Shared, StatusPage};
+use crate::shared::{CoreMsg, EndpointStatus, EntryStatus, PeerStatus, Shared, StatusPage};
 use crate::store::StoreRequest;
 use crate::timeline::Timeline;
 
-/// The most messages handled before what they led to is sent.
-const BATCH: usize = 64;
-/// The longest sleep.
-const LONGEST_SLEEP: Duration = Duration::from_millis(20);
+/// Maximum number of messages handled before the outputs are executed.
+const MAX_BATCH: usize = 64;
+/// Maximum time to wait for a message before the state machine gets a tick.
+const MAX_SLEEP: Duration = Duration::from_millis(20);
 
 /// Everything the core thread owns.
 pub(crate) struct Core {
@@ -31,46 +31,47 @@
     pub(crate) links: Links,
     pub(crate) calls: Calls,
     pub(crate) timeline: Timeline,
+    /// Callers that wait for a reply.
     pub(crate) waiters: HashMap<WaiterId, oneshot::Sender<Reply>>,
     pub(crate) next_waiter: u64,
 }
 
 impl Core {
-    /// Runs until a planned stop has nothing left to wait for.
+    /// Runs until a planned stop is complete: nothing is in flight.
     pub(crate) async fn run(mut self, mut inbox: UnboundedReceiver<CoreMsg>) {
         let mut out = Vec::new();
         while !self.entry.drained() {
-            let sleep = self.sleep();
+            let sleep = self.sleep_time();
             let first = tokio::time::timeout(sleep, inbox.recv()).await;
             let now = self.clock.now();
             match first {
                 Ok(None) => return,
                 Ok(Some(msg)) => {
-                    self.take(now, msg, &mut out);
-                    for _ in 1..BATCH {
+                    self.handle(now, msg, &mut out);
+                    for _ in 1..MAX_BATCH {
                         let Ok(msg) = inbox.try_recv() else {
                             break;
                         };
-                        self.take(now, msg, &mut out);
+                        self.handle(now, msg, &mut out);
                     }
                 }
                 Err(_) => self.entry.handle(now, Input::Tick, &mut out),
             }
-            self.carry_out(&mut out);
+            self.execute(&mut out);
         }
-        log::info!("core: Nothing is left in flight.");
+        log::info!("core: Drained; nothing is in flight.");
     }
 
-    fn sleep(&self) -> Duration {
+    fn sleep_time(&self) -> Duration {
         let due = self.entry.next_due().unwrap_or(Time::NEVER);
-        due.since(self.clock.now()).min(LONGEST_SLEEP)
+        due.since(self.clock.now()).min(MAX_SLEEP)
     }
 
-    fn take(&mut self, now: Time, msg: CoreMsg, out: &mut Vec<Output>) {
+    fn handle(&mut self, now: Time, msg: CoreMsg, out: &mut Vec<Output>) {
         let input = match msg {
-            CoreMsg::Submit(submission, reply) => Input::Submit(self.waiter(reply), submission),
-            CoreMsg::Lookup(key, reply) => Input::Lookup(self.waiter(reply), key),
-            CoreMsg::Cancel(keys, reply) => Input::Cancel(self.waiter(reply), keys),
+            CoreMsg::Submit(submission, reply) => Input::Submit(self.add_waiter(reply), submission),
+            CoreMsg::Lookup(key, reply) => Input::Lookup(self.add_waiter(reply), key),
+            CoreMsg::Cancel(keys, reply) => Input::Cancel(self.add_waiter(reply), keys),
             CoreMsg::Input(Input::Peer(from, PeerMsg::Store(bytes))) => {
                 let _ = self
                     .shared
@@ -83,7 +84,7 @@
                 self.links.send(peer, msg);
                 return;
             }
-            CoreMsg::Figures(reply) => {
+            CoreMsg::EntryStatus(reply) => {
                 let _ = reply.send(self.entry.status());
                 return;
             }
@@ -93,7 +94,7 @@
             }
         };
         if let Input::CallEnded(id, _) = &input {
-            self.calls.ended(*id);
+            self.calls.remove(*id);
         }
         if matches!(input, Input::Stop) {
             self.shared.stopping.store(true, Ordering::Release);
@@ -101,14 +102,14 @@
         self.entry.handle(now, input, out);
     }
 
-    fn waiter(&mut self, reply: oneshot::Sender<Reply>) -> WaiterId {
+    fn add_waiter(&mut self, reply: oneshot::Sender<Reply>) -> WaiterId {
         self.next_waiter += 1;
         let id = WaiterId(self.next_waiter);
         self.waiters.insert(id, reply);
         id
     }
 
-    fn carry_out(&mut self, out: &mut Vec<Output>) {
+    fn execute(&mut self, out: &mut Vec<Output>) {
         for output in out.drain(..) {
             match output {
                 Output::Send(peer, msg) => self.links.send(peer, msg),
@@ -120,52 +121,54 @@
                 Output::Abort(id) => self.calls.abort(id),
                 Output::Reply(waiter, reply) => {
                     if let Some(sender) = self.waiters.remove(&waiter) {
-                        // A caller that went away finds the outcome by its key.
+                        // Fails if the caller has disconnected; it can look the outcome up by its key.
                         let _ = sender.send(reply);
                     }
                 }
-                Output::Event(event) => self.event(event),
+                Output::Event(event) => self.record_event(event),
             }
         }
-        self.calls.flush_aborts();
+        self.calls.send_aborts();
         self.publish();
     }
 
-    /// Shows the threads that serve HTTP what is in force.
+    /// Publishes the catalogue in force to the HTTP threads.
     fn publish(&self) {
         let catalogue = self.entry.catalogue();
         if catalogue.version() != self.shared.catalogue.load().version() {
             self.shared.catalogue.store(catalogue.clone());
         }
         let current = self.entry.is_current();
-        if current != self.shared.current.load(Ordering::Relaxed) {
-            self.shared.current.store(current, Ordering::Release);
+        if current != self.shared.catalogue_current.load(Ordering::Relaxed) {
+            self.shared
+                .catalogue_current
+                .store(current, Ordering::Release);
         }
     }
 
-    fn event(&self, event: Event) {
-        self.shared.metrics.event(&event);
+    fn record_event(&self, event: Event) {
+        self.shared.metrics.record_event(&event);
         self.timeline.write(event);
     }
 
     fn status(&self) -> StatusPage {
         let status = self.entry.status();
         let now = self.clock.now();
-        let peers = self.entry.peers().iter().map(|(id, peer)| PeerLine {
+        let peers = self.entry.peers().iter().map(|(id, peer)| PeerStatus {
             instance: id.0,
             state: peer_state(peer.state).into(),
-            hears_us: peer.receives,
+            receives: peer.receives,
             catalogue_version: peer.catalogue,
-            heard_ms_ago: u64::try_from(now.since(peer.last_contact).as_millis()).unwrap_or(0),
+            silent_ms: u64::try_from(now.since(peer.last_contact).as_millis()).unwrap_or(0),
             round_trip_us: peer
                 .round_trip
                 .and_then(|span| u64::try_from(span.as_micros()).ok()),
         });
-        let endpoints = self.entry.endpoints().iter().map(|known| EndpointLine {
-            addr: known.announcement.addr,
-            incarnation: known.announcement.incarnation,
-            state: known.announcement.state,
-            kinds: known
+        let endpoints = self.entry.endpoints().iter().map(|record| EndpointStatus {
+            addr: record.announcement.addr,
+            incarnation: record.announcement.incarnation,
+            state: record.announcement.state,
+            kinds: record
                 .announcement
                 .kinds
                 .iter()
@@ -173,9 +176,9 @@
                 .collect(),
         });
         StatusPage {
-            at: self.shared.me,
+            process: self.shared.me,
             ready: self.shared.ready(),
-            figures: Figures::from(&status),
+            entry: EntryStatus::from(&status),
             peers: peers.collect(),
             endpoints: endpoints.collect(),
         }
--- a/crates/celerywinch_node/src/http/callers.rs
+++ b/crates/celerywinch_node/src/http/callers.rs
@@ -49,7 +49,7 @@
     };
     let key = submission.key.clone();
     let reply = shared
-        .ask(|sender| CoreMsg::Submit(submission, sender))
+        .request(|sender| CoreMsg::Submit(submission, sender))
         .await;
     respond(&key, reply)
 }
@@ -65,7 +65,9 @@
         Err(error) => return bad_key(&error.to_string()),
     };
     let asked = key.clone();
-    let reply = shared.ask(|sender| CoreMsg::Lookup(asked, sender)).await;
+    let reply = shared
+        .request(|sender| CoreMsg::Lookup(asked, sender))
+        .await;
     respond(&key, reply)
 }
 
@@ -108,7 +110,7 @@
         return problem.detail(&detail).response();
     }
     let reply = shared
-        .ask(|sender| CoreMsg::Cancel(form.keys, sender))
+        .request(|sender| CoreMsg::Cancel(form.keys, sender))
         .await;
     let Some(Reply::Cancelled(states)) = reply else {
         return Problem::internal().response();
--- a/crates/celerywinch_node/src/http/operators.rs
+++ b/crates/celerywinch_node/src/http/operators.rs
@@ -52,7 +52,7 @@
     if !authorised(&request, &shared) {
         return unauthorised();
     }
-    match shared.ask(CoreMsg::Status).await {
+    match shared.request(CoreMsg::Status).await {
         Some(page) => HttpResponse::Ok().json(&page),
         None => Problem::new(503, "stopping", "this entry is stopping").response(),
     }
@@ -125,7 +125,7 @@
     if !authorised(&request, &shared) {
         return unauthorised();
     }
-    let Some(page) = shared.ask(CoreMsg::Status).await else {
+    let Some(page) = shared.request(CoreMsg::Status).await else {
         return Problem::new(503, "stopping", "this entry is stopping").response();
     };
     let mut lines: Vec<_> = page
@@ -136,14 +136,14 @@
                 "instance": peer.instance,
                 "state": peer.state,
                 "version": peer.catalogue_version,
-                "heard_ms_ago": peer.heard_ms_ago,
+                "heard_ms_ago": peer.silent_ms,
             })
         })
         .collect();
     lines.push(serde_json::json!({
-        "instance": page.at.instance,
+        "instance": page.process.instance,
         "state": "self",
-        "version": page.figures.catalogue_version,
+        "version": page.entry.catalogue_version,
         "heard_ms_ago": 0,
     }));
     HttpResponse::Ok().json(&serde_json::json!({ "instances": lines }))
@@ -168,13 +168,13 @@
         return unauthorised();
     }
     let (sender, receiver) = oneshot::channel();
-    if shared.core.send(CoreMsg::Figures(sender)).is_err() {
+    if shared.core.send(CoreMsg::EntryStatus(sender)).is_err() {
         return Problem::internal().response();
     }
     let text = receiver
         .await
         .ok()
-        .map(|status| shared.metrics.text(&status));
+        .map(|status| shared.metrics.encode(&status));
     match text {
         Some(Ok(text)) => HttpResponse::Ok().content_type("text/plain").body(text),
         _ => Problem::internal().response(),
--- a/crates/celerywinch_node/src/metrics.rs
+++ b/crates/celerywinch_node/src/metrics.rs
@@ -59,7 +59,7 @@
         })
     }
 
-    pub(crate) fn event(&self, event: &Event) {
+    pub(crate) fn record_event(&self, event: &Event) {
         let name = event.name();
         self.events.with_label_values(&[name]).inc();
         match event {
@@ -75,7 +75,7 @@
         }
     }
 
-    pub(crate) fn text(&self, status: &Status) -> anyhow::Result<String> {
+    pub(crate) fn encode(&self, status: &Status) -> anyhow::Result<String> {
         let set = |gauge: &IntGauge, value: usize| gauge.set(i64::try_from(value).unwrap_or(0));
         set(&self.open, status.open);
         set(&self.queued, status.queued);
--- a/crates/celerywinch_node/src/node.rs
+++ b/crates/celerywinch_node/src/node.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a process's parts.
+//! Start and stop of the parts of a process.
 
 use std::collections::HashMap;
 use std::net::TcpListener;
@@ -31,37 +31,37 @@
 use crate::timeline::Timeline;
 use crate::{Clock, http, incarnation};
 
-/// The resolution of the times in keys.
-const KEY_RESOLUTION: Duration = Duration::from_millis(2);
+/// Margin for the resolution of the creation times in keys.
+const KEY_TIME_MARGIN: Duration = Duration::from_millis(2);
 
-/// How long connections may stay open after the last answer was handed to them.
-const SHUTDOWN: Seconds = Seconds(1);
+/// How long connections may stay open after the last response was written to them.
+const SHUTDOWN_TIMEOUT: Seconds = Seconds(1);
 
-/// Listeners that were bound before, for tests and for trying.
+/// Values that replace those of the settings, for tests and benchmarks.
 #[derive(Debug, Default)]
 pub struct NodeOptions {
-    /// For other instances; bound from the settings without it.
+    /// The listener for other instances; by default, one is bound to the address in the settings.
     pub peer_listener: Option<TcpListener>,
-    /// The first catalogue; read from the settings' file without it.
+    /// The first catalogue; by default, it is read from the file named in the settings.
     pub first_catalogue: Option<Document>,
-    /// How endpoints are chosen; other than by default only to measure against.
+    /// The policy that selects endpoints; any other than the default is only a baseline for measurements.
     pub policy: Policy,
 }
 
-/// A running instance.
+/// A running process of an instance.
 pub struct Node {
     listen_addrs: ListenAddrs,
     core: UnboundedSender<CoreMsg>,
-    done: oneshot::Receiver<()>,
+    drained: oneshot::Receiver<()>,
     servers: Vec<Server>,
 }
 
 impl Node {
-    /// Starts all parts; called within an `ntex` system.
+    /// Starts all parts of a process; must be called within an `ntex` system.
     ///
     /// # Errors
     ///
-    /// An address that cannot be bound or a file that cannot be used; the error names it.
+    /// An address cannot be bound or a file cannot be used; the error names it.
     pub async fn start(settings: Settings, options: NodeOptions) -> anyhow::Result<Self> {
         let clock = Arc::new(Clock::default());
         let me = Process {
@@ -69,7 +69,7 @@
             incarnation: incarnation::next(settings.data_folder.as_deref(), Clock::wall())?,
         };
         let timeline = Timeline::open(clock.clone(), me, settings.timeline_file.as_deref())?;
-        let metrics = Metrics::new().context("metrics: cannot be set up")?;
+        let metrics = Metrics::new().context("metrics: cannot register the metrics")?;
         let listener = match options.peer_listener {
             Some(listener) => listener,
             None => bind("peers", settings.me.peer_addr)?,
@@ -90,9 +90,9 @@
             metrics: metrics.clone(),
             core: core.clone(),
             store,
-            current: AtomicBool::new(false),
+            catalogue_current: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
-            remembers_from: OnceLock::new(),
+            abstains_until: OnceLock::new(),
             settings,
         });
         let context = LinkContext {
@@ -109,7 +109,7 @@
             options.first_catalogue,
             store_inbox,
         )?;
-        let done = start_core(shared.clone(), context, (listener, options.policy), inbox)?;
+        let drained = start_core(shared.clone(), context, (listener, options.policy), inbox)?;
         let servers = vec![
             serve(&shared, callers, Surface::Callers)?,
             serve(&shared, endpoints, Surface::Endpoints)?,
@@ -119,29 +119,29 @@
         Ok(Self {
             listen_addrs,
             core,
-            done,
+            drained,
             servers,
         })
     }
 
-    /// The addresses that were bound.
+    /// Returns the addresses on which the process listens.
     #[must_use]
     pub fn listen_addrs(&self) -> ListenAddrs {
         self.listen_addrs
     }
 
-    /// A planned stop: takes no new work, finishes what is in flight, then ends.
+    /// Stops as planned: accepts no new work, completes what is in flight, then ends.
     ///
     /// # Errors
     ///
     /// The core thread ended early.
     pub async fn stop(self) -> anyhow::Result<()> {
         let _ = self.core.send(CoreMsg::Input(Input::Stop));
-        let done = self.done.await;
-        // Graceful: answers that were decided are written out before connections close.
+        let drained = self.drained.await;
+        // A graceful stop writes the responses that are ready before connections close.
         let stops = self.servers.iter().map(|server| server.stop(true));
         futures_util::future::join_all(stops).await;
-        done.context("core: ended before its work was done")
+        drained.context("core: ended before the work in flight was complete")
     }
 }
 
@@ -150,7 +150,7 @@
     listener.with_context(|| format!("{name}: cannot listen at {addr}; is it in use?"))
 }
 
-/// Starts the core thread; the receiver fires when a planned stop is complete.
+/// Starts the core thread. The receiver gets a message when a planned stop is complete.
 fn start_core(
     shared: Arc<Shared>,
     context: LinkContext,
@@ -159,10 +159,16 @@
 ) -> anyhow::Result<oneshot::Receiver<()>> {
     let (listener, policy) = options;
     listener.set_nonblocking(true)?;
-    let (done, finished) = oneshot::channel();
+    let (drained, finished) = oneshot::channel();
     let arbiter = Arbiter::with_name(format!("core-{}", shared.me.instance.0));
     arbiter.handle().spawn(async move {
-        ntex::rt::spawn(run_core(shared, context, (listener, policy), inbox, done));
+        ntex::rt::spawn(run_core(
+            shared,
+            context,
+            (listener, policy),
+            inbox,
+            drained,
+        ));
     });
     Ok(finished)
 }
@@ -172,7 +178,7 @@
     context: LinkContext,
     options: (TcpListener, Policy),
     inbox: UnboundedReceiver<CoreMsg>,
-    done: oneshot::Sender<()>,
+    drained: oneshot::Sender<()>,
 ) {
     let (listener, policy) = options;
     let settings = &shared.settings;
@@ -184,10 +190,10 @@
         }
     };
     ntex::rt::spawn(listen(listener, context.clone(), context.config()));
-    let others = settings.instances.iter();
-    let others = others.filter(|one| one.id != settings.me.id);
+    let peers = settings.instances.iter();
+    let peers = peers.filter(|one| one.id != settings.me.id);
     let mut links = Links::new(context.clone(), context.config());
-    others.for_each(|one| links.open(one.id, one.peer_addr));
+    peers.for_each(|one| links.open(one.id, one.peer_addr));
     let clock = context.clock.clone();
     let config = ConfigBuilder::new(
         shared.me,
@@ -211,22 +217,24 @@
         next_waiter: 0,
         shared,
     };
-    // Keys are born in whole milliseconds: one made in the last of them may still be abstained on.
-    let remembers_from = Instant::now() + core.shared.settings.limits.skew + KEY_RESOLUTION;
-    let _ = core.shared.remembers_from.set(remembers_from);
+    // Keys carry their creation time in whole milliseconds: on one created in the last of them, a replica may
+    // still abstain.
+    let abstains_until = Instant::now() + core.shared.settings.limits.skew + KEY_TIME_MARGIN;
+    let _ = core.shared.abstains_until.set(abstains_until);
     core.run(inbox).await;
-    let _ = done.send(());
+    let _ = drained.send(());
 }
 
-/// The first catalogue, and the store's thread; a system without keepers has it in force at once.
+/// Loads the first catalogue and starts the store thread. In a system without keepers the first catalogue is
+/// in force immediately.
 fn start_store(
     shared: &Arc<Shared>,
     clock: Arc<Clock>,
-    given: Option<Document>,
+    given_document: Option<Document>,
     inbox: Receiver<StoreRequest>,
 ) -> anyhow::Result<()> {
     let settings = &shared.settings;
-    let document = match (given, &settings.first_catalogue) {
+    let document = match (given_document, &settings.first_catalogue) {
         (Some(document), _) => Some(document),
         (None, Some(file)) => Some(load_catalogue(file)?),
         (None, None) => None,
@@ -234,9 +242,12 @@
     let keepers = keepers(settings);
     if let (true, Some(document)) = (keepers.is_empty(), document.clone()) {
         let catalogue = Catalogue::check(1, document)
-            .map_err(|problems| anyhow::anyhow!("catalogue: {problems:?}"))?;
+            .map_err(|problems| anyhow::anyhow!("catalogue: invalid: {problems:?}"))?;
         let msg = CoreMsg::Input(Input::Catalogue(Arc::new(catalogue)));
-        shared.core.send(msg).context("core: ended at its start")?;
+        shared
+            .core
+            .send(msg)
+            .context("core: ended during startup")?;
     }
     let options = StoreOptions {
         me: shared.me,
@@ -254,7 +265,7 @@
     keepers.map(|one| one.id).collect()
 }
 
-/// Which routes a listener offers.
+/// The set of routes that a listener serves.
 #[derive(Clone, Copy)]
 enum Surface {
     Callers,
@@ -279,7 +290,7 @@
     let server = server.listen(listener).context("http: cannot listen")?;
     Ok(server
         .workers(threads)
-        .shutdown_timeout(SHUTDOWN)
+        .shutdown_timeout(SHUTDOWN_TIMEOUT)
         .disable_signals()
         .run())
 }
--- a/crates/celerywinch_node/src/shared.rs
+++ b/crates/celerywinch_node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of a process share: snapshots, and the channel to the core.
+//! State shared by the threads of a process, and the channel to the core.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,32 +18,41 @@
 use crate::metrics::Metrics;
 use crate::store::StoreRequest;
 
-/// What the core is asked.
+/// A message to the core thread.
 #[derive(Debug)]
 pub(crate) enum CoreMsg {
+    /// A caller's submission.
     Submit(Submission, oneshot::Sender<Reply>),
+    /// A caller's query for the outcome of a key.
     Lookup(Key, oneshot::Sender<Reply>),
+    /// A caller's request to cancel keys.
     Cancel(Vec<Key>, oneshot::Sender<Reply>),
+    /// Any other input to the entry's state machine; messages for the store go on to its thread.
     Input(Input),
+    /// A message of the store to another instance.
     Send(InstanceId, PeerMsg),
+    /// An operator's query for the status of the instance.
     Status(oneshot::Sender<StatusPage>),
-    Figures(oneshot::Sender<Status>),
+    /// A query for the entry's status, from which the metrics are set.
+    EntryStatus(oneshot::Sender<Status>),
 }
 
-/// The status of an instance, for operators.
+/// The status of an instance, as operators see it.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct StatusPage {
-    pub(crate) at: Process,
+    #[serde(rename = "at")]
+    pub(crate) process: Process,
+    /// Whether the readiness check passes.
     pub(crate) ready: bool,
     #[serde(flatten)]
-    pub(crate) figures: Figures,
-    pub(crate) peers: Vec<PeerLine>,
-    pub(crate) endpoints: Vec<EndpointLine>,
+    pub(crate) entry: EntryStatus,
+    pub(crate) peers: Vec<PeerStatus>,
+    pub(crate) endpoints: Vec<EndpointStatus>,
 }
 
-/// [`Status`] in the form it is shown.
+/// The entry's [`Status`] under the names of the status page.
 #[derive(Clone, Debug, Serialize)]
-pub(crate) struct Figures {
+pub(crate) struct EntryStatus {
     pub(crate) open_jobs: usize,
     pub(crate) queued_tasks: usize,
     pub(crate) claim_records: usize,
@@ -54,7 +63,7 @@
     pub(crate) violations: u64,
 }
 
-impl From<&Status> for Figures {
+impl From<&Status> for EntryStatus {
     fn from(status: &Status) -> Self {
         Self {
             open_jobs: status.open,
@@ -69,38 +78,43 @@
     }
 }
 
-/// One peer, as this instance sees it.
+/// The state of a peer, as this instance sees it.
 #[derive(Clone, Debug, Serialize)]
-pub(crate) struct PeerLine {
+pub(crate) struct PeerStatus {
     pub(crate) instance: u32,
     pub(crate) state: String,
-    pub(crate) hears_us: bool,
+    /// Whether the peer receives the messages of this instance.
+    #[serde(rename = "hears_us")]
+    pub(crate) receives: bool,
     pub(crate) catalogue_version: u64,
-    pub(crate) heard_ms_ago: u64,
+    /// Time since the last message from the peer, in milliseconds.
+    #[serde(rename = "heard_ms_ago")]
+    pub(crate) silent_ms: u64,
+    /// Round-trip time in microseconds, once measured.
     pub(crate) round_trip_us: Option<u64>,
 }
 
-/// One endpoint, as this instance sees it.
+/// The state of an endpoint, as this instance sees it.
 #[derive(Clone, Debug, Serialize)]
-pub(crate) struct EndpointLine {
+pub(crate) struct EndpointStatus {
     pub(crate) addr: SocketAddr,
     pub(crate) incarnation: u64,
     pub(crate) state: celerywinch_types::EndpointState,
     pub(crate) kinds: Vec<String>,
 }
 
-/// The addresses that were bound.
+/// The addresses on which a process listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenAddrs {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For endpoints.
+    /// The address for endpoints.
     pub endpoints: SocketAddr,
-    /// For operators.
+    /// The address for operators.
     pub operators: SocketAddr,
 }
 
-/// Read by the HTTP threads without a lock.
+/// State that the HTTP threads read without a lock.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
@@ -110,33 +124,34 @@
     pub(crate) core: UnboundedSender<CoreMsg>,
     pub(crate) store: Sender<StoreRequest>,
     pub(crate) stopping: AtomicBool,
-    /// Whether the catalogue in force is no older than it was before this process started.
-    pub(crate) current: AtomicBool,
-    /// When the replicas here stop to abstain on keys that are new; set by the core.
-    pub(crate) remembers_from: OnceLock<Instant>,
+    /// Whether the catalogue in force is at least as recent as the one that was in force before this process
+    /// started.
+    pub(crate) catalogue_current: AtomicBool,
+    /// When the replicas here stop abstaining on keys that are created now; set by the core at its start.
+    pub(crate) abstains_until: OnceLock<Instant>,
 }
 
 impl Shared {
-    /// Whether the balancer should send callers here.
+    /// Returns whether the load balancer should route callers here.
     ///
-    /// A process that has just started abstains on all keys made before, so it would only tell
-    /// callers to come back.
+    /// A process that has just started abstains on all keys created before its start, so it could only ask
+    /// callers to retry.
     pub(crate) fn ready(&self) -> bool {
         !self.stopping.load(Ordering::Acquire)
-            && self.current.load(Ordering::Acquire)
+            && self.catalogue_current.load(Ordering::Acquire)
             && self
-                .remembers_from
+                .abstains_until
                 .get()
                 .is_some_and(|at| Instant::now() >= *at)
     }
 
-    /// Asks the core and waits; `None` if it is gone.
-    pub(crate) async fn ask<T>(
+    /// Sends the core a request and waits for the reply; `None` if the core has ended.
+    pub(crate) async fn request<T>(
         self: &Arc<Self>,
-        question: impl FnOnce(oneshot::Sender<T>) -> CoreMsg,
+        message: impl FnOnce(oneshot::Sender<T>) -> CoreMsg,
     ) -> Option<T> {
         let (sender, receiver) = oneshot::channel();
-        self.core.send(question(sender)).ok()?;
+        self.core.send(message(sender)).ok()?;
         receiver.await.ok()
     }
 }
