--- a/crates/celerywinch_node/src/clock.rs
+++ b/crates/celerywinch_node/src/clock.rs
@@ -1,17 +1,17 @@
-//! The one place that reads clocks.
+//! The clocks of a process; only this module reads the system's clocks.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use celerywinch_types::{Time, WallMs};
 
-/// Bits of a hybrid stamp that count events within a millisecond.
+/// Number of bits of a hybrid timestamp that count the events within a millisecond.
 const COUNTER_BITS: u32 = 16;
 
-/// Monotonic time since its creation, the wall clock, and a hybrid logical clock.
+/// A monotonic clock that starts at its creation, the wall clock, and a hybrid logical clock.
 ///
-/// The hybrid clock orders the events of several processes: it follows the wall clock, never goes
-/// back, and is raised by what other processes send.
+/// The hybrid clock orders the events of several processes: it follows the wall clock, never goes back, and is
+/// advanced by the timestamps that other processes send.
 #[derive(Debug)]
 pub struct Clock {
     origin: Instant,
@@ -28,14 +28,14 @@
 }
 
 impl Clock {
-    /// Monotonic time.
+    /// Returns the monotonic time since the clock was created.
     #[must_use]
     pub fn now(&self) -> Time {
         let micros = self.origin.elapsed().as_micros();
         Time(u64::try_from(micros).unwrap_or(u64::MAX))
     }
 
-    /// The wall clock.
+    /// Returns the time of the wall clock.
     #[must_use]
     pub fn wall() -> WallMs {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -43,17 +43,17 @@
         WallMs(u64::try_from(millis).unwrap_or(u64::MAX))
     }
 
-    /// A stamp later than all stamps given or seen before.
+    /// Returns a timestamp later than all that this clock has returned or observed.
     pub fn stamp(&self) -> u64 {
-        self.raise(Self::wall().0 << COUNTER_BITS)
+        self.advance(Self::wall().0 << COUNTER_BITS)
     }
 
-    /// Takes another process's stamp into account.
+    /// Advances the hybrid clock past another process's timestamp.
     pub fn observe(&self, stamp: u64) {
-        self.raise(stamp);
+        self.advance(stamp);
     }
 
-    fn raise(&self, at_least: u64) -> u64 {
+    fn advance(&self, at_least: u64) -> u64 {
         let next = |last: u64| Some(at_least.max(last + 1));
         let update = self
             .hybrid
--- a/crates/celerywinch_node/src/incarnation_tests.rs
+++ b/crates/celerywinch_node/src/incarnation_tests.rs
@@ -1,11 +1,11 @@
-//! The numbers of lives grow, whatever the clock does.
+//! Incarnation numbers increase even if the wall clock is set back.
 
 use super::*;
 
-/// An instance restarts after its clock was set back, and no other instance hears it: all its
-/// messages seem to come from an earlier life.
+/// An instance restarts after its clock was set back and gets a smaller number: the other instances ignore it,
+/// because all its messages seem to come from an earlier incarnation.
 #[test]
-fn number_grows_though_the_clock_goes_back() {
+fn number_increases_when_the_clock_is_set_back() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let next = |wall| next(Some(folder.path()), WallMs(wall)).expect("space");
     assert_eq!(next(1000), Incarnation(1000));
--- a/crates/celerywinch_node/src/links.rs
+++ b/crates/celerywinch_node/src/links.rs
@@ -1,4 +1,4 @@
-//! What links between instances need of this process.
+//! The host of the links between instances: their configuration, inputs and events.
 
 use std::sync::Arc;
 
@@ -13,13 +13,13 @@
 use crate::metrics::Metrics;
 use crate::shared::CoreMsg;
 
-/// Flow-control window of a stream and a connection, in bytes: large enough for a burst of answers.
-const WINDOW: u32 = 8 << 20;
+/// Flow-control window of a stream and a connection, in bytes; covers a burst of replies.
+const FLOW_CONTROL_WINDOW: u32 = 8 << 20;
 
 /// The links of this process.
 pub(crate) type Links = celerywinch_links::Links<PeerMsg, LinkContext>;
 
-/// What all links of a process share.
+/// The context shared by all links of a process.
 #[derive(Clone)]
 pub(crate) struct LinkContext {
     pub(crate) me: Process,
@@ -35,7 +35,7 @@
         LinkConfig {
             me: self.me,
             secret: self.secret.expose().to_owned(),
-            window: WINDOW,
+            window: FLOW_CONTROL_WINDOW,
         }
     }
 }
@@ -44,7 +44,7 @@
     fn received(&self, from: Process, msg: PeerMsg) -> anyhow::Result<()> {
         self.metrics.peer_received.inc();
         let input = CoreMsg::Input(Input::Peer(from, msg));
-        self.core.send(input).context("link: the core is gone")
+        self.core.send(input).context("link: the core has ended")
     }
 
     fn rejected(&self, from: Process, _current: Process) {
@@ -60,7 +60,7 @@
             LinkEvent::Lost => "lost",
             LinkEvent::Replaced => "replaced",
             LinkEvent::Refused => {
-                // The core ends before the links only when the process does.
+                // Sending fails only while the process ends: until then the core is alive.
                 let _ = self.core.send(CoreMsg::Input(Input::PeerGone(peer)));
                 return;
             }
--- a/crates/celerywinch_node/src/metrics.rs
+++ b/crates/celerywinch_node/src/metrics.rs
@@ -1,10 +1,10 @@
-//! Metrics of a process.
+//! The metrics of a process.
 
 use celerywinch_entry::{Event, Status};
 use celerywinch_metrics::Meter;
 use prometheus::{IntCounter, IntCounterVec, IntGauge};
 
-/// Counters and gauges; every clone counts into the same ones.
+/// Counters and gauges; all clones share them.
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
     meter: Meter,
@@ -30,30 +30,45 @@
         Ok(Self {
             events: meter.counter_vec(
                 "events_total",
-                "Events of the time line by name.",
+                "Events of the time line, by name.",
                 "event",
             )?,
-            outcomes: meter.counter_vec("outcomes_total", "Outcomes decided here.", "outcome")?,
+            outcomes: meter.counter_vec(
+                "outcomes_total",
+                "Outcomes decided at this instance.",
+                "outcome",
+            )?,
             violations: meter.counter_vec(
                 "violations_total",
-                "Assertions that failed.",
+                "Invariants found violated.",
                 "invariant",
             )?,
-            rejected: meter.counter_vec("rejected_total", "Bad requests by filter.", "filter")?,
-            peer_messages: meter.counter("peer_messages_sent_total", "Messages to instances.")?,
-            peer_bytes: meter
-                .counter("peer_bytes_sent_total", "Bytes of messages to instances.")?,
-            peer_received: meter
-                .counter("peer_messages_received_total", "Messages of instances.")?,
+            rejected: meter.counter_vec(
+                "rejected_total",
+                "Invalid requests, by the filter that rejected them.",
+                "filter",
+            )?,
+            peer_messages: meter.counter(
+                "peer_messages_sent_total",
+                "Messages sent to other instances.",
+            )?,
+            peer_bytes: meter.counter(
+                "peer_bytes_sent_total",
+                "Bytes of messages sent to other instances.",
+            )?,
+            peer_received: meter.counter(
+                "peer_messages_received_total",
+                "Messages received from other instances.",
+            )?,
             endpoint_calls: meter.counter("endpoint_calls_total", "Tasks sent to endpoints.")?,
             open: meter.gauge("open_jobs", "Submissions without an outcome.")?,
             queued: meter.gauge("queued_tasks", "Tasks that wait for a slot.")?,
             endpoints: meter.gauge("endpoints", "Endpoints known.")?,
             suspended: meter.gauge(
                 "endpoints_suspended",
-                "Endpoints set aside or on probation.",
+                "Endpoints in quarantine or on probation.",
             )?,
-            records: meter.gauge("claim_records", "Keys remembered by the replicas here.")?,
+            records: meter.gauge("claim_records", "Keys recorded by the replicas of this instance.")?,
             catalogue: meter.gauge("catalogue_version", "Version of the catalogue in force.")?,
             meter,
         })
@@ -69,7 +84,7 @@
             Event::Violation { invariant, detail } => {
                 let name = format!("{invariant:?}");
                 self.violations.with_label_values(&[name.as_str()]).inc();
-                log::error!("entry: Invariant {name} failed: {detail}.");
+                log::error!("entry: Invariant {name} violated: {detail}.");
             }
             _ => {}
         }
--- a/crates/celerywinch_node/src/timeline.rs
+++ b/crates/celerywinch_node/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The time line: typed events as JSON lines, written by a thread of its own.
+//! The time line: typed events that a separate thread writes as lines of JSON.
 
 use std::fs::{File, OpenOptions};
 use std::io::{BufWriter, Write};
@@ -15,10 +15,10 @@
 
 use crate::Clock;
 
-/// Lines are written through at least this often.
-const FLUSH_EVERY: Duration = Duration::from_millis(50);
+/// The file is flushed when no event has come for this long.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Writes the events of one process.
+/// Writes the events of one process to its time line.
 #[derive(Clone, Debug)]
 pub(crate) struct Timeline {
     clock: Arc<Clock>,
@@ -27,7 +27,7 @@
 }
 
 impl Timeline {
-    /// Appends to `file`, or writes nothing without one.
+    /// Opens `file` for appending; without a file nothing is written.
     pub(crate) fn open(
         clock: Arc<Clock>,
         process: Process,
@@ -49,7 +49,7 @@
             hlc: self.clock.stamp(),
             process: self.process,
         };
-        // The writer ends only when the disk fails; requests go on without a time line then.
+        // The writer ends only when the disk fails; requests are served without a time line from then on.
         let _ = records.send(TimelineRecord { stamp, event });
     }
 }
@@ -57,7 +57,7 @@
 fn start_writer(path: &Path) -> anyhow::Result<Sender<TimelineRecord>> {
     if let Some(folder) = path.parent() {
         std::fs::create_dir_all(folder)
-            .with_context(|| format!("time line: cannot make the folder {}", folder.display()))?;
+            .with_context(|| format!("time line: cannot create the folder {}", folder.display()))?;
     }
     let file = OpenOptions::new().create(true).append(true).open(path);
     let file = file.with_context(|| format!("time line: cannot open {}", path.display()))?;
@@ -65,18 +65,18 @@
     let builder = thread::Builder::new().name("timeline".into());
     builder
         .spawn(move || {
-            if let Err(error) = write_lines(file, &receiver) {
+            if let Err(error) = write_records(file, &receiver) {
                 log::error!("timeline: Writing stopped: {error}.");
             }
         })
-        .context("time line: cannot start its thread")?;
+        .context("time line: cannot start the writer thread")?;
     Ok(sender)
 }
 
-fn write_lines(file: File, records: &Receiver<TimelineRecord>) -> anyhow::Result<()> {
+fn write_records(file: File, records: &Receiver<TimelineRecord>) -> anyhow::Result<()> {
     let mut writer = BufWriter::new(file);
     loop {
-        match records.recv_timeout(FLUSH_EVERY) {
+        match records.recv_timeout(FLUSH_INTERVAL) {
             Ok(record) => {
                 serde_json::to_writer(&mut writer, &record)?;
                 writer.write_all(b"\n")?;
