--- a/crates/celerywinch_node/src/filters/body.rs
+++ b/crates/celerywinch_node/src/filters/body.rs
@@ -1,21 +1,21 @@
-//! The filter of the body.
+//! The filter that parses the body.
 
-use super::{Draft, Filter, Form, Rules};
+use super::{Filter, FilterContext, SubmissionDraft, SubmitRequest};
 use crate::http::Problem;
 
-/// Wants the known fields and no others.
+/// Requires a body with all mandatory fields and no unknown ones.
 pub(super) const FILTER: Filter = Filter {
     name: "body",
-    what: "Parses the body; unknown and missing fields are errors.",
-    why: "A misspelt field that is passed over would run the job with another meaning.",
-    example: r#"{"kind": "price-check", "deadline": 500, "tasks": [1]}"#,
+    description: "Parses the body; unknown and missing fields are errors.",
+    reason: "If a misspelt field were ignored, the job would run with another meaning.",
+    rejected_example: r#"{"kind": "price-check", "deadline": 500, "tasks": [1]}"#,
     apply,
 };
 
-fn apply(draft: &mut Draft, _: &Rules) -> Result<(), Problem> {
-    match serde_json::from_slice::<Form>(&draft.body) {
-        Ok(form) => {
-            draft.form = Some(form);
+fn apply(draft: &mut SubmissionDraft, _: &FilterContext) -> Result<(), Problem> {
+    match serde_json::from_slice::<SubmitRequest>(&draft.body) {
+        Ok(request) => {
+            draft.request = Some(request);
             Ok(())
         }
         Err(error) => Err(Problem::new(400, "body", "bad body")
--- a/crates/celerywinch_node/src/filters/content_type.rs
+++ b/crates/celerywinch_node/src/filters/content_type.rs
@@ -1,18 +1,18 @@
-//! The filter of the content type.
+//! The filter that checks the content type.
 
-use super::{Draft, Filter, Rules};
+use super::{Filter, FilterContext, SubmissionDraft};
 use crate::http::Problem;
 
 /// Accepts JSON only.
 pub(super) const FILTER: Filter = Filter {
     name: "content_type",
-    what: "Accepts bodies of type application/json only.",
-    why: "A form or a file would fail later with an error that does not tell the cause.",
-    example: "content-type: text/plain",
+    description: "Accepts bodies of type application/json only.",
+    reason: "A form or a file would fail later with an error that does not name the cause.",
+    rejected_example: "content-type: text/plain",
     apply,
 };
 
-fn apply(draft: &mut Draft, _: &Rules) -> Result<(), Problem> {
+fn apply(draft: &mut SubmissionDraft, _: &FilterContext) -> Result<(), Problem> {
     let found = draft.content_type.as_deref().unwrap_or("none");
     let essence = found.split(';').next().unwrap_or("").trim();
     if essence.eq_ignore_ascii_case("application/json") {
--- a/crates/celerywinch_node/src/filters/deadline.rs
+++ b/crates/celerywinch_node/src/filters/deadline.rs
@@ -1,24 +1,24 @@
-//! The filter of the deadline.
+//! The filter that checks the deadline.
 
 use std::time::Duration;
 
-use super::{Draft, Filter, Rules};
+use super::{Filter, FilterContext, SubmissionDraft};
 use crate::http::Problem;
 
-/// Wants a deadline within the kind's bounds.
+/// Requires a deadline within the kind's bounds.
 pub(super) const FILTER: Filter = Filter {
     name: "deadline",
-    what: "Wants a deadline within the bounds of the kind.",
-    why: "One that is too short is refused work, one that is too long holds slots and memory.",
-    example: r#""deadline_ms": 0"#,
+    description: "Requires a deadline within the bounds of the kind.",
+    reason: "Work with too short a deadline is refused; too long a deadline occupies slots and memory.",
+    rejected_example: r#""deadline_ms": 0"#,
     apply,
 };
 
-fn apply(draft: &mut Draft, _: &Rules) -> Result<(), Problem> {
-    let (Some(form), Some(kind)) = (&draft.form, &draft.kind) else {
+fn apply(draft: &mut SubmissionDraft, _: &FilterContext) -> Result<(), Problem> {
+    let (Some(request), Some(kind)) = (&draft.request, &draft.kind) else {
         return Err(Problem::internal());
     };
-    let deadline = Duration::from_millis(form.deadline_ms);
+    let deadline = Duration::from_millis(request.deadline_ms);
     if kind.min_deadline <= deadline && deadline <= kind.max_deadline {
         return Ok(());
     }
@@ -26,7 +26,7 @@
         .field("deadline_ms")
         .detail(&format!(
             "found {}, wanted {} to {}",
-            form.deadline_ms,
+            request.deadline_ms,
             kind.min_deadline.as_millis(),
             kind.max_deadline.as_millis()
         )))
--- a/crates/celerywinch_node/src/filters/key.rs
+++ b/crates/celerywinch_node/src/filters/key.rs
@@ -1,22 +1,22 @@
-//! The filter of the idempotency key.
+//! The filter that checks the idempotency key.
 
 use celerywinch_types::Key;
 
-use super::{Draft, Filter, Rules};
+use super::{Filter, FilterContext, SubmissionDraft};
 use crate::http::Problem;
 
-/// Wants a key that carries its time.
+/// Requires a key that contains its creation time.
 pub(super) const FILTER: Filter = Filter {
     name: "key",
-    what: "Wants an `Idempotency-Key` that is a UUIDv7 or ends in `@` and Unix milliseconds.",
-    why: "The key makes a resubmission harmless, and its time bounds how long it is remembered.",
-    example: "Idempotency-Key: order-17",
+    description: "Requires an `Idempotency-Key` that is a UUIDv7 or ends in `@` and Unix milliseconds.",
+    reason: "The key makes a resubmission harmless, and its time limits how long it is recorded.",
+    rejected_example: "Idempotency-Key: order-17",
     apply,
 };
 
-fn apply(draft: &mut Draft, _: &Rules) -> Result<(), Problem> {
-    let text = draft.key_text.as_deref().unwrap_or("");
-    // The draft of the header writes the key as a quoted string; the bare form is as common.
+fn apply(draft: &mut SubmissionDraft, _: &FilterContext) -> Result<(), Problem> {
+    let text = draft.key_header.as_deref().unwrap_or("");
+    // The draft standard of the header specifies a quoted string; the bare form is equally common.
     let bare = text.trim().trim_matches('"');
     match Key::parse(bare) {
         Ok(key) => {
--- a/crates/celerywinch_node/src/filters/kind.rs
+++ b/crates/celerywinch_node/src/filters/kind.rs
@@ -1,20 +1,20 @@
-//! The filter of the kind.
+//! The filter that checks the kind.
 
-use super::{Draft, Filter, Rules};
+use super::{Filter, FilterContext, SubmissionDraft};
 use crate::http::Problem;
 
-/// Wants a kind of the catalogue.
+/// Requires a kind that is in the catalogue.
 pub(super) const FILTER: Filter = Filter {
     name: "kind",
-    what: "Wants a kind that is in the catalogue.",
-    why: "Class, limits and whether the work is idempotent come from there.",
-    example: r#""kind": "price-chekc""#,
+    description: "Requires a kind that is in the catalogue.",
+    reason: "The catalogue defines the class, the limits and whether the work is idempotent.",
+    rejected_example: r#""kind": "price-chekc""#,
     apply,
 };
 
-fn apply(draft: &mut Draft, rules: &Rules) -> Result<(), Problem> {
-    let name = draft.form.as_ref().map_or("", |form| &form.kind);
-    match rules.catalogue.kind(name) {
+fn apply(draft: &mut SubmissionDraft, context: &FilterContext) -> Result<(), Problem> {
+    let name = draft.request.as_ref().map_or("", |request| &request.kind);
+    match context.catalogue.kind(name) {
         Some(kind) => {
             draft.kind = Some(kind.clone());
             Ok(())
@@ -23,7 +23,7 @@
             .field("kind")
             .detail(&format!(
                 "found {name:?}, which is not in version {} of the catalogue",
-                rules.catalogue.version()
+                context.catalogue.version()
             ))),
     }
 }
--- a/crates/celerywinch_node/src/filters/mod.rs
+++ b/crates/celerywinch_node/src/filters/mod.rs
@@ -1,7 +1,7 @@
-//! The chain of filters that a submission passes, in order, before the state machine sees it.
+//! The chain of filters that validates a submission before it is sent to the state machine.
 //!
-//! A filter that finds something wrong ends the chain with a problem that names the field; nothing
-//! has been changed by then.
+//! The first filter that rejects the submission ends the chain with a problem that names the field. No state has
+//! changed by then.
 
 mod body;
 mod content_type;
@@ -21,18 +21,18 @@
 
 use crate::http::Problem;
 
-/// One step of the chain.
+/// One filter of the chain.
 #[derive(Clone, Copy)]
 pub struct Filter {
-    /// Its name, as in the metrics.
+    /// The name, also used as a label of the metrics.
     pub name: &'static str,
-    /// What it does.
-    pub what: &'static str,
-    /// Why it is there.
-    pub why: &'static str,
-    /// An example of what it rejects.
-    pub example: &'static str,
-    apply: fn(&mut Draft, &Rules) -> Result<(), Problem>,
+    /// What the filter does.
+    pub description: &'static str,
+    /// Why the filter exists.
+    pub reason: &'static str,
+    /// An example of what the filter rejects.
+    pub rejected_example: &'static str,
+    apply: fn(&mut SubmissionDraft, &FilterContext) -> Result<(), Problem>,
 }
 
 /// All filters, in the order in which they are applied.
@@ -46,26 +46,26 @@
     tasks::FILTER,
 ];
 
-/// What filters judge by.
-pub(crate) struct Rules {
+/// The data that filters validate a submission against.
+pub(crate) struct FilterContext {
     pub(crate) catalogue: Arc<Catalogue>,
 }
 
-/// A submission on its way through the chain.
+/// A submission while it is validated; filters fill in what they have parsed.
 #[derive(Default)]
-pub(crate) struct Draft {
+pub(crate) struct SubmissionDraft {
     content_type: Option<String>,
-    key_text: Option<String>,
+    key_header: Option<String>,
     body: Vec<u8>,
     key: Option<Key>,
-    form: Option<Form>,
+    request: Option<SubmitRequest>,
     kind: Option<Kind>,
 }
 
 /// The body of a submission.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Form {
+struct SubmitRequest {
     kind: String,
     #[serde(default)]
     team: String,
@@ -73,50 +73,53 @@
     tasks: Vec<Box<RawValue>>,
 }
 
-/// Passes a draft through the chain.
-pub(crate) fn check(mut draft: Draft, rules: &Rules) -> Result<Submission, (&str, Problem)> {
+/// Runs all filters on a draft; an error comes with the name of the filter that rejected it.
+pub(crate) fn check(
+    mut draft: SubmissionDraft,
+    context: &FilterContext,
+) -> Result<Submission, (&str, Problem)> {
     for filter in FILTERS {
-        (filter.apply)(&mut draft, rules).map_err(|problem| (filter.name, problem))?;
+        (filter.apply)(&mut draft, context).map_err(|problem| (filter.name, problem))?;
     }
     draft.finish().ok_or(("chain", Problem::internal()))
 }
 
-impl Draft {
+impl SubmissionDraft {
     pub(crate) fn new(
         content_type: Option<String>,
-        key_text: Option<String>,
+        key_header: Option<String>,
         body: Vec<u8>,
     ) -> Self {
         Self {
             content_type,
-            key_text,
+            key_header,
             body,
             ..Self::default()
         }
     }
 
     fn finish(self) -> Option<Submission> {
-        let (form, kind) = (self.form?, self.kind?);
-        let tasks: Vec<_> = form
+        let (request, kind) = (self.request?, self.kind?);
+        let tasks: Vec<_> = request
             .tasks
             .iter()
             .map(|body| TaskBody(body.get().into()))
             .collect();
         Some(Submission {
             key: self.key?,
-            digest: digest(&form),
+            digest: submission_digest(&request),
             kind: kind.name,
-            team: form.team.into(),
-            remaining: Duration::from_millis(form.deadline_ms),
+            team: request.team.into(),
+            remaining: Duration::from_millis(request.deadline_ms),
             tasks,
         })
     }
 }
 
-/// A hash of kind, team and bodies; never zero, which stands for "not known".
-fn digest(form: &Form) -> u64 {
-    let mut text = format!("{}\n{}\n", form.kind, form.team);
-    for body in &form.tasks {
+/// Returns a hash of kind, team and task bodies; never zero, which means "unknown".
+fn submission_digest(request: &SubmitRequest) -> u64 {
+    let mut text = format!("{}\n{}\n", request.kind, request.team);
+    for body in &request.tasks {
         text.push_str(body.get());
         text.push('\n');
     }
--- a/crates/celerywinch_node/src/filters/team.rs
+++ b/crates/celerywinch_node/src/filters/team.rs
@@ -1,20 +1,20 @@
-//! The filter of the team.
+//! The filter that checks the team.
 
-use super::{Draft, Filter, Rules};
+use super::{Filter, FilterContext, SubmissionDraft};
 use crate::http::Problem;
 
-/// Wants a team of the catalogue, or none.
+/// Requires a team that is in the catalogue, or none.
 pub(super) const FILTER: Filter = Filter {
     name: "team",
-    what: "Wants a team that is in the catalogue, or none; without one there is no quota.",
-    why: "A misspelt team would be served last, as one without a quota, and nobody would know why.",
-    example: r#""team": "daelers""#,
+    description: "Requires a team that is in the catalogue, or none; without a team there is no quota.",
+    reason: "Jobs of a misspelt team would be served last, like those without a quota, for no visible reason.",
+    rejected_example: r#""team": "daelers""#,
     apply,
 };
 
-fn apply(draft: &mut Draft, rules: &Rules) -> Result<(), Problem> {
-    let name = draft.form.as_ref().map_or("", |form| &form.team);
-    if name.is_empty() || rules.catalogue.team(name).is_some() {
+fn apply(draft: &mut SubmissionDraft, context: &FilterContext) -> Result<(), Problem> {
+    let name = draft.request.as_ref().map_or("", |request| &request.team);
+    if name.is_empty() || context.catalogue.team(name).is_some() {
         return Ok(());
     }
     Err(Problem::new(404, "team", "unknown team")
--- a/crates/celerywinch_node/src/http/callers.rs
+++ b/crates/celerywinch_node/src/http/callers.rs
@@ -1,4 +1,4 @@
-//! What callers are offered: submit, look up, cancel, and the balancer's checks.
+//! The HTTP routes for callers: submission, lookup and cancellation, and the checks of the load balancer.
 
 use std::sync::Arc;
 
@@ -9,13 +9,13 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Problem, read_body};
-use crate::filters::{self, Draft, Rules};
+use crate::filters::{self, FilterContext, SubmissionDraft};
 use crate::shared::{CoreMsg, Shared};
 
-/// The most keys in one cancel.
-const MOST_CANCELS: usize = 10_000;
+/// Maximum number of keys in one request to cancel.
+const MAX_CANCEL_KEYS: usize = 10_000;
 
-/// Routes.
+/// Adds the routes to an application.
 pub(crate) fn configure(config: &mut ServiceConfig) {
     config.service((
         web::resource("/v1/submit").route(web::post().to(submit)),
@@ -39,11 +39,11 @@
         Ok(body) => body,
         Err(problem) => return reject(&shared, "body", &problem),
     };
-    let draft = Draft::new(header("content-type"), header("idempotency-key"), body);
-    let rules = Rules {
+    let draft = SubmissionDraft::new(header("content-type"), header("idempotency-key"), body);
+    let context = FilterContext {
         catalogue: shared.catalogue.load_full(),
     };
-    let submission = match filters::check(draft, &rules) {
+    let submission = match filters::check(draft, &context) {
         Ok(submission) => submission,
         Err((filter, problem)) => return reject(&shared, filter, &problem),
     };
@@ -64,9 +64,9 @@
         Ok(key) => key,
         Err(error) => return bad_key(&error.to_string()),
     };
-    let asked = key.clone();
+    let lookup_key = key.clone();
     let reply = shared
-        .request(|sender| CoreMsg::Lookup(asked, sender))
+        .request(|sender| CoreMsg::Lookup(lookup_key, sender))
         .await;
     respond(&key, reply)
 }
@@ -78,16 +78,16 @@
         .response()
 }
 
-/// The body of a cancel.
+/// The body of a request to cancel.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct CancelForm {
+struct CancelRequest {
     keys: Vec<Key>,
 }
 
-/// What became of a key.
+/// The state of one cancelled key in the response.
 #[derive(Serialize)]
-struct CancelLine {
+struct CancelResult {
     key: Key,
     state: celerywinch_entry::CancelState,
 }
@@ -97,29 +97,32 @@
         Ok(body) => body,
         Err(problem) => return problem.response(),
     };
-    let form: CancelForm = match serde_json::from_slice(&body) {
-        Ok(form) => form,
+    let request: CancelRequest = match serde_json::from_slice(&body) {
+        Ok(request) => request,
         Err(error) => {
             let problem = Problem::new(400, "body", "bad body").field("keys");
             return problem.detail(&error.to_string()).response();
         }
     };
-    if form.keys.len() > MOST_CANCELS {
+    if request.keys.len() > MAX_CANCEL_KEYS {
         let problem = Problem::new(400, "body", "too many keys").field("keys");
-        let detail = format!("found {}, wanted at most {MOST_CANCELS}", form.keys.len());
+        let detail = format!(
+            "found {}, wanted at most {MAX_CANCEL_KEYS}",
+            request.keys.len()
+        );
         return problem.detail(&detail).response();
     }
     let reply = shared
-        .request(|sender| CoreMsg::Cancel(form.keys, sender))
+        .request(|sender| CoreMsg::Cancel(request.keys, sender))
         .await;
     let Some(Reply::Cancelled(states)) = reply else {
         return Problem::internal().response();
     };
-    let lines: Vec<_> = states
+    let results: Vec<_> = states
         .into_iter()
-        .map(|(key, state)| CancelLine { key, state })
+        .map(|(key, state)| CancelResult { key, state })
         .collect();
-    HttpResponse::Ok().json(&serde_json::json!({ "cancelled": lines }))
+    HttpResponse::Ok().json(&serde_json::json!({ "cancelled": results }))
 }
 
 async fn healthz() -> HttpResponse {
@@ -144,8 +147,8 @@
                 .content_type("application/json")
                 .body(body)
         }
-        Some(Reply::Outcome(Outcome::Failure(failure))) => failed(&failure).response(),
-        Some(Reply::Outcome(Outcome::Refusal(refusal))) => refused(&refusal).response(),
+        Some(Reply::Outcome(Outcome::Failure(failure))) => failure_problem(&failure).response(),
+        Some(Reply::Outcome(Outcome::Refusal(refusal))) => refusal_problem(&refusal).response(),
         Some(Reply::Conflict) => {
             Problem::new(422, "conflict", "the key was used with another body")
                 .field("Idempotency-Key")
@@ -156,18 +159,22 @@
             .field("Idempotency-Key")
             .detail("check the clock that makes the keys")
             .response(),
-        Some(Reply::Undecided { retry_ms, detail }) => undecided(retry_ms, &detail).response(),
+        Some(Reply::Undecided { retry_ms, detail }) => {
+            undecided_problem(retry_ms, &detail).response()
+        }
         Some(Reply::Unknown) => Problem::new(404, "unknown-key", "nothing is known of the key")
             .field("key")
             .response(),
         Some(Reply::Cancelled(_)) => Problem::internal().response(),
-        None => undecided(1, "this entry is stopping; send the same key to another").response(),
+        None => {
+            undecided_problem(1, "this entry is stopping; send the same key to another").response()
+        }
     }
 }
 
-fn failed(failure: &Failure) -> Problem {
-    let late = failure.step == Step::Queue;
-    let status = if late { 504 } else { 502 };
+fn failure_problem(failure: &Failure) -> Problem {
+    let expired = failure.step == Step::Queue;
+    let status = if expired { 504 } else { 502 };
     let ran = match failure.ran {
         Ran::No => "no",
         Ran::Maybe => "maybe",
@@ -175,11 +182,11 @@
     };
     Problem::new(status, "failure", "there is no whole answer")
         .ran(ran)
-        .at(name(&failure.step), &failure.peer)
+        .at(serialized_name(&failure.step), &failure.peer)
         .detail(&failure.detail)
 }
 
-fn refused(refusal: &Refusal) -> Problem {
+fn refusal_problem(refusal: &Refusal) -> Problem {
     let status = match refusal.reason {
         RefusalReason::TooLarge => 422,
         RefusalReason::Cancelled => 409,
@@ -188,20 +195,20 @@
     };
     Problem::new(status, "refusal", "not run")
         .ran("no")
-        .reason(name(&refusal.reason))
+        .reason(serialized_name(&refusal.reason))
         .detail(&refusal.detail)
         .retry(refusal.retry_ms, "new")
 }
 
-fn undecided(retry_ms: u32, detail: &str) -> Problem {
+fn undecided_problem(retry_ms: u32, detail: &str) -> Problem {
     Problem::new(503, "undecided", "no outcome can be told now")
         .ran("maybe")
         .detail(detail)
         .retry(Some(retry_ms), "same")
 }
 
-/// The name of a plain enum's value, as it is serialised.
-fn name<T: Serialize>(value: &T) -> String {
+/// Returns the serialized name of a variant without fields.
+fn serialized_name<T: Serialize>(value: &T) -> String {
     let value = serde_json::to_value(value).unwrap_or_default();
     value.as_str().unwrap_or_default().to_owned()
 }
--- a/crates/celerywinch_node/src/http/endpoints.rs
+++ b/crates/celerywinch_node/src/http/endpoints.rs
@@ -1,4 +1,4 @@
-//! Where endpoints announce themselves.
+//! The HTTP route on which endpoints announce themselves.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,18 +13,18 @@
 use super::{Problem, read_body};
 use crate::shared::{CoreMsg, Shared};
 
-/// The longest announcement, in bytes.
-const LONGEST: usize = 64 << 10;
+/// Maximum size of an announcement, in bytes.
+const MAX_ANNOUNCEMENT_BYTES: usize = 64 << 10;
 
-/// Routes.
+/// Adds the routes to an application.
 pub(crate) fn configure(config: &mut ServiceConfig) {
     config.service(web::resource("/v1/announce").route(web::post().to(announce)));
 }
 
-/// An announcement, as the protocol page describes it.
+/// The body of an announcement; the protocol page describes the fields.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Announcement {
+struct AnnounceRequest {
     addr: SocketAddr,
     data_centre: String,
     rack: String,
@@ -37,17 +37,17 @@
 }
 
 async fn announce(payload: Payload, shared: State<Arc<Shared>>) -> HttpResponse {
-    let body = match read_body(payload, LONGEST).await {
+    let body = match read_body(payload, MAX_ANNOUNCEMENT_BYTES).await {
         Ok(body) => body,
         Err(problem) => return problem.response(),
     };
-    let note = match check(&body, &shared) {
-        Ok(note) => note,
+    let announcement = match check(&body, &shared) {
+        Ok(announcement) => announcement,
         Err(problem) => return problem.response(),
     };
     if shared
         .core
-        .send(CoreMsg::Input(Input::Announce(note)))
+        .send(CoreMsg::Input(Input::Announce(announcement)))
         .is_err()
     {
         return Problem::new(503, "stopping", "this entry is stopping").response();
@@ -63,33 +63,33 @@
         let problem = Problem::new(400, "announcement", "bad announcement");
         problem.field(field).detail(detail)
     };
-    let form: Announcement =
+    let request: AnnounceRequest =
         serde_json::from_slice(body).map_err(|error| problem("body", &error.to_string()))?;
     let me = &shared.settings.me;
-    if form.data_centre != me.dc_name {
+    if request.data_centre != me.dc_name {
         let detail = format!(
             "found {:?}, wanted {:?}: announce to an entry of the own data centre",
-            form.data_centre, me.dc_name
+            request.data_centre, me.dc_name
         );
         return Err(problem("data_centre", &detail));
     }
-    if form.slots == 0 || form.connections < form.slots {
+    if request.slots == 0 || request.connections < request.slots {
         let detail = "wanted at least one slot and as many connections as slots";
         return Err(problem("slots", detail));
     }
-    if form.kinds.is_empty() {
+    if request.kinds.is_empty() {
         return Err(problem("kinds", "wanted at least one kind"));
     }
     Ok(EndpointAnnouncement {
-        addr: form.addr,
-        incarnation: form.incarnation,
-        sequence: form.sequence,
+        addr: request.addr,
+        incarnation: request.incarnation,
+        sequence: request.sequence,
         dc: me.dc,
-        rack: form.rack.into(),
-        kinds: form.kinds.into_iter().map(Into::into).collect(),
-        slots: form.slots,
-        connections: form.connections,
-        state: form.state,
+        rack: request.rack.into(),
+        kinds: request.kinds.into_iter().map(Into::into).collect(),
+        slots: request.slots,
+        connections: request.connections,
+        state: request.state,
         age_ms: 0,
     })
 }
--- a/crates/celerywinch_node/src/http/mod.rs
+++ b/crates/celerywinch_node/src/http/mod.rs
@@ -1,6 +1,6 @@
-//! HTTP surfaces: one listener each for callers, endpoints and operators.
+//! The HTTP servers, with one listener each for callers, endpoints and operators.
 //!
-//! They are apart so that a caller cannot reach what operators and endpoints use.
+//! Separate listeners prevent callers from reaching the routes of operators and endpoints.
 
 mod callers;
 mod endpoints;
--- a/crates/celerywinch_node/src/http/operators.rs
+++ b/crates/celerywinch_node/src/http/operators.rs
@@ -1,4 +1,4 @@
-//! What operators are offered; every request shows the shared secret.
+//! The HTTP routes for operators; all but the health check require the shared secret.
 
 use std::sync::Arc;
 
@@ -12,34 +12,34 @@
 use crate::shared::{CoreMsg, Shared};
 use crate::store::{EditResult, StoreRequest};
 
-/// The longest change, in bytes.
-const LONGEST_EDIT: usize = 8 << 20;
-/// The longest change id, in bytes.
-const LONGEST_CHANGE_ID: usize = 128;
-/// When an operator whose change is unsure should send it again.
+/// Maximum size of a change, in bytes.
+const MAX_EDIT_BYTES: usize = 8 << 20;
+/// Maximum length of a change id, in bytes.
+const MAX_CHANGE_ID_BYTES: usize = 128;
+/// Delay after which an operator should retry a change with an unknown result, in milliseconds.
 const EDIT_RETRY_MS: u32 = 1000;
 
-/// Routes.
+/// Adds the routes to an application.
 pub(crate) fn configure(config: &mut ServiceConfig) {
     config.service((
         web::resource("/v1/status").route(web::get().to(status)),
         web::resource("/v1/catalogue")
             .route(web::get().to(catalogue))
             .route(web::put().to(edit)),
-        web::resource("/v1/catalogue/where").route(web::get().to(whereabouts)),
+        web::resource("/v1/catalogue/where").route(web::get().to(catalogue_versions)),
         web::resource("/v1/keeper").route(web::get().to(keeper)),
         web::resource("/metrics").route(web::get().to(metrics)),
         web::resource("/healthz").route(web::get().to(healthz)),
     ));
 }
 
-/// Whether a request shows the secret; compared in constant time.
+/// Returns whether a request carries the shared secret, compared in constant time.
 fn authorised(request: &HttpRequest, shared: &Shared) -> bool {
     let Some(value) = request.headers().get("authorization") else {
         return false;
     };
-    let wanted = format!("Bearer {}", shared.settings.secret.expose());
-    value.as_bytes().ct_eq(wanted.as_bytes()).into()
+    let expected = format!("Bearer {}", shared.settings.secret.expose());
+    value.as_bytes().ct_eq(expected.as_bytes()).into()
 }
 
 fn unauthorised() -> HttpResponse {
@@ -69,12 +69,12 @@
     }))
 }
 
-/// A change, as operators send it.
+/// Proposes an operator's change of the catalogue.
 async fn edit(request: HttpRequest, payload: Payload, shared: State<Arc<Shared>>) -> HttpResponse {
     if !authorised(&request, &shared) {
         return unauthorised();
     }
-    let body = match read_body(payload, LONGEST_EDIT).await {
+    let body = match read_body(payload, MAX_EDIT_BYTES).await {
         Ok(body) => body,
         Err(problem) => return problem.response(),
     };
@@ -85,7 +85,7 @@
             return problem.detail(&error.to_string()).response();
         }
     };
-    if edit.change_id.is_empty() || edit.change_id.len() > LONGEST_CHANGE_ID {
+    if edit.change_id.is_empty() || edit.change_id.len() > MAX_CHANGE_ID_BYTES {
         let problem = Problem::new(400, "change", "bad change id").field("change");
         return problem.detail("wanted 1 to 128 bytes").response();
     }
@@ -93,11 +93,11 @@
     if shared.store.send(StoreRequest::Edit(edit, sender)).is_err() {
         return Problem::internal().response();
     }
-    answer(receiver.await.ok().flatten())
+    edit_response(receiver.await.ok().flatten())
 }
 
-fn answer(answer: EditResult) -> HttpResponse {
-    match answer {
+fn edit_response(result: EditResult) -> HttpResponse {
+    match result {
         Some(Ok(applied)) => HttpResponse::Ok().json(&applied),
         Some(Err(error @ ApplyError::Conflict { .. })) => {
             Problem::new(409, "version-conflict", "another change came first")
@@ -120,15 +120,15 @@
     }
 }
 
-/// Which version is in force where, by the heartbeats that reached this instance.
-async fn whereabouts(request: HttpRequest, shared: State<Arc<Shared>>) -> HttpResponse {
+/// Returns the version of the catalogue in force at each instance, as last reported by its heartbeats.
+async fn catalogue_versions(request: HttpRequest, shared: State<Arc<Shared>>) -> HttpResponse {
     if !authorised(&request, &shared) {
         return unauthorised();
     }
     let Some(page) = shared.request(CoreMsg::Status).await else {
         return Problem::new(503, "stopping", "this entry is stopping").response();
     };
-    let mut lines: Vec<_> = page
+    let mut versions: Vec<_> = page
         .peers
         .iter()
         .map(|peer| {
@@ -140,13 +140,13 @@
             })
         })
         .collect();
-    lines.push(serde_json::json!({
+    versions.push(serde_json::json!({
         "instance": page.process.instance,
         "state": "self",
         "version": page.entry.catalogue_version,
         "heard_ms_ago": 0,
     }));
-    HttpResponse::Ok().json(&serde_json::json!({ "instances": lines }))
+    HttpResponse::Ok().json(&serde_json::json!({ "instances": versions }))
 }
 
 async fn keeper(request: HttpRequest, shared: State<Arc<Shared>>) -> HttpResponse {
--- a/crates/celerywinch_node/src/http/problem.rs
+++ b/crates/celerywinch_node/src/http/problem.rs
@@ -1,4 +1,4 @@
-//! Problem bodies after RFC 9457.
+//! Problem details as defined by RFC 9457.
 
 use ntex::http::StatusCode;
 use ntex::web::HttpResponse;
@@ -7,12 +7,12 @@
 /// The prefix of problem types.
 const TYPE_PREFIX: &str = "urn:celerywinch:problem:";
 
-/// What went wrong, in a form that programs can read.
+/// A machine-readable description of an error.
 #[derive(Clone, Debug, Serialize)]
 #[serde(transparent)]
 pub(crate) struct Problem(Box<Members>);
 
-/// The members of a problem's body.
+/// The members of the problem details object.
 #[derive(Clone, Debug, Serialize)]
 struct Members {
     #[serde(rename = "type")]
@@ -34,7 +34,7 @@
     peer: Option<String>,
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after_ms: Option<u32>,
-    /// `new` if a retry must use a new key, `same` if it must use the same.
+    /// `new` if a retry must use a new key, `same` if it must use the same one.
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_key: Option<&'static str>,
 }
--- a/crates/celerywinch_node/src/lib.rs
+++ b/crates/celerywinch_node/src/lib.rs
@@ -1,8 +1,7 @@
-//! The process around the state machines: HTTP, links between instances, clock, time line, metrics.
+//! The process that runs the state machines: HTTP, links between instances, clock, time line, metrics.
 //!
-//! One thread, the core, owns the entry's state machine, the links and the calls to endpoints.
-//! HTTP is served by threads of its own, which check requests against a snapshot of the catalogue
-//! and pass them to the core by a channel.
+//! One thread, the core, owns the entry's state machine, the links and the calls to endpoints. Separate threads
+//! serve HTTP: they validate requests against a snapshot of the catalogue and send them to the core by a channel.
 
 mod calls;
 mod clock;
--- a/crates/celerywinch_node/src/metrics.rs
+++ b/crates/celerywinch_node/src/metrics.rs
@@ -68,7 +68,10 @@
                 "endpoints_suspended",
                 "Endpoints in quarantine or on probation.",
             )?,
-            records: meter.gauge("claim_records", "Keys recorded by the replicas of this instance.")?,
+            records: meter.gauge(
+                "claim_records",
+                "Keys recorded by the replicas of this instance.",
+            )?,
             catalogue: meter.gauge("catalogue_version", "Version of the catalogue in force.")?,
             meter,
         })
