--- a/crates/celerywinch_keeper/src/keeper.rs
+++ b/crates/celerywinch_keeper/src/keeper.rs
@@ -5,22 +5,22 @@
 use anyhow::Context;
 use celerywinch_catalogue::{CatalogueState, Document, Version};
 use celerywinch_store::{
-    Entry, Input, KeeperId, Loaded, Output, Payload, Raft, RaftConfig, Role, Snapshot,
+    Entry, Input, KeeperId, Output, Payload, PersistedState, Raft, RaftConfig, Role, Snapshot,
 };
 use celerywinch_types::{InstanceId, Time};
 use serde::Serialize;
 
 use crate::message::decode_edit;
-use crate::{Answer, ProposalId, StoreMsg};
+use crate::{ProposalAnswer, ProposalId, StoreMsg};
 
 /// What the host is to do, strictly in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeeperOutput {
-    /// An output of the log: writing, syncing, sending. `Apply`, `Restore` and `Compact` are dealt
+    /// An output of the log: writing, syncing, sending. `Apply`, `Restore` and `TakeSnapshot` are dealt
     /// with here and never come out.
     Log(Output),
     /// Answer a change, to the instance that sent it.
-    Answer(InstanceId, ProposalId, Answer),
+    Answer(InstanceId, ProposalId, ProposalAnswer),
     /// A version was committed.
     Committed {
         /// The version.
@@ -28,7 +28,7 @@
         /// The catalogue.
         document: Document,
         /// Whether this keeper leads, and so is the one to spread it.
-        leads: bool,
+        is_leader: bool,
     },
 }
 
@@ -67,7 +67,7 @@
     ledger: CatalogueState,
     pending: BTreeMap<u64, Pending>,
     /// The index that the next proposed entry gets.
-    proposed: u64,
+    last_proposed: u64,
 }
 
 impl Keeper {
@@ -76,10 +76,10 @@
     /// # Errors
     ///
     /// The snapshot's state cannot be read.
-    pub fn new(config: RaftConfig, now: Time, loaded: Loaded) -> anyhow::Result<Self> {
+    pub fn new(config: RaftConfig, now: Time, loaded: PersistedState) -> anyhow::Result<Self> {
         let me = config.me;
-        let ledger = read_state(&loaded.snapshot)?;
-        let proposed = loaded
+        let ledger = decode_state(&loaded.snapshot)?;
+        let last_proposed = loaded
             .entries
             .last()
             .map_or(loaded.snapshot.index, |entry| entry.index);
@@ -88,7 +88,7 @@
             raft: Raft::new(config, now, loaded.vote, loaded.snapshot, loaded.entries),
             ledger,
             pending: BTreeMap::new(),
-            proposed,
+            last_proposed,
         })
     }
 
@@ -114,19 +114,21 @@
         match output {
             Output::Apply(entry) => self.apply(entry, out),
             Output::Restore(snapshot) => self.restore(&snapshot, out),
-            Output::Compact(index) => {
+            Output::TakeSnapshot(index) => {
                 let state = serde_json::to_vec(&self.ledger).unwrap_or_default();
-                inputs.push(Input::State { index, state });
+                inputs.push(Input::SnapshotState { index, state });
             }
-            Output::Role(role) => {
+            Output::RoleChanged(role) => {
                 if role != Role::Leader {
-                    self.lose_pending(out);
+                    self.fail_pending(out);
                 }
-                out.push(KeeperOutput::Log(Output::Role(role)));
+                out.push(KeeperOutput::Log(Output::RoleChanged(role)));
             }
-            Output::Persist(entries) => {
-                self.proposed = entries.last().map_or(self.proposed, |entry| entry.index);
-                out.push(KeeperOutput::Log(Output::Persist(entries)));
+            Output::PersistEntries(entries) => {
+                self.last_proposed = entries
+                    .last()
+                    .map_or(self.last_proposed, |entry| entry.index);
+                out.push(KeeperOutput::Log(Output::PersistEntries(entries)));
             }
             other => out.push(KeeperOutput::Log(other)),
         }
@@ -143,28 +145,28 @@
     ) {
         if self.raft.role() != Role::Leader {
             let leader = self.raft.leader().map(|keeper| keeper.instance);
-            let answer = Answer::NotLeader(leader);
+            let answer = ProposalAnswer::NotLeader(leader);
             out.push(KeeperOutput::Answer(from, id, answer));
             return;
         }
         // One sent again after its answer was lost needs no second entry.
-        if let Some(answer) = self.known_answer(&edit) {
+        if let Some(answer) = self.recorded_answer(&edit) {
             out.push(KeeperOutput::Answer(from, id, answer));
             return;
         }
         let term = self.raft.term();
         self.handle(now, Input::Propose(edit), out);
         let pending = Pending { term, from, id };
-        self.pending.insert(self.proposed, pending);
+        self.pending.insert(self.last_proposed, pending);
         // A group of one commits at once, when the host has synced; nothing is answered before.
     }
 
-    fn known_answer(&self, edit: &[u8]) -> Option<Answer> {
+    fn recorded_answer(&self, edit: &[u8]) -> Option<ProposalAnswer> {
         let edit = decode_edit(edit).ok()?;
         self.ledger
             .answer(&edit.change_id)
             .cloned()
-            .map(Answer::Done)
+            .map(ProposalAnswer::Done)
     }
 
     fn apply(&mut self, entry: Entry, out: &mut Vec<KeeperOutput>) {
@@ -180,40 +182,40 @@
             out.push(KeeperOutput::Committed {
                 version: self.ledger.version(),
                 document: self.ledger.document().clone(),
-                leads: self.raft.role() == Role::Leader,
+                is_leader: self.raft.role() == Role::Leader,
             });
         }
         if let Some(pending) = self.pending.remove(&entry.index) {
             let answer = if pending.term == entry.term {
-                Answer::Done(answer)
+                ProposalAnswer::Done(answer)
             } else {
-                Answer::Unsure
+                ProposalAnswer::Unknown
             };
             out.push(KeeperOutput::Answer(pending.from, pending.id, answer));
         }
     }
 
     fn restore(&mut self, snapshot: &Snapshot, out: &mut Vec<KeeperOutput>) {
-        let Ok(ledger) = read_state(snapshot) else {
+        let Ok(ledger) = decode_state(snapshot) else {
             return;
         };
-        let news = ledger.version() > self.ledger.version();
+        let is_newer = ledger.version() > self.ledger.version();
         self.ledger = ledger;
-        if news {
+        if is_newer {
             out.push(KeeperOutput::Committed {
                 version: self.ledger.version(),
                 document: self.ledger.document().clone(),
-                leads: false,
+                is_leader: false,
             });
         }
     }
 
-    fn lose_pending(&mut self, out: &mut Vec<KeeperOutput>) {
+    fn fail_pending(&mut self, out: &mut Vec<KeeperOutput>) {
         for (_, pending) in std::mem::take(&mut self.pending) {
             out.push(KeeperOutput::Answer(
                 pending.from,
                 pending.id,
-                Answer::Unsure,
+                ProposalAnswer::Unknown,
             ));
         }
     }
@@ -223,7 +225,7 @@
     /// # Errors
     ///
     /// The message is too large.
-    pub fn wrap(
+    pub fn encode_message(
         &self,
         to: InstanceId,
         disk: Option<u64>,
@@ -238,7 +240,7 @@
     /// # Errors
     ///
     /// The bytes are no message.
-    pub fn unwrap(
+    pub fn handle_encoded(
         &mut self,
         now: Time,
         bytes: &[u8],
@@ -253,21 +255,21 @@
     /// Figures for operators.
     #[must_use]
     pub fn status(&self) -> KeeperStatus {
-        let group = self.raft.group();
+        let membership = self.raft.membership();
         let instances = |keepers: &[KeeperId]| keepers.iter().map(|k| k.instance).collect();
         KeeperStatus {
             term: self.raft.term(),
             role: role_name(self.raft.role()).into(),
             leader: self.raft.leader().map(|keeper| keeper.instance),
-            commit: self.raft.commit(),
-            voters: instances(&group.voters),
-            learners: instances(&group.learners),
+            commit: self.raft.commit_index(),
+            voters: instances(&membership.voters),
+            learners: instances(&membership.learners),
             version: self.ledger.version(),
         }
     }
 }
 
-fn read_state(snapshot: &Snapshot) -> anyhow::Result<CatalogueState> {
+fn decode_state(snapshot: &Snapshot) -> anyhow::Result<CatalogueState> {
     if snapshot.state.is_empty() {
         return Ok(CatalogueState::default());
     }
--- a/crates/celerywinch_node/src/core.rs
+++ b/crates/celerywinch_node/src/core.rs
@@ -40,7 +40,7 @@
     /// Runs until a planned stop is complete: nothing is in flight.
     pub(crate) async fn run(mut self, mut inbox: UnboundedReceiver<CoreMsg>) {
         let mut out = Vec::new();
-        while !self.entry.drained() {
+        while !self.entry.is_drained() {
             let sleep = self.sleep_time();
             let first = tokio::time::timeout(sleep, inbox.recv()).await;
             let now = self.clock.now();
@@ -72,7 +72,7 @@
             CoreMsg::Submit(submission, reply) => Input::Submit(self.add_waiter(reply), submission),
             CoreMsg::Lookup(key, reply) => Input::Lookup(self.add_waiter(reply), key),
             CoreMsg::Cancel(keys, reply) => Input::Cancel(self.add_waiter(reply), keys),
-            CoreMsg::Input(Input::Peer(from, PeerMsg::Store(bytes))) => {
+            CoreMsg::Input(Input::PeerMessage(from, PeerMsg::Store(bytes))) => {
                 let _ = self
                     .shared
                     .store
@@ -113,7 +113,7 @@
         for output in out.drain(..) {
             match output {
                 Output::Send(peer, msg) => self.links.send(peer, msg),
-                Output::Save(catalogue) => {
+                Output::SaveCatalogue(catalogue) => {
                     let _ = self.shared.store.send(StoreRequest::Save(catalogue));
                 }
                 Output::Probe(peer) => self.links.probe(peer),
--- a/crates/celerywinch_node/src/links.rs
+++ b/crates/celerywinch_node/src/links.rs
@@ -43,7 +43,7 @@
 impl Host<PeerMsg> for LinkContext {
     fn received(&self, from: Process, msg: PeerMsg) -> anyhow::Result<()> {
         self.metrics.peer_received.inc();
-        let input = CoreMsg::Input(Input::Peer(from, msg));
+        let input = CoreMsg::Input(Input::PeerMessage(from, msg));
         self.core.send(input).context("link: the core has ended")
     }
 
@@ -61,7 +61,9 @@
             LinkEvent::Replaced => "replaced",
             LinkEvent::Refused => {
                 // Sending fails only while the process ends: until then the core is alive.
-                let _ = self.core.send(CoreMsg::Input(Input::PeerGone(peer)));
+                let _ = self
+                    .core
+                    .send(CoreMsg::Input(Input::ConnectionRefused(peer)));
                 return;
             }
         };
--- a/crates/celerywinch_node/src/node.rs
+++ b/crates/celerywinch_node/src/node.rs
@@ -243,7 +243,7 @@
     if let (true, Some(document)) = (keepers.is_empty(), document.clone()) {
         let catalogue = Catalogue::check(1, document)
             .map_err(|problems| anyhow::anyhow!("catalogue: invalid: {problems:?}"))?;
-        let msg = CoreMsg::Input(Input::Catalogue(Arc::new(catalogue)));
+        let msg = CoreMsg::Input(Input::InitialCatalogue(Arc::new(catalogue)));
         shared
             .core
             .send(msg)
--- a/crates/celerywinch_node/src/store.rs
+++ b/crates/celerywinch_node/src/store.rs
@@ -118,10 +118,10 @@
         // The identity for a new disk: different for every incarnation of every instance.
         let new_identity = me.incarnation.0 << 16 | u64::from(me.instance.0);
         let (disk, identity, loaded) = Disk::open(&folder.join(KEEPER_FOLDER), new_identity)?;
-        if loaded.torn > 0 {
+        if loaded.torn_bytes > 0 {
             log::warn!(
                 "store: Truncated an incomplete record of {} bytes at the end of the log.",
-                loaded.torn
+                loaded.torn_bytes
             );
         }
         let config = RaftConfig {
@@ -130,10 +130,10 @@
                 disk: identity,
             },
             instances: self.options.keepers.clone(),
-            forms: true,
-            voters: usize::MAX,
-            heartbeat: HEARTBEAT_INTERVAL,
-            election: MIN_ELECTION_TIMEOUT,
+            bootstrap: true,
+            max_voters: usize::MAX,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
+            election_timeout: MIN_ELECTION_TIMEOUT,
             compact_after: COMPACT_AFTER_ENTRIES,
             seed: new_identity,
         };
@@ -154,7 +154,7 @@
         };
         let document: Document = serde_json::from_slice(&document)?;
         if let Ok(catalogue) = Catalogue::check(version, document) {
-            self.send_to_core(EntryInput::Catalogue(Arc::new(catalogue)));
+            self.send_to_core(EntryInput::InitialCatalogue(Arc::new(catalogue)));
         }
         Ok(())
     }
@@ -216,7 +216,7 @@
         match msg {
             StoreMsg::Log(bytes) => {
                 if let Some(keeper) = &mut self.keeper
-                    && let Err(error) = keeper.unwrap(now, &bytes, &mut out)
+                    && let Err(error) = keeper.handle_encoded(now, &bytes, &mut out)
                 {
                     log::warn!("store: Dropped a message from {from}: {error:#}.");
                 }
@@ -226,9 +226,10 @@
                     keeper.propose(now, from, id, edit, &mut out);
                 }
             }
-            StoreMsg::Answered { id, answer } => {
+            StoreMsg::ProposalAnswer { id, answer } => {
                 let mut done = Vec::new();
-                self.proposer.answered(now, from, id, answer, &mut done);
+                self.proposer
+                    .handle_answer(now, from, id, answer, &mut done);
                 self.execute_proposer_outputs(now, done);
             }
         }
@@ -289,7 +290,7 @@
             }
         }
         if writes > 0 {
-            self.drive_keeper(now, Input::Written(writes));
+            self.drive_keeper(now, Input::Synced(writes));
         }
     }
 
@@ -307,17 +308,20 @@
         match output {
             KeeperOutput::Log(output) => return self.execute_log_output(now, output),
             KeeperOutput::Answer(to, id, answer) => {
-                self.send(now, to, &StoreMsg::Answered { id, answer });
+                self.send(now, to, &StoreMsg::ProposalAnswer { id, answer });
             }
             KeeperOutput::Committed {
                 version,
                 document,
-                leads,
+                is_leader,
             } => {
                 let catalogue = Catalogue::check(version, document).map_err(|problems| {
                     anyhow::anyhow!("store: the committed catalogue is invalid: {problems:?}")
                 })?;
-                self.send_to_core(EntryInput::Committed(Arc::new(catalogue), leads));
+                self.send_to_core(EntryInput::CatalogueCommitted(
+                    Arc::new(catalogue),
+                    is_leader,
+                ));
             }
         }
         Ok(false)
@@ -329,24 +333,27 @@
         match output {
             Output::PersistVote { term, vote } => disk.append(&[Record::Vote { term, vote }])?,
             Output::Truncate(index) => disk.append(&[Record::Truncate(index)])?,
-            Output::Persist(entries) => {
+            Output::PersistEntries(entries) => {
                 let records: Vec<_> = entries.into_iter().map(Record::Entry).collect();
                 disk.append(&records)?;
             }
             Output::PersistSnapshot(snapshot) => disk.compact(&snapshot)?,
             Output::Send(to, to_disk, msg) => {
                 let keeper = self.keeper.as_ref().context("store: no keeper")?;
-                let msg = keeper.wrap(to, to_disk, msg)?;
+                let msg = keeper.encode_message(to, to_disk, msg)?;
                 self.send(now, to, &msg);
                 return Ok(false);
             }
-            Output::Role(role) => {
+            Output::RoleChanged(role) => {
                 log::info!("store: This keeper is now {role:?}.");
                 self.propose_first_catalogue(now);
                 return Ok(false);
             }
             // Handled by the keeper's state machine.
-            Output::Apply(_) | Output::Restore(_) | Output::Compact(_) | Output::Readable(_) => {
+            Output::Apply(_)
+            | Output::Restore(_)
+            | Output::TakeSnapshot(_)
+            | Output::ReadReady(_) => {
                 return Ok(false);
             }
         }
@@ -375,7 +382,7 @@
             return;
         };
         match write_catalogue(folder, catalogue) {
-            Ok(()) => self.send_to_core(EntryInput::Saved(catalogue.version())),
+            Ok(()) => self.send_to_core(EntryInput::CatalogueSaved(catalogue.version())),
             Err(error) => log::error!("store: Cannot save the catalogue: {error:#}."),
         }
     }
--- a/crates/celerywinch_registry/tests/slow_disks.rs
+++ b/crates/celerywinch_registry/tests/slow_disks.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_registry::{REQUEST_TIMEOUT, Registry, RegistryOutput, Request};
-use celerywinch_store::{Input, KeeperId, Loaded, Output, RaftConfig};
+use celerywinch_store::{Input, KeeperId, Output, PersistedState, RaftConfig};
 use celerywinch_types::{
     DataCentreId, EvacuationOrder, InstanceId, KeeperRequest, KeeperState, Time,
 };
@@ -53,14 +53,14 @@
                     disk: u64::from(instance) * 10,
                 },
                 instances: (1..=KEEPERS).map(InstanceId).collect(),
-                forms: true,
-                voters: 3,
-                heartbeat: Duration::from_millis(100),
-                election: Duration::from_millis(400),
+                bootstrap: true,
+                max_voters: 3,
+                heartbeat_interval: Duration::from_millis(100),
+                election_timeout: Duration::from_millis(400),
                 compact_after: 16,
                 seed: instance.into(),
             };
-            Registry::new(config, now, Loaded::default()).expect("an empty disk")
+            Registry::new(config, now, PersistedState::default()).expect("an empty disk")
         };
         let mut group = Self {
             now,
@@ -112,7 +112,7 @@
                 .handle_encoded(now, &bytes, &mut out)
                 .expect("a message"),
             Event::Written(count) => {
-                registry.handle(now, Input::Written(count), &mut out);
+                registry.handle(now, Input::Synced(count), &mut out);
                 self.disks[keeper].in_progress = 0;
             }
             Event::Request(request) => registry.request(now, request, &mut out),
@@ -122,7 +122,7 @@
                 RegistryOutput::Log(
                     Output::PersistVote { .. }
                     | Output::Truncate(_)
-                    | Output::Persist(_)
+                    | Output::PersistEntries(_)
                     | Output::PersistSnapshot(_),
                 ) => self.disks[keeper].queued += 1,
                 RegistryOutput::Log(Output::Send(to, disk, msg)) => {
--- a/crates/celerywinch_store/src/raft/mod.rs
+++ b/crates/celerywinch_store/src/raft/mod.rs
@@ -2,7 +2,7 @@
 
 mod append;
 mod election;
-mod group;
+mod membership;
 mod read;
 mod write;
 
@@ -14,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::log::Log;
-use crate::{Entry, Group, KeeperId, Payload, RaftMsg, Snapshot};
+use crate::{Entry, KeeperId, Membership, Payload, RaftMsg, Snapshot};
 
 /// What a keeper is told at its start.
 #[derive(Clone, Debug)]
@@ -24,14 +24,14 @@
     /// The instances that are keepers by the settings; all of them form the group at first.
     pub instances: Vec<InstanceId>,
     /// Whether the first group may be formed; false for one that joins a group.
-    pub forms: bool,
+    pub bootstrap: bool,
     /// The most keepers that count for majorities; the others learn, and replace those that are
     /// lost.
-    pub voters: usize,
+    pub max_voters: usize,
     /// Between two heartbeats of the leader.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// The shortest time without a leader before an election; the longest is twice that.
-    pub election: Duration,
+    pub election_timeout: Duration,
     /// Entries after which a snapshot is made.
     pub compact_after: usize,
     /// Seed of the random source.
@@ -46,13 +46,13 @@
     /// A command to be agreed on; only a leader takes it.
     Propose(Vec<u8>),
     /// A read of the state machine that must not be stale, by a number of the host's; only a leader takes it. Answered by
-    /// [`Output::Readable`], unless the keeper ceases to lead.
+    /// [`Output::ReadReady`], unless the keeper ceases to lead.
     Read(u64),
     /// As many of the oldest writes as this have been synced, beside those that were reported before. Each
-    /// [`Output::PersistVote`], [`Output::Truncate`], [`Output::Persist`] and [`Output::PersistSnapshot`] is one.
-    Written(usize),
-    /// The state machine's state after the entry `index`, asked for by [`Output::Compact`].
-    State {
+    /// [`Output::PersistVote`], [`Output::Truncate`], [`Output::PersistEntries`] and [`Output::PersistSnapshot`] is one.
+    Synced(usize),
+    /// The state machine's state after the entry `index`, asked for by [`Output::TakeSnapshot`].
+    SnapshotState {
         /// The last entry applied to it.
         index: u64,
         /// The state.
@@ -64,7 +64,7 @@
 
 /// What the host is to do.
 ///
-/// Writes are carried out one after the other, in this order, and reported by [`Input::Written`]. The other outputs do
+/// Writes are carried out one after the other, in this order, and reported by [`Input::Synced`]. The other outputs do
 /// not wait for them: a message that rests on a write is only sent once that is reported.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
@@ -78,7 +78,7 @@
     /// Drop the entries from this index on; may be synced with what follows.
     Truncate(u64),
     /// Write and sync entries.
-    Persist(Vec<Entry>),
+    PersistEntries(Vec<Entry>),
     /// Write and sync a snapshot, and drop the entries that it includes.
     PersistSnapshot(Snapshot),
     /// Send a message; the keeper's disk is none while it is not known.
@@ -87,12 +87,12 @@
     Apply(Entry),
     /// Replace the state machine's state.
     Restore(Snapshot),
-    /// Hand over the state machine's state by [`Input::State`].
-    Compact(u64),
+    /// Hand over the state machine's state by [`Input::SnapshotState`].
+    TakeSnapshot(u64),
     /// The state machine has all that was committed when this read began.
-    Readable(u64),
+    ReadReady(u64),
     /// The role changed.
-    Role(Role),
+    RoleChanged(Role),
 }
 
 /// What a keeper does at present.
@@ -113,11 +113,11 @@
 /// What a leader knows of another keeper.
 #[derive(Clone, Copy, Debug)]
 struct Progress {
-    next: u64,
-    matched: u64,
-    heard: Time,
+    next_index: u64,
+    match_index: u64,
+    last_contact: Time,
     /// A snapshot was sent then; another is not sent until it is overdue.
-    installing: Time,
+    snapshot_sent: Time,
 }
 
 /// The state machine of a keeper.
@@ -125,42 +125,42 @@
 pub struct Raft {
     config: RaftConfig,
     term: u64,
-    vote: Option<KeeperId>,
+    voted_for: Option<KeeperId>,
     log: Log,
     /// What this keeper has synced.
-    synced: u64,
+    synced_index: u64,
     /// How far the log is known to be that of the leader of this term.
-    matched: u64,
+    match_index: u64,
     /// Writes that are not reported yet and when they began, oldest first.
-    unsynced: VecDeque<(Time, write::Write)>,
+    pending_writes: VecDeque<(Time, write::PendingWrite)>,
     /// How long the last write took.
     write_time: Duration,
     /// Who was last told that its election would be of use, and when.
-    backed: Option<(KeeperId, Time)>,
-    commit: u64,
-    applied: u64,
+    pre_voted: Option<(KeeperId, Time)>,
+    commit_index: u64,
+    applied_index: u64,
     role: Role,
     /// The last input.
-    lived: Time,
+    last_input: Time,
     /// When the leader was last heard, or the role last changed.
-    heard: Time,
+    last_contact: Time,
     timeout: Duration,
-    sent: Time,
+    last_sent: Time,
     votes: Vec<KeeperId>,
     progress: BTreeMap<KeeperId, Progress>,
     /// Keepers with empty disks that were heard of, by instance.
-    blanks: BTreeMap<InstanceId, group::Blank>,
+    blanks: BTreeMap<InstanceId, membership::BlankKeeper>,
     /// Keepers with a log that hear no leader, and when they said so.
-    returning: BTreeMap<KeeperId, Time>,
+    rejoining: BTreeMap<KeeperId, Time>,
     /// Where a group is looked for, beside the instances of the settings.
     contacts: Vec<InstanceId>,
-    compacting: bool,
-    reads: read::Reads,
+    snapshot_pending: bool,
+    reads: read::ReadQueue,
     random: ChaCha8Rng,
 }
 
 /// The most entries in one message.
-const APPEND_MOST: usize = 64;
+const MAX_APPEND_ENTRIES: usize = 64;
 
 impl Raft {
     /// Starts from what the disk holds.
@@ -176,33 +176,35 @@
         let base = snapshot.index;
         let log = Log::new(snapshot, entries);
         let blank = log.last_index() == 0;
-        let timeout = config.election.mul_f64(random.random_range(1.0..2.0));
+        let timeout = config
+            .election_timeout
+            .mul_f64(random.random_range(1.0..2.0));
         Self {
             term: vote.0,
-            vote: vote.1,
-            synced: log.last_index(),
-            matched: 0,
-            unsynced: VecDeque::new(),
+            voted_for: vote.1,
+            synced_index: log.last_index(),
+            match_index: 0,
+            pending_writes: VecDeque::new(),
             write_time: Duration::ZERO,
-            backed: None,
-            commit: base,
-            applied: base,
+            pre_voted: None,
+            commit_index: base,
+            applied_index: base,
             role: if blank {
                 Role::Blank
             } else {
                 Role::Follower(None)
             },
-            lived: now,
-            heard: now,
+            last_input: now,
+            last_contact: now,
             timeout,
-            sent: Time::default(),
+            last_sent: Time::default(),
             votes: Vec::new(),
             progress: BTreeMap::new(),
             blanks: BTreeMap::new(),
-            returning: BTreeMap::new(),
+            rejoining: BTreeMap::new(),
             contacts: Vec::new(),
-            compacting: false,
-            reads: read::Reads::default(),
+            snapshot_pending: false,
+            reads: read::ReadQueue::default(),
             log,
             random,
             config,
@@ -211,28 +213,28 @@
 
     /// Takes an input and appends what the host is to do.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
-        self.notice_pause(now);
+        self.compensate_pause(now);
         match input {
             Input::Message(from, msg) => self.message(now, from, msg, out),
             Input::Propose(command) => self.propose(now, Payload::Command(command), out),
             Input::Read(id) => self.read(id, out),
-            Input::Written(count) => self.written(now, count, out),
-            Input::State { index, state } => self.compact(now, index, state, out),
+            Input::Synced(count) => self.handle_synced(now, count, out),
+            Input::SnapshotState { index, state } => self.compact(now, index, state, out),
             Input::Tick => self.tick(now, out),
         }
     }
 
     /// While this keeper's process stood still it heard nobody, and that is nobody's silence. Each pause would else be
     /// followed by an election, and nothing be committed any more.
-    fn notice_pause(&mut self, now: Time) {
-        let pause = now.since(self.lived);
-        self.lived = now;
-        if pause <= self.config.heartbeat {
+    fn compensate_pause(&mut self, now: Time) {
+        let pause = now.since(self.last_input);
+        self.last_input = now;
+        if pause <= self.config.heartbeat_interval {
             return;
         }
-        self.heard = self.heard + pause;
+        self.last_contact = self.last_contact + pause;
         for progress in self.progress.values_mut() {
-            progress.heard = progress.heard + pause;
+            progress.last_contact = progress.last_contact + pause;
         }
     }
 
@@ -255,15 +257,16 @@
 
     /// How far the log is committed, as far as this keeper knows.
     #[must_use]
-    pub fn commit(&self) -> u64 {
-        self.commit
+    pub fn commit_index(&self) -> u64 {
+        self.commit_index
     }
 
     /// The command of an entry of this term that is not committed, where this keeper leads.
     #[must_use]
-    pub fn open_command(&self, index: u64) -> Option<&[u8]> {
+    pub fn uncommitted_command(&self, index: u64) -> Option<&[u8]> {
         let entry = self.log.get(index)?;
-        let open = self.role == Role::Leader && index > self.commit && entry.term == self.term;
+        let open =
+            self.role == Role::Leader && index > self.commit_index && entry.term == self.term;
         match &entry.payload {
             Payload::Command(command) if open => Some(command),
             _ => None,
@@ -272,8 +275,8 @@
 
     /// The keepers, by the last entry that names them.
     #[must_use]
-    pub fn group(&self) -> Group {
-        self.log.group()
+    pub fn membership(&self) -> Membership {
+        self.log.membership()
     }
 
     /// The leader, if one is known.
@@ -288,39 +291,51 @@
 
     fn message(&mut self, now: Time, from: KeeperId, msg: RaftMsg, out: &mut Vec<Output>) {
         match msg {
-            RaftMsg::Hello { formed } => self.hello(now, from, formed, out),
-            RaftMsg::PreVote { term, last } => self.pre_vote(now, from, term, last, out),
+            RaftMsg::Hello { in_group } => self.handle_hello(now, from, in_group, out),
+            RaftMsg::PreVote { term, last_log } => {
+                self.handle_pre_vote(now, from, term, last_log, out)
+            }
             RaftMsg::PreVoteReply { term, granted } => {
-                self.pre_vote_reply(now, from, term, granted, out);
+                self.handle_pre_vote_reply(now, from, term, granted, out);
+            }
+            RaftMsg::Vote { term, last_log } => self.handle_vote(now, from, term, last_log, out),
+            RaftMsg::VoteReply { term, granted } => {
+                self.handle_vote_reply(now, from, term, granted, out)
             }
-            RaftMsg::Vote { term, last } => self.vote(now, from, term, last, out),
-            RaftMsg::VoteReply { term, granted } => self.vote_reply(now, from, term, granted, out),
             RaftMsg::Append {
                 term,
-                before,
+                previous,
                 entries,
                 commit,
-            } => self.append(now, from, (term, before, commit), entries, out),
-            RaftMsg::AppendReply { term, index, taken } => {
-                self.append_reply(now, from, (term, index, taken), out);
+            } => self.handle_append(now, from, (term, previous, commit), entries, out),
+            RaftMsg::AppendReply {
+                term,
+                index,
+                accepted,
+            } => {
+                self.handle_append_reply(now, from, (term, index, accepted), out);
+            }
+            RaftMsg::InstallSnapshot { term, snapshot } => {
+                self.handle_snapshot(now, from, term, snapshot, out)
             }
-            RaftMsg::Install { term, snapshot } => self.install(now, from, term, snapshot, out),
-            RaftMsg::Confirm { term, round } => self.confirm(now, from, term, round, out),
-            RaftMsg::ConfirmReply { term, round } => {
-                self.confirm_reply(now, from, term, round, out);
+            RaftMsg::ConfirmLeader { term, round } => {
+                self.handle_confirm(now, from, term, round, out)
+            }
+            RaftMsg::ConfirmLeaderReply { term, round } => {
+                self.handle_confirm_reply(now, from, term, round, out);
             }
             RaftMsg::Rejoin => {
-                self.returning.insert(from, now);
+                self.rejoining.insert(from, now);
             }
         }
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
         match self.role {
-            Role::Blank => self.look_for_group(now, out),
-            Role::Leader => self.lead(now, out),
+            Role::Blank => self.discover_group(now, out),
+            Role::Leader => self.tick_leader(now, out),
             Role::Follower(_) | Role::PreCandidate | Role::Candidate => {
-                self.await_election(now, out);
+                self.check_election_timeout(now, out);
             }
         }
     }
@@ -329,17 +344,17 @@
         out.push(Output::Send(to.instance, Some(to.disk), msg));
     }
 
-    fn others(&self) -> Vec<KeeperId> {
+    fn other_keepers(&self) -> Vec<KeeperId> {
         let me = self.config.me;
         self.log
-            .group()
+            .membership()
             .all()
             .filter(|keeper| *keeper != me)
             .collect()
     }
 
     fn is_voter(&self) -> bool {
-        self.log.group().voters.contains(&self.config.me)
+        self.log.membership().voters.contains(&self.config.me)
     }
 
     fn set_role(&mut self, now: Time, role: Role, out: &mut Vec<Output>) {
@@ -347,16 +362,22 @@
             return;
         }
         self.role = role;
-        self.heard = now;
+        self.last_contact = now;
         self.votes.clear();
-        self.reads = read::Reads::default();
+        self.reads = read::ReadQueue::default();
         let factor = self.random.random_range(1.0..2.0);
-        self.timeout = self.config.election.mul_f64(factor);
-        out.push(Output::Role(role));
+        self.timeout = self.config.election_timeout.mul_f64(factor);
+        out.push(Output::RoleChanged(role));
     }
 
     /// A message shows a later term: follow whoever leads it.
-    fn observe(&mut self, now: Time, term: u64, leader: Option<KeeperId>, out: &mut Vec<Output>) {
+    fn observe_term(
+        &mut self,
+        now: Time,
+        term: u64,
+        leader: Option<KeeperId>,
+        out: &mut Vec<Output>,
+    ) {
         if term > self.term {
             self.enter_term(now, term, None, out);
             self.set_role(now, Role::Follower(leader), out);
@@ -364,47 +385,47 @@
     }
 
     fn apply(&mut self, out: &mut Vec<Output>) {
-        while self.applied < self.commit {
-            let Some(entry) = self.log.get(self.applied + 1).cloned() else {
+        while self.applied_index < self.commit_index {
+            let Some(entry) = self.log.get(self.applied_index + 1).cloned() else {
                 return;
             };
-            self.applied += 1;
+            self.applied_index += 1;
             out.push(Output::Apply(entry));
         }
         self.release_reads(out);
-        if self.log.len() > self.config.compact_after && !self.compacting {
-            self.compacting = true;
-            out.push(Output::Compact(self.applied));
+        if self.log.len() > self.config.compact_after && !self.snapshot_pending {
+            self.snapshot_pending = true;
+            out.push(Output::TakeSnapshot(self.applied_index));
         }
     }
 
     fn compact(&mut self, now: Time, index: u64, state: Vec<u8>, out: &mut Vec<Output>) {
-        self.compacting = false;
+        self.snapshot_pending = false;
         let Some(term) = self.log.term(index) else {
             return;
         };
-        if index <= self.log.snapshot.index || index > self.applied {
+        if index <= self.log.snapshot.index || index > self.applied_index {
             return;
         }
         let snapshot = Snapshot {
             index,
             term,
-            group: self.group_at(index),
+            membership: self.membership_at(index),
             state,
         };
         self.log.compact(snapshot.clone());
-        self.write_snapshot(now, snapshot, out);
+        self.persist_snapshot(now, snapshot, out);
     }
 
     /// The keepers as of an entry that is still in the log.
-    fn group_at(&self, index: u64) -> Group {
+    fn membership_at(&self, index: u64) -> Membership {
         let first = self.log.snapshot.index + 1;
-        let mut group = self.log.snapshot.group.clone();
+        let mut membership = self.log.snapshot.membership.clone();
         for at in first..=index {
-            if let Some(Payload::Group(named)) = self.log.get(at).map(|entry| &entry.payload) {
-                group = named.clone();
+            if let Some(Payload::Membership(named)) = self.log.get(at).map(|entry| &entry.payload) {
+                membership = named.clone();
             }
         }
-        group
+        membership
     }
 }
