--- a/crates/celerywinch_node/src/core.rs
+++ b/crates/celerywinch_node/src/core.rs
@@ -15,7 +15,7 @@
 use crate::calls::Calls;
 use crate::links::Links;
 use crate::shared::{CoreMsg, EndpointStatus, EntryStatus, PeerStatus, Shared, StatusPage};
-use crate::store::StoreRequest;
+use crate::store::StoreInput;
 use crate::timeline::Timeline;
 
 /// Maximum number of messages handled before the outputs are executed.
@@ -76,7 +76,7 @@
                 let _ = self
                     .shared
                     .store
-                    .send(StoreRequest::Peer(from.instance, bytes));
+                    .send(StoreInput::Peer(from.instance, bytes));
                 return;
             }
             CoreMsg::Input(input) => input,
@@ -114,7 +114,7 @@
             match output {
                 Output::Send(peer, msg) => self.links.send(peer, msg),
                 Output::SaveCatalogue(catalogue) => {
-                    let _ = self.shared.store.send(StoreRequest::Save(catalogue));
+                    let _ = self.shared.store.send(StoreInput::Save(catalogue));
                 }
                 Output::Probe(peer) => self.links.probe(peer),
                 Output::Start(call) => self.calls.start(call),
--- a/crates/celerywinch_node/src/http/operators.rs
+++ b/crates/celerywinch_node/src/http/operators.rs
@@ -10,7 +10,7 @@
 
 use super::{Problem, read_body};
 use crate::shared::{CoreMsg, Shared};
-use crate::store::{EditResult, StoreRequest};
+use crate::store::{EditResult, StoreInput};
 
 /// Maximum size of a change, in bytes.
 const MAX_EDIT_BYTES: usize = 8 << 20;
@@ -90,7 +90,7 @@
         return problem.detail("wanted 1 to 128 bytes").response();
     }
     let (sender, receiver) = oneshot::channel();
-    if shared.store.send(StoreRequest::Edit(edit, sender)).is_err() {
+    if shared.store.send(StoreInput::Edit(edit, sender)).is_err() {
         return Problem::internal().response();
     }
     edit_response(receiver.await.ok().flatten())
@@ -154,7 +154,7 @@
         return unauthorised();
     }
     let (sender, receiver) = oneshot::channel();
-    if shared.store.send(StoreRequest::Status(sender)).is_err() {
+    if shared.store.send(StoreInput::Status(sender)).is_err() {
         return Problem::internal().response();
     }
     match receiver.await {
--- a/crates/celerywinch_node/src/node.rs
+++ b/crates/celerywinch_node/src/node.rs
@@ -27,7 +27,7 @@
 use crate::links::{LinkContext, Links};
 use crate::metrics::Metrics;
 use crate::shared::{CoreMsg, ListenAddrs, Shared};
-use crate::store::{self, StoreOptions, StoreRequest};
+use crate::store::{self, StoreInput, StoreOptions};
 use crate::timeline::Timeline;
 use crate::{Clock, http, incarnation};
 
@@ -231,7 +231,7 @@
     shared: &Arc<Shared>,
     clock: Arc<Clock>,
     given_document: Option<Document>,
-    inbox: Receiver<StoreRequest>,
+    inbox: Receiver<StoreInput>,
 ) -> anyhow::Result<()> {
     let settings = &shared.settings;
     let document = match (given_document, &settings.first_catalogue) {
--- a/crates/celerywinch_node/src/shared.rs
+++ b/crates/celerywinch_node/src/shared.rs
@@ -16,7 +16,7 @@
 use tokio::sync::oneshot;
 
 use crate::metrics::Metrics;
-use crate::store::StoreRequest;
+use crate::store::StoreInput;
 
 /// A message to the core thread.
 #[derive(Debug)]
@@ -122,7 +122,7 @@
     pub(crate) catalogue: ArcSwap<Catalogue>,
     pub(crate) metrics: Metrics,
     pub(crate) core: UnboundedSender<CoreMsg>,
-    pub(crate) store: Sender<StoreRequest>,
+    pub(crate) store: Sender<StoreInput>,
     pub(crate) stopping: AtomicBool,
     /// Whether the catalogue in force is at least as recent as the one that was in force before this process
     /// started.
--- a/crates/celerywinch_node/src/store.rs
+++ b/crates/celerywinch_node/src/store.rs
@@ -43,9 +43,9 @@
 /// The result of an operator's change; `None` if it is not known whether the change was accepted.
 pub(crate) type EditResult = Option<Result<Applied, ApplyError>>;
 
-/// A request to the store thread.
+/// An input of the store thread.
 #[derive(Debug)]
-pub(crate) enum StoreRequest {
+pub(crate) enum StoreInput {
     /// An encoded [`StoreMsg`] from another instance.
     Peer(InstanceId, Vec<u8>),
     /// An operator's change to propose.
@@ -69,7 +69,7 @@
 }
 
 /// Opens the store and starts its thread.
-pub(crate) fn start(options: StoreOptions, inbox: Receiver<StoreRequest>) -> anyhow::Result<()> {
+pub(crate) fn start(options: StoreOptions, inbox: Receiver<StoreInput>) -> anyhow::Result<()> {
     let mut store = Store::open(options)?;
     let builder = thread::Builder::new().name("store".into());
     builder
@@ -164,7 +164,7 @@
         let _ = self.options.core.send(CoreMsg::Input(input));
     }
 
-    fn run(&mut self, inbox: &Receiver<StoreRequest>) {
+    fn run(&mut self, inbox: &Receiver<StoreInput>) {
         loop {
             match inbox.recv_timeout(TICK_INTERVAL) {
                 Ok(msg) => self.handle(msg),
@@ -174,16 +174,16 @@
         }
     }
 
-    fn handle(&mut self, msg: StoreRequest) {
+    fn handle(&mut self, msg: StoreInput) {
         let now = self.options.clock.now();
         match msg {
-            StoreRequest::Peer(from, bytes) => match StoreMsg::decode(&bytes) {
+            StoreInput::Peer(from, bytes) => match StoreMsg::decode(&bytes) {
                 Ok(msg) => self.handle_message(now, from, msg),
                 Err(error) => log::warn!("store: Dropped a message from {from}: {error:#}."),
             },
-            StoreRequest::Edit(edit, answer) => self.propose(now, &edit, Some(answer)),
-            StoreRequest::Save(catalogue) => self.save_catalogue(&catalogue),
-            StoreRequest::Status(answer) => {
+            StoreInput::Edit(edit, answer) => self.propose(now, &edit, Some(answer)),
+            StoreInput::Save(catalogue) => self.save_catalogue(&catalogue),
+            StoreInput::Status(answer) => {
                 let _ = answer.send(self.keeper.as_ref().map(Keeper::status));
             }
         }
