--- a/crates/celerywinch_catalogue/src/check.rs
+++ b/crates/celerywinch_catalogue/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a whole catalogue; all problems are reported at once.
+//! Validation of a whole catalogue; reports all problems at once.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,21 +9,21 @@
 
 use crate::{Class, Document, KindEntry};
 
-/// The most tasks any kind may allow.
-const MOST_TASKS: u32 = 1024;
-/// The longest deadline any kind may allow, in milliseconds: records of keys outlive it.
-const LONGEST_DEADLINE: u32 = 30_000;
-/// The longest body any kind may allow, in bytes.
-const LONGEST_BODY: u32 = 1 << 20;
-/// The most kinds or teams.
-const MOST_ENTRIES: usize = 4096;
-/// The longest name, in bytes.
-const LONGEST_NAME: usize = 64;
-
-/// One thing wrong with a catalogue.
+/// Maximum for the `max_tasks` of a kind.
+const MAX_TASKS: u32 = 1024;
+/// Maximum deadline that a kind may allow, in milliseconds, so that the records of keys outlive it.
+const MAX_DEADLINE_MS: u32 = 30_000;
+/// Maximum for the `max_body` of a kind, in bytes.
+const MAX_BODY_BYTES: u32 = 1 << 20;
+/// Maximum number of kinds, and of teams.
+const MAX_ENTRIES: usize = 4096;
+/// Maximum length of a name, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+
+/// A problem in a catalogue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The field, as a path.
+    /// The path of the field.
     pub field: String,
     /// What was found.
     pub found: String,
@@ -42,37 +42,37 @@
     }
 }
 
-/// A checked kind.
+/// A kind of work from a checked catalogue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Kind {
-    /// Its name.
+    /// The name.
     pub name: KindName,
-    /// Its class.
+    /// The class.
     pub class: Class,
-    /// Whether running it again would do no harm.
+    /// Whether a task of the kind can be run again without harm.
     pub idempotent: bool,
-    /// The shortest deadline allowed.
+    /// The shortest deadline that is allowed.
     pub min_deadline: Duration,
-    /// The longest deadline allowed.
+    /// The longest deadline that is allowed.
     pub max_deadline: Duration,
-    /// The declared run time.
+    /// The declared run time of one task.
     pub run_time: Duration,
-    /// The most tasks of one job.
+    /// Maximum number of tasks in one job.
     pub max_tasks: usize,
-    /// The longest body of one task, in bytes.
+    /// Maximum size of the body of one task, in bytes.
     pub max_body: usize,
 }
 
-/// A checked team.
+/// A team from a checked catalogue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Team {
-    /// Its name.
+    /// The name.
     pub name: Arc<str>,
-    /// Its slots in each data centre.
+    /// The number of slots in each data centre to which the team is entitled.
     pub quota: u32,
 }
 
-/// A catalogue that was checked as a whole.
+/// A catalogue that was validated as a whole.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Catalogue {
     version: u64,
@@ -82,11 +82,11 @@
 }
 
 impl Catalogue {
-    /// Checks a document.
+    /// Validates a document and returns it as a catalogue of this version.
     ///
     /// # Errors
     ///
-    /// All problems found.
+    /// The document has problems; all of them are returned.
     pub fn check(version: u64, document: Document) -> Result<Self, Vec<Problem>> {
         let mut problems = Vec::new();
         check_sizes(&document, &mut problems);
@@ -98,7 +98,7 @@
             check_name("teams", name, &mut problems);
             if entry.quota == 0 {
                 let field = format!("teams.{name}.quota");
-                problem(
+                add_problem(
                     &mut problems,
                     field,
                     "0",
@@ -109,7 +109,10 @@
         if !problems.is_empty() {
             return Err(problems);
         }
-        let kinds = document.kinds.iter().map(|(name, entry)| kind(name, entry));
+        let kinds = document
+            .kinds
+            .iter()
+            .map(|(name, entry)| build_kind(name, entry));
         let kinds = kinds.map(|kind| (kind.name.clone(), kind)).collect();
         let teams = document.teams.iter().map(|(name, entry)| Team {
             name: name.as_str().into(),
@@ -124,37 +127,37 @@
         })
     }
 
-    /// The version; greater ones are later.
+    /// Returns the version; later versions are greater.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The document that was checked.
+    /// Returns the document that was validated.
     #[must_use]
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// A kind.
+    /// Returns the kind with this name.
     #[must_use]
     pub fn kind(&self, name: &str) -> Option<&Kind> {
         self.kinds.get(name)
     }
 
-    /// A team.
+    /// Returns the team with this name.
     #[must_use]
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.teams.get(name)
     }
 
-    /// All kinds.
+    /// Returns all kinds.
     pub fn kinds(&self) -> impl Iterator<Item = &Kind> {
         self.kinds.values()
     }
 }
 
-fn kind(name: &str, entry: &KindEntry) -> Kind {
+fn build_kind(name: &str, entry: &KindEntry) -> Kind {
     let millis = |ms: u32| Duration::from_millis(u64::from(ms));
     Kind {
         name: name.into(),
@@ -168,7 +171,7 @@
     }
 }
 
-fn problem(problems: &mut Vec<Problem>, field: String, found: impl fmt::Display, wanted: &str) {
+fn add_problem(problems: &mut Vec<Problem>, field: String, found: impl fmt::Display, wanted: &str) {
     problems.push(Problem {
         field,
         found: found.to_string(),
@@ -181,18 +184,18 @@
         ("kinds", document.kinds.len()),
         ("teams", document.teams.len()),
     ] {
-        if len > MOST_ENTRIES {
-            let wanted = format!("at most {MOST_ENTRIES}");
-            problem(problems, field.into(), len, &wanted);
+        if len > MAX_ENTRIES {
+            let wanted = format!("at most {MAX_ENTRIES}");
+            add_problem(problems, field.into(), len, &wanted);
         }
     }
 }
 
 fn check_name(family: &str, name: &str, problems: &mut Vec<Problem>) {
     let allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-' || b == b'_';
-    if name.is_empty() || name.len() > LONGEST_NAME || !name.bytes().all(allowed) {
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(allowed) {
         let wanted = "1 to 64 of the characters a-z, 0-9, - and _";
-        problem(
+        add_problem(
             problems,
             format!("{family}.{name}"),
             format!("{name:?}"),
@@ -204,7 +207,7 @@
 fn check_kind(name: &str, entry: &KindEntry, problems: &mut Vec<Problem>) {
     let field = |suffix: &str| format!("kinds.{name}.{suffix}");
     if entry.owner.trim().is_empty() {
-        problem(
+        add_problem(
             problems,
             field("owner"),
             "an empty text",
@@ -214,22 +217,22 @@
     let bounds = entry.deadline_ms;
     if bounds.min == 0 || bounds.min > bounds.max {
         let wanted = "at least 1 and at most `max`";
-        problem(problems, field("deadline_ms.min"), bounds.min, wanted);
+        add_problem(problems, field("deadline_ms.min"), bounds.min, wanted);
     }
-    if bounds.max > LONGEST_DEADLINE {
-        let wanted = format!("at most {LONGEST_DEADLINE}");
-        problem(problems, field("deadline_ms.max"), bounds.max, &wanted);
+    if bounds.max > MAX_DEADLINE_MS {
+        let wanted = format!("at most {MAX_DEADLINE_MS}");
+        add_problem(problems, field("deadline_ms.max"), bounds.max, &wanted);
     }
     if entry.run_ms == 0 || entry.run_ms > bounds.max {
         let wanted = "at least 1 and at most `deadline_ms.max`";
-        problem(problems, field("run_ms"), entry.run_ms, wanted);
+        add_problem(problems, field("run_ms"), entry.run_ms, wanted);
     }
-    if entry.max_tasks == 0 || entry.max_tasks > MOST_TASKS {
-        let wanted = format!("1 to {MOST_TASKS}");
-        problem(problems, field("max_tasks"), entry.max_tasks, &wanted);
+    if entry.max_tasks == 0 || entry.max_tasks > MAX_TASKS {
+        let wanted = format!("1 to {MAX_TASKS}");
+        add_problem(problems, field("max_tasks"), entry.max_tasks, &wanted);
     }
-    if entry.max_body == 0 || entry.max_body > LONGEST_BODY {
-        let wanted = format!("1 to {LONGEST_BODY}");
-        problem(problems, field("max_body"), entry.max_body, &wanted);
+    if entry.max_body == 0 || entry.max_body > MAX_BODY_BYTES {
+        let wanted = format!("1 to {MAX_BODY_BYTES}");
+        add_problem(problems, field("max_body"), entry.max_body, &wanted);
     }
 }
--- a/crates/celerywinch_catalogue/src/document.rs
+++ b/crates/celerywinch_catalogue/src/document.rs
@@ -5,7 +5,7 @@
 use celerywinch_types::domain;
 
 domain! {
-    /// Which work goes first when there is too much; the lowest class is shed first.
+    /// The priority of work under overload; the lowest class is shed first.
     #[derive(Copy, PartialOrd, Ord, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum Class {
@@ -17,40 +17,40 @@
         Background,
     }
 
-    /// The deadlines that submissions of a kind may ask for.
+    /// The range of deadlines that submissions of a kind may have.
     #[derive(Copy)]
     #[serde(deny_unknown_fields)]
     pub struct DeadlineBounds {
-        /// In milliseconds.
+        /// The shortest deadline, in milliseconds.
         pub min: u32,
-        /// In milliseconds.
+        /// The longest deadline, in milliseconds.
         pub max: u32,
     }
 
-    /// One kind of work.
+    /// A kind of work.
     #[serde(deny_unknown_fields)]
     pub struct KindEntry {
-        /// Who answers for it.
+        /// The name of whoever is responsible for the kind.
         pub owner: String,
-        /// Its class.
+        /// The class.
         pub class: Class,
-        /// Whether running it again would do no harm. Celerywinch never runs a task twice either
-        /// way; a kind that is not idempotent is also never hedged.
+        /// Whether a task of the kind can be run again without harm. Celerywinch never runs a task twice in either
+        /// case; in addition, it never hedges a kind that is not idempotent.
         pub idempotent: bool,
-        /// Allowed deadlines.
+        /// The deadlines that are allowed.
         pub deadline_ms: DeadlineBounds,
-        /// The declared run time of one task in milliseconds, used until run times are learned.
+        /// The declared run time of one task in milliseconds, used until run times have been learned.
         pub run_ms: u32,
-        /// The most tasks of one job.
+        /// Maximum number of tasks in one job.
         pub max_tasks: u32,
-        /// The longest body of one task, in bytes.
+        /// Maximum size of the body of one task, in bytes.
         pub max_body: u32,
     }
 
-    /// One team.
+    /// A team.
     #[serde(deny_unknown_fields)]
     pub struct TeamEntry {
-        /// Slots in each data centre that are the team's when it wants them.
+        /// The number of slots in each data centre to which the team is entitled whenever it has work.
         pub quota: u32,
     }
 
--- a/crates/celerywinch_catalogue/src/edit.rs
+++ b/crates/celerywinch_catalogue/src/edit.rs
@@ -1,4 +1,4 @@
-//! Conditional edits of the catalogue, applied in the order the store agreed on.
+//! Conditional changes of the catalogue, applied in the order of the replicated log.
 
 use std::collections::VecDeque;
 
@@ -7,20 +7,19 @@
 
 use crate::{Catalogue, Document, Problem};
 
-/// How many answers are kept for changes that are sent again.
-const KEPT_ANSWERS: usize = 4096;
+/// Maximum number of answers kept for changes that are sent again.
+const MAX_ANSWERS: usize = 4096;
 
 /// A version of the catalogue.
 pub type Version = u64;
 
 domain! {
-    /// An operator's change: the whole new document, on the condition of the version it was made
-    /// from.
+    /// An operator's change: the whole new document, accepted only if the version that it is based on is current.
     pub struct Edit {
-        /// Names the change; one sent again after a lost answer carries the same name.
+        /// Identifies the change; a change that is sent again after a lost answer has the same id.
         #[serde(rename = "change")]
         pub change_id: String,
-        /// The version the operator saw.
+        /// The version that the change is based on.
         pub base: Version,
         /// The new catalogue.
         pub document: Document,
@@ -29,30 +28,30 @@
     /// The answer to a change that was accepted.
     #[derive(Copy)]
     pub struct Applied {
-        /// The version that the change made.
+        /// The version that the change created.
         pub version: Version,
     }
 
     /// The answer to a change that was not accepted.
     #[derive(Error)]
     pub enum ApplyError {
-        /// Another change came first.
+        /// Another change was accepted first.
         #[error("the catalogue is at version {current}, made by change {current_change:?}, not at {base}")]
         Conflict {
-            /// The version the change was made from.
+            /// The version that the rejected change is based on.
             base: Version,
-            /// The version now.
+            /// The current version.
             current: Version,
-            /// The change that made it.
+            /// The id of the change that created the current version.
             #[serde(rename = "winner")]
             current_change: String,
         },
-        /// The document has problems.
+        /// The document has problems, one text each.
         #[error("the catalogue has problems: {0:?}")]
         Invalid(Vec<String>),
     }
 
-    /// The replicated state: the catalogue and the answers given.
+    /// The replicated state: the catalogue, and the answers to recent changes.
     #[derive(Default)]
     pub struct CatalogueState {
         version: Version,
@@ -64,19 +63,19 @@
 }
 
 impl CatalogueState {
-    /// The version now.
+    /// Returns the current version.
     #[must_use]
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The document now.
+    /// Returns the current document.
     #[must_use]
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// The first answer that was given to a change, if it is still remembered.
+    /// Returns the first answer that was given to a change, if it is still kept.
     #[must_use]
     pub fn answer(&self, change_id: &str) -> Option<&Result<Applied, ApplyError>> {
         let mut answers = self.answers.iter().rev();
@@ -85,28 +84,28 @@
             .map(|(_, answer)| answer)
     }
 
-    /// Applies a change, or gives the first answer again if it was applied before.
+    /// Applies a change, or returns the first answer again if the change was applied before.
     ///
-    /// Every replica calls this with the same changes in the same order, so of changes that were
-    /// made from the same version exactly one is accepted.
+    /// Every replica calls this with the same changes in the same order. Of several changes that are based on the same
+    /// version exactly one is accepted.
     ///
     /// # Errors
     ///
-    /// The change was made from another version, or its document has problems.
+    /// The change is based on another version, or its document has problems.
     pub fn apply(&mut self, edit: Edit) -> Result<Applied, ApplyError> {
         if let Some(answer) = self.answer(&edit.change_id) {
             return answer.clone();
         }
         let change_id = edit.change_id.clone();
-        let answer = self.decide(edit);
+        let answer = self.validate_and_apply(edit);
         self.answers.push_back((change_id, answer.clone()));
-        if self.answers.len() > KEPT_ANSWERS {
+        if self.answers.len() > MAX_ANSWERS {
             self.answers.pop_front();
         }
         answer
     }
 
-    fn decide(&mut self, edit: Edit) -> Result<Applied, ApplyError> {
+    fn validate_and_apply(&mut self, edit: Edit) -> Result<Applied, ApplyError> {
         if edit.base != self.version {
             return Err(ApplyError::Conflict {
                 base: edit.base,
--- a/crates/celerywinch_catalogue/src/lib.rs
+++ b/crates/celerywinch_catalogue/src/lib.rs
@@ -1,7 +1,7 @@
 //! The catalogue: kinds of work with owner, class and limits, and the quotas of teams.
 //!
-//! [`Document`] is the catalogue as operators write it; [`Catalogue`] is one that was checked as a
-//! whole. Nothing but a checked catalogue is proposed to the store or put in force.
+//! [`Document`] is the catalogue as operators write it; [`Catalogue`] is a document that was validated as a whole.
+//! Only a validated catalogue is proposed to the store or put in force.
 
 mod check;
 mod document;
