--- a/crates/celerywinch_settings/src/lib.rs
+++ b/crates/celerywinch_settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! Settings files.
 //!
-//! [`Options`] is a file as it was written; [`Settings`] is one that was checked. Every problem
-//! names the file, the line, the field, what was found and what is wanted, and all problems of a
-//! file are reported at once.
+//! [`Options`] is a settings file as it was written; [`Settings`] are the validated settings of a process. Every
+//! problem names the file, the line, the field, what was found and what is wanted. All problems of a file are
+//! reported at once.
 
 mod load;
 mod options;
--- a/crates/celerywinch_settings/src/load.rs
+++ b/crates/celerywinch_settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading and checking files.
+//! Reading and validation of settings files and catalogue files.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -14,24 +14,24 @@
 use serde_saphyr::Spanned;
 use thiserror::Error;
 
-use crate::settings::{DEFAULT_BODY, DEFAULT_LIMITS, Secret};
+use crate::settings::{DEFAULT_BODY_BYTES, DEFAULT_LIMITS, Secret};
 use crate::{Instance, InstanceOptions, Options, Role, Settings, SettingsBuilder};
 
-/// The shortest secret, in bytes.
-const SHORTEST_SECRET: usize = 16;
-/// The most HTTP threads.
-const MOST_THREADS: usize = 64;
-/// The shortest window: a key must outlive a resubmission or two.
-const SHORTEST_WINDOW_MS: u64 = 1000;
+/// Minimum length of the secret, in bytes.
+const MIN_SECRET_BYTES: usize = 16;
+/// Maximum number of HTTP threads.
+const MAX_HTTP_THREADS: usize = 64;
+/// Minimum window in milliseconds; a key must outlive one or two resubmissions.
+const MIN_WINDOW_MS: u64 = 1000;
 
-/// One thing wrong with a file.
+/// A problem in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// The file.
     pub file: PathBuf,
-    /// The line, from 1; 0 if it is not known.
+    /// The number of the line, starting from 1; 0 if it is unknown.
     pub line: u64,
-    /// What is wrong with which field, and what is wanted.
+    /// The field, what was found there and what is wanted.
     pub text: String,
 }
 
@@ -45,12 +45,12 @@
     }
 }
 
-/// Why a file could not be used.
+/// The problems because of which a file cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{}", list(.0))]
+#[error("{}", join_problems(.0))]
 pub struct LoadError(pub Vec<Problem>);
 
-fn list(problems: &[Problem]) -> String {
+fn join_problems(problems: &[Problem]) -> String {
     let lines: Vec<_> = problems.iter().map(Problem::to_string).collect();
     lines.join("\n")
 }
@@ -62,7 +62,7 @@
 }
 
 impl Checker<'_> {
-    fn add(&mut self, line: u64, text: String) {
+    fn add_problem(&mut self, line: u64, text: String) {
         self.problems.push(Problem {
             file: self.file.to_owned(),
             line,
@@ -70,35 +70,41 @@
         });
     }
 
-    fn wrong<T>(&mut self, at: &Spanned<T>, field: &str, found: &dyn fmt::Display, wanted: &str) {
+    fn add_mismatch<T>(
+        &mut self,
+        at: &Spanned<T>,
+        field: &str,
+        found: &dyn fmt::Display,
+        wanted: &str,
+    ) {
         let line = at.referenced.line();
-        self.add(line, format!("{field}: found {found}, wanted {wanted}"));
+        self.add_problem(line, format!("{field}: found {found}, wanted {wanted}"));
     }
 
-    fn addr(&mut self, field: &str, text: &Spanned<String>) -> SocketAddr {
+    fn parse_addr(&mut self, field: &str, text: &Spanned<String>) -> SocketAddr {
         text.value.parse().unwrap_or_else(|_| {
             let wanted = "an IP number and a port, such as 127.0.0.1:7001";
-            self.wrong(text, field, &format!("{:?}", text.value), wanted);
+            self.add_mismatch(text, field, &format!("{:?}", text.value), wanted);
             SocketAddr::from(([0, 0, 0, 0], 0))
         })
     }
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
 ///
-/// All problems found.
+/// The file cannot be used; all problems found are returned.
 pub fn load_settings(file: &Path) -> Result<Settings, LoadError> {
     let text = read(file)?;
     parse_settings(file, &text)
 }
 
-/// Checks the text of a settings file; paths in it are taken from the file's folder.
+/// Validates the text of a settings file. Relative paths in it are resolved against the file's folder.
 ///
 /// # Errors
 ///
-/// All problems found.
+/// The text has problems; all of them are returned.
 pub fn parse_settings(file: &Path, text: &str) -> Result<Settings, LoadError> {
     let options: Options = parse(file, text)?;
     let mut checker = Checker {
@@ -112,11 +118,11 @@
     }
 }
 
-/// Reads and checks a catalogue file.
+/// Reads and validates a catalogue file.
 ///
 /// # Errors
 ///
-/// All problems found.
+/// The file cannot be used; all problems found are returned.
 pub fn load_catalogue(file: &Path) -> Result<Document, LoadError> {
     check_catalogue(file, &read(file)?)
 }
@@ -136,7 +142,7 @@
     }
 }
 
-/// The line of a field's path: each part is looked for below the line of the part before.
+/// Returns the line of a field. Each part of its path is searched for from the line of the part before it.
 fn line_of(text: &str, path: &str) -> u64 {
     let mut line = 0;
     for part in path.split('.') {
@@ -180,25 +186,31 @@
         .map(|one| check_instance(checker, options, one))
         .collect();
     check_unique(checker, options);
-    let me = check_me(checker, options, &instances);
-    let callers = checker.addr("callers", &options.callers);
-    let endpoints = checker.addr("endpoints", &options.endpoints);
-    let operators = checker.addr("operators", &options.operators);
+    let me = find_own_instance(checker, options, &instances);
+    let callers = checker.parse_addr("callers", &options.callers);
+    let endpoints = checker.parse_addr("endpoints", &options.endpoints);
+    let operators = checker.parse_addr("operators", &options.operators);
     let secret = check_secret(checker, &options.secret_file);
     let limits = check_limits(checker, options);
-    let folder = |path: &Option<Spanned<String>>| {
-        path.as_ref().map(|path| beside(checker.file, &path.value))
+    let resolve = |path: &Option<Spanned<String>>| {
+        path.as_ref()
+            .map(|path| resolve_path(checker.file, &path.value))
     };
-    let (data, timeline) = (folder(&options.data_folder), folder(&options.timeline_file));
-    let first = folder(&options.first_catalogue);
+    let (data_folder, timeline_file) = (
+        resolve(&options.data_folder),
+        resolve(&options.timeline_file),
+    );
+    let first = resolve(&options.first_catalogue);
     check_roles(checker, options, me.as_ref());
     let threads = check_threads(checker, options);
     let body = options.limits.body_bytes.as_ref().map(|bytes| bytes.value);
     let builder = SettingsBuilder::new(me?, instances, secret?);
     let builder = builder.listen(callers, endpoints, operators);
-    let builder = builder.data_folder(data).timeline_file(timeline);
+    let builder = builder
+        .data_folder(data_folder)
+        .timeline_file(timeline_file);
     let builder = builder.first_catalogue(first).http_threads(threads);
-    let builder = builder.limits(limits, body.unwrap_or(DEFAULT_BODY));
+    let builder = builder.limits(limits, body.unwrap_or(DEFAULT_BODY_BYTES));
     Some(builder.build())
 }
 
@@ -207,7 +219,7 @@
     let dc = options.data_centres.get(name).map(|number| number.value);
     if dc.is_none() {
         let wanted = "a name from `data_centres`";
-        checker.wrong(
+        checker.add_mismatch(
             &one.data_centre,
             "instances.data_centre",
             &format!("{name:?}"),
@@ -218,7 +230,7 @@
         id: InstanceId(one.instance.value.into()),
         dc: DataCentreId(dc.unwrap_or(0)),
         dc_name: name.clone(),
-        peer_addr: checker.addr("instances.peers", &one.peers),
+        peer_addr: checker.parse_addr("instances.peers", &one.peers),
         keeper: one.keeper,
     }
 }
@@ -229,7 +241,7 @@
     for one in &options.instances {
         if !numbers.insert(one.instance.value) {
             let wanted = "a number that no other instance has";
-            checker.wrong(
+            checker.add_mismatch(
                 &one.instance,
                 "instances.instance",
                 &one.instance.value,
@@ -238,7 +250,7 @@
         }
         if !addrs.insert(&one.peers.value) {
             let wanted = "an address that no other instance has";
-            checker.wrong(&one.peers, "instances.peers", &one.peers.value, wanted);
+            checker.add_mismatch(&one.peers, "instances.peers", &one.peers.value, wanted);
         }
     }
     let mut dcs = BTreeSet::new();
@@ -246,12 +258,12 @@
         if !dcs.insert(number.value) {
             let field = format!("data_centres.{name}");
             let wanted = "a number that no other data centre has";
-            checker.wrong(number, &field, &number.value, wanted);
+            checker.add_mismatch(number, &field, &number.value, wanted);
         }
     }
 }
 
-fn check_me(
+fn find_own_instance(
     checker: &mut Checker<'_>,
     options: &Options,
     instances: &[Instance],
@@ -260,7 +272,7 @@
     let me = instances.iter().find(|one| one.id == id).cloned();
     if me.is_none() {
         let wanted = "the number of one of `instances`";
-        checker.wrong(
+        checker.add_mismatch(
             &options.instance,
             "instance",
             &options.instance.value,
@@ -271,17 +283,17 @@
 }
 
 fn check_secret(checker: &mut Checker<'_>, path: &Spanned<String>) -> Option<Secret> {
-    let file = beside(checker.file, &path.value);
+    let file = resolve_path(checker.file, &path.value);
     match fs::read_to_string(&file) {
-        Ok(text) if text.trim().len() >= SHORTEST_SECRET => Some(Secret::new(&text)),
+        Ok(text) if text.trim().len() >= MIN_SECRET_BYTES => Some(Secret::new(&text)),
         Ok(text) => {
             let found = format!("a secret of {} bytes", text.trim().len());
-            checker.wrong(path, "secret_file", &found, "one of at least 16 bytes");
+            checker.add_mismatch(path, "secret_file", &found, "one of at least 16 bytes");
             None
         }
         Err(error) => {
             let found = format!("{:?} ({error})", path.value);
-            checker.wrong(path, "secret_file", &found, "a file that can be read");
+            checker.add_mismatch(path, "secret_file", &found, "a file that can be read");
             None
         }
     }
@@ -289,26 +301,26 @@
 
 fn check_limits(checker: &mut Checker<'_>, options: &Options) -> Limits {
     let limits = &options.limits;
-    let span = |value: &Option<Spanned<u64>>, default: Duration| {
+    let duration = |value: &Option<Spanned<u64>>, default: Duration| {
         let value = value.as_ref();
         value.map_or(default, |ms| Duration::from_millis(ms.value))
     };
     let checked = Limits {
-        window: span(&limits.window_ms, DEFAULT_LIMITS.window),
-        skew: span(&limits.skew_ms, DEFAULT_LIMITS.skew),
-        retention: span(&limits.retention_ms, DEFAULT_LIMITS.retention),
+        window: duration(&limits.window_ms, DEFAULT_LIMITS.window),
+        skew: duration(&limits.skew_ms, DEFAULT_LIMITS.skew),
+        retention: duration(&limits.retention_ms, DEFAULT_LIMITS.retention),
     };
     if let Some(window) = &limits.window_ms
-        && window.value < SHORTEST_WINDOW_MS
+        && window.value < MIN_WINDOW_MS
     {
         let wanted = "at least 1000, so that a resubmission still finds its key";
-        checker.wrong(window, "limits.window_ms", &window.value, wanted);
+        checker.add_mismatch(window, "limits.window_ms", &window.value, wanted);
     }
     if let Some(skew) = &limits.skew_ms
         && checked.skew * 2 > checked.window
     {
         let wanted = "at most half of `limits.window_ms`";
-        checker.wrong(skew, "limits.skew_ms", &skew.value, wanted);
+        checker.add_mismatch(skew, "limits.skew_ms", &skew.value, wanted);
     }
     checked
 }
@@ -317,38 +329,38 @@
     let keeper = options.roles.contains(&Role::Keeper);
     if !options.roles.contains(&Role::Entry) {
         let text = "roles: found no `entry`, wanted it; every instance is an entry today";
-        checker.add(0, text.into());
+        checker.add_problem(0, text.into());
     }
     if keeper && options.data_folder.is_none() {
-        let text = "data_folder: found none, wanted one, for a keeper's log must last";
-        checker.add(0, text.into());
+        let text = "data_folder: found none, wanted one, because a keeper stores its log there";
+        checker.add_problem(0, text.into());
     }
     if let Some(me) = me
         && me.keeper != keeper
     {
-        let text = "roles: found other than `instances` says of `keeper`, wanted the same";
-        checker.add(options.instance.referenced.line(), text.into());
+        let text = "roles: found a `keeper` role that differs from `instances`, wanted the same";
+        checker.add_problem(options.instance.referenced.line(), text.into());
     }
 }
 
 fn check_threads(checker: &mut Checker<'_>, options: &Options) -> Option<usize> {
     let threads = options.http_threads.as_ref()?;
-    if threads.value == 0 || threads.value > MOST_THREADS {
-        checker.wrong(threads, "http_threads", &threads.value, "1 to 64");
+    if threads.value == 0 || threads.value > MAX_HTTP_THREADS {
+        checker.add_mismatch(threads, "http_threads", &threads.value, "1 to 64");
     }
     Some(threads.value)
 }
 
-/// A path of a file, seen from the folder of the settings.
-fn beside(file: &Path, path: &str) -> PathBuf {
+/// Resolves a path against the folder of a file.
+fn resolve_path(file: &Path, path: &str) -> PathBuf {
     file.parent().unwrap_or(Path::new(".")).join(path)
 }
 
-/// Checks the text of a catalogue.
+/// Validates the text of a catalogue.
 ///
 /// # Errors
 ///
-/// All problems found.
+/// The text has problems; all of them are returned.
 pub fn parse_catalogue(text: &str) -> Result<Document, LoadError> {
     check_catalogue(Path::new("catalogue"), text)
 }
--- a/crates/celerywinch_settings/src/options.rs
+++ b/crates/celerywinch_settings/src/options.rs
@@ -5,43 +5,43 @@
 use serde::Deserialize;
 use serde_saphyr::Spanned;
 
-/// What a process does.
+/// A role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Takes submissions and announcements.
+    /// Accepts submissions and announcements.
     Entry,
-    /// Keeps a replica of the catalogue's log on disk.
+    /// Stores a replica of the catalogue's log on disk.
     Keeper,
 }
 
-/// One instance of the system; every process is given the same list.
+/// One instance of the system; the list must be the same for every process.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceOptions {
-    /// Its number.
+    /// The number of the instance.
     pub instance: Spanned<u16>,
     /// The name of its data centre.
     pub data_centre: Spanned<String>,
-    /// Where it listens for other instances.
+    /// The address on which it listens for other instances.
     pub peers: Spanned<String>,
     /// Whether it is a keeper.
     #[serde(default)]
     pub keeper: bool,
 }
 
-/// Bounds that every process must be given alike.
+/// Limits that must be the same for every process.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[derive(Default)]
 pub struct LimitOptions {
-    /// A key older than this is never run, in milliseconds.
+    /// Maximum age of a key in milliseconds; the work of an older key is never run.
     pub window_ms: Option<Spanned<u64>>,
-    /// How far wall clocks may be apart, in milliseconds.
+    /// Maximum difference between the wall clocks, in milliseconds.
     pub skew_ms: Option<Spanned<u64>>,
     /// How long outcomes are kept after the window, in milliseconds.
     pub retention_ms: Option<Spanned<u64>>,
-    /// The longest body of a submission, in bytes.
+    /// Maximum size of the body of a submission, in bytes.
     pub body_bytes: Option<Spanned<usize>>,
 }
 
@@ -51,29 +51,29 @@
 pub struct Options {
     /// The number of this instance.
     pub instance: Spanned<u16>,
-    /// What this process does.
+    /// The roles of this process.
     pub roles: Vec<Role>,
-    /// Where callers are served.
+    /// The address on which callers are served.
     pub callers: Spanned<String>,
-    /// Where endpoints announce themselves.
+    /// The address on which endpoints announce themselves.
     pub endpoints: Spanned<String>,
-    /// Where operators are served.
+    /// The address on which operators are served.
     pub operators: Spanned<String>,
-    /// A file with the secret that operators and other instances show.
+    /// The file with the secret that operators and other instances must send.
     pub secret_file: Spanned<String>,
-    /// The folder for everything that lasts.
+    /// The folder for all data that must survive a restart.
     pub data_folder: Option<Spanned<String>>,
-    /// A file for the time line; none is written without it.
+    /// The file for the time line; without it none is written.
     pub timeline_file: Option<Spanned<String>>,
-    /// The first catalogue, for a system that has none yet.
+    /// The file with the first catalogue, for a system that has none yet.
     pub first_catalogue: Option<Spanned<String>>,
-    /// Threads that serve HTTP.
+    /// Number of threads that serve callers over HTTP.
     pub http_threads: Option<Spanned<usize>>,
-    /// Data centres by name, with their numbers.
+    /// The numbers of the data centres, by name.
     pub data_centres: BTreeMap<String, Spanned<u8>>,
     /// All instances of the system.
     pub instances: Vec<InstanceOptions>,
-    /// Bounds.
+    /// Limits that must be the same for every process.
     #[serde(default)]
     pub limits: LimitOptions,
 }
--- a/crates/celerywinch_settings/src/settings.rs
+++ b/crates/celerywinch_settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! Checked settings.
+//! Validated settings.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,73 +7,73 @@
 use celerywinch_claims::Limits;
 use celerywinch_types::{DataCentreId, InstanceId};
 
-/// Bounds used where the file names none.
+/// Limits used by default.
 pub(crate) const DEFAULT_LIMITS: Limits = Limits {
     window: Duration::from_secs(30),
     skew: Duration::from_millis(250),
     retention: Duration::from_secs(60),
 };
-/// The longest body of a submission where the file names none, in bytes.
-pub(crate) const DEFAULT_BODY: usize = 4 << 20;
-/// Threads that serve HTTP where the file names none.
+/// Maximum size of the body of a submission by default, in bytes.
+pub(crate) const DEFAULT_BODY_BYTES: usize = 4 << 20;
+/// Number of threads that serve callers over HTTP by default.
 const DEFAULT_HTTP_THREADS: usize = 2;
 
 /// One instance of the system.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Its number.
+    /// The number of the instance.
     pub id: InstanceId,
     /// Its data centre.
     pub dc: DataCentreId,
     /// The name of its data centre.
     pub dc_name: String,
-    /// Where it listens for other instances.
+    /// The address on which it listens for other instances.
     pub peer_addr: SocketAddr,
     /// Whether it is a keeper.
     pub keeper: bool,
 }
 
-/// Checked settings of a process; made from a file or by [`SettingsBuilder`].
+/// The validated settings of a process, read from a file or built with [`SettingsBuilder`].
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This instance.
     pub me: Instance,
     /// All instances, this one included.
     pub instances: Vec<Instance>,
-    /// Where callers are served.
+    /// The address on which callers are served.
     pub callers: SocketAddr,
-    /// Where endpoints announce themselves.
+    /// The address on which endpoints announce themselves.
     pub endpoints: SocketAddr,
-    /// Where operators are served.
+    /// The address on which operators are served.
     pub operators: SocketAddr,
-    /// What operators and other instances show.
+    /// The secret that operators and other instances must send.
     pub secret: Secret,
-    /// The folder for everything that lasts.
+    /// The folder for all data that must survive a restart.
     pub data_folder: Option<PathBuf>,
-    /// A file for the time line.
+    /// The file for the time line.
     pub timeline_file: Option<PathBuf>,
-    /// The first catalogue, for a system that has none yet.
+    /// The file with the first catalogue, for a system that has none yet.
     pub first_catalogue: Option<PathBuf>,
-    /// Threads that serve HTTP.
+    /// Number of threads that serve callers over HTTP.
     pub http_threads: usize,
-    /// Bounds on the age of keys.
+    /// Limits on the age of keys.
     pub limits: Limits,
-    /// The longest body of a submission, in bytes.
+    /// Maximum size of the body of a submission, in bytes.
     pub body_bytes: usize,
 }
 
-/// A secret that is not shown by `Debug`, so that it gets into no log.
+/// A secret whose `Debug` form hides it, so that it never appears in a log.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(String);
 
 impl Secret {
-    /// Wraps a secret.
+    /// Wraps a secret, without the white space around it.
     #[must_use]
     pub fn new(text: &str) -> Self {
         Self(text.trim().to_owned())
     }
 
-    /// The secret itself, for the one place that compares or sends it.
+    /// Returns the secret itself; only for code that compares or sends it.
     #[must_use]
     pub fn expose(&self) -> &str {
         &self.0
@@ -87,7 +87,7 @@
 }
 
 impl Settings {
-    /// Instances in the form the claims are laid out from.
+    /// Returns all instances with their data centres; the placement of the claims' replicas follows from them.
     #[must_use]
     pub fn topology(&self) -> Vec<(InstanceId, DataCentreId, String)> {
         let instances = self.instances.iter();
@@ -97,33 +97,33 @@
     }
 }
 
-/// Builds settings in code, for embedding and for trying.
+/// Builds settings in code, for embedding and for tests.
 #[derive(Clone, Debug)]
 pub struct SettingsBuilder(Settings);
 
 impl SettingsBuilder {
-    /// Starts with this instance, all instances and the secret; listens on ports of the system's
-    /// choosing unless told otherwise.
+    /// Starts from this instance, all instances and the secret. By default, the process listens on ports of the
+    /// loopback interface that the operating system selects.
     #[must_use]
     pub fn new(me: Instance, instances: Vec<Instance>, secret: Secret) -> Self {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         Self(Settings {
             me,
             instances,
-            callers: any,
-            endpoints: any,
-            operators: any,
+            callers: any_port,
+            endpoints: any_port,
+            operators: any_port,
             secret,
             data_folder: None,
             timeline_file: None,
             first_catalogue: None,
             http_threads: DEFAULT_HTTP_THREADS,
             limits: DEFAULT_LIMITS,
-            body_bytes: DEFAULT_BODY,
+            body_bytes: DEFAULT_BODY_BYTES,
         })
     }
 
-    /// Where callers, endpoints and operators are served.
+    /// Sets the addresses on which callers, endpoints and operators are served.
     #[must_use]
     pub fn listen(
         mut self,
@@ -137,35 +137,35 @@
         self
     }
 
-    /// The folder for everything that lasts.
+    /// Sets the folder for all data that must survive a restart.
     #[must_use]
     pub fn data_folder(mut self, folder: Option<PathBuf>) -> Self {
         self.0.data_folder = folder;
         self
     }
 
-    /// A file for the time line.
+    /// Sets the file for the time line.
     #[must_use]
     pub fn timeline_file(mut self, file: Option<PathBuf>) -> Self {
         self.0.timeline_file = file;
         self
     }
 
-    /// The first catalogue.
+    /// Sets the file with the first catalogue.
     #[must_use]
     pub fn first_catalogue(mut self, file: Option<PathBuf>) -> Self {
         self.0.first_catalogue = file;
         self
     }
 
-    /// Threads that serve HTTP.
+    /// Sets the number of threads that serve callers over HTTP; `None` means the default.
     #[must_use]
     pub fn http_threads(mut self, threads: Option<usize>) -> Self {
         self.0.http_threads = threads.unwrap_or(DEFAULT_HTTP_THREADS);
         self
     }
 
-    /// Bounds.
+    /// Sets the limits on the age of keys and on the size of the body of a submission, in bytes.
     #[must_use]
     pub fn limits(mut self, limits: Limits, body_bytes: usize) -> Self {
         self.0.limits = limits;
@@ -173,7 +173,7 @@
         self
     }
 
-    /// The settings.
+    /// Returns the settings.
     #[must_use]
     pub fn build(self) -> Settings {
         self.0
--- a/crates/celerywinch_settings/tests/problems.rs
+++ b/crates/celerywinch_settings/tests/problems.rs
@@ -1,4 +1,4 @@
-//! Every problem of a file names file, line, field, what was found and what is wanted.
+//! Every problem in a file names the file, the line, the field, what was found and what is wanted.
 
 use std::fs;
 use std::path::Path;
@@ -6,7 +6,7 @@
 use celerywinch_settings::{load_settings, parse_catalogue};
 use rstest::rstest;
 
-const GOOD: &str = "\
+const VALID: &str = "\
 instance: 1
 roles: [entry, keeper]
 callers: 127.0.0.1:7001
@@ -19,8 +19,8 @@
   - { instance: 1, data_centre: bog-1, peers: 127.0.0.1:7301, keeper: true }
 ";
 
-/// What is changed in the good file, and what is said of it.
-struct Case {
+/// A change to the valid file, and texts that the error must contain.
+struct Change {
     from: &'static str,
     to: &'static str,
     wanted: &'static [&'static str],
@@ -37,17 +37,17 @@
 }
 
 #[rstest]
-#[case::unknown_field(Case {
+#[case::unknown_field(Change {
     from: "callers:",
     to: "caller: x\ncallers:",
     wanted: &["settings.yaml:3", "caller"],
 })]
-#[case::bad_address(Case {
+#[case::bad_address(Change {
     from: "callers: 127.0.0.1:7001",
     to: "callers: localhost",
     wanted: &["settings.yaml:3: callers: found \"localhost\", wanted an IP number and a port"],
 })]
-#[case::two_problems_at_once(Case {
+#[case::two_problems_at_once(Change {
     from: "instance: 1\n",
     to: "instance: 9\nhttp_threads: 0\n",
     wanted: &[
@@ -55,35 +55,42 @@
         "settings.yaml:2: http_threads: found 0, wanted 1 to 64",
     ],
 })]
-#[case::unknown_data_centre(Case {
+#[case::unknown_data_centre(Change {
     from: "data_centre: bog-1",
     to: "data_centre: bog-2",
     wanted: &["settings.yaml:10: instances.data_centre: found \"bog-2\""],
 })]
-#[case::keeper_without_disk(Case {
+#[case::keeper_without_disk(Change {
     from: "data_folder: data\n",
     to: "",
     wanted: &["data_folder: found none, wanted one"],
 })]
-#[case::missing_secret(Case {
+#[case::missing_secret(Change {
     from: "secret_file: secret",
     to: "secret_file: nowhere",
     wanted: &["settings.yaml:6: secret_file: found \"nowhere\"", "a file that can be read"],
 })]
-#[case::skew_too_large(Case {
+#[case::skew_too_large(Change {
     from: "instances:",
     to: "limits: { window_ms: 2000, skew_ms: 1500 }\ninstances:",
     wanted: &["settings.yaml:9: limits.skew_ms: found 1500, wanted at most half"],
 })]
-fn problem_is_named(#[case] case: Case) {
+fn problem_is_named(#[case] case: Change) {
     let folder = tempfile::tempdir().expect("a temporary folder");
-    assert_eq!(check(folder.path(), GOOD), "", "the good file is good");
-    assert!(GOOD.contains(case.from), "the case changes something");
-    let said = check(folder.path(), &GOOD.replacen(case.from, case.to, 1));
+    assert_eq!(
+        check(folder.path(), VALID),
+        "",
+        "the unchanged file is valid"
+    );
+    assert!(VALID.contains(case.from), "the text to replace is missing");
+    let error = check(folder.path(), &VALID.replacen(case.from, case.to, 1));
     for wanted in case.wanted {
-        assert!(said.contains(wanted), "wanted {wanted:?} in:\n{said}");
+        assert!(error.contains(wanted), "wanted {wanted:?} in:\n{error}");
     }
-    assert!(!said.contains("sixteen bytes"), "the secret is not shown");
+    assert!(
+        !error.contains("sixteen bytes"),
+        "the error contains the secret"
+    );
 }
 
 #[test]
@@ -101,7 +108,7 @@
 teams:
   Dealers: { quota: 0 }
 ";
-    let said = parse_catalogue(text)
+    let error = parse_catalogue(text)
         .expect_err("it has problems")
         .to_string();
     for wanted in [
@@ -111,6 +118,6 @@
         "teams.Dealers: found \"Dealers\"",
         "teams.Dealers.quota: found 0",
     ] {
-        assert!(said.contains(wanted), "wanted {wanted:?} in:\n{said}");
+        assert!(error.contains(wanted), "wanted {wanted:?} in:\n{error}");
     }
 }
