--- a/crates/celerywinch_timeline/src/explain.rs
+++ b/crates/celerywinch_timeline/src/explain.rs
@@ -1,4 +1,4 @@
-//! One job's story from the structured logs of a fleet.
+//! The history of one job from the structured logs of a fleet.
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -8,22 +8,22 @@
 /// A line of a process's log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// Ms since 1970, by the process's clock.
+    /// Milliseconds since the Unix epoch, by the wall clock of the process.
     pub at_ms: u64,
-    /// Which process.
+    /// The process: its instance number, which is an IPv4 address.
     pub instance: u32,
-    /// What happened.
+    /// The name of the event.
     pub event: String,
-    /// The whole line.
+    /// The whole line as JSON.
     pub json: Value,
 }
 
-/// Fields that every line has; they are not repeated in texts.
-const HEAD: [&str; 6] = ["at", "instance", "life", "part", "event", "job"];
+/// Fields that [`LogLine::text`] leaves out or shows in another form.
+const COMMON_FIELDS: [&str; 6] = ["at", "instance", "life", "part", "event", "job"];
 
 impl LogLine {
-    fn read(text: &str) -> Option<Self> {
-        // Whoever collects the logs may put a time and a name before the line.
+    fn parse(text: &str) -> Option<Self> {
+        // Log collectors may prepend a time and a name to the line.
         let start = text.find('{')?;
         let json: Value = serde_json::from_str(&text[start..]).ok()?;
         Some(Self {
@@ -34,22 +34,23 @@
         })
     }
 
-    /// The job that it is about, if it is about one.
+    /// Returns the id of the job that the line is about, if any.
     fn job(&self) -> Option<u64> {
-        let own = self.json["job"].as_u64();
-        own.or_else(|| self.json["task"]["job"].as_u64())
+        let job_id = self.json["job"].as_u64();
+        job_id.or_else(|| self.json["task"]["job"].as_u64())
     }
 
-    /// The line as text, with the time, the process, and what decided.
+    /// Returns the line as text: the time, a `~` if the line is not about `job`, the process, the event and its
+    /// other fields.
     #[must_use]
     pub fn text(&self, job: u64) -> String {
-        let mine = if self.job() == Some(job) { ' ' } else { '~' };
+        let marker = if self.job() == Some(job) { ' ' } else { '~' };
         let process = Ipv4Addr::from(self.instance);
-        let mut text = format!("{} {mine} {process} {}", self.at_ms, self.event);
+        let mut text = format!("{} {marker} {process} {}", self.at_ms, self.event);
         if let Some(fields) = self.json.as_object() {
             for (name, value) in fields
                 .iter()
-                .filter(|(name, _)| !HEAD.contains(&name.as_str()))
+                .filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()))
             {
                 text.push_str(&format!(" {name}={value}"));
             }
@@ -58,14 +59,14 @@
     }
 }
 
-/// Reads the lines of a log; what is no line of it is passed over.
+/// Parses the lines of a log; ignores lines that are not structured log lines.
 #[must_use]
 pub fn parse_log(text: &str) -> Vec<LogLine> {
-    text.lines().filter_map(LogLine::read).collect()
+    text.lines().filter_map(LogLine::parse).collect()
 }
 
-/// Events of a process that may explain what became of its jobs.
-const AROUND: [&str; 8] = [
+/// Events of a process that may explain what happened to its jobs.
+const CONTEXT_EVENTS: [&str; 8] = [
     "paused",
     "peer_lost",
     "acquired",
@@ -76,31 +77,35 @@
     "stopping",
 ];
 
-/// The lines about a job, in order of time, with those about its processes and workers meanwhile.
+/// Returns the lines about a job in order of time, together with the events of its processes and workers between the
+/// first and the last of these lines.
 #[must_use]
 pub fn explain(job: u64, lines: &[LogLine]) -> Vec<&LogLine> {
-    let own: Vec<_> = lines
+    let job_lines: Vec<_> = lines
         .iter()
         .filter(|line| line.job() == Some(job))
         .collect();
-    let first = own.iter().map(|line| line.at_ms).min();
-    let last = own.iter().map(|line| line.at_ms).max();
+    let first = job_lines.iter().map(|line| line.at_ms).min();
+    let last = job_lines.iter().map(|line| line.at_ms).max();
     let (Some(first), Some(last)) = (first, last) else {
         return Vec::new();
     };
-    let processes: BTreeSet<_> = own.iter().map(|line| line.instance).collect();
-    let workers: BTreeSet<_> = own
+    let processes: BTreeSet<_> = job_lines.iter().map(|line| line.instance).collect();
+    let workers: BTreeSet<_> = job_lines
         .iter()
         .filter_map(|l| l.json["worker"].as_str())
         .collect();
-    let around = |line: &&LogLine| {
-        let meanwhile = (first..=last).contains(&line.at_ms) && processes.contains(&line.instance);
+    let is_context = |line: &&LogLine| {
+        let concurrent = (first..=last).contains(&line.at_ms) && processes.contains(&line.instance);
         let worker = line.json["worker"].as_str();
         let concerned = worker.is_none_or(|worker| workers.contains(worker));
-        meanwhile && concerned && line.job().is_none() && AROUND.contains(&line.event.as_str())
+        concurrent
+            && concerned
+            && line.job().is_none()
+            && CONTEXT_EVENTS.contains(&line.event.as_str())
     };
-    let mut story: Vec<&LogLine> = lines.iter().filter(around).collect();
-    story.extend(own);
-    story.sort_by_key(|line| line.at_ms);
-    story
+    let mut related: Vec<&LogLine> = lines.iter().filter(is_context).collect();
+    related.extend(job_lines);
+    related.sort_by_key(|line| line.at_ms);
+    related
 }
--- a/crates/celerywinch_timeline/src/html.rs
+++ b/crates/celerywinch_timeline/src/html.rs
@@ -1,4 +1,4 @@
-//! A time line as one self-contained page: a picture, then the lines.
+//! A time line as one self-contained HTML page: a picture, then the events as text.
 
 use std::collections::BTreeSet;
 
@@ -8,15 +8,16 @@
 use crate::TimelineRecord;
 use crate::merge::{describe, render_text};
 
-/// Width of the picture, and of the names at its left.
-const WIDTH: f64 = 1200.0;
-const MARGIN: f64 = 110.0;
-/// Height of one process's row.
-const ROW: f64 = 44.0;
-/// Distance of events that fall on the same spot.
-const STEP: f64 = 5.0;
+/// Width of the picture, in SVG units.
+const PICTURE_WIDTH: f64 = 1200.0;
+/// Width of the instance labels on the left of the picture, in SVG units.
+const LABEL_WIDTH: f64 = 110.0;
+/// Height of the row of one instance, in SVG units.
+const ROW_HEIGHT: f64 = 44.0;
+/// Vertical distance of events at the same position, in SVG units.
+const STACK_STEP: f64 = 5.0;
 
-/// The page.
+/// Renders the page.
 #[must_use]
 pub fn render_html(records: &[TimelineRecord]) -> String {
     format!(
@@ -24,13 +25,13 @@
          <style>body{{font:14px sans-serif;margin:2em}}pre{{font-size:12px}}\
          text{{font:12px sans-serif}}</style>\n<h1>Time line</h1>\n<p>{}</p>\n{}\n\
          <pre>{}</pre>\n</html>\n",
-        legend(),
-        picture(records),
+        render_legend(),
+        render_picture(records),
         escape(&render_text(records)),
     )
 }
 
-/// Colours by what an event means for its submission.
+/// Returns the colour of an event, by its meaning for its submission.
 fn colour(event: &Event) -> &'static str {
     match event {
         Event::Accepted { .. } | Event::Relayed { .. } => "#1f77b4",
@@ -50,7 +51,7 @@
     }
 }
 
-fn legend() -> String {
+fn render_legend() -> String {
     let entries = [
         ("#1f77b4", "accepted, relayed"),
         ("#9467bd", "claimed, lost, settling"),
@@ -65,33 +66,36 @@
     entries.join(" &nbsp; ")
 }
 
-fn picture(records: &[TimelineRecord]) -> String {
-    let instances: BTreeSet<InstanceId> =
-        records.iter().map(|l| l.stamp.process.instance).collect();
+fn render_picture(records: &[TimelineRecord]) -> String {
+    let instances: BTreeSet<InstanceId> = records
+        .iter()
+        .map(|record| record.stamp.process.instance)
+        .collect();
     let instances: Vec<_> = instances.into_iter().collect();
     let first = records.first().map_or(0, |record| record.stamp.millis());
     let last = records.last().map_or(0, |record| record.stamp.millis());
     let span = (last - first).max(1) as f64;
-    let height = ROW * (instances.len() as f64 + 1.0);
-    let mut svg = format!("<svg viewBox=\"0 0 {WIDTH} {height}\" width=\"100%\" role=\"img\">\n");
+    let height = ROW_HEIGHT * (instances.len() as f64 + 1.0);
+    let mut svg =
+        format!("<svg viewBox=\"0 0 {PICTURE_WIDTH} {height}\" width=\"100%\" role=\"img\">\n");
     for (row, instance) in instances.iter().enumerate() {
-        let y = ROW * (row as f64 + 0.7);
+        let y = ROW_HEIGHT * (row as f64 + 0.7);
         svg.push_str(&format!(
-            "<text x=\"4\" y=\"{}\">{instance}</text><line x1=\"{MARGIN}\" x2=\"{WIDTH}\" y1=\"{y}\" y2=\"{y}\" stroke=\"#ccc\"/>\n",
+            "<text x=\"4\" y=\"{}\">{instance}</text><line x1=\"{LABEL_WIDTH}\" x2=\"{PICTURE_WIDTH}\" y1=\"{y}\" y2=\"{y}\" stroke=\"#ccc\"/>\n",
             y + 4.0
         ));
     }
-    let mut seen = std::collections::BTreeMap::new();
+    let mut stack_heights = std::collections::BTreeMap::new();
     for record in records {
         let row = instances
             .iter()
             .position(|i| *i == record.stamp.process.instance);
-        let share = (record.stamp.millis() - first) as f64 / span;
-        let x = MARGIN + share * (WIDTH - MARGIN - 10.0);
-        // Events of one process within a millisecond are stacked, so that none hides another.
-        let stacked = seen.entry((row, x as i64)).or_insert(0.0);
-        let y = ROW * (row.unwrap_or(0) as f64 + 0.7) - *stacked;
-        *stacked += STEP;
+        let fraction = (record.stamp.millis() - first) as f64 / span;
+        let x = LABEL_WIDTH + fraction * (PICTURE_WIDTH - LABEL_WIDTH - 10.0);
+        // Events of one instance at the same horizontal position are stacked, so that none hides another.
+        let stacked = stack_heights.entry((row, x as i64)).or_insert(0.0);
+        let y = ROW_HEIGHT * (row.unwrap_or(0) as f64 + 0.7) - *stacked;
+        *stacked += STACK_STEP;
         svg.push_str(&format!(
             "<circle cx=\"{x:.1}\" cy=\"{y:.1}\" r=\"4\" fill=\"{}\"><title>{}</title></circle>\n",
             colour(&record.event),
@@ -100,8 +104,8 @@
     }
     let y = height - 6.0;
     svg.push_str(&format!(
-        "<text x=\"{MARGIN}\" y=\"{y}\">0 ms</text><text x=\"{}\" y=\"{y}\">{span} ms</text></svg>",
-        WIDTH - 90.0
+        "<text x=\"{LABEL_WIDTH}\" y=\"{y}\">0 ms</text><text x=\"{}\" y=\"{y}\">{span} ms</text></svg>",
+        PICTURE_WIDTH - 90.0
     ));
     svg
 }
--- a/crates/celerywinch_timeline/src/lib.rs
+++ b/crates/celerywinch_timeline/src/lib.rs
@@ -1,4 +1,5 @@
-//! Time lines: their lines, merging them, and showing them as text or as a page with a picture.
+//! Time lines: their records, merging them, and rendering them as text or as an HTML page with a picture. Also extracts
+//! the history of one job from structured logs.
 
 mod explain;
 mod html;
--- a/crates/celerywinch_timeline/src/merge.rs
+++ b/crates/celerywinch_timeline/src/merge.rs
@@ -1,4 +1,4 @@
-//! Merging the time lines of many processes.
+//! Merging and rendering of the time lines of many processes.
 
 use std::fs;
 use std::path::Path;
@@ -7,18 +7,18 @@
 
 use crate::TimelineRecord;
 
-/// Which events are wanted; all without a part.
+/// Selects events; a field that is `None` matches all.
 #[derive(Clone, Debug, Default)]
 pub struct Filter {
-    /// Events of this key.
+    /// The key of the events.
     pub key: Option<String>,
-    /// Events of this endpoint.
+    /// The address of the endpoint of the events.
     pub endpoint: Option<String>,
 }
 
 impl Filter {
-    /// Whether a line, in its JSON form, is wanted.
-    fn wants(&self, json: &serde_json::Value) -> bool {
+    /// Returns whether a record in JSON form matches.
+    fn matches(&self, json: &serde_json::Value) -> bool {
         let has = |wanted: &Option<String>, field: &str| {
             let wanted = wanted.as_deref();
             wanted.is_none_or(|wanted| json[field].as_str() == Some(wanted))
@@ -27,24 +27,26 @@
     }
 }
 
-/// Reads files and merges their lines in the order of the hybrid clock.
+/// Reads files and merges their records in the order of the hybrid clock.
 ///
-/// A last line that a process did not finish writing is passed over.
+/// Ignores an incomplete last line, which a process had not finished writing.
 ///
 /// # Errors
 ///
-/// A file cannot be read, or holds a line that is no event.
+/// A file cannot be read, or contains a line that is not an event.
 pub fn load_records(files: &[&Path], filter: &Filter) -> anyhow::Result<Vec<TimelineRecord>> {
     let mut records = Vec::new();
     for file in files {
         let text = fs::read_to_string(file);
         let text = text.with_context(|| format!("cannot read {}", file.display()))?;
-        let whole = text.rsplit_once('\n').map_or("", |(whole, _)| whole);
-        for (number, line) in whole.lines().enumerate() {
-            let place = || format!("{}:{}: no event", file.display(), number + 1);
-            let json: serde_json::Value = serde_json::from_str(line).with_context(place)?;
-            if filter.wants(&json) {
-                records.push(serde_json::from_value(json).with_context(place)?);
+        let complete_lines = text
+            .rsplit_once('\n')
+            .map_or("", |(complete_lines, _)| complete_lines);
+        for (number, line) in complete_lines.lines().enumerate() {
+            let context = || format!("{}:{}: not an event", file.display(), number + 1);
+            let json: serde_json::Value = serde_json::from_str(line).with_context(context)?;
+            if filter.matches(&json) {
+                records.push(serde_json::from_value(json).with_context(context)?);
             }
         }
     }
@@ -52,23 +54,23 @@
     Ok(records)
 }
 
-/// The lines as text, with times from the first.
+/// Renders the records as text, with times relative to the first record.
 #[must_use]
 pub fn render_text(records: &[TimelineRecord]) -> String {
     let first = records.first().map_or(0, |record| record.stamp.millis());
     let mut text = String::new();
     for record in records {
-        let at = record.stamp.millis() - first;
+        let elapsed = record.stamp.millis() - first;
         let instance = record.stamp.process.instance;
         text.push_str(&format!(
-            "{at:>8} ms  {instance:<12} {}\n",
+            "{elapsed:>8} ms  {instance:<12} {}\n",
             describe(record)
         ));
     }
     text
 }
 
-/// An event in one line: its name, then its fields.
+/// Returns an event as one line of text: its name, then its fields.
 pub(crate) fn describe(record: &TimelineRecord) -> String {
     let json = serde_json::to_value(&record.event).unwrap_or_default();
     let mut text = record.event.name().to_owned();
--- a/crates/celerywinch_timeline/src/record.rs
+++ b/crates/celerywinch_timeline/src/record.rs
@@ -1,14 +1,13 @@
-//! One line of a time line.
+//! The records of a time line.
 
 use celerywinch_entry::Event;
 use celerywinch_types::Process;
 use serde::{Deserialize, Serialize};
 
-/// When and where an event happened.
+/// The time and the process of an event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventStamp {
-    /// Hybrid logical time: milliseconds since the Unix epoch in the upper 48 bits, a count of
-    /// events in the lower 16.
+    /// Hybrid logical time: milliseconds since the Unix epoch in the upper 48 bits, a count of events in the lower 16.
     pub hlc: u64,
     /// The process.
     #[serde(rename = "at")]
@@ -16,20 +15,20 @@
 }
 
 impl EventStamp {
-    /// Milliseconds since the Unix epoch.
+    /// Returns the milliseconds since the Unix epoch.
     #[must_use]
     pub fn millis(&self) -> u64 {
         self.hlc >> 16
     }
 }
 
-/// One line of a time line.
+/// One record of a time line; written as a line of JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimelineRecord {
-    /// When and where.
+    /// The time and the process.
     #[serde(flatten)]
     pub stamp: EventStamp,
-    /// What.
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
--- a/crates/celerywinch_timeline/tests/explain.rs
+++ b/crates/celerywinch_timeline/tests/explain.rs
@@ -1,4 +1,4 @@
-//! One job's story.
+//! The history of one job from structured logs.
 
 use celerywinch_timeline::{explain, parse_log};
 
@@ -14,14 +14,15 @@
 no line at all
 "#;
 
-/// An engineer asks why a caller had no answer: the lines of all processes that had the job, and what
-/// they found of its worker meanwhile, in order of time; nothing of other jobs, workers, processes.
+/// An engineer investigates why a caller got no answer: the result has the lines about the job from all its processes,
+/// and their events about its worker in that time, in order of time. It has nothing about other jobs, workers or
+/// processes.
 #[test]
-fn story_has_what_concerns_the_job() {
+fn explanation_has_only_lines_that_concern_the_job() {
     let lines = parse_log(LOGS);
     assert_eq!(lines.len(), 8);
-    let story = explain(77, &lines);
-    let events: Vec<_> = story
+    let related = explain(77, &lines);
+    let events: Vec<_> = related
         .iter()
         .map(|line| (line.at_ms, line.event.as_str()))
         .collect();
@@ -33,7 +34,7 @@
         (30, "answered"),
     ];
     assert_eq!(events, wanted);
-    let text = story[1].text(77);
+    let text = related[1].text(77);
     assert!(
         text.contains("free=3") && text.contains("10.2.0.14"),
         "{text}"
@@ -41,6 +42,6 @@
 }
 
 #[test]
-fn job_that_no_line_names_has_no_story() {
+fn job_without_lines_has_no_explanation() {
     assert!(explain(5, &parse_log(LOGS)).is_empty());
 }
