--- a/crates/celerywinch_client/src/lib.rs
+++ b/crates/celerywinch_client/src/lib.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for JSON, as operators' commands and the stand-in callers use it.
+//! A small HTTP client for JSON, used by the operators' commands and the stand-in callers.
 
 use std::net::SocketAddr;
 
@@ -9,17 +9,17 @@
 use ntex::time::{Millis, Seconds};
 use serde_json::Value;
 
-/// The longest body of a response, in bytes.
-const LONGEST: usize = 16 << 20;
-/// How long idle connections are kept.
-const KEEP_IDLE: Seconds = Seconds(4);
-/// More connections than there can be. Without a limit (0) the client never wakes a request that
-/// waits while another opens a connection to the same address: it would hang for ever.
-const MOST_CONNECTIONS: usize = 1 << 20;
-/// How long a request may take where nothing else is said.
-const TIMEOUT: Millis = Millis(40_000);
+/// Maximum size of the body of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+/// How long an idle connection is kept open.
+const IDLE_TIMEOUT: Seconds = Seconds(4);
+/// Maximum number of connections; more than there can be. With no limit (0) the client never wakes a request
+/// that waits while another opens a connection to the same address, so the request would hang forever.
+const MAX_CONNECTIONS: usize = 1 << 20;
+/// Timeout of a request by default.
+const REQUEST_TIMEOUT: Millis = Millis(40_000);
 
-/// A response.
+/// An HTTP response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
     /// The status code.
@@ -31,7 +31,7 @@
 }
 
 impl Response {
-    /// The problem that the body describes, in one line.
+    /// Returns the status, title and detail of the problem that the body describes, as one line.
     #[must_use]
     pub fn problem(&self) -> String {
         let title = self.body["title"].as_str().unwrap_or("no JSON");
@@ -48,54 +48,54 @@
 }
 
 impl Client {
-    /// A client; called within an `ntex` system. A secret is shown with every request.
+    /// Creates a client; must be called within an `ntex` system. If there is a secret, every request carries it.
     ///
     /// # Errors
     ///
-    /// The pool cannot be set up.
+    /// The connection pool cannot be created.
     pub async fn new(secret: Option<String>) -> anyhow::Result<Self> {
         let client = ntex::client::Client::builder()
             .connector::<()>(
                 Connector::default()
-                    .limit(MOST_CONNECTIONS)
-                    .keep_alive(KEEP_IDLE),
+                    .limit(MAX_CONNECTIONS)
+                    .keep_alive(IDLE_TIMEOUT),
             )
             .disable_redirects()
             .disable_timeout()
-            .response_payload_limit(LONGEST)
+            .response_payload_limit(MAX_RESPONSE_BYTES)
             .build(ntex::SharedCfg::new("CLIENT"))
             .await
-            .context("client: cannot set up")?;
+            .context("client: cannot create the connection pool")?;
         Ok(Self { client, secret })
     }
 
-    /// A request, for those who add headers.
+    /// Creates a request, to which the caller can add headers.
     #[must_use]
     pub fn request(&self, method: Method, addr: SocketAddr, path: &str) -> ClientRequest {
         let request = self
             .client
             .request(method, format!("http://{addr}{path}"))
-            .timeout(TIMEOUT);
+            .timeout(REQUEST_TIMEOUT);
         match &self.secret {
             Some(secret) => request.header("authorization", format!("Bearer {secret}")),
             None => request,
         }
     }
 
-    /// Gets a page.
+    /// Sends a GET request and reads the response.
     ///
     /// # Errors
     ///
-    /// The connection was refused or lost, or the wait was over.
+    /// The connection was refused or lost, or the request timed out.
     pub async fn get(&self, addr: SocketAddr, path: &str) -> anyhow::Result<Response> {
         read_response(self.request(Method::GET, addr, path).send().await).await
     }
 
-    /// Puts a body.
+    /// Sends a PUT request with a JSON body and reads the response.
     ///
     /// # Errors
     ///
-    /// The connection was refused or lost, or the wait was over.
+    /// The connection was refused or lost, or the request timed out.
     pub async fn put(
         &self,
         addr: SocketAddr,
@@ -106,7 +106,7 @@
     }
 }
 
-/// Reads a response to its end, so that its connection can be used again.
+/// Reads a response to its end, so that its connection can be reused.
 ///
 /// # Errors
 ///
@@ -116,7 +116,7 @@
 ) -> anyhow::Result<Response> {
     let response = response.map_err(|error| anyhow::anyhow!("client: {error}"))?;
     let status = response.status().as_u16();
-    let body = response.body().limit(LONGEST).await;
+    let body = response.body().limit(MAX_RESPONSE_BYTES).await;
     let body = body.map_err(|error| anyhow::anyhow!("client: {error}"))?;
     Ok(Response {
         status,
--- a/crates/celerywinch_client/tests/pool.rs
+++ b/crates/celerywinch_client/tests/pool.rs
@@ -1,4 +1,4 @@
-//! The connection pool under many requests at once.
+//! The connection pool under many concurrent requests.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Requests that are made one shortly after the other.
+/// Number of requests, sent in quick succession.
 const REQUESTS: usize = 400;
-/// Far longer than all of them take.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for all requests; far longer than they take.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A caller waits for ever: a request comes while another opens a connection to the same address,
-/// waits for that, and is never woken, since the pool without a limit (0) takes itself for full.
+/// A request hangs forever: it starts while another one opens a connection to the same address, waits for that, and is
+/// never woken, because a pool with no limit (0) considers itself full.
 #[test]
-fn no_request_waits_for_ever() {
+fn no_request_hangs_forever() {
     let system = ntex::rt::System::build()
         .name("pool")
         .build(ntex::rt::DefaultRuntime);
@@ -43,12 +43,12 @@
                 assert_eq!(status, 200);
             }
         };
-        let done = tokio::time::timeout(PATIENCE, all).await;
+        let done = tokio::time::timeout(TEST_TIMEOUT, all).await;
         assert!(done.is_ok(), "a request was never sent");
     });
 }
 
-/// Answers every request after a while, so that each needs a connection of its own.
+/// Answers every request after a delay, so that each needs a connection of its own.
 async fn serve(mut socket: TcpStream) {
     let mut buffer = [0; 4096];
     while socket.read(&mut buffer).await.is_ok_and(|count| count > 0) {
--- a/crates/celerywinch_metrics/src/lib.rs
+++ b/crates/celerywinch_metrics/src/lib.rs
@@ -1,45 +1,45 @@
-//! Making the counters, gauges and histograms of a process, and writing them as text.
+//! Creation and text encoding of the counters, gauges and histograms of a process.
 //!
-//! All names start with `celerywinch_`.
+//! The names of all metrics start with `celerywinch_`.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
     TextEncoder,
 };
 
-/// Makes figures that are told together; every clone tells the same ones.
+/// A registry of metrics that are encoded together; all clones share it.
 #[derive(Clone, Debug)]
 pub struct Meter {
     registry: Registry,
 }
 
 impl Meter {
-    /// Without any figure yet.
+    /// Creates a registry without metrics.
     ///
     /// # Errors
     ///
-    /// The prefix of the names is not accepted.
+    /// The prefix of the names is invalid.
     pub fn new() -> prometheus::Result<Self> {
         let registry = Registry::new_custom(Some("celerywinch".into()), None)?;
         Ok(Self { registry })
     }
 
-    /// A counter.
+    /// Registers a counter.
     ///
     /// # Errors
     ///
-    /// The name is bad, or used already.
+    /// The name is invalid or already in use.
     pub fn counter(&self, name: &str, help: &str) -> prometheus::Result<IntCounter> {
         let counter = IntCounter::new(name, help)?;
         self.registry.register(Box::new(counter.clone()))?;
         Ok(counter)
     }
 
-    /// Counters that differ in one label.
+    /// Registers a set of counters that differ in one label.
     ///
     /// # Errors
     ///
-    /// The name is bad, or used already.
+    /// The name is invalid or already in use.
     pub fn counter_vec(
         &self,
         name: &str,
@@ -51,22 +51,22 @@
         Ok(counter_vec)
     }
 
-    /// A gauge.
+    /// Registers a gauge.
     ///
     /// # Errors
     ///
-    /// The name is bad, or used already.
+    /// The name is invalid or already in use.
     pub fn gauge(&self, name: &str, help: &str) -> prometheus::Result<IntGauge> {
         let gauge = IntGauge::new(name, help)?;
         self.registry.register(Box::new(gauge.clone()))?;
         Ok(gauge)
     }
 
-    /// A histogram with these bounds.
+    /// Registers a histogram with the upper bounds of its buckets.
     ///
     /// # Errors
     ///
-    /// The name is bad, or used already.
+    /// The name is invalid or already in use.
     pub fn histogram(
         &self,
         name: &str,
@@ -79,11 +79,11 @@
         Ok(histogram)
     }
 
-    /// All figures as text.
+    /// Encodes all metrics in the text format of Prometheus.
     ///
     /// # Errors
     ///
-    /// A figure cannot be written.
+    /// A metric cannot be encoded.
     pub fn encode(&self) -> prometheus::Result<String> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
