--- a/crates/celerywinch_node/src/links.rs
+++ b/crates/celerywinch_node/src/links.rs
@@ -42,7 +42,7 @@
 
 impl Host<PeerMsg> for LinkContext {
     fn received(&self, from: Process, msg: PeerMsg) -> anyhow::Result<()> {
-        self.metrics.peer_received.inc();
+        self.metrics.messages_received.inc();
         let input = CoreMsg::Input(Input::PeerMessage(from, msg));
         self.core.send(input).context("link: the core has ended")
     }
@@ -82,7 +82,7 @@
     }
 
     fn sent(&self, _msg: &PeerMsg, bytes: usize) {
-        self.metrics.peer_messages.inc();
-        self.metrics.peer_bytes.inc_by(bytes as u64);
+        self.metrics.messages_sent.inc();
+        self.metrics.bytes_sent.inc_by(bytes as u64);
     }
 }
--- a/crates/celerywinch_node/src/metrics.rs
+++ b/crates/celerywinch_node/src/metrics.rs
@@ -11,17 +11,17 @@
     events: IntCounterVec,
     outcomes: IntCounterVec,
     violations: IntCounterVec,
-    pub(crate) peer_messages: IntCounter,
-    pub(crate) peer_bytes: IntCounter,
-    pub(crate) peer_received: IntCounter,
+    pub(crate) messages_sent: IntCounter,
+    pub(crate) bytes_sent: IntCounter,
+    pub(crate) messages_received: IntCounter,
     pub(crate) endpoint_calls: IntCounter,
     pub(crate) rejected: IntCounterVec,
-    open: IntGauge,
-    queued: IntGauge,
+    open_jobs: IntGauge,
+    queued_tasks: IntGauge,
     endpoints: IntGauge,
     suspended: IntGauge,
-    records: IntGauge,
-    catalogue: IntGauge,
+    claim_records: IntGauge,
+    catalogue_version: IntGauge,
 }
 
 impl Metrics {
@@ -48,35 +48,37 @@
                 "Invalid requests, by the filter that rejected them.",
                 "filter",
             )?,
-            peer_messages: meter.counter(
+            messages_sent: meter.counter(
                 "peer_messages_sent_total",
                 "Messages sent to other instances.",
             )?,
-            peer_bytes: meter.counter(
+            bytes_sent: meter.counter(
                 "peer_bytes_sent_total",
                 "Bytes of messages sent to other instances.",
             )?,
-            peer_received: meter.counter(
+            messages_received: meter.counter(
                 "peer_messages_received_total",
                 "Messages received from other instances.",
             )?,
             endpoint_calls: meter.counter("endpoint_calls_total", "Tasks sent to endpoints.")?,
-            open: meter.gauge("open_jobs", "Submissions without an outcome.")?,
-            queued: meter.gauge("queued_tasks", "Tasks that wait for a slot.")?,
+            open_jobs: meter.gauge("open_jobs", "Submissions without an outcome.")?,
+            queued_tasks: meter.gauge("queued_tasks", "Tasks that wait for a slot.")?,
             endpoints: meter.gauge("endpoints", "Endpoints known.")?,
             suspended: meter.gauge(
                 "endpoints_suspended",
                 "Endpoints in quarantine or on probation.",
             )?,
-            records: meter.gauge(
+            claim_records: meter.gauge(
                 "claim_records",
                 "Keys recorded by the replicas of this instance.",
             )?,
-            catalogue: meter.gauge("catalogue_version", "Version of the catalogue in force.")?,
+            catalogue_version: meter
+                .gauge("catalogue_version", "Version of the catalogue in force.")?,
             meter,
         })
     }
 
+    /// Counts an event; logs a violated invariant.
     pub(crate) fn record_event(&self, event: &Event) {
         let name = event.name();
         self.events.with_label_values(&[name]).inc();
@@ -93,14 +95,15 @@
         }
     }
 
+    /// Sets the gauges from `status` and encodes all metrics as text.
     pub(crate) fn encode(&self, status: &Status) -> anyhow::Result<String> {
         let set = |gauge: &IntGauge, value: usize| gauge.set(i64::try_from(value).unwrap_or(0));
-        set(&self.open, status.open_jobs);
-        set(&self.queued, status.queued_tasks);
+        set(&self.open_jobs, status.open_jobs);
+        set(&self.queued_tasks, status.queued_tasks);
         set(&self.endpoints, status.endpoints);
         set(&self.suspended, status.suspended);
-        set(&self.records, status.claim_records);
-        self.catalogue
+        set(&self.claim_records, status.claim_records);
+        self.catalogue_version
             .set(i64::try_from(status.catalogue_version).unwrap_or(0));
         Ok(self.meter.encode()?)
     }
