--- a/crates/celerywinch_entry/src/cancel.rs
+++ b/crates/celerywinch_entry/src/cancel.rs
@@ -1,16 +1,16 @@
-//! Cancelling one or many keys.
+//! Cancellation of keys.
 
 use celerywinch_types::{Key, PeerMsg, RelayMsg, Time};
 
 use crate::job::Phase;
-use crate::tasks::cancelled;
+use crate::tasks::cancelled_outcome;
 use crate::{CancelState, Entry, Output, Reply, WaiterId};
 
 impl Entry {
-    /// Cancels keys, wherever they are held; each still gets its one outcome.
+    /// Cancels keys, whichever entry holds their claims. Each key still gets its one outcome.
     ///
-    /// Work in the queue never starts. A cancel that races with a start ends in a failure that
-    /// says the work may have run, never in "not run".
+    /// Queued tasks are never started. A cancellation that races with a start ends in a failure which says that the
+    /// work may have run, never in a refusal.
     pub(crate) fn cancel(
         &mut self,
         now: Time,
@@ -20,16 +20,17 @@
     ) {
         let mut states = Vec::with_capacity(keys.len());
         for key in keys {
-            let state = self.cancel_here(now, &key, out);
+            let state = self.cancel_local(now, &key, out);
             if state == CancelState::Unknown {
-                self.pass_cancel(&key, out);
+                self.forward_cancel(&key, out);
             }
             states.push((key, state));
         }
         out.push(Output::Reply(waiter, Reply::Cancelled(states)));
     }
 
-    pub(crate) fn cancel_here(
+    /// Cancels the job of a key at this entry, and forwards the cancellation to the process that the job waits for.
+    pub(crate) fn cancel_local(
         &mut self,
         now: Time,
         key: &Key,
@@ -38,14 +39,14 @@
         if self.replicas.values().any(|r| r.decided(key).is_some()) {
             return CancelState::Ended;
         }
-        let Some(id) = self.by_key.get(key).copied() else {
+        let Some(id) = self.submissions.get(key).copied() else {
             return CancelState::Unknown;
         };
         let job = &mut self.jobs[id];
         job.cancelled = true;
         match &job.phase {
             Phase::Running(_) => {
-                let outcome = cancelled(job);
+                let outcome = cancelled_outcome(job);
                 self.end_job(now, id, outcome, out);
             }
             Phase::Watching(holder) => {
@@ -56,16 +57,16 @@
                 let msg = PeerMsg::Relay(RelayMsg::Cancel(key.clone()));
                 out.push(Output::Send(relay.via, msg));
             }
-            // Won claims look at `cancelled` before they start anything.
+            // `cancelled` is checked when the claim is won, before anything starts.
             Phase::Voting(_) => {}
             Phase::Deciding(_) | Phase::Settling(_) => return CancelState::Ended,
-            Phase::Inspecting(_) | Phase::Moving => return CancelState::Unknown,
+            Phase::Inspecting(_) | Phase::Transition => return CancelState::Unknown,
         }
         CancelState::Cancelling
     }
 
-    /// Passes a cancel to the entries of the key's home that may hold it.
-    fn pass_cancel(&mut self, key: &Key, out: &mut Vec<Output>) {
+    /// Forwards a cancellation to the entries of the key's home, any of which may hold the claim.
+    fn forward_cancel(&mut self, key: &Key, out: &mut Vec<Output>) {
         let Some(home) = self.homes.home(key) else {
             return;
         };
--- a/crates/celerywinch_entry/src/claims.rs
+++ b/crates/celerywinch_entry/src/claims.rs
@@ -1,4 +1,4 @@
-//! Messages about claims: as a replica, and as the one that asks.
+//! Messages about claims: the replies of the local replicas, and the proposer's side of the vote and of the outcome.
 
 use celerywinch_claims::{Progress, Promise, Rejection, Replica, Verdict};
 use celerywinch_dispatch::JobId;
@@ -7,13 +7,14 @@
 };
 
 use crate::job::Phase;
-use crate::submit::outcome_unknown;
+use crate::submit::unknown_outcome;
 use crate::{Entry, Event, Output, Reply};
 
-/// The most keys told of in one message.
-const DECIDED_MOST: usize = 4096;
+/// Largest number of keys in one message about decided keys.
+const MAX_DECIDED_KEYS: usize = 4096;
 
 impl Entry {
+    /// Handles a message about claims, as a replica or as a proposer.
     pub(crate) fn claim_msg(
         &mut self,
         now: Time,
@@ -22,7 +23,7 @@
         out: &mut Vec<Output>,
     ) {
         match msg {
-            ClaimMsg::Decided(keys) => self.learn(&keys),
+            ClaimMsg::Decided(keys) => self.learn_decided(&keys),
             ClaimMsg::Reply(reply) => self.claim_reply(now, from, reply, out),
             request => {
                 if let Some(reply) = self.replica_reply(now, request) {
@@ -33,12 +34,13 @@
         }
     }
 
+    /// Returns the local replica of a key, if there is one.
     pub(crate) fn replica(&mut self, key: &Key) -> Option<&mut Replica> {
         let home = self.homes.home(key)?;
         self.replicas.get_mut(&home)
     }
 
-    fn learn(&mut self, keys: &[(Key, Ballot)]) {
+    fn learn_decided(&mut self, keys: &[(Key, Ballot)]) {
         for (key, ballot) in keys {
             if let Some(replica) = self.replica(key) {
                 replica.learn(key, *ballot);
@@ -46,7 +48,7 @@
         }
     }
 
-    /// What the replica here replies to a request; none if there is no replica of the key here.
+    /// Returns the local replica's reply to a request, or `None` if there is no replica of the key here.
     pub(crate) fn replica_reply(&mut self, now: Time, msg: ClaimMsg) -> Option<ClaimReply> {
         let wall = self.wall(now);
         match msg {
@@ -84,20 +86,20 @@
         }
     }
 
-    /// Asks all replicas that have not answered for their vote, the own one first.
-    pub(crate) fn ask_votes(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
+    /// Requests the votes of all replicas that have not answered, the local one first.
+    pub(crate) fn request_votes(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(Phase::Voting(claim)) = self.jobs.get(id).map(|job| &job.phase) else {
             return;
         };
         let (key, digest, holder) = (claim.key().clone(), claim.digest(), claim.holder());
-        let silent: Vec<_> = claim.unanswered().collect();
+        let unanswered: Vec<_> = claim.unanswered().collect();
         let vote = || ClaimMsg::Vote {
             key: key.clone(),
             digest,
             holder,
         };
         let me = self.me();
-        if silent.contains(&me)
+        if unanswered.contains(&me)
             && let Some(reply) = self.replica_reply(now, vote())
         {
             self.claim_reply(now, me, reply, out);
@@ -108,7 +110,7 @@
         ) {
             return;
         }
-        for peer in silent.into_iter().filter(|peer| *peer != me) {
+        for peer in unanswered.into_iter().filter(|peer| *peer != me) {
             out.push(Output::Send(peer, PeerMsg::Claim(vote())));
         }
     }
@@ -122,7 +124,7 @@
     ) {
         match reply {
             ClaimReply::Voted { key, holder, grant } => {
-                if let Some(id) = self.by_key.get(&key).copied() {
+                if let Some(id) = self.submissions.get(&key).copied() {
                     self.voted(now, id, from, (holder, grant), out);
                 }
             }
@@ -138,12 +140,12 @@
                     digest,
                     accepted,
                 };
-                for id in self.jobs_of(&key) {
+                for id in self.jobs_for_key(&key) {
                     self.promised(now, id, from, ballot, promise.clone(), out);
                 }
             }
             ClaimReply::Accepted { key, ballot } => {
-                for id in self.jobs_of(&key) {
+                for id in self.jobs_for_key(&key) {
                     self.accepted(id, from, ballot, out);
                 }
             }
@@ -152,8 +154,8 @@
                 ballot,
                 promised,
             } => {
-                for id in self.jobs_of(&key) {
-                    self.outbid(now, id, ballot, promised);
+                for id in self.jobs_for_key(&key) {
+                    self.preempted(now, id, ballot, promised);
                 }
             }
             ClaimReply::Found {
@@ -164,16 +166,16 @@
                 settling,
             } => self.found(now, from, &key, (vote, digest, decided, settling), out),
             ClaimReply::Abstained { key } => {
-                for id in self.jobs_of(&key) {
+                for id in self.jobs_for_key(&key) {
                     self.abstained(now, id, from, out);
                 }
             }
         }
     }
 
-    /// The submission and the lookup of a key that are open here.
-    pub(crate) fn jobs_of(&self, key: &Key) -> Vec<JobId> {
-        let maps = [self.by_key.get(key), self.lookups.get(key)];
+    /// Returns the open submission and the open lookup of a key.
+    pub(crate) fn jobs_for_key(&self, key: &Key) -> Vec<JobId> {
+        let maps = [self.submissions.get(key), self.lookups.get(key)];
         maps.into_iter().flatten().copied().collect()
     }
 
@@ -190,62 +192,63 @@
         let Some(Phase::Voting(claim)) = self.jobs.get_mut(id).map(|job| &mut job.phase) else {
             return;
         };
-        // A late vote for an earlier attempt is no vote for this one.
+        // The vote of an earlier attempt does not count for this one.
         if claim.holder() != holder {
             return;
         }
         match claim.answer(from, grant) {
-            Progress::Pending if granted && from != self.me() => self.ask_votes(now, id, out),
+            Progress::Pending if granted && from != self.me() => self.request_votes(now, id, out),
             Progress::Pending => {}
-            Progress::Done(verdict) => self.vote_over(now, id, verdict, out),
+            Progress::Done(verdict) => self.vote_finished(now, id, verdict, out),
         }
     }
 
-    fn vote_over(&mut self, now: Time, id: JobId, verdict: Verdict, out: &mut Vec<Output>) {
+    /// Continues a job according to the result of the vote.
+    fn vote_finished(&mut self, now: Time, id: JobId, verdict: Verdict, out: &mut Vec<Output>) {
         let key = self.jobs[id].key.clone();
         match verdict {
             Verdict::Won => self.claim_won(now, id, out),
             Verdict::Decided(outcome) => {
                 self.abandon(id);
-                self.conclude(id, &outcome, out);
+                self.complete_job(id, &outcome, out);
             }
             Verdict::Lost(holder) => {
                 self.abandon(id);
                 out.push(Output::Event(Event::ClaimLost { key, holder }));
-                self.watch(now, id, holder, out);
+                self.watch_holder(now, id, holder, out);
             }
             Verdict::Settling => {
                 self.abandon(id);
-                self.settle(now, id, Ballot::default(), out);
+                self.start_settling(now, id, Ballot::default(), out);
             }
-            Verdict::Conflict => self.reply_and_forget(id, &Reply::Conflict, out),
-            Verdict::TooNew => self.reply_and_forget(id, &Reply::TooNew, out),
+            Verdict::Conflict => self.reply_and_discard(id, &Reply::Conflict, out),
+            Verdict::TooNew => self.reply_and_discard(id, &Reply::TooNew, out),
             Verdict::TooOld => {
-                self.reply_and_forget(id, &Reply::Outcome(outcome_unknown()), out);
+                self.reply_and_discard(id, &Reply::Outcome(unknown_outcome()), out);
             }
             Verdict::NoQuorum => {
-                let detail = "too few replicas can vote on this key at present";
-                self.undecided(id, detail, out);
+                let detail = "too few replicas can vote on this key now";
+                self.reply_undecided(id, detail, out);
             }
         }
     }
 
-    /// Ends a job whose reply is not an agreed outcome.
-    pub(crate) fn reply_and_forget(&mut self, id: JobId, reply: &Reply, out: &mut Vec<Output>) {
+    /// Replies to the waiters of a job without an agreed outcome, and discards the job.
+    pub(crate) fn reply_and_discard(&mut self, id: JobId, reply: &Reply, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let (key, digest) = (job.key.clone(), job.digest);
         for waiter in std::mem::take(&mut job.waiters) {
-            self.tell(waiter, &key, digest, reply.clone(), out);
+            self.send_reply(waiter, &key, digest, reply.clone(), out);
         }
         self.abandon(id);
-        self.forget(id);
+        self.discard(id);
     }
 
     fn claim_won(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let job = &mut self.jobs[id];
-        let Phase::Voting(claim) = std::mem::replace(&mut job.phase, Phase::Moving) else {
+        let Phase::Voting(claim) = std::mem::replace(&mut job.phase, Phase::Transition) else {
             return;
         };
         match claim.into_held() {
@@ -258,30 +261,36 @@
         out.push(Output::Event(Event::Claimed {
             key: job.key.clone(),
         }));
-        self.start_work(now, id, out);
+        self.admit_job(now, id, out);
     }
 
-    /// Proposes an outcome under the claim; only the holder comes here.
-    pub(crate) fn decide(&mut self, now: Time, id: JobId, outcome: Outcome, out: &mut Vec<Output>) {
+    /// Proposes an outcome as the holder of the claim. Has no effect on a job that is not running.
+    pub(crate) fn propose(
+        &mut self,
+        now: Time,
+        id: JobId,
+        outcome: Outcome,
+        out: &mut Vec<Output>,
+    ) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let phase = std::mem::replace(&mut job.phase, Phase::Moving);
+        let phase = std::mem::replace(&mut job.phase, Phase::Transition);
         let Phase::Running(claim) = phase else {
             job.phase = phase;
             return;
         };
         job.phase = Phase::Deciding(claim.decide(outcome));
         self.dispatch.drop_job(id);
-        self.ask_accept(now, id, out);
+        self.request_accepts(now, id, out);
     }
 
-    /// Asks the replicas that have not accepted the outcome to do so, the own one first.
-    pub(crate) fn ask_accept(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
+    /// Requests the replicas that have not accepted the outcome to accept it.
+    pub(crate) fn request_accepts(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(Phase::Deciding(claim)) = self.jobs.get(id).map(|job| &job.phase) else {
             return;
         };
-        let silent: Vec<_> = claim.unanswered().collect();
+        let unanswered: Vec<_> = claim.unanswered().collect();
         let (key, digest, ballot) = (claim.key().clone(), claim.digest(), claim.ballot());
         let outcome = claim.outcome().clone();
         let accept = || ClaimMsg::Accept {
@@ -290,13 +299,13 @@
             ballot,
             outcome: outcome.clone(),
         };
-        self.schedule_resend(now, id, crate::submit::RESEND);
+        self.schedule_resend(now, id, crate::submit::RESEND_DELAY);
         let me = self.me();
-        // The others first: their round trip runs while the own replica accepts.
-        for peer in silent.iter().filter(|peer| **peer != me) {
+        // The others come first, so that their round trip overlaps with the acceptance by the local replica.
+        for peer in unanswered.iter().filter(|peer| **peer != me) {
             out.push(Output::Send(*peer, PeerMsg::Claim(accept())));
         }
-        if silent.contains(&me)
+        if unanswered.contains(&me)
             && let Some(reply) = self.replica_reply(now, accept())
         {
             self.claim_reply(now, me, reply, out);
@@ -313,7 +322,7 @@
         let (key, group) = (claim.key().clone(), claim.group().clone());
         let digest = claim.digest();
         for member in group.members() {
-            self.decided
+            self.unsent_decisions
                 .entry(*member)
                 .or_default()
                 .push((key.clone(), ballot));
@@ -321,47 +330,47 @@
         if let Some(replica) = self.replica(&key) {
             replica.learn(&key, ballot);
         }
-        self.conflict_if_other(id, digest, out);
-        self.conclude(id, &outcome, out);
+        self.check_conflict(id, digest, out);
+        self.complete_job(id, &outcome, out);
     }
 
-    /// Tells replicas which keys are decided, many in one message.
-    pub(crate) fn tell_decided(&mut self, out: &mut Vec<Output>) {
+    /// Notifies the replicas of decided keys, many in one message.
+    pub(crate) fn send_decided(&mut self, out: &mut Vec<Output>) {
         let me = self.me();
-        for (peer, keys) in std::mem::take(&mut self.decided) {
+        for (peer, keys) in std::mem::take(&mut self.unsent_decisions) {
             if peer == me {
                 continue;
             }
-            for part in keys.chunks(DECIDED_MOST) {
-                let msg = PeerMsg::Claim(ClaimMsg::Decided(part.to_vec()));
+            for chunk in keys.chunks(MAX_DECIDED_KEYS) {
+                let msg = PeerMsg::Claim(ClaimMsg::Decided(chunk.to_vec()));
                 out.push(Output::Send(peer, msg));
             }
         }
     }
 
-    /// Sends again what may have been lost.
+    /// Sends again the messages of a job's phase, which may have been lost.
     pub(crate) fn resend(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        // A later phase has a later timer of its own.
-        if job.resend > now {
+        // The phase that follows has scheduled a later timer of its own.
+        if job.resend_at > now {
             return;
         }
         match &job.phase {
             Phase::Voting(_) => {
-                self.schedule_resend(now, id, crate::submit::RESEND);
-                self.ask_votes(now, id, out);
+                self.schedule_resend(now, id, crate::submit::RESEND_DELAY);
+                self.request_votes(now, id, out);
             }
-            Phase::Deciding(_) => self.ask_accept(now, id, out),
-            Phase::Settling(_) => self.settle_again(now, id, out),
+            Phase::Deciding(_) => self.request_accepts(now, id, out),
+            Phase::Settling(_) => self.restart_settling(now, id, out),
             Phase::Watching(holder) => {
                 let holder = *holder;
-                self.watch(now, id, holder, out);
+                self.watch_holder(now, id, holder, out);
             }
             Phase::Inspecting(_) => self.inspect(now, id, out),
-            Phase::Relayed(_) => self.relay_again(now, id, out),
-            Phase::Running(_) | Phase::Moving => {}
+            Phase::Relayed(_) => self.send_relayed(now, id, out),
+            Phase::Running(_) | Phase::Transition => {}
         }
     }
 }
@@ -375,19 +384,19 @@
             digest: promise.digest,
             accepted: promise.accepted,
         },
-        Err(refused) => refusal_reply(key, ballot, refused),
+        Err(rejection) => rejection_reply(key, ballot, rejection),
     }
 }
 
 fn accept_reply(key: Key, ballot: Ballot, accepted: Result<(), Rejection>) -> ClaimReply {
     match accepted {
         Ok(()) => ClaimReply::Accepted { key, ballot },
-        Err(refused) => refusal_reply(key, ballot, refused),
+        Err(rejection) => rejection_reply(key, ballot, rejection),
     }
 }
 
-fn refusal_reply(key: Key, ballot: Ballot, refused: Rejection) -> ClaimReply {
-    match refused {
+fn rejection_reply(key: Key, ballot: Ballot, rejection: Rejection) -> ClaimReply {
+    match rejection {
         Rejection::Preempted(promised) => ClaimReply::Preempted {
             key,
             ballot,
--- a/crates/celerywinch_entry/src/entry.rs
+++ b/crates/celerywinch_entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! The state and the way of each input.
+//! The state of an entry, and the dispatch of its inputs and timers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -15,51 +15,51 @@
 use rand_chacha::ChaCha8Rng;
 use slotmap::SlotMap;
 
-use crate::catalogues::Holding;
+use crate::catalogues::CatalogueState;
 use crate::job::{Job, Phase, Waiter};
-use crate::tasks::OpenCall;
+use crate::tasks::PendingCall;
 use crate::{CallId, Config, Event, Input, Invariant, Output, Reply};
 
-/// Between two rounds of housekeeping.
-const HOUSEKEEPING: Duration = Duration::from_millis(20);
-/// Between two messages about decided keys to a replica.
-const DECIDED_EVERY: Duration = Duration::from_millis(50);
-/// The most records a replica forgets in one round of housekeeping.
-const EXPIRE_MOST: usize = 2000;
+/// Interval between rounds of housekeeping.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between messages about decided keys to a replica.
+const DECIDED_INTERVAL: Duration = Duration::from_millis(50);
+/// Largest number of records that a replica removes in one round of housekeeping.
+const MAX_EXPIRED: usize = 2000;
 
-/// What a timer of a job is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Timer {
-    /// The deadline is about to pass.
+    /// The deadline of a job is about to pass.
     Deadline(JobId),
-    /// Messages may have been lost.
+    /// The messages of a job are sent again, as they may have been lost.
     Resend(JobId),
-    /// Regular work.
+    /// Periodic work.
     Housekeeping,
-    /// Replicas are told which keys are decided.
+    /// Replicas are notified of decided keys.
     Decided,
 }
 
 /// Figures for status pages and metrics.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// Jobs without an outcome.
+    /// The number of jobs without an outcome.
     pub open_jobs: usize,
-    /// Tasks that wait for a slot.
+    /// The number of tasks that wait for a slot.
     pub queued_tasks: usize,
-    /// Endpoints known.
+    /// The number of serving endpoints.
     pub endpoints: usize,
-    /// Endpoints set aside or on probation.
+    /// The number of endpoints that are quarantined or on probation.
     pub suspended: usize,
-    /// Keys remembered by the replicas here.
+    /// The number of keys recorded by the local replicas.
     pub claim_records: usize,
-    /// Version of the catalogue in force.
+    /// The version of the catalogue in force.
     pub catalogue_version: u64,
-    /// Whether this entry may serve by it.
+    /// Whether this entry may serve by that catalogue.
     pub current: bool,
     /// Whether a planned stop is under way.
     pub stopping: bool,
-    /// Assertions that failed.
+    /// The number of assertions that failed.
     pub violations: u64,
 }
 
@@ -69,73 +69,73 @@
     pub(crate) config: Config,
     pub(crate) homes: Homes,
     pub(crate) catalogue: Arc<Catalogue>,
-    pub(crate) holding: Holding,
+    pub(crate) catalogue_state: CatalogueState,
     pub(crate) replicas: BTreeMap<DataCentreId, Replica>,
     pub(crate) peers: Peers,
     pub(crate) endpoints: Endpoints,
     pub(crate) dispatch: Dispatch,
     pub(crate) jobs: SlotMap<JobId, Job>,
-    /// Open submissions.
-    pub(crate) by_key: HashMap<Key, JobId>,
-    /// Open lookups; apart, for they have no tasks that a submission could join.
+    /// The jobs of open submissions, by key.
+    pub(crate) submissions: HashMap<Key, JobId>,
+    /// The jobs of open lookups. They are kept apart, because they have no tasks that a submission could join.
     pub(crate) lookups: HashMap<Key, JobId>,
-    pub(crate) calls: HashMap<CallId, OpenCall>,
+    pub(crate) calls: HashMap<CallId, PendingCall>,
     pub(crate) next_call: u64,
     pub(crate) timers: TimerQueue<Timer>,
-    pub(crate) decided: BTreeMap<InstanceId, Vec<(Key, Ballot)>>,
+    pub(crate) unsent_decisions: BTreeMap<InstanceId, Vec<(Key, Ballot)>>,
     pub(crate) stopping: bool,
-    pub(crate) beats: u64,
-    pub(crate) renewed: Time,
-    pub(crate) borrowed: Time,
-    pub(crate) settling: u32,
+    pub(crate) heartbeat_sequence: u64,
+    pub(crate) last_renewals: Time,
+    pub(crate) last_borrow: Time,
+    pub(crate) settle_round: u32,
     pub(crate) attempts: u64,
     pub(crate) violations: u64,
-    pub(crate) random: ChaCha8Rng,
-    started: Time,
+    pub(crate) rng: ChaCha8Rng,
+    started_at: Time,
 }
 
 impl Entry {
-    /// Starts an incarnation at `now`.
+    /// Creates the entry of an incarnation that starts at `now`.
     #[must_use]
     pub fn new(config: Config, now: Time) -> Self {
         let homes = Homes::new(&config.instances);
         let me = config.me.instance;
-        let replica = |dc| (dc, Replica::new(config.limits, config.wall));
+        let replica = |dc| (dc, Replica::new(config.limits, config.start_wall));
         let replicas = homes.memberships(me).map(replica).collect();
         let others = config.instances.iter().filter(|(id, ..)| *id != me);
         let others = others.map(|(id, dc, _)| (*id, *dc));
         let mut timers = TimerQueue::default();
         timers.subscribe(now, Timer::Housekeeping);
-        timers.subscribe(now + DECIDED_EVERY, Timer::Decided);
+        timers.subscribe(now + DECIDED_INTERVAL, Timer::Decided);
         Self {
             peers: Peers::new(config.dc, config.detector, others),
             dispatch: Dispatch::new(me, config.policy, config.seed),
-            random: ChaCha8Rng::seed_from_u64(config.seed),
+            rng: ChaCha8Rng::seed_from_u64(config.seed),
             homes,
             replicas,
             timers,
             config,
             catalogue: Arc::new(Catalogue::default()),
-            holding: Holding::default(),
+            catalogue_state: CatalogueState::default(),
             endpoints: Endpoints::default(),
             jobs: SlotMap::with_key(),
-            by_key: HashMap::new(),
+            submissions: HashMap::new(),
             lookups: HashMap::new(),
             calls: HashMap::new(),
             next_call: 0,
-            decided: BTreeMap::new(),
+            unsent_decisions: BTreeMap::new(),
             stopping: false,
-            beats: 0,
-            renewed: now,
-            borrowed: now,
-            settling: 0,
+            heartbeat_sequence: 0,
+            last_renewals: now,
+            last_borrow: now,
+            settle_round: 0,
             attempts: 0,
             violations: 0,
-            started: now,
+            started_at: now,
         }
     }
 
-    /// Takes an input and appends what the host is to do.
+    /// Processes an input and appends the outputs that the host has to carry out.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Submit(id, submission) => {
@@ -143,30 +143,30 @@
             }
             Input::Lookup(id, key) => self.lookup(now, Waiter::Caller(id), key, out),
             Input::Cancel(id, keys) => self.cancel(now, id, keys, out),
-            Input::PeerMessage(from, msg) => self.peer(now, from, msg, out),
-            Input::ConnectionRefused(id) => self.peer_gone(now, id, out),
-            Input::Announce(note) => self.announce(now, note, out),
+            Input::PeerMessage(from, msg) => self.peer_msg(now, from, msg, out),
+            Input::ConnectionRefused(id) => self.connection_refused(now, id, out),
+            Input::Announce(announcement) => self.announce(now, announcement, out),
             Input::CallEnded(id, end) => self.call_ended(now, id, end, out),
-            Input::InitialCatalogue(catalogue) => self.start_catalogue(catalogue, out),
+            Input::InitialCatalogue(catalogue) => self.initial_catalogue(catalogue, out),
             Input::CatalogueCommitted(catalogue, leads) => {
-                self.committed(now, catalogue, leads, out)
+                self.catalogue_committed(now, catalogue, leads, out)
             }
-            Input::CatalogueSaved(version) => self.saved(now, version, out),
+            Input::CatalogueSaved(version) => self.catalogue_saved(now, version, out),
             Input::Stop => self.stop(out),
             Input::Tick => {}
         }
         self.run_timers(now, out);
-        self.pump(now, out);
+        self.start_queued(now, out);
         self.borrow_slots(now, out);
     }
 
-    /// When the next [`Input::Tick`] is of use at the latest.
+    /// Returns the latest time at which the next [`Input::Tick`] is needed.
     #[must_use]
     pub fn next_due(&self) -> Option<Time> {
         self.timers.next_due()
     }
 
-    /// Figures for status pages and metrics.
+    /// Returns the figures for status pages and metrics.
     #[must_use]
     pub fn status(&self) -> Status {
         let (endpoints, suspended) = self.dispatch.endpoint_counts();
@@ -177,25 +177,25 @@
             suspended,
             claim_records: self.replicas.values().map(Replica::len).sum(),
             catalogue_version: self.catalogue.version(),
-            current: self.holding.current,
+            current: self.catalogue_state.current,
             stopping: self.stopping,
             violations: self.violations,
         }
     }
 
-    /// The other instances, for status pages.
+    /// Returns the other instances, for status pages.
     #[must_use]
     pub fn peers(&self) -> &Peers {
         &self.peers
     }
 
-    /// The endpoints known, for status pages.
+    /// Returns the known endpoints, for status pages.
     #[must_use]
     pub fn endpoints(&self) -> &Endpoints {
         &self.endpoints
     }
 
-    /// The catalogue in force.
+    /// Returns the catalogue in force.
     #[must_use]
     pub fn catalogue(&self) -> &Arc<Catalogue> {
         &self.catalogue
@@ -204,27 +204,27 @@
     /// Whether this entry may serve by the catalogue in force.
     #[must_use]
     pub fn is_current(&self) -> bool {
-        self.holding.current
+        self.catalogue_state.current
     }
 
-    /// Whether a planned stop has nothing left to wait for.
+    /// Whether a planned stop is under way and no job or call is left.
     #[must_use]
     pub fn is_drained(&self) -> bool {
         self.stopping && self.jobs.is_empty() && self.calls.is_empty()
     }
 
-    /// The wall clock, which does not jump while the process lives.
+    /// Returns the wall-clock time. It is derived from the monotonic clock and does not jump while the process runs.
     pub(crate) fn wall(&self, now: Time) -> WallMs {
-        let passed = now.since(self.started).as_millis();
+        let passed = now.since(self.started_at).as_millis();
         let passed = u64::try_from(passed).unwrap_or(u64::MAX);
-        WallMs(self.config.wall.0.saturating_add(passed))
+        WallMs(self.config.start_wall.0.saturating_add(passed))
     }
 
     pub(crate) fn me(&self) -> InstanceId {
         self.config.me.instance
     }
 
-    /// Notes that an assertion failed, or does nothing if it holds.
+    /// Records a violation of an invariant if `holds` is false.
     pub(crate) fn assert(
         &mut self,
         holds: bool,
@@ -240,6 +240,7 @@
         out.push(Output::Event(Event::Violation { invariant, detail }));
     }
 
+    /// Begins a planned stop.
     fn stop(&mut self, out: &mut Vec<Output>) {
         self.stopping = true;
         let open = u32::try_from(self.jobs.len()).unwrap_or(u32::MAX);
@@ -249,43 +250,44 @@
             out.push(Output::Send(peer, PeerMsg::Member(MemberMsg::Leave)));
         }
         self.refresh_owners();
-        self.tell_decided(out);
+        self.send_decided(out);
     }
 
     fn run_timers(&mut self, now: Time, out: &mut Vec<Output>) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
-                Timer::Deadline(id) => self.deadline(now, id, out),
+                Timer::Deadline(id) => self.deadline_passed(now, id, out),
                 Timer::Resend(id) => self.resend(now, id, out),
                 Timer::Housekeeping => {
                     self.housekeeping(now, out);
                     self.timers
-                        .subscribe(now + HOUSEKEEPING, Timer::Housekeeping);
+                        .subscribe(now + HOUSEKEEPING_INTERVAL, Timer::Housekeeping);
                 }
                 Timer::Decided => {
-                    self.tell_decided(out);
-                    self.timers.subscribe(now + DECIDED_EVERY, Timer::Decided);
+                    self.send_decided(out);
+                    self.timers
+                        .subscribe(now + DECIDED_INTERVAL, Timer::Decided);
                 }
             }
         }
     }
 
     fn housekeeping(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.watch_members(now, out);
+        self.tick_members(now, out);
         let wall = self.wall(now);
         for replica in self.replicas.values_mut() {
-            replica.expire(wall, EXPIRE_MOST);
+            replica.expire(wall, MAX_EXPIRED);
         }
         for job in self.dispatch.infeasible_jobs(now) {
-            self.give_up(now, job, out);
+            self.end_infeasible(now, job, out);
         }
-        self.trade_slots(now, out);
-        self.tend_catalogue(now, out);
+        self.tick_slots(now, out);
+        self.tick_catalogue(now, out);
     }
 
-    /// Answers everyone who waits for a job and forgets it.
-    pub(crate) fn conclude(&mut self, id: JobId, outcome: &Outcome, out: &mut Vec<Output>) {
-        let Some(job) = self.remove(id) else {
+    /// Removes a job and replies to all of its waiters with the outcome.
+    pub(crate) fn complete_job(&mut self, id: JobId, outcome: &Outcome, out: &mut Vec<Output>) {
+        let Some(job) = self.remove_job(id) else {
             return;
         };
         self.check_outcome(&job, outcome, out);
@@ -300,7 +302,7 @@
             detail,
         }));
         for waiter in &job.waiters {
-            self.tell(
+            self.send_reply(
                 *waiter,
                 &job.key,
                 job.digest,
@@ -310,15 +312,16 @@
         }
     }
 
+    /// Checks the invariants of an outcome.
     fn check_outcome(&mut self, job: &Job, outcome: &Outcome, out: &mut Vec<Output>) {
-        let ours = !job.tasks.is_empty() && !matches!(job.phase, Phase::Relayed(_));
+        let local = !job.tasks.is_empty() && !matches!(job.phase, Phase::Relayed(_));
         let detail = || format!("key {}", job.key);
         match outcome {
             Outcome::Answer(results) if !job.bodies.is_empty() => {
-                let whole = results.len() == job.bodies.len();
-                self.assert(whole, Invariant::WholeAnswer, detail, out);
+                let complete = results.len() == job.bodies.len();
+                self.assert(complete, Invariant::WholeAnswer, detail, out);
             }
-            Outcome::Refusal(_) if ours => {
+            Outcome::Refusal(_) if local => {
                 self.assert(!job.started(), Invariant::TrueRefusal, detail, out);
             }
             Outcome::Answer(_) | Outcome::Failure(_) | Outcome::Refusal(_) => {}
