--- a/crates/celerywinch_node/src/http/callers.rs
+++ b/crates/celerywinch_node/src/http/callers.rs
@@ -49,7 +49,7 @@
     };
     let key = submission.key.clone();
     let reply = shared
-        .request(|sender| CoreMsg::Submit(submission, sender))
+        .call_core(|sender| CoreMsg::Submit(submission, sender))
         .await;
     respond(&key, reply)
 }
@@ -66,7 +66,7 @@
     };
     let lookup_key = key.clone();
     let reply = shared
-        .request(|sender| CoreMsg::Lookup(lookup_key, sender))
+        .call_core(|sender| CoreMsg::Lookup(lookup_key, sender))
         .await;
     respond(&key, reply)
 }
@@ -97,23 +97,23 @@
         Ok(body) => body,
         Err(problem) => return problem.response(),
     };
-    let request: CancelRequest = match serde_json::from_slice(&body) {
-        Ok(request) => request,
+    let cancel_request: CancelRequest = match serde_json::from_slice(&body) {
+        Ok(cancel_request) => cancel_request,
         Err(error) => {
             let problem = Problem::new(400, "body", "bad body").field("keys");
             return problem.detail(&error.to_string()).response();
         }
     };
-    if request.keys.len() > MAX_CANCEL_KEYS {
+    if cancel_request.keys.len() > MAX_CANCEL_KEYS {
         let problem = Problem::new(400, "body", "too many keys").field("keys");
         let detail = format!(
             "found {}, wanted at most {MAX_CANCEL_KEYS}",
-            request.keys.len()
+            cancel_request.keys.len()
         );
         return problem.detail(&detail).response();
     }
     let reply = shared
-        .request(|sender| CoreMsg::Cancel(request.keys, sender))
+        .call_core(|sender| CoreMsg::Cancel(cancel_request.keys, sender))
         .await;
     let Some(Reply::Cancelled(states)) = reply else {
         return Problem::internal().response();
--- a/crates/celerywinch_node/src/http/operators.rs
+++ b/crates/celerywinch_node/src/http/operators.rs
@@ -52,7 +52,7 @@
     if !authorised(&request, &shared) {
         return unauthorised();
     }
-    match shared.request(CoreMsg::Status).await {
+    match shared.call_core(CoreMsg::Status).await {
         Some(page) => HttpResponse::Ok().json(&page),
         None => Problem::new(503, "stopping", "this entry is stopping").response(),
     }
@@ -125,7 +125,7 @@
     if !authorised(&request, &shared) {
         return unauthorised();
     }
-    let Some(page) = shared.request(CoreMsg::Status).await else {
+    let Some(page) = shared.call_core(CoreMsg::Status).await else {
         return Problem::new(503, "stopping", "this entry is stopping").response();
     };
     let mut versions: Vec<_> = page
--- a/crates/celerywinch_node/src/node.rs
+++ b/crates/celerywinch_node/src/node.rs
@@ -241,8 +241,9 @@
     };
     let keepers = keepers(settings);
     if let (true, Some(document)) = (keepers.is_empty(), document.clone()) {
-        let catalogue = Catalogue::check(1, document)
-            .map_err(|problems| anyhow::anyhow!("catalogue: invalid: {problems:?}"))?;
+        let catalogue = Catalogue::check(1, document).map_err(|problems| {
+            anyhow::anyhow!("catalogue: invalid first catalogue: {problems:?}")
+        })?;
         let msg = CoreMsg::Input(Input::InitialCatalogue(Arc::new(catalogue)));
         shared
             .core
--- a/crates/celerywinch_node/src/shared.rs
+++ b/crates/celerywinch_node/src/shared.rs
@@ -146,7 +146,7 @@
     }
 
     /// Sends the core a request and waits for the reply; `None` if the core has ended.
-    pub(crate) async fn request<T>(
+    pub(crate) async fn call_core<T>(
         self: &Arc<Self>,
         message: impl FnOnce(oneshot::Sender<T>) -> CoreMsg,
     ) -> Option<T> {
