--- a/crates/celerywinch_bench/src/soak/store.rs
+++ b/crates/celerywinch_bench/src/soak/store.rs
@@ -7,7 +7,9 @@
 
 use celerywinch_catalogue::{Applied, ApplyError, Document, Edit, TeamEntry};
 use celerywinch_keeper::{Keeper, KeeperOutput, ProposalId, Proposer, ProposerOutput, StoreMsg};
-use celerywinch_store::{Entry, Input, KeeperId, Loaded, Output, RaftConfig, RaftMsg, Snapshot};
+use celerywinch_store::{
+    Entry, Input, KeeperId, Output, PersistedState, RaftConfig, RaftMsg, Snapshot,
+};
 use celerywinch_types::{InstanceId, Time};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -173,18 +175,18 @@
                 disk: disk.identity,
             },
             instances,
-            forms: true,
-            voters: usize::MAX,
-            heartbeat: Duration::from_millis(75),
-            election: Duration::from_millis(300),
+            bootstrap: true,
+            max_voters: usize::MAX,
+            heartbeat_interval: Duration::from_millis(75),
+            election_timeout: Duration::from_millis(300),
             compact_after: COMPACT_AFTER,
             seed,
         };
-        let loaded = Loaded {
+        let loaded = PersistedState {
             vote: disk.vote,
             snapshot: disk.snapshot.clone(),
             entries: disk.entries.clone(),
-            torn: 0,
+            torn_bytes: 0,
         };
         match Keeper::new(config, self.now, loaded) {
             Ok(keeper) => self.nodes[index].keeper = Some(keeper),
@@ -230,7 +232,7 @@
             writes += usize::from(self.keeper_output(index, output));
         }
         if writes > 0 {
-            self.input(index, Input::Written(writes));
+            self.input(index, Input::Synced(writes));
         }
     }
 
@@ -242,7 +244,7 @@
             KeeperOutput::Log(Output::Truncate(from)) => {
                 disk.entries.retain(|entry| entry.index < from);
             }
-            KeeperOutput::Log(Output::Persist(entries)) => {
+            KeeperOutput::Log(Output::PersistEntries(entries)) => {
                 disk.entries.extend(entries);
             }
             KeeperOutput::Log(Output::PersistSnapshot(snapshot)) => {
@@ -256,7 +258,7 @@
             }
             KeeperOutput::Log(_) => return false,
             KeeperOutput::Answer(to, id, answer) => {
-                self.send(index, to, StoreMsg::Answered { id, answer });
+                self.send(index, to, StoreMsg::ProposalAnswer { id, answer });
                 return false;
             }
             KeeperOutput::Committed {
@@ -273,7 +275,7 @@
         let Some(keeper) = &self.nodes[index].keeper else {
             return;
         };
-        match keeper.wrap(to, disk, msg) {
+        match keeper.encode_message(to, disk, msg) {
             Ok(msg) => self.send(index, to, msg),
             Err(error) => self.report.violations.push(format!("{error:#}")),
         }
@@ -309,7 +311,7 @@
         match msg {
             StoreMsg::Log(bytes) => {
                 if let Some(keeper) = &mut self.nodes[index].keeper
-                    && let Err(error) = keeper.unwrap(now, &bytes, &mut out)
+                    && let Err(error) = keeper.handle_encoded(now, &bytes, &mut out)
                 {
                     self.report.violations.push(format!("{error:#}"));
                 }
@@ -319,10 +321,10 @@
                     keeper.propose(now, from, id, edit, &mut out);
                 }
             }
-            StoreMsg::Answered { id, answer } => {
+            StoreMsg::ProposalAnswer { id, answer } => {
                 let mut done = Vec::new();
                 if let Some(proposer) = &mut self.nodes[index].proposer {
-                    proposer.answered(now, from, id, answer, &mut done);
+                    proposer.handle_answer(now, from, id, answer, &mut done);
                 }
                 self.proposer_outputs(index, done);
             }
@@ -342,11 +344,11 @@
         let mut document = Document::default();
         document.teams.insert(team, TeamEntry { quota: 1 });
         let edit = Edit {
-            change: format!("change-{}", self.changes),
+            change_id: format!("change-{}", self.changes),
             base: self.seen.iter().copied().max().unwrap_or(0),
             document,
         };
-        self.bases.insert(edit.change.clone(), edit.base);
+        self.bases.insert(edit.change_id.clone(), edit.base);
         self.propose(index, edit, false);
     }
 
@@ -398,10 +400,10 @@
     fn check_answer(&mut self, index: usize, edit: &Edit, answer: &Result<Applied, ApplyError>) {
         let first = self
             .answers
-            .entry(edit.change.clone())
+            .entry(edit.change_id.clone())
             .or_insert(answer.clone());
         if first != answer {
-            let line = format!("{}: first {first:?}, then {answer:?}", edit.change);
+            let line = format!("{}: first {first:?}, then {answer:?}", edit.change_id);
             self.report.violations.push(line);
         }
         match answer {
@@ -410,23 +412,23 @@
                 let winner = self
                     .accepted
                     .entry(applied.version)
-                    .or_insert(edit.change.clone());
-                if *winner != edit.change || applied.version != edit.base + 1 {
-                    let line = format!("{} and {winner} both made {applied:?}", edit.change);
+                    .or_insert(edit.change_id.clone());
+                if *winner != edit.change_id || applied.version != edit.base + 1 {
+                    let line = format!("{} and {winner} both made {applied:?}", edit.change_id);
                     self.report.violations.push(line);
                 }
             }
             Err(ApplyError::Conflict { base, current, .. }) => {
                 self.seen[index] = self.seen[index].max(*current);
                 if current == base {
-                    let line = format!("{}: a false conflict at {current}", edit.change);
+                    let line = format!("{}: a false conflict at {current}", edit.change_id);
                     self.report.violations.push(line);
                 }
             }
             Err(ApplyError::Invalid(problems)) => {
                 self.report
                     .violations
-                    .push(format!("{}: {problems:?}", edit.change));
+                    .push(format!("{}: {problems:?}", edit.change_id));
             }
         }
     }
--- a/crates/celerywinch_fleet/src/metrics.rs
+++ b/crates/celerywinch_fleet/src/metrics.rs
@@ -9,8 +9,8 @@
 use celerywinch_types::{ConfigMsg, FleetMsg, JobEnd};
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
-use crate::roster::Heard;
-use crate::spread::SpreadNote;
+use crate::config_sync::ConfigSyncEvent;
+use crate::directory::AnnounceOutcome;
 
 /// Bounds of the time to an answer, in seconds: objectives are 0.1 to a few s.
 const JOB_SECONDS: &[f64] = &[0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0];
@@ -19,7 +19,7 @@
 const DOCUMENT_SECONDS: &[f64] = &[0.01, 0.03, 0.1, 0.2, 0.5, 1.0, 1.5, 2.0, 4.0];
 
 /// Kinds of messages to other processes.
-const KINDS: [&str; 9] = [
+const MESSAGE_KINDS: [&str; 9] = [
     "heartbeat",
     "contacts",
     "log",
@@ -66,13 +66,13 @@
     pub(crate) fn new() -> anyhow::Result<Self> {
         let meter = Meter::new()?;
         Ok(Self {
-            jobs: meter.family("jobs_total", "Jobs answered here, by their end.", "end")?,
+            jobs: meter.counter_vec("jobs_total", "Jobs answered here, by their end.", "end")?,
             job_seconds: meter.histogram(
                 "job_seconds",
                 "Seconds from arrival to answer.",
                 JOB_SECONDS,
             )?,
-            runs: meter.family("runs_total", "Runs that ended, by how.", "how")?,
+            runs: meter.counter_vec("runs_total", "Runs that ended, by how.", "how")?,
             refused: meter.counter("refused_total", "Jobs refused by this dispatcher.")?,
             moved: meter.counter("moved_total", "Runs stopped for too little progress.")?,
             crashes: meter.counter(
@@ -84,24 +84,24 @@
                 "Tasks that were given up after workers had ended under them.",
             )?,
             aside: meter.counter("aside_total", "Times a worker was set aside.")?,
-            gone: meter.family(
+            gone: meter.counter_vec(
                 "workers_gone_total",
                 "Workers that are gone, by how it is known.",
                 "why",
             )?,
             changes: meter.counter("changes_total", "Domains acquired or resigned here.")?,
-            messages: meter.family(
+            messages: meter.counter_vec(
                 "messages_total",
                 "Messages sent to other processes, by kind.",
                 "kind",
             )?,
-            message_bytes: meter.family("message_bytes_total", "Bytes of them.", "kind")?,
-            worker_calls: meter.family(
+            message_bytes: meter.counter_vec("message_bytes_total", "Bytes of them.", "kind")?,
+            worker_calls: meter.counter_vec(
                 "worker_calls_total",
                 "Calls to workers, by kind.",
                 "kind",
             )?,
-            announced: meter.family(
+            announced: meter.counter_vec(
                 "announcements_total",
                 "Announcements of workers, by what they changed.",
                 "what",
@@ -142,19 +142,19 @@
     }
 
     /// A worker has announced itself.
-    pub(crate) fn announced(&self, heard: Heard) {
-        let what = match heard {
-            Heard::News => "news",
-            Heard::Nothing => "nothing",
-            Heard::Late(_) => "late",
-            Heard::OtherLife(_) => "other_life",
-            Heard::Left => "left",
+    pub(crate) fn worker_announced(&self, outcome: AnnounceOutcome) {
+        let what = match outcome {
+            AnnounceOutcome::Changed => "news",
+            AnnounceOutcome::Unchanged => "nothing",
+            AnnounceOutcome::Stale(_) => "late",
+            AnnounceOutcome::OtherIncarnation(_) => "other_life",
+            AnnounceOutcome::Left => "left",
         };
         self.announced.with_label_values(&[what]).inc();
     }
 
-    pub(crate) fn dispatched(&self, note: &PoolEvent) {
-        match note {
+    pub(crate) fn dispatch_event(&self, event: &PoolEvent) {
+        match event {
             PoolEvent::RunEnded { how, .. } => self.runs.with_label_values(&[*how]).inc(),
             PoolEvent::Refused { .. } => self.refused.inc(),
             PoolEvent::Crashed { .. } => self.crashes.inc(),
@@ -173,8 +173,8 @@
         }
     }
 
-    pub(crate) fn answered(&self, note: &JobEvent) {
-        if let JobEvent::Answered { end, took, .. } = note {
+    pub(crate) fn origin_event(&self, event: &JobEvent) {
+        if let JobEvent::Answered { end, took, .. } = event {
             let label = match end {
                 JobEnd::Completed => "completed",
                 JobEnd::Failed => "failed",
@@ -188,17 +188,17 @@
     }
 
     /// A message is sent to another process.
-    pub(crate) fn sends(&self, msg: &FleetMsg, bytes: usize) {
+    pub(crate) fn message_sent(&self, msg: &FleetMsg, bytes: usize) {
         let kind = match msg {
-            FleetMsg::Heartbeat(_) => KINDS[0],
-            FleetMsg::Contacts(_) => KINDS[1],
-            FleetMsg::Log(_) => KINDS[2],
-            FleetMsg::Keeper(_) => KINDS[3],
-            FleetMsg::Workers(_) => KINDS[4],
-            FleetMsg::Config(_) => KINDS[5],
-            FleetMsg::Work(_) => KINDS[6],
-            FleetMsg::Learned(_) => KINDS[7],
-            FleetMsg::Crashes(_) | FleetMsg::ProbeQueues(_) => KINDS[8],
+            FleetMsg::Heartbeat(_) => MESSAGE_KINDS[0],
+            FleetMsg::Contacts(_) => MESSAGE_KINDS[1],
+            FleetMsg::Log(_) => MESSAGE_KINDS[2],
+            FleetMsg::Keeper(_) => MESSAGE_KINDS[3],
+            FleetMsg::Workers(_) => MESSAGE_KINDS[4],
+            FleetMsg::Config(_) => MESSAGE_KINDS[5],
+            FleetMsg::Work(_) => MESSAGE_KINDS[6],
+            FleetMsg::Learned(_) => MESSAGE_KINDS[7],
+            FleetMsg::Crashes(_) | FleetMsg::ProbeQueues(_) => MESSAGE_KINDS[8],
         };
         self.messages.with_label_values(&[kind]).inc();
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
@@ -206,8 +206,8 @@
     }
 
     /// Messages to other processes and their bytes so far, by kind.
-    pub(crate) fn sent(&self) -> BTreeMap<String, (u64, u64)> {
-        let kinds = KINDS.iter().map(|kind| {
+    pub(crate) fn traffic(&self) -> BTreeMap<String, (u64, u64)> {
+        let kinds = MESSAGE_KINDS.iter().map(|kind| {
             let count = self.messages.with_label_values(&[*kind]).get();
             let bytes = self.message_bytes.with_label_values(&[*kind]).get();
             ((*kind).to_owned(), (count, bytes))
@@ -216,8 +216,8 @@
     }
 
     /// A worker is called.
-    pub(crate) fn calls(&self, order: &Request) {
-        let kind = match order {
+    pub(crate) fn worker_called(&self, request: &Request) {
+        let kind = match request {
             Request::Start { .. } => "start",
             Request::Stop { .. } => "stop",
             Request::Poll { .. } => "look",
@@ -226,7 +226,7 @@
     }
 
     /// A message of the configuration is sent.
-    pub(crate) fn spreads(&self, msg: &ConfigMsg) {
+    pub(crate) fn config_sent(&self, msg: &ConfigMsg) {
         if let ConfigMsg::Chunk(piece) = msg {
             self.document_bytes.inc_by(piece.bytes.len() as u64);
             if piece.offset == 0 {
@@ -235,8 +235,8 @@
         }
     }
 
-    pub(crate) fn spread(&self, note: &SpreadNote) {
-        if let SpreadNote::DocumentWhole { took, .. } = note {
+    pub(crate) fn config_sync_event(&self, event: &ConfigSyncEvent) {
+        if let ConfigSyncEvent::DocumentWhole { took, .. } = event {
             let took = Duration::from_millis((*took).into());
             self.document_seconds.observe(took.as_secs_f64());
         }
@@ -244,7 +244,7 @@
 
     /// All figures as text.
     pub(crate) fn text(&self) -> String {
-        self.meter.text().unwrap_or_else(|error| {
+        self.meter.encode().unwrap_or_else(|error| {
             log::error!("metrics: Cannot be written: {error}.");
             String::new()
         })
--- a/crates/celerywinch_registry/tests/harness/mod.rs
+++ b/crates/celerywinch_registry/tests/harness/mod.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use celerywinch_registry::{Registry, RegistryOutput, Request};
-use celerywinch_store::{Input, KeeperId, Loaded, Output, RaftConfig, Role};
+use celerywinch_store::{Input, KeeperId, Output, PersistedState, RaftConfig, Role};
 use celerywinch_types::{InstanceId, KeeperRequest, KeeperState, Time};
 
 pub(crate) const ME: InstanceId = InstanceId(1);
@@ -17,10 +17,10 @@
             disk: 11,
         },
         instances: vec![ME],
-        forms: true,
-        voters: 3,
-        heartbeat: Duration::from_millis(100),
-        election: Duration::from_millis(400),
+        bootstrap: true,
+        max_voters: 3,
+        heartbeat_interval: Duration::from_millis(100),
+        election_timeout: Duration::from_millis(400),
         compact_after: 4,
         seed: 1,
     }
@@ -32,11 +32,11 @@
     pub(crate) now: Time,
     pub(crate) answers: Vec<(u64, Option<KeeperState>)>,
     /// The persisted state, for restarts.
-    pub(crate) disk: Loaded,
+    pub(crate) disk: PersistedState,
 }
 
 impl Harness {
-    pub(crate) fn new(disk: Loaded) -> Self {
+    pub(crate) fn new(disk: PersistedState) -> Self {
         let now = Time(10_000_000);
         let registry = Registry::new(config(), now, disk.clone()).expect("a readable disk");
         let mut harness = Self {
@@ -60,7 +60,7 @@
             let mut writes = 0;
             for output in std::mem::take(&mut out) {
                 match output {
-                    RegistryOutput::Log(Output::Persist(entries)) => {
+                    RegistryOutput::Log(Output::PersistEntries(entries)) => {
                         writes += 1;
                         self.disk.entries.extend(entries);
                     }
@@ -79,7 +79,7 @@
                 }
             }
             if writes > 0 {
-                let written = Input::Written(writes);
+                let written = Input::Synced(writes);
                 self.registry.handle(self.now, written, &mut out);
             }
         }
