--- a/crates/celerywinch_fleet/src/config_sync.rs
+++ b/crates/celerywinch_fleet/src/config_sync.rs
@@ -1,11 +1,12 @@
-//! How the configuration spreads from the keepers to the entries.
+//! Distribution of the configuration from the keepers to the entries.
 //!
-//! Keepers tell at once that a version is in force, by a heartbeat. An entry fetches it in pieces, a few at a time: what is
-//! under way is all that heartbeats and answers of workers ever wait behind. Of a version that is heard of meanwhile the first piece
-//! is fetched beside that; it goes first if less of it is left. [`ConfigSync`] is a state machine without clock or socket.
+//! A keeper announces a new version by sending heartbeats as soon as it is in force. An entry fetches the document in
+//! chunks and has only a few of them outstanding, as heartbeats and answers of workers wait behind these on its link. If a
+//! newer version is announced meanwhile, its first chunk is fetched as well, and the transfer with fewer remaining bytes
+//! is continued. [`ConfigSync`] is a state machine without clock or socket.
 
-mod copies;
 mod transfer;
+mod versions;
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -15,226 +16,234 @@
 use celerywinch_types::{Chunk, ConfigMsg, DataCentreId, InstanceId, ProcessKind, Time, score};
 use serde::Serialize;
 
-use copies::Copies;
-use transfer::{PIECE, Taken, Transfer, window};
+use transfer::{CHUNK_SIZE, ChunkOutcome, Transfer, window};
+use versions::RecentVersions;
 
-/// A process that was not heard for this long is not asked; the window of slow heartbeats.
-const HEARD: Duration = Duration::from_millis(1_750);
-/// One that sent no piece in time is asked after all others for this long, and as long as the transfer goes on. Pauses of a process and resets of
-/// links are shorter.
-const SILENT: Duration = Duration::from_secs(2);
-/// After so many missed pieces in a row the newest version is asked for: no process may have the one under way.
-const MISSES: u32 = 2;
+/// Time without a heartbeat after which a process is not used as a source: three and a half intervals of slow heartbeats.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_750);
+/// Time for which a source that missed a time-out ranks behind all others. During a transfer the rank doesn't expire.
+/// Pauses of a process and resets of links are shorter.
+const AVOID_PERIOD: Duration = Duration::from_secs(2);
+/// Number of consecutive time-outs after which a transfer is dropped in favour of the newest version that a live peer
+/// has: no process may have the version under way any more.
+const MAX_TIMEOUTS: u32 = 2;
 
-/// What a heartbeat tells of its sender.
+/// The state of a peer, as reported by its heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// The sender.
+    /// The peer.
     pub instance: InstanceId,
-    /// What it does.
+    /// Its kind.
     pub kind: ProcessKind,
     /// Its data centre.
     pub dc: DataCentreId,
-    /// The version that it has in force.
+    /// The version in force there.
     pub version: u64,
 }
 
-/// What happened outside.
+/// An input of [`ConfigSync`].
 #[derive(Clone, Debug)]
 pub enum ConfigSyncInput {
-    /// A heartbeat.
+    /// A heartbeat arrived.
     Heartbeat(PeerStatus),
-    /// No process listens there.
+    /// The peer's machine refused a connection, as no process listens there.
     ConnectionRefused(InstanceId),
-    /// A message of another process.
+    /// A message from a peer arrived.
     Message(InstanceId, ConfigMsg),
-    /// This document is in force here.
+    /// The document is now in force at this process.
     InForce(VersionedDocument),
-    /// The document of this version cannot be read here.
+    /// The document of this version cannot be parsed by this process.
     Unreadable(u64),
     /// Time passed.
     Tick,
 }
 
-/// What the host is to do.
+/// An action that the host has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigSyncOutput {
-    /// Send a message.
+    /// Send a message to a peer.
     Send(InstanceId, ConfigMsg),
-    /// Send heartbeats at once: another version is in force here.
+    /// Send heartbeats to these entries at once, as a new version is in force here.
     SendHeartbeats(Vec<InstanceId>),
-    /// A document has come: read it, and put it in force.
+    /// A document was received completely: parse it and put it in force.
     Fetched(VersionedDocument),
-    /// For the logs.
+    /// Log an event.
     Event(ConfigSyncEvent),
 }
 
-/// A decision, for the logs.
+/// A decision, as one structured log line.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum ConfigSyncEvent {
-    /// A transfer begins.
+    /// A transfer started.
     DocumentBegun {
         /// The version.
         version: u64,
-        /// Who is asked.
+        /// The process that it is requested from.
         source: InstanceId,
     },
-    /// It goes on with another source.
+    /// The source of a transfer was changed.
     DocumentMoved {
         /// The version.
         version: u64,
-        /// Who was asked before.
+        /// The previous source.
         from: InstanceId,
-        /// Who is asked now.
+        /// The new source.
         to: InstanceId,
-        /// Bytes that are here.
+        /// Number of bytes received so far.
         offset: u64,
-        /// Whether the one before sent nothing in time.
+        /// Whether the previous source missed a time-out.
         silent: bool,
     },
-    /// It is done.
+    /// A transfer was completed.
     DocumentWhole {
         /// The version.
         version: u64,
-        /// Bytes of the document.
+        /// The size of the document, in bytes.
         bytes: u64,
-        /// Ms since the version was first heard of.
+        /// Time since the version was first announced, in ms.
         took: u32,
-        /// How many processes were asked.
+        /// Number of processes that chunks were requested from.
         sources: usize,
     },
-    /// It ends without the document.
+    /// A transfer was dropped before its end.
     DocumentDropped {
         /// The version.
         version: u64,
-        /// Who sent the last piece, or did not.
+        /// The process that sent the last chunk or missed the time-out.
         source: InstanceId,
-        /// Bytes that were here.
+        /// Number of bytes received until then.
         offset: u64,
-        /// Why.
+        /// The reason.
         reason: &'static str,
     },
-    /// A process asks for what is not here.
+    /// A process requested a chunk that this process doesn't have.
     DocumentUnknown {
-        /// Who asks.
+        /// The requester.
         from: InstanceId,
-        /// For which version.
+        /// The requested version.
         version: u64,
-        /// From which byte on.
+        /// The first requested byte.
         offset: u64,
     },
 }
 
-/// What this process has of the configuration, and what it knows of the others.
+/// The versions of the configuration at this process, its transfers, and the versions of its peers.
 #[derive(Debug)]
 pub struct ConfigSync {
     me: InstanceId,
     kind: ProcessKind,
     dc: DataCentreId,
-    copies: Copies,
-    heard: BTreeMap<InstanceId, (PeerStatus, Time)>,
-    /// Who sent no piece in time, and when that was.
-    silent: BTreeMap<InstanceId, Time>,
-    /// The highest version that was heard of, and when it was.
-    news: (u64, Time),
-    /// The highest version that cannot be read here.
+    versions: RecentVersions,
+    peers: BTreeMap<InstanceId, (PeerStatus, Time)>,
+    /// Sources that missed a time-out, and when.
+    timed_out: BTreeMap<InstanceId, Time>,
+    /// The highest version that a heartbeat reported, and when it was first reported.
+    newest_seen: (u64, Time),
+    /// The highest version that this process cannot parse.
     unreadable: u64,
-    /// The transfer that goes on, and one of a newer version that has begun; the older first.
+    /// The transfer under way, followed by at most one of a newer version.
     transfers: Vec<Transfer>,
-    /// Bytes that are asked for at once.
+    /// Maximum number of bytes past those received for which chunks are requested.
     window: u64,
 }
 
 impl ConfigSync {
-    /// Nothing is known yet.
+    /// Creates the state of a process that knows no version and no peer.
     #[must_use]
     pub fn new(me: InstanceId, kind: ProcessKind, dc: DataCentreId) -> Self {
         Self {
             me,
             kind,
             dc,
-            copies: Copies::default(),
-            heard: BTreeMap::new(),
-            silent: BTreeMap::new(),
-            news: (0, Time::default()),
+            versions: RecentVersions::default(),
+            peers: BTreeMap::new(),
+            timed_out: BTreeMap::new(),
+            newest_seen: (0, Time::default()),
             unreadable: 0,
             transfers: Vec::new(),
-            window: PIECE as u64,
+            window: CHUNK_SIZE as u64,
         }
     }
 
-    /// Asks for as many pieces at once as the link carries in a moment; `link` is in bytes a second, none for no bound.
-    /// Without this it is one piece.
+    /// Sizes the window of outstanding chunks by the rate of the link, in bytes per second; `None` means unlimited. The
+    /// default is one chunk.
     #[must_use]
-    pub fn with_link_rate(mut self, link: Option<f64>) -> Self {
-        self.window = window(link);
+    pub fn with_link_rate(mut self, link_rate: Option<f64>) -> Self {
+        self.window = window(link_rate);
         self
     }
 
-    /// The version in force; 0 if none is.
+    /// Returns the version in force, or 0 if there is none.
     #[must_use]
     pub fn version(&self) -> u64 {
-        self.copies.version()
+        self.versions.version()
     }
 
-    /// Takes an input and appends what the host is to do.
+    /// Handles an input and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, input: ConfigSyncInput, out: &mut Vec<ConfigSyncOutput>) {
         match input {
-            ConfigSyncInput::Heartbeat(status) => self.heard(now, status, out),
+            ConfigSyncInput::Heartbeat(status) => self.record_status(now, status, out),
             ConfigSyncInput::ConnectionRefused(peer) => {
-                self.heard.remove(&peer);
+                self.peers.remove(&peer);
             }
             ConfigSyncInput::Message(from, ConfigMsg::Request { version, offset }) => {
-                self.wanted(now, from, version, offset, out);
+                self.send_chunk(now, from, version, offset, out);
             }
-            ConfigSyncInput::Message(from, ConfigMsg::Chunk(piece)) => {
-                self.piece(now, from, piece, out);
+            ConfigSyncInput::Message(from, ConfigMsg::Chunk(chunk)) => {
+                self.handle_chunk(now, from, chunk, out);
             }
-            ConfigSyncInput::InForce(held) => self.hold(now, held, out),
+            ConfigSyncInput::InForce(document) => self.put_in_force(now, document, out),
             ConfigSyncInput::Unreadable(version) => self.unreadable = self.unreadable.max(version),
             ConfigSyncInput::Tick => self.tick(now, out),
         }
     }
 
-    fn heard(&mut self, now: Time, status: PeerStatus, out: &mut Vec<ConfigSyncOutput>) {
-        self.heard.insert(status.instance, (status, now));
-        if status.version > self.news.0 {
-            self.news = (status.version, now);
+    fn record_status(&mut self, now: Time, status: PeerStatus, out: &mut Vec<ConfigSyncOutput>) {
+        self.peers.insert(status.instance, (status, now));
+        if status.version > self.newest_seen.0 {
+            self.newest_seen = (status.version, now);
         }
         if status.version > self.version() {
-            self.begin(now, out);
+            self.start_newest(now, out);
         }
     }
 
-    fn hold(&mut self, now: Time, held: VersionedDocument, out: &mut Vec<ConfigSyncOutput>) {
-        let version = held.version;
-        self.copies.add(now, held);
+    fn put_in_force(
+        &mut self,
+        now: Time,
+        document: VersionedDocument,
+        out: &mut Vec<ConfigSyncOutput>,
+    ) {
+        let version = document.version;
+        self.versions.add(now, document);
         self.transfers.retain(|t| t.version > version);
         if self.kind == ProcessKind::Keeper {
-            let heard = self.alive(now);
-            let entries = heard.filter(|status| status.kind == ProcessKind::Entry);
+            let peers = self.live_peers(now);
+            let entries = peers.filter(|status| status.kind == ProcessKind::Entry);
             let entries = entries.map(|status| status.instance).collect();
             out.push(ConfigSyncOutput::SendHeartbeats(entries));
         }
-        self.begin(now, out);
-        self.proceed(now, out);
+        self.start_newest(now, out);
+        self.continue_transfers(now, out);
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<ConfigSyncOutput>) {
-        self.heard.retain(|_, (_, at)| now.since(*at) <= HEARD);
-        // While a transfer goes on, who has not sent stays behind who was not asked since: with several such
-        // sources, a mark that ended before the last of them was given up would bring the first one back, for ever.
+        self.peers
+            .retain(|_, (_, at)| now.since(*at) <= PEER_TIMEOUT);
+        // During a transfer these entries don't expire. With several unresponsive sources, the entry of the first would
+        // expire before the last has timed out, so they would be tried in turn for ever and a working source never.
         if self.transfers.is_empty() {
-            self.silent.retain(|_, at| now.since(*at) <= SILENT);
+            self.timed_out
+                .retain(|_, at| now.since(*at) <= AVOID_PERIOD);
         }
-        self.copies.forget(now);
-        self.miss(now, out);
-        self.begin(now, out);
+        self.versions.remove_expired(now);
+        self.check_timeouts(now, out);
+        self.start_newest(now, out);
     }
 
-    /// Sends a piece to a process that asks for it.
-    fn wanted(
+    /// Answers a request with the chunk, or logs that it isn't available.
+    fn send_chunk(
         &mut self,
         now: Time,
         from: InstanceId,
@@ -242,8 +251,8 @@
         offset: u64,
         out: &mut Vec<ConfigSyncOutput>,
     ) {
-        out.push(match self.copies.piece(now, version, offset) {
-            Some(piece) => ConfigSyncOutput::Send(from, ConfigMsg::Chunk(piece)),
+        out.push(match self.versions.chunk(now, version, offset) {
+            Some(chunk) => ConfigSyncOutput::Send(from, ConfigMsg::Chunk(chunk)),
             None => ConfigSyncOutput::Event(ConfigSyncEvent::DocumentUnknown {
                 from,
                 version,
@@ -252,122 +261,122 @@
         });
     }
 
-    /// Begins to fetch the newest version, if there is a newer one than the one here. The transfer under way goes on, and only
-    /// gives way to one that has less left: with changes in quick succession none would end else.
-    fn begin(&mut self, now: Time, out: &mut Vec<ConfigSyncOutput>) {
+    /// Starts to fetch the newest version, if it is newer than those in force and under way. The first transfer continues
+    /// and is dropped only for one with fewer remaining bytes: with changes in quick succession none would end otherwise.
+    fn start_newest(&mut self, now: Time, out: &mut Vec<ConfigSyncOutput>) {
         if self.kind == ProcessKind::Keeper {
             return;
         }
-        let version = self.newest(now);
+        let version = self.newest_version(now);
         let latest = self.transfers.last().map_or(0, |t| t.version);
         if version <= self.version().max(self.unreadable).max(latest) {
             return;
         }
-        let Some(source) = self.best(now, version) else {
+        let Some(source) = self.best_source(now, version) else {
             return;
         };
-        let first = if self.news.0 == version {
-            self.news.1
+        let first_seen = if self.newest_seen.0 == version {
+            self.newest_seen.1
         } else {
             now
         };
-        let mut transfer = Transfer::new(version, source, first, now);
+        let mut transfer = Transfer::new(version, source, first_seen, now);
         out.push(ConfigSyncOutput::Event(ConfigSyncEvent::DocumentBegun {
             version,
             source,
         }));
-        transfer.ask(now, self.window, out);
+        transfer.request_chunks(now, self.window, out);
         self.transfers.truncate(1);
         self.transfers.push(transfer);
     }
 
-    /// A piece that was not waited for any more counts too, whoever sent it.
-    fn piece(
+    /// Adds a chunk to its transfer, from any sender and also after its time-out.
+    fn handle_chunk(
         &mut self,
         now: Time,
         from: InstanceId,
-        piece: Chunk,
+        chunk: Chunk,
         out: &mut Vec<ConfigSyncOutput>,
     ) {
-        let Some(at) = self.transfers.iter().position(|t| t.lacks(&piece)) else {
+        let Some(at) = self.transfers.iter().position(|t| t.accepts(&chunk)) else {
             return;
         };
-        match self.transfers[at].take(now, piece) {
-            Taken::More => {
-                self.silent.remove(&from);
-                self.proceed(now, out);
+        match self.transfers[at].add_chunk(now, chunk) {
+            ChunkOutcome::Incomplete => {
+                self.timed_out.remove(&from);
+                self.continue_transfers(now, out);
             }
-            Taken::Whole => {
-                self.silent.remove(&from);
+            ChunkOutcome::Complete => {
+                self.timed_out.remove(&from);
                 self.finish(now, at, out);
             }
-            Taken::Bad(reason) => {
-                self.silent.insert(from, now);
-                self.drop_transfer(at, from, reason, out);
-                self.proceed(now, out);
+            ChunkOutcome::Invalid(reason) => {
+                self.timed_out.insert(from, now);
+                self.abort_transfer(at, from, reason, out);
+                self.continue_transfers(now, out);
             }
         }
     }
 
-    /// Asks for what comes next: of the older transfer, unless less is left of the newer one. What is left only falls by that, so
-    /// some version is whole in the end, however often newer ones come.
-    fn proceed(&mut self, now: Time, out: &mut Vec<ConfigSyncOutput>) {
+    /// Requests the next chunks of the older transfer, or of the newer one if that has fewer remaining bytes. The number of
+    /// remaining bytes never rises by this choice, so a transfer completes, however often newer versions are announced.
+    fn continue_transfers(&mut self, now: Time, out: &mut Vec<ConfigSyncOutput>) {
         if let [older, newer] = &self.transfers[..]
-            && let Some(left) = newer.left()
-            && older.left().is_none_or(|older| left < older)
+            && let Some(remaining) = newer.remaining()
+            && older.remaining().is_none_or(|older| remaining < older)
         {
-            self.drop_transfer(0, self.transfers[0].source, "overtaken", out);
+            self.abort_transfer(0, self.transfers[0].source, "overtaken", out);
         }
         if !self.transfers.is_empty() {
             self.choose_source(now, 0, false, out);
-            self.transfers[0].ask(now, self.window, out);
+            self.transfers[0].request_chunks(now, self.window, out);
         }
     }
 
     fn finish(&mut self, now: Time, at: usize, out: &mut Vec<ConfigSyncOutput>) {
         let transfer = self.transfers.remove(at);
-        let took = now.since(transfer.first).as_millis();
+        let took = now.since(transfer.first_seen).as_millis();
         out.push(ConfigSyncOutput::Event(ConfigSyncEvent::DocumentWhole {
             version: transfer.version,
             bytes: transfer.offset(),
             took: u32::try_from(took).unwrap_or(u32::MAX),
-            sources: transfer.sources(),
+            sources: transfer.source_count(),
         }));
-        out.push(ConfigSyncOutput::Fetched(transfer.into_held()));
+        out.push(ConfigSyncOutput::Fetched(transfer.into_document()));
     }
 
-    /// Pieces under way do not come.
-    fn miss(&mut self, now: Time, out: &mut Vec<ConfigSyncOutput>) {
+    /// Handles the time-outs of transfers.
+    fn check_timeouts(&mut self, now: Time, out: &mut Vec<ConfigSyncOutput>) {
         for at in (0..self.transfers.len()).rev() {
             if self.transfers[at].is_overdue(now) {
-                self.missed(now, at, out);
+                self.handle_timeout(now, at, out);
             }
         }
     }
 
-    fn missed(&mut self, now: Time, at: usize, out: &mut Vec<ConfigSyncOutput>) {
-        let newest = self.newest(now);
+    fn handle_timeout(&mut self, now: Time, at: usize, out: &mut Vec<ConfigSyncOutput>) {
+        let newest = self.newest_version(now);
         let transfer = &mut self.transfers[at];
         let source = transfer.source;
-        let misses = transfer.miss(now);
+        let timeouts = transfer.record_timeout(now);
         let version = transfer.version;
-        self.silent.insert(source, now);
-        // A version that nobody has any more, as its only source was lost, would else keep from the one below it.
-        if misses >= MISSES && newest != version {
+        self.timed_out.insert(source, now);
+        // Otherwise a version whose only source was lost would block the version below it.
+        if timeouts >= MAX_TIMEOUTS && newest != version {
             let reason = if newest > version {
                 "overtaken"
             } else {
-                "nobody has it"
+                "no live peer has it"
             };
-            self.drop_transfer(at, source, reason, out);
-            self.proceed(now, out);
+            self.abort_transfer(at, source, reason, out);
+            self.continue_transfers(now, out);
         } else {
             self.choose_source(now, at, true, out);
-            self.transfers[at].ask_again(now, self.window, out);
+            self.transfers[at].request_again(now, self.window, out);
         }
     }
 
-    /// Chooses who is asked for the next pieces.
+    /// Chooses the source of the next chunks. `silent` says whether the current one missed a time-out.
     fn choose_source(
         &mut self,
         now: Time,
@@ -376,9 +385,9 @@
         out: &mut Vec<ConfigSyncOutput>,
     ) {
         let version = self.transfers[at].version;
-        let best = self.best(now, version);
+        let best = self.best_source(now, version);
         let transfer = &mut self.transfers[at];
-        // Without any, the one before is asked again; it may be heard by then.
+        // Without a live source the current one is kept, as it may be reachable again by then.
         let to = best.unwrap_or(transfer.source);
         let from = std::mem::replace(&mut transfer.source, to);
         if to != from {
@@ -392,7 +401,7 @@
         }
     }
 
-    fn drop_transfer(
+    fn abort_transfer(
         &mut self,
         at: usize,
         source: InstanceId,
@@ -408,24 +417,26 @@
         }));
     }
 
-    fn alive(&self, now: Time) -> impl Iterator<Item = &PeerStatus> {
-        let heard = self.heard.values();
-        heard
-            .filter(move |(_, at)| now.since(*at) <= HEARD)
+    fn live_peers(&self, now: Time) -> impl Iterator<Item = &PeerStatus> {
+        let peers = self.peers.values();
+        peers
+            .filter(move |(_, at)| now.since(*at) <= PEER_TIMEOUT)
             .map(|(status, _)| status)
     }
 
-    fn newest(&self, now: Time) -> u64 {
-        let versions = self.alive(now).map(|status| status.version);
-        versions.max().unwrap_or(0)
+    fn newest_version(&self, now: Time) -> u64 {
+        let reported = self.live_peers(now).map(|status| status.version);
+        reported.max().unwrap_or(0)
     }
 
-    /// Who is asked for a version: one that answers, a keeper first, of this data centre first. Among those
-    /// alike the hash spreads the entries over them.
-    fn best(&self, now: Time, version: u64) -> Option<InstanceId> {
-        let sources = self.alive(now).filter(|status| status.version >= version);
+    /// Returns the best source of a version: preferably one that missed no time-out, then a keeper, then a process of this
+    /// data centre. Equal candidates are ranked by a hash that distributes the entries over them.
+    fn best_source(&self, now: Time, version: u64) -> Option<InstanceId> {
+        let sources = self
+            .live_peers(now)
+            .filter(|status| status.version >= version);
         let rank = |status: &&PeerStatus| {
-            let silent = self.silent.get(&status.instance).copied();
+            let silent = self.timed_out.get(&status.instance).copied();
             let other = (status.kind != ProcessKind::Keeper, status.dc != self.dc);
             let score = score(self.me.0.into(), status.instance.0.into());
             (silent, other, Reverse(score))
--- a/crates/celerywinch_fleet/src/config_sync/transfer.rs
+++ b/crates/celerywinch_fleet/src/config_sync/transfer.rs
@@ -1,4 +1,4 @@
-//! A document that is on its way.
+//! The transfer of one document.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,182 +8,198 @@
 
 use super::ConfigSyncOutput;
 
-/// Bytes of a piece: 5 ms of a link of 25 Mbit/s, in which heartbeats wait, and 65 ms of one of 2 Mbit/s. Smaller ones
-/// would take longer for their round trips than for their bytes.
-pub(super) const PIECE: usize = 16 << 10;
-/// The largest document, in bytes: as long as a message of a link may be.
-const LARGEST: u64 = 64 << 20;
-/// The shortest and the longest wait for a piece. A process with an eighth of a core stands still for tens of ms when
-/// several requests come at once; 1.2 s is twice what a piece takes on a link of 2 Mbit/s with all its traffic.
-const LEAST: Duration = Duration::from_millis(150);
-const MOST: Duration = Duration::from_millis(1_200);
-/// A piece is waited for so many times as long as the one before it took.
-const PATIENCE: u32 = 4;
-
-/// The most pieces that are asked for at once. Where both ends are busy a piece takes as long as they wait for their processors,
-/// whatever the link carries: one after the other, 14 pieces took 1.8 s.
-const MOST_PIECES: u64 = 8;
-/// What is asked for at once may take the link for so long, beside the piece that is.
-const LINK_TIME: Duration = Duration::from_millis(10);
-
-/// Bytes that are asked for at once on a link that carries so many a second; none for no bound.
-pub(super) fn window(link: Option<f64>) -> u64 {
-    let piece = PIECE as u64;
-    let pieces = link.map_or(MOST_PIECES, |link| {
-        (link * LINK_TIME.as_secs_f64()) as u64 / piece
+/// Size of a chunk, in bytes. Heartbeats wait behind one for 5 ms on a link of 25 Mbit/s, and for 65 ms at 2 Mbit/s. The
+/// round trip of a smaller chunk would take longer than its bytes.
+pub(super) const CHUNK_SIZE: usize = 16 << 10;
+/// Maximum size of a document, in bytes: the largest message that a link carries.
+const MAX_DOCUMENT_SIZE: u64 = 64 << 20;
+/// Minimum time-out of a chunk. A process with an eighth of a core pauses for tens of ms when several requests arrive at
+/// once.
+const MIN_TIMEOUT: Duration = Duration::from_millis(150);
+/// Maximum time-out of a chunk: twice the time that one takes on a link of 2 Mbit/s with all its traffic.
+const MAX_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Ratio of a chunk's time-out to the time that the previous chunk took.
+const TIMEOUT_FACTOR: u32 = 4;
+
+/// Maximum number of outstanding chunks. On busy machines a chunk takes as long as both ends wait for their processors,
+/// whatever the rate of the link: requested one after the other, 14 chunks took 1.8 s.
+const MAX_WINDOW_CHUNKS: u64 = 8;
+/// Maximum time that the window of outstanding chunks may occupy the link for. One chunk is always allowed.
+const WINDOW_TIME: Duration = Duration::from_millis(10);
+
+/// Returns the window of outstanding chunks, in bytes, on a link of this rate in bytes per second; `None` means unlimited.
+pub(super) fn window(link_rate: Option<f64>) -> u64 {
+    let chunk_size = CHUNK_SIZE as u64;
+    let chunks = link_rate.map_or(MAX_WINDOW_CHUNKS, |rate| {
+        (rate * WINDOW_TIME.as_secs_f64()) as u64 / chunk_size
     });
-    pieces.clamp(1, MOST_PIECES) * piece
+    chunks.clamp(1, MAX_WINDOW_CHUNKS) * chunk_size
 }
 
-/// What came of a piece.
+/// The result of adding a chunk.
 #[derive(Debug)]
-pub(super) enum Taken {
-    /// More are to come.
-    More,
-    /// It was the last one.
-    Whole,
-    /// The transfer cannot go on with what was sent.
-    Bad(&'static str),
+pub(super) enum ChunkOutcome {
+    /// Further chunks are needed.
+    Incomplete,
+    /// The document is complete.
+    Complete,
+    /// The transfer has to be dropped, for this reason.
+    Invalid(&'static str),
 }
 
-/// A document that is on its way, piece by piece.
+/// The transfer of one version, in chunks.
 #[derive(Debug)]
 pub(super) struct Transfer {
     pub(super) version: u64,
-    /// Who is asked for the next piece.
+    /// The process that the next chunk is requested from.
     pub(super) source: InstanceId,
-    /// When the version was first heard of.
-    pub(super) first: Time,
-    asked: BTreeSet<InstanceId>,
-    /// Pieces that were asked for and have not come, by their offsets, and when that was.
-    open: BTreeMap<u64, Time>,
-    /// When the last piece came, or the first was asked for.
-    since: Time,
-    /// When pieces were last asked for again.
-    last: Time,
-    patience: Duration,
-    misses: u32,
-    /// Length and hash of the whole, as the first piece tells them.
-    shape: Option<(u64, u64)>,
-    /// Grows with what has come; the length that is told is only compared.
+    /// When a heartbeat first reported the version.
+    pub(super) first_seen: Time,
+    /// All processes that chunks were requested from.
+    sources: BTreeSet<InstanceId>,
+    /// Chunks that were requested and not received, by offset, and when they were requested.
+    outstanding: BTreeMap<u64, Time>,
+    /// When the last chunk was received, or the first requested.
+    last_progress: Time,
+    /// When chunks were last requested again.
+    last_retry: Time,
+    timeout: Duration,
+    /// Number of consecutive time-outs.
+    timeout_count: u32,
+    /// The size in bytes and the hash of the document, as stated by the first chunk.
+    expected: Option<(u64, u64)>,
+    /// The contiguous bytes received so far. The stated size is only compared, never allocated.
     document: Vec<u8>,
-    /// Pieces that came before the next one.
-    ahead: BTreeMap<u64, Vec<u8>>,
+    /// Chunks that were received out of order, by offset.
+    buffered: BTreeMap<u64, Vec<u8>>,
 }
 
 impl Transfer {
-    pub(super) fn new(version: u64, source: InstanceId, first: Time, now: Time) -> Self {
+    pub(super) fn new(version: u64, source: InstanceId, first_seen: Time, now: Time) -> Self {
         Self {
             version,
             source,
-            first,
-            asked: BTreeSet::from([source]),
-            open: BTreeMap::new(),
-            since: now,
-            last: now,
-            patience: LEAST,
-            misses: 0,
-            shape: None,
+            first_seen,
+            sources: BTreeSet::from([source]),
+            outstanding: BTreeMap::new(),
+            last_progress: now,
+            last_retry: now,
+            timeout: MIN_TIMEOUT,
+            timeout_count: 0,
+            expected: None,
             document: Vec::new(),
-            ahead: BTreeMap::new(),
+            buffered: BTreeMap::new(),
         }
     }
 
-    /// Bytes that are here, from the first on.
+    /// Returns the number of contiguous bytes received.
     pub(super) fn offset(&self) -> u64 {
         self.document.len() as u64
     }
 
-    /// Bytes that are not here yet; none before the first piece has come.
-    pub(super) fn left(&self) -> Option<u64> {
-        let (total, _) = self.shape?;
+    /// Returns the number of bytes still missing, or `None` before the first chunk.
+    pub(super) fn remaining(&self) -> Option<u64> {
+        let (total, _) = self.expected?;
         Some(total - self.offset())
     }
 
-    /// How many processes were asked.
-    pub(super) fn sources(&self) -> usize {
-        self.asked.len()
+    /// Returns the number of processes that chunks were requested from.
+    pub(super) fn source_count(&self) -> usize {
+        self.sources.len()
     }
 
-    /// Asks for the first piece, or for those that follow within so many bytes and were not asked for yet.
-    pub(super) fn ask(&mut self, now: Time, window: u64, out: &mut Vec<ConfigSyncOutput>) {
-        let piece = PIECE as u64;
+    /// Requests the first chunk, or those within the next `window` bytes that were not requested yet.
+    pub(super) fn request_chunks(
+        &mut self,
+        now: Time,
+        window: u64,
+        out: &mut Vec<ConfigSyncOutput>,
+    ) {
+        let chunk_size = CHUNK_SIZE as u64;
         let start = self.offset();
-        let end = match self.shape {
+        let end = match self.expected {
             Some((total, _)) => total.min(start + window),
-            None => piece,
+            None => chunk_size,
         };
-        for offset in (start..end).step_by(PIECE) {
-            if self.open.contains_key(&offset) || self.ahead.contains_key(&offset) {
+        for offset in (start..end).step_by(CHUNK_SIZE) {
+            if self.outstanding.contains_key(&offset) || self.buffered.contains_key(&offset) {
                 continue;
             }
-            self.open.insert(offset, now);
-            self.asked.insert(self.source);
+            self.outstanding.insert(offset, now);
+            self.sources.insert(self.source);
             let version = self.version;
             let msg = ConfigMsg::Request { version, offset };
             out.push(ConfigSyncOutput::Send(self.source, msg));
         }
     }
 
-    /// What was asked for and did not come is asked for again.
-    pub(super) fn ask_again(&mut self, now: Time, window: u64, out: &mut Vec<ConfigSyncOutput>) {
-        self.open.clear();
-        self.last = now;
-        self.ask(now, window, out);
+    /// Requests all outstanding chunks again.
+    pub(super) fn request_again(
+        &mut self,
+        now: Time,
+        window: u64,
+        out: &mut Vec<ConfigSyncOutput>,
+    ) {
+        self.outstanding.clear();
+        self.last_retry = now;
+        self.request_chunks(now, window, out);
     }
 
     pub(super) fn is_overdue(&self, now: Time) -> bool {
-        let waits = now.since(self.since.max(self.last));
-        !self.open.is_empty() && waits >= self.patience
+        let waited = now.since(self.last_progress.max(self.last_retry));
+        !self.outstanding.is_empty() && waited >= self.timeout
     }
 
-    /// No piece came in time; how often in a row that makes. Once each source may have been asked in vain, the
-    /// link may be slower than was thought.
-    pub(super) fn miss(&mut self, now: Time) -> u32 {
-        self.misses += 1;
-        if now.since(self.since) >= MOST {
-            self.patience = (self.patience * 2).min(MOST);
+    /// Records that no chunk arrived in time, and returns the number of consecutive time-outs. Once nothing has arrived for
+    /// `MAX_TIMEOUT`, the time-out is doubled, as the link may be slower than assumed rather than its sources unresponsive.
+    pub(super) fn record_timeout(&mut self, now: Time) -> u32 {
+        self.timeout_count += 1;
+        if now.since(self.last_progress) >= MAX_TIMEOUT {
+            self.timeout = (self.timeout * 2).min(MAX_TIMEOUT);
         }
-        self.misses
+        self.timeout_count
     }
 
-    /// Whether a piece is one that was asked for and is not here.
-    pub(super) fn lacks(&self, piece: &Chunk) -> bool {
-        let next = piece.offset == self.offset();
-        piece.version == self.version && (next || self.open.contains_key(&piece.offset))
+    /// Returns whether the chunk belongs to this version and is the next one or outstanding.
+    pub(super) fn accepts(&self, chunk: &Chunk) -> bool {
+        let next = chunk.offset == self.offset();
+        chunk.version == self.version && (next || self.outstanding.contains_key(&chunk.offset))
     }
 
-    /// Takes a piece that was asked for.
-    pub(super) fn take(&mut self, now: Time, piece: Chunk) -> Taken {
-        let shape = (piece.total, piece.digest);
-        if *self.shape.get_or_insert(shape) != shape {
-            return Taken::Bad("pieces of two documents");
+    /// Adds a chunk for which [`accepts`](Self::accepts) holds.
+    pub(super) fn add_chunk(&mut self, now: Time, chunk: Chunk) -> ChunkOutcome {
+        let expected = (chunk.total, chunk.digest);
+        if *self.expected.get_or_insert(expected) != expected {
+            return ChunkOutcome::Invalid("chunks of two documents");
         }
-        let bytes = piece.bytes.len();
-        let end = piece.offset + bytes as u64;
-        let whole = bytes == PIECE || end == piece.total;
-        let fits = whole && end <= piece.total && piece.total <= LARGEST;
-        if bytes == 0 || bytes > PIECE || !fits {
-            return Taken::Bad("lengths do not fit");
+        let bytes = chunk.bytes.len();
+        let end = chunk.offset + bytes as u64;
+        let full = bytes == CHUNK_SIZE || end == chunk.total;
+        let fits = full && end <= chunk.total && chunk.total <= MAX_DOCUMENT_SIZE;
+        if bytes == 0 || bytes > CHUNK_SIZE || !fits {
+            return ChunkOutcome::Invalid("invalid length of a chunk");
         }
-        let asked = self.open.remove(&piece.offset).unwrap_or(self.since);
-        self.patience = (now.since(asked) * PATIENCE).clamp(LEAST, MOST);
-        self.misses = 0;
-        self.since = now;
-        self.ahead.insert(piece.offset, piece.bytes);
-        while let Some(bytes) = self.ahead.remove(&self.offset()) {
+        let requested = self
+            .outstanding
+            .remove(&chunk.offset)
+            .unwrap_or(self.last_progress);
+        self.timeout = (now.since(requested) * TIMEOUT_FACTOR).clamp(MIN_TIMEOUT, MAX_TIMEOUT);
+        self.timeout_count = 0;
+        self.last_progress = now;
+        self.buffered.insert(chunk.offset, chunk.bytes);
+        while let Some(bytes) = self.buffered.remove(&self.offset()) {
             self.document.extend_from_slice(&bytes);
         }
-        if self.offset() < piece.total {
-            Taken::More
-        } else if stable_hash(&self.document) == piece.digest {
-            Taken::Whole
+        if self.offset() < chunk.total {
+            ChunkOutcome::Incomplete
+        } else if stable_hash(&self.document) == chunk.digest {
+            ChunkOutcome::Complete
         } else {
-            Taken::Bad("another hash")
+            ChunkOutcome::Invalid("hash mismatch")
         }
     }
 
-    pub(super) fn into_held(self) -> VersionedDocument {
+    pub(super) fn into_document(self) -> VersionedDocument {
         VersionedDocument {
             version: self.version,
             document: self.document,
--- a/crates/celerywinch_fleet/tests/chunks.rs
+++ b/crates/celerywinch_fleet/tests/chunks.rs
@@ -1,4 +1,4 @@
-//! What is answered to requests for the configuration, and which pieces of it are taken.
+//! Answers to requests for chunks of the configuration, and which received chunks are accepted.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
 const KEEPER: InstanceId = InstanceId(1);
 const ENTRY: InstanceId = InstanceId(2);
 const NOW: Time = Time(10_000_000);
-/// Bytes of a piece.
-const PIECE: usize = 16 << 10;
+/// Size of a chunk, in bytes.
+const CHUNK_SIZE: usize = 16 << 10;
 
-fn held(version: u64, bytes: usize) -> VersionedDocument {
+fn document(version: u64, bytes: usize) -> VersionedDocument {
     VersionedDocument {
         version,
         document: (0..bytes).map(|at| (at / 7) as u8).collect(),
@@ -37,85 +37,86 @@
         handle(
             &mut sync,
             NOW,
-            ConfigSyncInput::InForce(held(version, bytes)),
+            ConfigSyncInput::InForce(document(version, bytes)),
         );
     }
     sync
 }
 
-fn want(version: u64, offset: u64) -> ConfigSyncInput {
+fn request(version: u64, offset: u64) -> ConfigSyncInput {
     ConfigSyncInput::Message(ENTRY, ConfigMsg::Request { version, offset })
 }
 
-/// A request of an entry, and what comes of it: a piece from this byte to that one, or nothing.
+/// A request of an entry, and the first and end byte of the chunk that answers it, if any.
 struct Request {
     version: u64,
     offset: u64,
-    piece: Option<(u64, u64)>,
+    chunk: Option<(u64, u64)>,
 }
 
-/// An entry that is slow, or a stranger, asks for what is not there: it is answered with nothing, and a line in the log
-/// tells of it. What the request claims is never allocated.
+/// A slow entry or a foreign process may request a chunk that doesn't exist. It gets no answer, and the request is logged.
+/// Nothing is allocated by the numbers in a request.
 #[rstest]
-#[case::first(Request { version: 9, offset: 0, piece: Some((0, 16_384)) })]
-#[case::last(Request { version: 9, offset: 32_768, piece: Some((32_768, 40_000)) })]
-#[case::an_earlier_version(Request { version: 7, offset: 16_384, piece: Some((16_384, 32_768)) })]
-#[case::a_version_too_old(Request { version: 1, offset: 0, piece: None })]
-#[case::a_version_to_come(Request { version: 10, offset: 0, piece: None })]
-#[case::the_end(Request { version: 9, offset: 40_000, piece: None })]
-#[case::beyond_the_end(Request { version: 9, offset: u64::MAX, piece: None })]
-fn requests_are_answered(#[case] case: Request) {
+#[case::first(Request { version: 9, offset: 0, chunk: Some((0, 16_384)) })]
+#[case::last(Request { version: 9, offset: 32_768, chunk: Some((32_768, 40_000)) })]
+#[case::an_earlier_version(Request { version: 7, offset: 16_384, chunk: Some((16_384, 32_768)) })]
+#[case::a_version_too_old(Request { version: 1, offset: 0, chunk: None })]
+#[case::a_version_to_come(Request { version: 10, offset: 0, chunk: None })]
+#[case::the_end(Request { version: 9, offset: 40_000, chunk: None })]
+#[case::beyond_the_end(Request { version: 9, offset: u64::MAX, chunk: None })]
+fn requests_return_available_chunks(#[case] case: Request) {
     let mut sync = keeper(1..=9, 40_000);
-    let out = handle(&mut sync, NOW, want(case.version, case.offset));
-    match (&out[..], case.piece) {
-        ([ConfigSyncOutput::Send(ENTRY, ConfigMsg::Chunk(piece))], Some((start, end))) => {
+    let out = handle(&mut sync, NOW, request(case.version, case.offset));
+    match (&out[..], case.chunk) {
+        ([ConfigSyncOutput::Send(ENTRY, ConfigMsg::Chunk(chunk))], Some((start, end))) => {
             assert_eq!(
-                (piece.offset, piece.offset + piece.bytes.len() as u64),
+                (chunk.offset, chunk.offset + chunk.bytes.len() as u64),
                 (start, end)
             );
-            assert_eq!(piece.total, 40_000);
+            assert_eq!(chunk.total, 40_000);
         }
         ([ConfigSyncOutput::Event(ConfigSyncEvent::DocumentUnknown { .. })], None) => {}
         other => panic!("{other:?}"),
     }
 }
 
-/// Rules that ended long ago are still obeyed at a slow entry: newer versions push the one that it fetches out of its
-/// source, again and again. What is asked for stays, and of the others only a few do.
+/// Guards against a slow entry that keeps applying an outdated configuration, as newer versions evict the one that it
+/// fetches from its source again and again. A requested version is kept, and only a few of the others are.
 #[test]
-fn the_version_that_is_asked_for_stays() {
+fn requested_version_is_kept() {
     let mut sync = keeper(1..=1, 40_000);
     for version in 2..=20 {
         let now = NOW + Duration::from_millis(version * 330);
         handle(
             &mut sync,
             now,
-            ConfigSyncInput::InForce(held(version, 40_000)),
+            ConfigSyncInput::InForce(document(version, 40_000)),
         );
-        let out = handle(&mut sync, now, want(1, 0));
+        let out = handle(&mut sync, now, request(1, 0));
         assert!(
             matches!(&out[..], [ConfigSyncOutput::Send(..)]),
             "{version}: {out:?}"
         );
     }
     let end = NOW + Duration::from_secs(7);
-    let here = (1..=20).filter(|version| {
-        let out = handle(&mut sync, end, want(*version, 0));
+    let kept = (1..=20).filter(|version| {
+        let out = handle(&mut sync, end, request(*version, 0));
         matches!(&out[..], [ConfigSyncOutput::Send(..)])
     });
-    assert_eq!(here.collect::<Vec<_>>(), [1, 18, 19, 20]);
+    assert_eq!(kept.collect::<Vec<_>>(), [1, 18, 19, 20]);
     let later = end + Duration::from_secs(11);
     handle(&mut sync, later, ConfigSyncInput::Tick);
-    let out = handle(&mut sync, later, want(1, 0));
+    let out = handle(&mut sync, later, request(1, 0));
     assert!(
         matches!(&out[..], [ConfigSyncOutput::Event(_)]),
-        "nobody asked for it: {out:?}"
+        "not requested for longer than the retention: {out:?}"
     );
 }
 
-/// Entries hear of a version at once, not with the next heartbeat: half a second of the 2 s in which it has to be in force.
+/// Guards against entries that learn of a version only by the next regular heartbeat: that takes up to 0.5 s of the 2 s
+/// within which it has to be in force.
 #[test]
-fn keepers_tell_at_once() {
+fn keepers_announce_new_versions_at_once() {
     let mut sync = keeper(1..=1, 100);
     let status = PeerStatus {
         instance: ENTRY,
@@ -124,21 +125,21 @@
         version: 1,
     };
     handle(&mut sync, NOW, ConfigSyncInput::Heartbeat(status));
-    let other = PeerStatus {
+    let keeper = PeerStatus {
         instance: InstanceId(3),
         kind: ProcessKind::Keeper,
         dc: DC,
         version: 1,
     };
-    handle(&mut sync, NOW, ConfigSyncInput::Heartbeat(other));
-    let out = handle(&mut sync, NOW, ConfigSyncInput::InForce(held(2, 100)));
+    handle(&mut sync, NOW, ConfigSyncInput::Heartbeat(keeper));
+    let out = handle(&mut sync, NOW, ConfigSyncInput::InForce(document(2, 100)));
     assert_eq!(out, [ConfigSyncOutput::SendHeartbeats(vec![ENTRY])]);
 }
 
-/// An entry that has heard of a version.
-fn asking(version: u64) -> ConfigSync {
+/// Returns an entry that was told of a version.
+fn fetching(version: u64) -> ConfigSync {
     let mut sync = ConfigSync::new(ENTRY, ProcessKind::Entry, DC);
-    handle(&mut sync, NOW, ConfigSyncInput::InForce(held(3, 10)));
+    handle(&mut sync, NOW, ConfigSyncInput::InForce(document(3, 10)));
     let status = PeerStatus {
         instance: KEEPER,
         kind: ProcessKind::Keeper,
@@ -149,79 +150,83 @@
     sync
 }
 
-fn piece(version: u64, offset: usize, bytes: usize, of: &[u8]) -> Chunk {
+fn chunk(version: u64, offset: usize, bytes: usize, whole: &[u8]) -> Chunk {
     Chunk {
         version,
-        total: of.len() as u64,
-        digest: stable_hash(of),
+        total: whole.len() as u64,
+        digest: stable_hash(whole),
         offset: offset as u64,
-        bytes: of[offset..offset + bytes].to_vec(),
+        bytes: whole[offset..offset + bytes].to_vec(),
     }
 }
 
-/// Pieces that come in this order, and how many bytes of the document are here then; all of them where it is whole.
-struct Pieces {
-    pieces: Vec<Chunk>,
-    here: u64,
+/// Chunks in the order of their arrival, and the number of bytes that are accepted; all of them if the document completes.
+struct Sequence {
+    chunks: Vec<Chunk>,
+    received: u64,
 }
 
-/// A document is put in force that nobody sent: pieces come late and twice, of two documents under one version after
-/// the loss of all disks, or with lengths that do not fit. Only the next piece of the version that was asked for counts, and
-/// the whole is checked by its hash.
+/// Guards against a document that nobody sent: chunks may arrive late, twice, with invalid lengths, or, after the loss of
+/// all disks, from two documents with the same version. Only the next chunk of the requested version is accepted, and the
+/// hash of the whole document is checked.
 #[rstest]
-#[case::in_order(|of: &[u8]| Pieces { here: 20_000, pieces: vec![piece(4, 0, PIECE, of), piece(4, PIECE, 3_616, of)] })]
-#[case::twice(|of: &[u8]| Pieces { here: 16_384, pieces: vec![piece(4, 0, PIECE, of), piece(4, 0, PIECE, of)] })]
-#[case::out_of_order(|of: &[u8]| Pieces { here: 0, pieces: vec![piece(4, PIECE, 3_616, of)] })]
-#[case::of_another_version(|of: &[u8]| Pieces { here: 0, pieces: vec![piece(2, 0, PIECE, of)] })]
-#[case::empty(|of: &[u8]| Pieces { here: 0, pieces: vec![piece(4, 0, 0, of)] })]
-#[case::too_long(|of: &[u8]| Pieces { here: 0, pieces: vec![piece(4, 0, PIECE + 1, of)] })]
-#[case::beyond_the_end(|of: &[u8]| Pieces {
-    here: 0, pieces: vec![Chunk { total: 100, ..piece(4, 0, PIECE, of) }],
+#[case::in_order(|doc: &[u8]| Sequence {
+    received: 20_000, chunks: vec![chunk(4, 0, CHUNK_SIZE, doc), chunk(4, CHUNK_SIZE, 3_616, doc)],
 })]
-#[case::a_huge_length(|of: &[u8]| Pieces {
-    here: 0, pieces: vec![Chunk { total: u64::MAX, ..piece(4, 0, PIECE, of) }],
+#[case::twice(|doc: &[u8]| Sequence {
+    received: 16_384, chunks: vec![chunk(4, 0, CHUNK_SIZE, doc), chunk(4, 0, CHUNK_SIZE, doc)],
 })]
-#[case::of_two_documents(|of: &[u8]| Pieces {
-    here: 0, pieces: vec![piece(4, 0, PIECE, of), Chunk { digest: 1, ..piece(4, PIECE, 3_616, of) }],
+#[case::out_of_order(|doc: &[u8]| Sequence { received: 0, chunks: vec![chunk(4, CHUNK_SIZE, 3_616, doc)] })]
+#[case::of_another_version(|doc: &[u8]| Sequence { received: 0, chunks: vec![chunk(2, 0, CHUNK_SIZE, doc)] })]
+#[case::empty(|doc: &[u8]| Sequence { received: 0, chunks: vec![chunk(4, 0, 0, doc)] })]
+#[case::too_long(|doc: &[u8]| Sequence { received: 0, chunks: vec![chunk(4, 0, CHUNK_SIZE + 1, doc)] })]
+#[case::beyond_the_end(|doc: &[u8]| Sequence {
+    received: 0, chunks: vec![Chunk { total: 100, ..chunk(4, 0, CHUNK_SIZE, doc) }],
 })]
-#[case::another_hash(|of: &[u8]| Pieces {
-    here: 0,
-    pieces: [piece(4, 0, PIECE, of), piece(4, PIECE, 3_616, of)].map(|p| Chunk { digest: 1, ..p }).into(),
+#[case::a_huge_length(|doc: &[u8]| Sequence {
+    received: 0, chunks: vec![Chunk { total: u64::MAX, ..chunk(4, 0, CHUNK_SIZE, doc) }],
 })]
-fn pieces_are_taken(#[case] pieces: fn(&[u8]) -> Pieces) {
-    let whole = held(4, 20_000);
-    let Pieces { pieces, here } = pieces(&whole.document);
-    let mut sync = asking(4);
-    let mut came = Vec::new();
-    for piece in pieces {
-        let input = ConfigSyncInput::Message(KEEPER, ConfigMsg::Chunk(piece));
+#[case::of_two_documents(|doc: &[u8]| Sequence {
+    received: 0, chunks: vec![chunk(4, 0, CHUNK_SIZE, doc), Chunk { digest: 1, ..chunk(4, CHUNK_SIZE, 3_616, doc) }],
+})]
+#[case::another_hash(|doc: &[u8]| Sequence {
+    received: 0,
+    chunks: [chunk(4, 0, CHUNK_SIZE, doc), chunk(4, CHUNK_SIZE, 3_616, doc)].map(|p| Chunk { digest: 1, ..p }).into(),
+})]
+fn only_matching_chunks_are_accepted(#[case] chunks: fn(&[u8]) -> Sequence) {
+    let whole = document(4, 20_000);
+    let Sequence { chunks, received } = chunks(&whole.document);
+    let mut sync = fetching(4);
+    let mut fetched = Vec::new();
+    for chunk in chunks {
+        let input = ConfigSyncInput::Message(KEEPER, ConfigMsg::Chunk(chunk));
         for output in handle(&mut sync, NOW, input) {
-            if let ConfigSyncOutput::Fetched(held) = output {
-                came.push(held);
+            if let ConfigSyncOutput::Fetched(document) = output {
+                fetched.push(document);
             }
         }
     }
-    if here == whole.document.len() as u64 {
-        assert_eq!(came, [whole]);
+    if received == whole.document.len() as u64 {
+        assert_eq!(fetched, [whole]);
         return;
     }
-    assert!(came.is_empty(), "{came:?}");
-    // What is asked for next tells what is here; a transfer that was dropped begins anew.
+    assert!(fetched.is_empty(), "{fetched:?}");
+    // The next request shows how much was accepted; a dropped transfer starts again at 0.
     let mut out = handle(&mut sync, NOW, ConfigSyncInput::Tick);
     out.extend(handle(
         &mut sync,
         NOW + Duration::from_millis(200),
         ConfigSyncInput::Tick,
     ));
-    let asked = out.iter().find_map(|output| match output {
+    let requested = out.iter().find_map(|output| match output {
         ConfigSyncOutput::Send(KEEPER, ConfigMsg::Request { version: 4, offset }) => Some(*offset),
         _ => None,
     });
-    assert_eq!(asked, Some(here), "{out:?}");
+    assert_eq!(requested, Some(received), "{out:?}");
 }
 
-/// A process puts an older configuration in force than it had: an entry that was away tells of an earlier version. Only a
-/// newer one is fetched, and none again that cannot be read here.
+/// Guards against a process that goes back to an older configuration because an entry that was unreachable reports one.
+/// Only newer versions are fetched, and a version that cannot be parsed here is not fetched again.
 #[rstest]
 #[case::older(2, None, false)]
 #[case::the_same(3, None, false)]
@@ -234,7 +239,7 @@
     #[case] fetched: bool,
 ) {
     let mut sync = ConfigSync::new(ENTRY, ProcessKind::Entry, DC);
-    handle(&mut sync, NOW, ConfigSyncInput::InForce(held(3, 10)));
+    handle(&mut sync, NOW, ConfigSyncInput::InForce(document(3, 10)));
     if let Some(version) = unreadable {
         handle(&mut sync, NOW, ConfigSyncInput::Unreadable(version));
     }
@@ -248,20 +253,21 @@
     assert_eq!(!out.is_empty(), fetched, "{out:?}");
 }
 
-/// All entries ask the one keeper that accepted a change, or one far away, though others have it by then. The next piece is asked
-/// of the best source that is heard: a keeper before an entry, and of the own data centre first.
+/// Guards against entries that all fetch from the keeper that accepted a change, or from a remote process, although others
+/// have the version by then. The next chunk is requested from the best live source: keepers before entries, and those of the
+/// same data centre first.
 #[test]
-fn the_best_source_is_asked() {
+fn best_source_is_preferred() {
     let far = DataCentreId(1);
     let mut sync = ConfigSync::new(ENTRY, ProcessKind::Entry, DC);
-    let whole = held(4, 200_000);
+    let whole = document(4, 200_000);
     let sources = [
         (InstanceId(11), ProcessKind::Entry, far),
         (InstanceId(12), ProcessKind::Entry, DC),
         (InstanceId(13), ProcessKind::Keeper, far),
         (InstanceId(14), ProcessKind::Keeper, DC),
     ];
-    let mut asked = Vec::new();
+    let mut requested = Vec::new();
     for (n, (instance, kind, dc)) in sources.into_iter().enumerate() {
         let status = PeerStatus {
             instance,
@@ -270,14 +276,14 @@
             version: 4,
         };
         let mut out = handle(&mut sync, NOW, ConfigSyncInput::Heartbeat(status));
-        let piece = piece(4, n * PIECE, PIECE, &whole.document);
-        let input = ConfigSyncInput::Message(instance, ConfigMsg::Chunk(piece));
+        let chunk = chunk(4, n * CHUNK_SIZE, CHUNK_SIZE, &whole.document);
+        let input = ConfigSyncInput::Message(instance, ConfigMsg::Chunk(chunk));
         out.extend(handle(&mut sync, NOW, input));
         let last = out.iter().rev().find_map(|output| match output {
             ConfigSyncOutput::Send(to, ConfigMsg::Request { .. }) => Some(*to),
             _ => None,
         });
-        asked.push(last.expect("a request"));
+        requested.push(last.expect("no request was sent"));
     }
-    assert_eq!(asked, sources.map(|(instance, _, _)| instance));
+    assert_eq!(requested, sources.map(|(instance, _, _)| instance));
 }
--- a/crates/celerywinch_fleet/tests/wire/mod.rs
+++ b/crates/celerywinch_fleet/tests/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Processes and links with a rate, in virtual time.
+//! Simulated processes and links of limited rate, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -7,86 +7,87 @@
 use celerywinch_registry::VersionedDocument;
 use celerywinch_types::{ConfigMsg, DataCentreId, InstanceId, ProcessKind, Time};
 
-/// Processes of the simulated deployment.
+/// Numbers of processes.
 const KEEPERS: u32 = 6;
 const ENTRIES: u32 = 28;
-/// Their data centres.
+/// Number of data centres.
 const DCS: u32 = 3;
-/// Bytes that a link carries in a ms: 1,000 Mbit/s of a keeper, 25 Mbit/s of an entry.
+/// Rates of links, in bytes per ms: 1,000 Mbit/s for a keeper, 25 Mbit/s for an entry.
 const KEEPER_RATE: u64 = 125_000;
 const ENTRY_RATE: u64 = 3_125;
-/// One way, in us: within a data centre, and between two.
-const NEAR: u64 = 100;
-const FAR: u64 = 1_400;
-/// Between two heartbeats, and between two ticks, in us.
-const BEAT: u64 = 500_000;
-const TICK: u64 = 20_000;
-/// When the first change comes: heartbeats of all have been heard by then.
-const START: u64 = 2_000_000;
-/// The other keepers hear that a change is accepted with the leader's next heartbeat, in us.
-const COMMIT: u64 = 60_000;
-/// Bytes of a heartbeat, and of a message around a document or a part of one.
-const SMALL: u64 = 100;
-
-/// A change of the configuration: ms after the first one, bytes of the document.
+/// One-way latencies within a data centre and between two, in us.
+const LOCAL_LATENCY: u64 = 100;
+const REMOTE_LATENCY: u64 = 1_400;
+/// Intervals of heartbeats and ticks, in us.
+const HEARTBEAT_INTERVAL: u64 = 500_000;
+const TICK_INTERVAL: u64 = 20_000;
+/// Time of the first change, in us. All processes have received each other's heartbeats by then.
+const FIRST_CHANGE: u64 = 2_000_000;
+/// Time until the other keepers learn that a change was accepted, by the leader's next heartbeat, in us.
+const COMMIT_DELAY: u64 = 60_000;
+/// Size of a heartbeat, and of a message without the bytes of its chunk.
+const MESSAGE_OVERHEAD: u64 = 100;
+
+/// A change of the configuration: its time in ms after the first one, and the size of its document in bytes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Change {
-    pub(crate) at: u64,
+    pub(crate) at_ms: u64,
     pub(crate) bytes: usize,
 }
 
-/// What goes wrong.
+/// An injected fault. Times are in ms after the first change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Fault {
     None,
-    /// Keepers tell of the change, and answer nothing from some ms after it on.
-    Mute {
+    /// Keepers send heartbeats that report the change, but answer no requests from this time on.
+    Unresponsive {
         first: u32,
         last: u32,
-        at: u64,
+        at_ms: u64,
     },
-    /// Keepers stop, some ms after the change.
+    /// Keepers stop at this time.
     Stop {
         first: u32,
         last: u32,
-        at: u64,
+        at_ms: u64,
     },
-    /// One data centre is cut off from all others; one entry there got the change just before.
+    /// The entries of one data centre cannot reach other processes; one of them has received the change just before.
     CutOff,
 }
 
 #[derive(Clone, Debug)]
 enum Packet {
-    Beat(u64),
+    Heartbeat(u64),
     Config(ConfigMsg),
 }
 
 impl Packet {
     fn bytes(&self) -> u64 {
         let body = match self {
-            Self::Beat(_) | Self::Config(ConfigMsg::Request { .. }) => 0,
-            Self::Config(ConfigMsg::Chunk(piece)) => piece.bytes.len(),
+            Self::Heartbeat(_) | Self::Config(ConfigMsg::Request { .. }) => 0,
+            Self::Config(ConfigMsg::Chunk(chunk)) => chunk.bytes.len(),
         };
-        SMALL + body as u64
+        MESSAGE_OVERHEAD + body as u64
     }
 }
 
 #[derive(Debug)]
 enum Event {
     Tick(u32),
-    Beat(u32),
+    SendHeartbeats(u32),
     Accept(u32, u64, usize),
-    /// A message is at the receiver's link.
-    Arrive(Sent),
-    /// It has been received.
-    Take(Sent),
+    /// A message arrives at the receiver's link.
+    Arrive(Message),
+    /// A message has been received completely.
+    Deliver(Message),
 }
 
 #[derive(Debug)]
-struct Sent {
+struct Message {
     from: u32,
     to: u32,
-    at: u64,
+    /// When it was sent, in us.
+    sent_at: u64,
     packet: Packet,
 }
 
@@ -94,25 +95,25 @@
     sync: ConfigSync,
     kind: ProcessKind,
     dc: u32,
-    /// When its link is free again, towards the others and from them.
-    up: u64,
-    down: u64,
+    /// When its link is free again, in each direction.
+    uplink_free: u64,
+    downlink_free: u64,
     received: u64,
-    /// Versions in force, and since when.
+    /// The versions put in force, and when.
     in_force: Vec<(u64, u64)>,
-    heard: Option<u64>,
+    first_heartbeat: Option<u64>,
 }
 
-pub(crate) struct Net {
+pub(crate) struct Network {
     now: u64,
-    count: u64,
+    event_count: u64,
     nodes: BTreeMap<u32, Node>,
     events: BTreeMap<(u64, u64), Event>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     fault: Fault,
     changes: Vec<Change>,
-    /// The longest that a heartbeat took beyond its way, in us.
-    waited: u64,
+    /// Maximum time that a heartbeat took in addition to its transit time, in us.
+    max_wait: u64,
 }
 
 fn document(version: u64, bytes: usize) -> VersionedDocument {
@@ -123,17 +124,17 @@
     }
 }
 
-impl Net {
+impl Network {
     pub(crate) fn new(fault: Fault) -> Self {
-        let mut net = Self {
+        let mut network = Self {
             now: 0,
-            count: 0,
+            event_count: 0,
             nodes: BTreeMap::new(),
             events: BTreeMap::new(),
             queue: BinaryHeap::new(),
             fault,
             changes: Vec::new(),
-            waited: 0,
+            max_wait: 0,
         };
         for id in 1..=KEEPERS + ENTRIES {
             let kind = if id <= KEEPERS {
@@ -141,10 +142,10 @@
             } else {
                 ProcessKind::Entry
             };
-            net.add(id, kind);
-            net.give(id, document(1, 1_000));
+            network.add(id, kind);
+            network.put_in_force(id, document(1, 1_000));
         }
-        net
+        network
     }
 
     fn add(&mut self, id: u32, kind: ProcessKind) {
@@ -158,53 +159,60 @@
             sync,
             kind,
             dc,
-            up: 0,
-            down: 0,
+            uplink_free: 0,
+            downlink_free: 0,
             received: 0,
             in_force: Vec::new(),
-            heard: None,
+            first_heartbeat: None,
         };
         self.nodes.insert(id, node);
-        // Spread over the time between two.
-        self.at(self.now + 1 + u64::from(id) * 7_919 % TICK, Event::Tick(id));
-        self.at(
-            self.now + 1 + u64::from(id) * 104_729 % BEAT,
-            Event::Beat(id),
+        // Offsets by the id distribute the processes over the interval.
+        self.schedule(
+            self.now + 1 + u64::from(id) * 7_919 % TICK_INTERVAL,
+            Event::Tick(id),
+        );
+        self.schedule(
+            self.now + 1 + u64::from(id) * 104_729 % HEARTBEAT_INTERVAL,
+            Event::SendHeartbeats(id),
         );
     }
 
-    fn at(&mut self, when: u64, event: Event) {
-        self.count += 1;
-        self.events.insert((when, self.count), event);
-        self.queue.push(Reverse((when, self.count)));
+    fn schedule(&mut self, when: u64, event: Event) {
+        self.event_count += 1;
+        self.events.insert((when, self.event_count), event);
+        self.queue.push(Reverse((when, self.event_count)));
     }
 
-    /// Plays the changes, and so many ms from the first one on.
-    pub(crate) fn play(&mut self, changes: &[Change], ms: u64) {
+    /// Runs the changes, until `ms` after the first one.
+    pub(crate) fn run_changes(&mut self, changes: &[Change], ms: u64) {
         self.changes = changes.to_vec();
         for (n, change) in changes.iter().enumerate() {
             let version = n as u64 + 2;
-            let at = START + change.at * 1_000;
+            let at = FIRST_CHANGE + change.at_ms * 1_000;
             if self.fault == Fault::CutOff {
                 let source = (KEEPERS + 1..).find(|id| self.nodes[id].dc == 0);
-                self.at(at, Event::Accept(source.unwrap(), version, change.bytes));
+                self.schedule(at, Event::Accept(source.unwrap(), version, change.bytes));
             }
-            self.at(at, Event::Accept(1, version, change.bytes));
+            self.schedule(at, Event::Accept(1, version, change.bytes));
             for keeper in 2..=KEEPERS {
-                self.at(at + COMMIT, Event::Accept(keeper, version, change.bytes));
+                self.schedule(
+                    at + COMMIT_DELAY,
+                    Event::Accept(keeper, version, change.bytes),
+                );
             }
         }
-        self.run(START + ms * 1_000);
+        self.run(FIRST_CHANGE + ms * 1_000);
     }
 
-    /// Starts one more entry and plays so many ms; ms from its first heartbeat to the configuration in force.
+    /// Starts another entry and runs for `ms`. Returns the time from the first heartbeat that it received until the
+    /// configuration was in force there, in ms.
     pub(crate) fn join(&mut self, ms: u64) -> u64 {
         let id = KEEPERS + ENTRIES + 1;
         self.add(id, ProcessKind::Entry);
         self.run(self.now + ms * 1_000);
         let node = &self.nodes[&id];
-        let in_force = node.in_force.first().expect("in force");
-        (in_force.1 - node.heard.expect("heard")) / 1_000
+        let in_force = node.in_force.first().expect("no version is in force");
+        (in_force.1 - node.first_heartbeat.expect("no heartbeat was received")) / 1_000
     }
 
     fn run(&mut self, end: u64) {
@@ -213,64 +221,67 @@
         {
             self.queue.pop();
             self.now = key.0;
-            let event = self.events.remove(&key).expect("an event");
-            self.event(event);
+            let event = self.events.remove(&key).expect("a queued event");
+            self.handle_event(event);
         }
         self.now = end;
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Tick(id) => {
                 self.handle(id, ConfigSyncInput::Tick);
-                self.at(self.now + TICK, Event::Tick(id));
+                self.schedule(self.now + TICK_INTERVAL, Event::Tick(id));
             }
-            Event::Beat(id) => {
+            Event::SendHeartbeats(id) => {
                 let all: Vec<_> = self.nodes.keys().copied().collect();
                 for to in all.into_iter().filter(|to| *to != id) {
-                    self.beat(id, to);
+                    self.send_heartbeat(id, to);
                 }
-                self.at(self.now + BEAT, Event::Beat(id));
+                self.schedule(self.now + HEARTBEAT_INTERVAL, Event::SendHeartbeats(id));
             }
-            Event::Accept(id, version, bytes) => self.give(id, document(version, bytes)),
-            Event::Arrive(sent) => {
-                let bytes = sent.packet.bytes();
-                let node = self.nodes.get_mut(&sent.to).expect("a process");
-                node.down = node.down.max(self.now) + bytes * 1_000 / rate(node.kind);
-                let when = node.down;
-                if matches!(sent.packet, Packet::Config(_)) {
+            Event::Accept(id, version, bytes) => self.put_in_force(id, document(version, bytes)),
+            Event::Arrive(message) => {
+                let bytes = message.packet.bytes();
+                let node = self.nodes.get_mut(&message.to).expect("a process");
+                node.downlink_free =
+                    node.downlink_free.max(self.now) + bytes * 1_000 / rate(node.kind);
+                let when = node.downlink_free;
+                if matches!(message.packet, Packet::Config(_)) {
                     node.received += bytes;
                 }
-                self.at(when, Event::Take(sent));
+                self.schedule(when, Event::Deliver(message));
             }
-            Event::Take(sent) => self.take(sent),
+            Event::Deliver(message) => self.deliver(message),
         }
     }
 
-    fn take(&mut self, sent: Sent) {
-        let Sent {
+    fn deliver(&mut self, message: Message) {
+        let Message {
             from,
             to,
-            at,
+            sent_at,
             packet,
-        } = sent;
+        } = message;
         match packet {
-            Packet::Beat(version) => {
-                let way = self.latency(from, to) + 2 * SMALL * 1_000 / ENTRY_RATE;
-                self.waited = self.waited.max((self.now - at).saturating_sub(way));
-                let other = &self.nodes[&from];
+            Packet::Heartbeat(version) => {
+                let transit = self.latency(from, to) + 2 * MESSAGE_OVERHEAD * 1_000 / ENTRY_RATE;
+                self.max_wait = self
+                    .max_wait
+                    .max((self.now - sent_at).saturating_sub(transit));
+                let sender = &self.nodes[&from];
                 let status = PeerStatus {
                     instance: InstanceId(from),
-                    kind: other.kind,
-                    dc: DataCentreId(other.dc as u8),
+                    kind: sender.kind,
+                    dc: DataCentreId(sender.dc as u8),
                     version,
                 };
                 let node = self.nodes.get_mut(&to).expect("a process");
-                node.heard = node.heard.or(Some(self.now));
+                node.first_heartbeat = node.first_heartbeat.or(Some(self.now));
                 self.handle(to, ConfigSyncInput::Heartbeat(status));
             }
             Packet::Config(msg) => {
-                if !self.is_mute(to) {
+                if !self.is_unresponsive(to) {
                     self.handle(to, ConfigSyncInput::Message(InstanceId(from), msg));
                 }
             }
@@ -285,38 +296,38 @@
         for output in out {
             match output {
                 ConfigSyncOutput::Send(to, msg) => {
-                    if !self.is_mute(id) {
+                    if !self.is_unresponsive(id) {
                         self.send(id, to.0, Packet::Config(msg));
                     }
                 }
                 ConfigSyncOutput::SendHeartbeats(others) => {
                     for other in others {
-                        self.beat(id, other.0);
+                        self.send_heartbeat(id, other.0);
                     }
                 }
-                ConfigSyncOutput::Fetched(held) => self.give(id, held),
+                ConfigSyncOutput::Fetched(document) => self.put_in_force(id, document),
                 ConfigSyncOutput::Event(_) => {}
             }
         }
     }
 
-    /// Puts a document in force, as the host does.
-    fn give(&mut self, id: u32, held: VersionedDocument) {
+    /// Puts a document in force if it is newer, as the host does.
+    fn put_in_force(&mut self, id: u32, fetched: VersionedDocument) {
         let node = self.nodes.get_mut(&id).expect("a process");
-        let version = held.version;
+        let version = fetched.version;
         if version <= node.sync.version() {
             return;
         }
         if let Some(change) = self.changes.get((version as usize).wrapping_sub(2)) {
-            assert_eq!(held, document(version, change.bytes));
+            assert_eq!(fetched, document(version, change.bytes));
         }
         node.in_force.push((version, self.now));
-        self.handle(id, ConfigSyncInput::InForce(held));
+        self.handle(id, ConfigSyncInput::InForce(fetched));
     }
 
-    fn beat(&mut self, from: u32, to: u32) {
+    fn send_heartbeat(&mut self, from: u32, to: u32) {
         let version = self.nodes[&from].sync.version();
-        self.send(from, to, Packet::Beat(version));
+        self.send(from, to, Packet::Heartbeat(version));
     }
 
     fn send(&mut self, from: u32, to: u32, packet: Packet) {
@@ -325,39 +336,40 @@
         }
         let latency = self.latency(from, to);
         let node = self.nodes.get_mut(&from).expect("a process");
-        node.up = node.up.max(self.now) + packet.bytes() * 1_000 / rate(node.kind);
-        let (when, at) = (node.up + latency, self.now);
-        let sent = Sent {
+        node.uplink_free =
+            node.uplink_free.max(self.now) + packet.bytes() * 1_000 / rate(node.kind);
+        let (when, sent_at) = (node.uplink_free + latency, self.now);
+        let message = Message {
             from,
             to,
-            at,
+            sent_at,
             packet,
         };
-        self.at(when, Event::Arrive(sent));
+        self.schedule(when, Event::Arrive(message));
     }
 
     fn latency(&self, from: u32, to: u32) -> u64 {
         if self.nodes[&from].dc == self.nodes[&to].dc {
-            NEAR
+            LOCAL_LATENCY
         } else {
-            FAR
+            REMOTE_LATENCY
         }
     }
 
-    fn is_mute(&self, id: u32) -> bool {
-        matches!(self.fault, Fault::Mute { first, last, at }
-            if (first..=last).contains(&id) && self.now >= START + at * 1_000)
+    fn is_unresponsive(&self, id: u32) -> bool {
+        matches!(self.fault, Fault::Unresponsive { first, last, at_ms }
+            if (first..=last).contains(&id) && self.now >= FIRST_CHANGE + at_ms * 1_000)
     }
 
     fn is_stopped(&self, id: u32) -> bool {
-        matches!(self.fault, Fault::Stop { first, last, at }
-            if (first..=last).contains(&id) && self.now >= START + at * 1_000)
+        matches!(self.fault, Fault::Stop { first, last, at_ms }
+            if (first..=last).contains(&id) && self.now >= FIRST_CHANGE + at_ms * 1_000)
     }
 
     fn is_cut(&self, a: u32, b: u32) -> bool {
         let inside =
             |id: u32| self.nodes[&id].kind == ProcessKind::Entry && self.nodes[&id].dc == 0;
-        self.fault == Fault::CutOff && self.now >= START && inside(a) != inside(b)
+        self.fault == Fault::CutOff && self.now >= FIRST_CHANGE && inside(a) != inside(b)
     }
 
     fn entries(&self) -> impl Iterator<Item = (u32, &Node)> {
@@ -367,39 +379,40 @@
             .map(|(id, node)| (*id, node))
     }
 
-    /// The most that an entry received of documents, in hundredths of all of them.
-    pub(crate) fn received(&self) -> u64 {
+    /// Returns the maximum number of bytes of documents that an entry received, in percent of all documents.
+    pub(crate) fn max_received(&self) -> u64 {
         let all: usize = self.changes.iter().map(|change| change.bytes).sum();
         let most = self.entries().map(|(_, node)| node.received).max();
         most.unwrap_or(0) * 100 / all as u64
     }
 
-    /// The longest that a heartbeat waited behind other messages, in ms.
-    pub(crate) fn waited(&self) -> u64 {
-        self.waited / 1_000
+    /// Returns the maximum time that a heartbeat waited behind other messages, in ms.
+    pub(crate) fn max_wait(&self) -> u64 {
+        self.max_wait / 1_000
     }
 
-    /// Entries that do not have the last version so many ms after it was accepted, and when they had it.
-    pub(crate) fn late(&self, within: u64) -> Vec<(u32, Option<u64>)> {
+    /// Returns the entries that put the last version in force later than `deadline_ms` after it was accepted, or never,
+    /// and how long it took, in ms.
+    pub(crate) fn late_entries(&self, deadline_ms: u64) -> Vec<(u32, Option<u64>)> {
         let last = self.changes.len() as u64 + 1;
-        let accepted = START + self.changes.last().expect("a change").at * 1_000;
+        let accepted = FIRST_CHANGE + self.changes.last().expect("a change").at_ms * 1_000;
         let took = |node: &Node| {
             let had = node.in_force.iter().find(|(version, _)| *version == last);
             had.map(|(_, at)| (at - accepted) / 1_000)
         };
         let took = self.entries().map(|(id, node)| (id, took(node)));
-        took.filter(|(_, took)| took.is_none_or(|took| took > within))
+        took.filter(|(_, took)| took.is_none_or(|took| took > deadline_ms))
             .collect()
     }
 
-    /// The longest that an entry had no newer version between the first change and the last one, in ms.
-    pub(crate) fn longest_gap(&self) -> u64 {
-        let end = START + self.changes.last().expect("a change").at * 1_000;
+    /// Returns the maximum time that an entry put no newer version in force between the first and the last change, in ms.
+    pub(crate) fn max_gap(&self) -> u64 {
+        let end = FIRST_CHANGE + self.changes.last().expect("a change").at_ms * 1_000;
         let gap = |node: &Node| {
             let mut times: Vec<_> = node
                 .in_force
                 .iter()
-                .map(|(_, at)| (*at).clamp(START, end))
+                .map(|(_, at)| (*at).clamp(FIRST_CHANGE, end))
                 .collect();
             times.push(end);
             times.windows(2).map(|two| two[1] - two[0]).max()
