--- a/crates/celerywinch_fleet/src/directory.rs
+++ b/crates/celerywinch_fleet/src/directory.rs
@@ -1,4 +1,4 @@
-//! The workers that a process has heard of.
+//! The workers that announce themselves to a process.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,162 +6,174 @@
 use celerywinch_types::{AnnouncementVersion, Incarnation, Time, WorkerAnnouncement, WorkerStage};
 use serde::Serialize;
 
-/// A worker that did not announce itself for this long is forgotten by its keeper. Dispatchers find
-/// out by themselves; this only bounds the list.
-const FORGET: Duration = Duration::from_secs(20);
-/// One that has left is remembered for this long: a late announcement must not bring it back.
-const REMEMBER_GONE: Duration = Duration::from_secs(20);
+/// Time without an announcement after which a worker is removed. Dispatchers detect lost workers themselves; this only
+/// bounds the list.
+const EXPIRY: Duration = Duration::from_secs(20);
+/// Time for which a worker that has left is kept, so that a delayed announcement does not bring it back.
+const DEPARTED_RETENTION: Duration = Duration::from_secs(20);
 
-/// Between two lists of workers that are written to the disk.
-const SAVE: Duration = Duration::from_secs(2);
+/// Minimum interval between two writes of the list to the disk.
+const SAVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A worker and when it was heard last.
+/// The latest announcement of a worker.
 #[derive(Clone, Debug)]
-struct Known {
-    note: WorkerAnnouncement,
-    heard: Time,
+struct WorkerRecord {
+    announcement: WorkerAnnouncement,
+    last_contact: Time,
 }
 
-/// What an announcement changes here.
+/// The result of recording an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AnnounceOutcome {
-    /// The others have to hear of it.
+    /// The worker is new or has changed; other processes have to be notified.
     #[serde(rename = "news")]
     Changed,
-    /// Nothing but that the worker is there.
+    /// The worker has not changed; only its last contact was updated.
     #[serde(rename = "nothing")]
     Unchanged,
-    /// It is not taken, as this later one is known.
+    /// It was not recorded, as this later version of the same incarnation is known.
     #[serde(rename = "late")]
     Stale(AnnouncementVersion),
-    /// The same of a life that counts as an earlier one. The others hear of it all the same: if the worker's clock was set
-    /// back between two starts it is the later one, which only the worker itself can show.
+    /// It was not recorded, as it has a lower incarnation than this known version. Other processes are notified all the same:
+    /// if the worker's clock was set back between two starts, the lower incarnation is the later one, which only the worker
+    /// itself can tell.
     #[serde(rename = "other_life")]
     OtherIncarnation(AnnouncementVersion),
-    /// It is not taken, as this life has left.
+    /// It was not recorded, as this incarnation has left.
     Left,
 }
 
-/// The workers that announce themselves here.
+/// The workers that announce themselves to this process, by id.
 #[derive(Debug, Default)]
 pub struct WorkerDirectory {
-    workers: HashMap<String, Known>,
-    /// Whether one has come, changed or gone since the list was saved.
-    changed: bool,
-    saved: Time,
+    workers: HashMap<String, WorkerRecord>,
+    /// Whether a worker was added, changed or has left since the list was saved.
+    unsaved: bool,
+    last_save: Time,
 }
 
 impl WorkerDirectory {
-    /// Takes an announcement.
-    pub fn record_announcement(&mut self, now: Time, note: WorkerAnnouncement) -> AnnounceOutcome {
-        let Some(known) = self.workers.get_mut(&note.id) else {
-            let name = note.id.clone();
-            self.workers.insert(name, Known { note, heard: now });
-            self.changed = true;
+    /// Records an announcement, unless a later one is known.
+    pub fn record_announcement(
+        &mut self,
+        now: Time,
+        announcement: WorkerAnnouncement,
+    ) -> AnnounceOutcome {
+        let Some(known) = self.workers.get_mut(&announcement.id) else {
+            let id = announcement.id.clone();
+            self.workers.insert(
+                id,
+                WorkerRecord {
+                    announcement,
+                    last_contact: now,
+                },
+            );
+            self.unsaved = true;
             return AnnounceOutcome::Changed;
         };
-        let last = known.note.version;
-        if note.version.incarnation < last.incarnation {
-            return AnnounceOutcome::OtherIncarnation(last);
+        let known_version = known.announcement.version;
+        if announcement.version.incarnation < known_version.incarnation {
+            return AnnounceOutcome::OtherIncarnation(known_version);
         }
-        let same_life = note.version.incarnation == last.incarnation;
-        if same_life && known.note.stage == WorkerStage::Gone {
+        let same_incarnation = announcement.version.incarnation == known_version.incarnation;
+        if same_incarnation && known.announcement.stage == WorkerStage::Gone {
             return AnnounceOutcome::Left;
         }
-        known.heard = now;
-        if same_life && note.version <= last {
-            return AnnounceOutcome::Stale(last);
+        known.last_contact = now;
+        if same_incarnation && announcement.version <= known_version {
+            return AnnounceOutcome::Stale(known_version);
         }
-        let news = differs(&known.note, &note);
-        self.changed |= news;
-        known.note = note;
-        if news {
+        let changed = differs_beyond_sequence(&known.announcement, &announcement);
+        self.unsaved |= changed;
+        known.announcement = announcement;
+        if changed {
             AnnounceOutcome::Changed
         } else {
             AnnounceOutcome::Unchanged
         }
     }
 
-    /// A worker has left; `life` is none where it does not say which of its lives did. None if a later one is known: the word was
-    /// held up, and a worker that serves would get no work for as long as that is remembered.
+    /// Records that a worker has left and returns the announcement to be sent to other processes. `incarnation` is `None` if
+    /// the worker did not state it. Returns `None` if the worker is unknown or a later incarnation is known: then the report was
+    /// delayed, and a serving worker would get no tasks for as long as its departure is kept.
     pub fn record_departure(
         &mut self,
         now: Time,
         id: &str,
-        life: Option<Incarnation>,
+        incarnation: Option<Incarnation>,
     ) -> Option<WorkerAnnouncement> {
         let known = self.workers.get_mut(id)?;
-        let said = &mut known.note.version;
-        if life.is_some_and(|life| life < said.incarnation) {
+        let version = &mut known.announcement.version;
+        if incarnation.is_some_and(|incarnation| incarnation < version.incarnation) {
             return None;
         }
-        said.incarnation = life.unwrap_or(said.incarnation);
-        known.heard = now;
-        known.note.stage = WorkerStage::Gone;
-        self.changed = true;
-        Some(known.note.clone())
+        version.incarnation = incarnation.unwrap_or(version.incarnation);
+        known.last_contact = now;
+        known.announcement.stage = WorkerStage::Gone;
+        self.unsaved = true;
+        Some(known.announcement.clone())
     }
 
-    /// Whether a worker is known to leave, or to have left.
+    /// Returns whether a worker is known to be leaving or to have left.
     #[must_use]
     pub fn is_leaving(&self, id: &str) -> bool {
         let known = self.workers.get(id);
-        known.is_some_and(|known| known.note.stage != WorkerStage::Ready)
+        known.is_some_and(|known| known.announcement.stage != WorkerStage::Ready)
     }
 
-    /// Forgets those that were not heard for long.
+    /// Removes workers whose last contact is too long ago.
     pub fn remove_expired(&mut self, now: Time) {
         self.workers.retain(|_, known| {
-            let limit = match known.note.stage {
-                WorkerStage::Gone => REMEMBER_GONE,
-                WorkerStage::Ready | WorkerStage::Draining => FORGET,
+            let retention = match known.announcement.stage {
+                WorkerStage::Gone => DEPARTED_RETENTION,
+                WorkerStage::Ready | WorkerStage::Draining => EXPIRY,
             };
-            now.since(known.heard) <= limit
+            now.since(known.last_contact) <= retention
         });
     }
 
-    /// All that are known, also those that have left lately.
+    /// Returns the announcements of all known workers, including those that have recently left.
     #[must_use]
     pub fn announcements(&self) -> Vec<WorkerAnnouncement> {
         let workers = self.workers.values();
-        workers.map(|known| known.note.clone()).collect()
+        workers.map(|known| known.announcement.clone()).collect()
     }
 
-    /// Those that serve, if that has changed since the last time and `SAVE` is over: each list costs
-    /// the disk two syncs.
+    /// Returns the serving workers if any worker has changed since the last save, at most once per `SAVE_INTERVAL`, as each
+    /// write of the list costs two syncs of the disk.
     pub fn take_unsaved(&mut self, now: Time) -> Option<Vec<WorkerAnnouncement>> {
-        if !self.changed || now.since(self.saved) < SAVE {
+        if !self.unsaved || now.since(self.last_save) < SAVE_INTERVAL {
             return None;
         }
-        self.changed = false;
-        self.saved = now;
-        let ready = |note: &WorkerAnnouncement| note.stage == WorkerStage::Ready;
-        let notes = self.announcements().into_iter().filter(ready);
-        Some(notes.collect())
+        self.unsaved = false;
+        self.last_save = now;
+        let ready = |announcement: &WorkerAnnouncement| announcement.stage == WorkerStage::Ready;
+        let announcements = self.announcements().into_iter().filter(ready);
+        Some(announcements.collect())
     }
 
-    /// How many are known.
+    /// Returns the number of known workers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.workers.len()
     }
 
-    /// Whether none is known.
+    /// Returns whether no worker is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.workers.is_empty()
     }
 }
 
-/// Whether something changed but the count of announcements.
-fn differs(a: &WorkerAnnouncement, b: &WorkerAnnouncement) -> bool {
-    let said = AnnouncementVersion {
+/// Returns whether two announcements differ in more than their sequence numbers.
+fn differs_beyond_sequence(a: &WorkerAnnouncement, b: &WorkerAnnouncement) -> bool {
+    let version = AnnouncementVersion {
         sequence: a.version.sequence,
         ..b.version
     };
     *a != WorkerAnnouncement {
-        version: said,
+        version,
         ..b.clone()
     }
 }
--- a/crates/celerywinch_fleet/tests/directory.rs
+++ b/crates/celerywinch_fleet/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The workers that a keeper knows, over its restarts.
+//! The workers that a keeper knows, across restarts of workers and keepers.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 };
 use rstest::rstest;
 
-fn said(incarnation: u64, sequence: u64) -> AnnouncementVersion {
+fn version(incarnation: u64, sequence: u64) -> AnnouncementVersion {
     AnnouncementVersion {
         incarnation: Incarnation(incarnation),
         sequence,
     }
 }
 
-fn note(id: &str, stage: WorkerStage, sequence: u64) -> WorkerAnnouncement {
+fn announcement(id: &str, stage: WorkerStage, sequence: u64) -> WorkerAnnouncement {
     WorkerAnnouncement {
         id: id.to_owned(),
         service: "s".to_owned(),
@@ -25,109 +25,115 @@
         capacity: Resources::default(),
         labels: Vec::new(),
         stage,
-        version: said(1, sequence),
+        version: version(1, sequence),
     }
 }
 
-fn names(notes: Option<Vec<WorkerAnnouncement>>) -> Option<Vec<String>> {
-    let mut names: Vec<_> = notes?.into_iter().map(|note| note.id).collect();
-    names.sort();
-    Some(names)
+fn ids(announcements: Option<Vec<WorkerAnnouncement>>) -> Option<Vec<String>> {
+    let mut ids: Vec<_> = announcements?
+        .into_iter()
+        .map(|announcement| announcement.id)
+        .collect();
+    ids.sort();
+    Some(ids)
 }
 
-/// Callers are refused for want of workers that are there: all processes lose power at once, and each worker
-/// announces itself to the new ones up to 1.5 s later. So those that serve are written to the disk when they
-/// change, not with each announcement, and not those that leave.
+/// Guards against jobs that are refused for lack of workers after all processes have lost power: a worker announces itself
+/// to the restarted ones up to 1.5 s later. So the serving workers are written to the disk, but only when workers change, not
+/// with each announcement, and without those that leave.
 #[test]
-fn workers_that_serve_are_saved_when_they_change() {
+fn serving_workers_are_saved_when_they_change() {
     let now = Time(10_000_000);
     let mut directory = WorkerDirectory::default();
-    assert_eq!(names(directory.take_unsaved(now)), None);
-    directory.record_announcement(now, note("a", WorkerStage::Ready, 1));
-    directory.record_announcement(now, note("b", WorkerStage::Ready, 1));
+    assert_eq!(ids(directory.take_unsaved(now)), None);
+    directory.record_announcement(now, announcement("a", WorkerStage::Ready, 1));
+    directory.record_announcement(now, announcement("b", WorkerStage::Ready, 1));
     assert_eq!(
-        names(directory.take_unsaved(now)),
+        ids(directory.take_unsaved(now)),
         Some(vec!["a".into(), "b".into()])
     );
     let soon = now + Duration::from_millis(500);
-    directory.record_announcement(soon, note("b", WorkerStage::Draining, 2));
+    directory.record_announcement(soon, announcement("b", WorkerStage::Draining, 2));
     assert_eq!(
-        names(directory.take_unsaved(soon)),
+        ids(directory.take_unsaved(soon)),
         None,
-        "too soon after the last"
+        "too soon after the last save"
     );
     let later = now + Duration::from_millis(2_500);
-    assert_eq!(names(directory.take_unsaved(later)), Some(vec!["a".into()]));
+    assert_eq!(ids(directory.take_unsaved(later)), Some(vec!["a".into()]));
     let last = now + Duration::from_millis(5_000);
-    directory.record_announcement(last, note("a", WorkerStage::Ready, 2));
-    assert_eq!(names(directory.take_unsaved(last)), None, "nothing changed");
+    directory.record_announcement(last, announcement("a", WorkerStage::Ready, 2));
+    assert_eq!(ids(directory.take_unsaved(last)), None, "nothing changed");
 }
 
-/// A worker that drains gets work again: a list from the disk of a keeper that was down is older than what it has
-/// said since. What counts is the number of its announcement.
+/// Guards against a draining worker that gets tasks again: the list on the disk of a restarted keeper is older than the worker's
+/// announcements since. The sequence number of an announcement decides.
 #[test]
-fn older_state_does_not_come_back() {
+fn stale_announcement_is_rejected() {
     let now = Time(10_000_000);
     let mut directory = WorkerDirectory::default();
-    directory.record_announcement(now, note("a", WorkerStage::Draining, 7));
-    let heard = directory.record_announcement(now, note("a", WorkerStage::Ready, 4));
-    assert_eq!(heard, AnnounceOutcome::Stale(said(1, 7)));
+    directory.record_announcement(now, announcement("a", WorkerStage::Draining, 7));
+    let outcome = directory.record_announcement(now, announcement("a", WorkerStage::Ready, 4));
+    assert_eq!(outcome, AnnounceOutcome::Stale(version(1, 7)));
     assert_eq!(directory.announcements()[0].stage, WorkerStage::Draining);
 }
 
-/// Callers' tasks reach a worker that has said that it leaves, for as long as it goes on: it has crashed before, and started
-/// again under its name. Its announcements are counted anew; the notice has a lower number than those of the life before, and
-/// is acknowledged as a late one of that, without being told to any dispatcher.
+/// Guards against tasks that are started on a leaving worker. It has crashed before and restarted under its id, so its
+/// sequence numbers started again. Its notice has a lower number than announcements of the earlier incarnation, and was
+/// acknowledged as a stale one of these without being sent to any dispatcher.
 #[test]
-fn notice_of_a_later_life_is_taken() {
+fn notice_of_a_later_incarnation_is_accepted() {
     let now = Time(10_000_000);
     let mut directory = WorkerDirectory::default();
-    directory.record_announcement(now, note("a", WorkerStage::Ready, 1));
-    directory.record_announcement(now, note("a", WorkerStage::Ready, 20));
-    let leaves = WorkerAnnouncement {
-        version: said(2, 3),
-        ..note("a", WorkerStage::Draining, 3)
+    directory.record_announcement(now, announcement("a", WorkerStage::Ready, 1));
+    directory.record_announcement(now, announcement("a", WorkerStage::Ready, 20));
+    let notice = WorkerAnnouncement {
+        version: version(2, 3),
+        ..announcement("a", WorkerStage::Draining, 3)
     };
     assert_eq!(
-        directory.record_announcement(now, leaves),
+        directory.record_announcement(now, notice),
         AnnounceOutcome::Changed
     );
     assert_eq!(directory.announcements()[0].stage, WorkerStage::Draining);
 }
 
-/// A worker that has left, and starts again under its name, gets no work for as long as it announces itself: the keeper that
-/// it told remembers that it has left.
+/// Guards against a worker that left and restarted under its id, and gets no tasks for as long as it announces itself, as the
+/// keeper keeps its departure.
 #[test]
-fn later_life_of_a_worker_that_has_left_is_taken() {
+fn later_incarnation_of_a_departed_worker_is_accepted() {
     let now = Time(10_000_000);
     let mut directory = WorkerDirectory::default();
-    directory.record_announcement(now, note("a", WorkerStage::Ready, 7));
+    directory.record_announcement(now, announcement("a", WorkerStage::Ready, 7));
     directory.record_departure(now, "a", None);
-    let again = WorkerAnnouncement {
-        version: said(2, 1),
-        ..note("a", WorkerStage::Ready, 1)
+    let restarted = WorkerAnnouncement {
+        version: version(2, 1),
+        ..announcement("a", WorkerStage::Ready, 1)
     };
     assert_eq!(
-        directory.record_announcement(now, again),
+        directory.record_announcement(now, restarted),
         AnnounceOutcome::Changed
     );
 }
 
-/// A worker that serves gets no work for 20 s: that its earlier life has left was held up on its way, and is taken for a word of the
-/// later one.
+/// Guards against a serving worker that gets no tasks for 20 s, as the delayed departure of its earlier incarnation is applied
+/// to the later one.
 #[rstest]
-#[case::earlier_life(Some(1), WorkerStage::Ready)]
-#[case::same_life(Some(2), WorkerStage::Gone)]
-#[case::life_not_heard_of(Some(3), WorkerStage::Gone)]
-#[case::not_said(None, WorkerStage::Gone)]
-fn leave_counts_for_its_own_life(#[case] life: Option<u64>, #[case] stage: WorkerStage) {
+#[case::earlier_incarnation(Some(1), WorkerStage::Ready)]
+#[case::same_incarnation(Some(2), WorkerStage::Gone)]
+#[case::unknown_incarnation(Some(3), WorkerStage::Gone)]
+#[case::not_stated(None, WorkerStage::Gone)]
+fn departure_applies_to_its_own_incarnation(
+    #[case] incarnation: Option<u64>,
+    #[case] stage: WorkerStage,
+) {
     let now = Time(10_000_000);
     let mut directory = WorkerDirectory::default();
     let second = WorkerAnnouncement {
-        version: said(2, 1),
-        ..note("a", WorkerStage::Ready, 1)
+        version: version(2, 1),
+        ..announcement("a", WorkerStage::Ready, 1)
     };
     directory.record_announcement(now, second);
-    directory.record_departure(now, "a", life.map(Incarnation));
+    directory.record_departure(now, "a", incarnation.map(Incarnation));
     assert_eq!(directory.announcements()[0].stage, stage);
 }
