--- a/crates/celerywinch_fleet/src/store.rs
+++ b/crates/celerywinch_fleet/src/store.rs
@@ -1,5 +1,5 @@
-//! The keeper's thread: the configuration's log. Nothing that serves a caller waits for it, and it does not wait for its
-//! disk, which has a thread of its own.
+//! The thread of a keeper that runs the replicated log of the configuration. Nothing that serves a caller waits for it. It
+//! does not wait for writes to its disk, which have a thread of their own.
 
 mod writer;
 
@@ -18,35 +18,35 @@
 
 use crate::core::CoreMsg;
 use crate::{Clock, FleetConfig};
-use writer::{Write, Writer, Written};
+use writer::{Write, WriteResult, Writer};
 
-/// Between two ticks of the log.
-const TICK: Duration = Duration::from_millis(25);
-/// Between two heartbeats of the leader.
-const HEARTBEAT: Duration = Duration::from_millis(100);
-/// The shortest time without a leader before an election.
-const ELECTION: Duration = Duration::from_millis(400);
-/// Entries after which a snapshot is made. Each holds a whole configuration, up to 100 KB with
-/// several hundred routes, and the log is in memory too.
+/// Interval of the log's ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Interval of the leader's heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum time without a leader before an election.
+const ELECTION_TIMEOUT: Duration = Duration::from_millis(400);
+/// Number of entries after which the log is compacted to a snapshot. Each entry holds a whole configuration, up to 100 KB
+/// with several hundred routes, and the log is kept in memory as well.
 const COMPACT_AFTER: usize = 16;
-/// Between two attempts to use a disk that failed.
-const REOPEN: Duration = Duration::from_secs(1);
-/// The folder of the log within the data folder.
-const FOLDER: &str = "registry";
-/// The thread's stack, in bytes; it calls nothing deep.
-const STACK: usize = 256 << 10;
+/// Delay before a failed disk is opened again.
+const REOPEN_DELAY: Duration = Duration::from_secs(1);
+/// Folder of the log in the data folder.
+const LOG_FOLDER: &str = "registry";
+/// Stack size of the thread, in bytes. Its calls are not deeply nested.
+const STACK_SIZE: usize = 256 << 10;
 
-/// What the thread is told.
+/// A message to the thread.
 #[derive(Debug)]
 pub(crate) enum StoreInput {
     Log(InstanceId, Vec<u8>),
     Request(Request),
     Contacts(Vec<InstanceId>),
-    /// The workers that are known, to be there again after a restart.
+    /// The known workers, to be stored for the next start.
     Workers(Vec<WorkerAnnouncement>),
 }
 
-/// What the thread tells the core.
+/// A message from the thread to the core.
 #[derive(Debug)]
 pub(crate) enum StoreOutput {
     Send(InstanceId, FleetMsg),
@@ -54,7 +54,7 @@
     Committed(VersionedDocument),
     EvacuationsChanged(Evacuations),
     Role(RegistryStatus),
-    /// The workers that were known before a restart.
+    /// The workers that were known before the restart.
     Workers(Vec<WorkerAnnouncement>),
 }
 
@@ -67,8 +67,8 @@
     clock: Clock,
     core: UnboundedSender<CoreMsg>,
     open: Option<(Registry, Writer)>,
-    /// What became of writes to the disk that is open.
-    written: Receiver<Written>,
+    /// Results of writes to the open disk.
+    results: Receiver<WriteResult>,
     reopen_at: Time,
     contacts: Vec<InstanceId>,
 }
@@ -89,7 +89,7 @@
         clock,
         core,
         open: None,
-        written: never(),
+        results: never(),
         reopen_at: Time::NEVER,
         contacts: Vec::new(),
     };
@@ -98,7 +98,7 @@
     let (sender, inbox) = unbounded();
     thread::Builder::new()
         .name("store".into())
-        .stack_size(STACK)
+        .stack_size(STACK_SIZE)
         .spawn(move || store.run(&inbox))
         .context("store: cannot start its thread")?;
     Ok(sender)
@@ -106,10 +106,10 @@
 
 impl Store {
     fn open(&mut self) -> anyhow::Result<()> {
-        let (disk, identity, loaded) = Disk::open(&self.folder.join(FOLDER), rand::random())?;
+        let (disk, identity, loaded) = Disk::open(&self.folder.join(LOG_FOLDER), rand::random())?;
         if loaded.torn > 0 {
             log::warn!(
-                "store: Cut off {} bytes of an unfinished record.",
+                "store: Truncated {} bytes of an incomplete record.",
                 loaded.torn
             );
         }
@@ -121,8 +121,8 @@
             instances: self.seeds.clone(),
             forms: self.bootstrap,
             voters: self.voters,
-            heartbeat: HEARTBEAT,
-            election: ELECTION,
+            heartbeat: HEARTBEAT_INTERVAL,
+            election: ELECTION_TIMEOUT,
             compact_after: COMPACT_AFTER,
             seed: rand::random(),
         };
@@ -130,42 +130,42 @@
         let mut registry = Registry::new(config, now, loaded)?;
         registry.set_contacts(self.contacts.clone());
         if registry.evacuations().revision > 0 {
-            self.tell(StoreOutput::EvacuationsChanged(
+            self.notify_core(StoreOutput::EvacuationsChanged(
                 registry.evacuations().clone(),
             ));
         }
         if registry.document().version > 0 {
-            self.tell(StoreOutput::Committed(registry.document().clone()));
+            self.notify_core(StoreOutput::Committed(registry.document().clone()));
         }
-        let (writer, written) = Writer::start(disk, &self.folder)?;
+        let (writer, results) = Writer::start(disk, &self.folder)?;
         self.open = Some((registry, writer));
-        self.written = written;
+        self.results = results;
         Ok(())
     }
 
-    fn tell(&self, out: StoreOutput) {
-        // The core ends before this thread only when the process does.
+    fn notify_core(&self, out: StoreOutput) {
+        // Fails only if the core has ended, which it does only with the process.
         let _ = self.core.send(CoreMsg::Store(out));
     }
 
     fn run(&mut self, inbox: &Receiver<StoreInput>) {
-        let mut ticked = self.clock.now();
+        let mut last_tick = self.clock.now();
         loop {
-            let written = self.written.clone();
+            let results = self.results.clone();
             select! {
                 recv(inbox) -> msg => match msg {
                     Ok(msg) => self.handle(msg),
                     Err(_) => return,
                 },
-                recv(written) -> result => match result {
-                    Ok(result) => self.wrote(result),
-                    Err(_) => self.written = never(),
+                recv(results) -> result => match result {
+                    Ok(result) => self.handle_written(result),
+                    Err(_) => self.results = never(),
                 },
-                default(TICK) => {}
+                default(TICK_INTERVAL) => {}
             }
             let now = self.clock.now();
-            if now.since(ticked) >= TICK {
-                ticked = now;
+            if now.since(last_tick) >= TICK_INTERVAL {
+                last_tick = now;
                 self.tick(now);
             }
         }
@@ -175,25 +175,25 @@
         if self.reopen_at <= now {
             self.reopen_at = Time::NEVER;
             if let Err(error) = self.open() {
-                self.fail(now, &error);
+                self.close_disk(now, &error);
             }
         }
-        self.with(now, |registry, out| registry.handle(now, Input::Tick, out));
+        self.update_registry(now, |registry, out| registry.handle(now, Input::Tick, out));
     }
 
     fn handle(&mut self, msg: StoreInput) {
         let now = self.clock.now();
         match msg {
-            StoreInput::Log(from, bytes) => self.with(now, |registry, out| {
+            StoreInput::Log(from, bytes) => self.update_registry(now, |registry, out| {
                 if let Err(error) = registry.handle_encoded(now, &bytes, out) {
-                    log::warn!("store: Dropped a message of {from}: {error:#}.");
+                    log::warn!("store: Dropped an invalid message from {from}: {error:#}.");
                 }
             }),
             StoreInput::Request(request) => {
                 if self.open.is_none() {
                     self.answer(request.from, request.id, None);
                 }
-                self.with(now, |registry, out| registry.request(now, request, out));
+                self.update_registry(now, |registry, out| registry.request(now, request, out));
             }
             StoreInput::Workers(workers) => {
                 if let Some((_, writer)) = &self.open {
@@ -209,67 +209,75 @@
         }
     }
 
-    /// Workers announce themselves every 1.5 s. After the loss of all processes at once a dispatcher that
-    /// waits for that refuses callers for want of workers which are there; with the list it looks at
-    /// them at once, and what has gone meanwhile does not answer.
+    /// Sends the stored workers to the core. Workers announce themselves every 1.5 s. After the loss of all processes, a
+    /// dispatcher that waits for the announcements would refuse jobs for lack of workers. With the list it polls them at
+    /// once, and those that are gone do not answer.
     fn load_workers(&self) {
-        match load_file(&self.folder, writer::WORKERS) {
-            Ok(workers) => self.tell(StoreOutput::Workers(workers.unwrap_or_default())),
-            Err(error) => log::warn!("store: The workers known before cannot be read: {error:#}."),
+        match load_file(&self.folder, writer::WORKERS_FILE) {
+            Ok(workers) => self.notify_core(StoreOutput::Workers(workers.unwrap_or_default())),
+            Err(error) => log::warn!("store: Cannot read the stored workers: {error:#}."),
         }
     }
 
-    fn with(&mut self, now: Time, act: impl FnOnce(&mut Registry, &mut Vec<RegistryOutput>)) {
+    fn update_registry(
+        &mut self,
+        now: Time,
+        update: impl FnOnce(&mut Registry, &mut Vec<RegistryOutput>),
+    ) {
         let mut out = Vec::new();
         if let Some((registry, _)) = &mut self.open {
-            act(registry, &mut out);
+            update(registry, &mut out);
         }
-        self.carry_out(now, out);
+        self.handle_outputs(now, out);
     }
 
-    fn carry_out(&mut self, now: Time, out: Vec<RegistryOutput>) {
+    fn handle_outputs(&mut self, now: Time, out: Vec<RegistryOutput>) {
         for output in out {
-            if let Err(error) = self.output(output) {
-                self.fail(now, &error);
+            if let Err(error) = self.handle_output(output) {
+                self.close_disk(now, &error);
                 return;
             }
         }
     }
 
-    /// The first write that fails ends the keeper's life, so that nothing leaves that rests on what is not on the disk.
-    fn wrote(&mut self, written: Written) {
+    /// Passes a result of a write to the log. The first failed write closes the log, so that no message is sent that depends
+    /// on data which is not on the disk.
+    fn handle_written(&mut self, result: WriteResult) {
         let now = self.clock.now();
-        match written {
+        match result {
             Ok(count) => {
                 let input = Input::Written(count);
-                self.with(now, |registry, out| registry.handle(now, input, out));
+                self.update_registry(now, |registry, out| registry.handle(now, input, out));
             }
-            Err(error) => self.fail(now, &error.into()),
+            Err(error) => self.close_disk(now, &error.into()),
         }
     }
 
-    /// A full or broken disk refuses changes; what is in force stays in force.
-    fn fail(&mut self, now: Time, error: &anyhow::Error) {
-        log::error!("store: The disk cannot be used, changes are refused: {error:#}.");
+    /// Closes the log after an error of the disk, until it is opened again. Meanwhile changes are refused, and the
+    /// configuration in force stays in force.
+    fn close_disk(&mut self, now: Time, error: &anyhow::Error) {
+        log::error!("store: Disk error, changes are refused until it is opened again: {error:#}.");
         self.open = None;
-        self.written = never();
-        self.reopen_at = now + REOPEN;
+        self.results = never();
+        self.reopen_at = now + REOPEN_DELAY;
     }
 
-    fn output(&mut self, output: RegistryOutput) -> anyhow::Result<()> {
+    fn handle_output(&mut self, output: RegistryOutput) -> anyhow::Result<()> {
         match output {
-            RegistryOutput::Log(output) => self.log_output(output)?,
+            RegistryOutput::Log(output) => self.handle_log_output(output)?,
             RegistryOutput::Answer(to, id, state) => self.answer(to, id, state),
             RegistryOutput::Forward(to, request) => {
                 let msg = KeeperMsg::Propose {
                     id: request.id,
                     request: request.request,
                 };
-                self.tell(StoreOutput::Send(to, FleetMsg::Keeper(msg)));
+                self.notify_core(StoreOutput::Send(to, FleetMsg::Keeper(msg)));
+            }
+            RegistryOutput::Committed(document) => {
+                self.notify_core(StoreOutput::Committed(document))
             }
-            RegistryOutput::Committed(held) => self.tell(StoreOutput::Committed(held)),
             RegistryOutput::EvacuationsChanged(evacuations) => {
-                self.tell(StoreOutput::EvacuationsChanged(evacuations))
+                self.notify_core(StoreOutput::EvacuationsChanged(evacuations))
             }
         }
         Ok(())
@@ -277,14 +285,14 @@
 
     fn answer(&self, to: InstanceId, id: u64, state: Option<KeeperState>) {
         if to == self.me {
-            self.tell(StoreOutput::Answer(id, state));
+            self.notify_core(StoreOutput::Answer(id, state));
             return;
         }
         let msg = FleetMsg::Keeper(KeeperMsg::Answer { id, state });
-        self.tell(StoreOutput::Send(to, msg));
+        self.notify_core(StoreOutput::Send(to, msg));
     }
 
-    fn log_output(&self, output: Output) -> anyhow::Result<()> {
+    fn handle_log_output(&self, output: Output) -> anyhow::Result<()> {
         let (registry, writer) = self.open.as_ref().context("store: no disk is open")?;
         match output {
             Output::PersistVote { term, vote } => {
@@ -298,13 +306,13 @@
             Output::PersistSnapshot(snapshot) => writer.write(Write::Snapshot(snapshot)),
             Output::Send(to, to_disk, msg) => {
                 let bytes = registry.encode_message(to, to_disk, msg)?;
-                self.tell(StoreOutput::Send(to, FleetMsg::Log(bytes)));
+                self.notify_core(StoreOutput::Send(to, FleetMsg::Log(bytes)));
             }
             Output::Role(_) => {
-                let figures = registry.status();
-                self.tell(StoreOutput::Role(figures));
+                let status = registry.status();
+                self.notify_core(StoreOutput::Role(status));
             }
-            // Dealt with by the registry's state machine.
+            // Handled by the state machine of the registry.
             Output::Apply(_) | Output::Restore(_) | Output::Compact(_) | Output::Readable(_) => {}
         }
         Ok(())
--- a/crates/celerywinch_fleet/src/store/writer.rs
+++ b/crates/celerywinch_fleet/src/store/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes to a keeper's disk, so that the keeper answers others meanwhile.
+//! The thread that writes to a keeper's disk, so that the keeper can answer other processes during a write.
 
 use std::path::{Path, PathBuf};
 use std::thread::{self, JoinHandle};
@@ -8,25 +8,26 @@
 use celerywinch_types::WorkerAnnouncement;
 use crossbeam_channel::{Receiver, Sender, unbounded};
 
-/// The file with the workers within the data folder.
-pub(super) const WORKERS: &str = "workers";
-/// The thread's stack, in bytes; it calls nothing deep.
-const STACK: usize = 256 << 10;
+/// File with the known workers, in the data folder.
+pub(super) const WORKERS_FILE: &str = "workers";
+/// Stack size of the thread, in bytes. Its calls are not deeply nested.
+const STACK_SIZE: usize = 256 << 10;
 
-/// How many of the oldest writes of the log have been synced; after an error nothing more is written.
-pub(super) type Written = Result<usize, DiskError>;
+/// The number of writes of the log that were synced since the last result, oldest first. After an error nothing more is
+/// written.
+pub(super) type WriteResult = Result<usize, DiskError>;
 
-/// What the thread is to write, in this order.
+/// A write. The thread performs writes of the log in order.
 #[derive(Debug)]
 pub(super) enum Write {
     Record(Record),
     Records(Vec<Record>),
     Snapshot(Snapshot),
-    /// No write of the log; waits until there is none.
+    /// The known workers. This is no write of the log, and waits until there is none.
     Workers(Vec<WorkerAnnouncement>),
 }
 
-/// The thread and its queue. It ends when this is dropped.
+/// The handle of the thread. Dropping it ends the thread.
 #[derive(Debug)]
 pub(super) struct Writer {
     queue: Option<Sender<Write>>,
@@ -34,38 +35,41 @@
 }
 
 impl Writer {
-    /// Starts the thread; the receiver gets what became of the log's writes.
-    pub(super) fn start(disk: Disk, folder: &Path) -> anyhow::Result<(Self, Receiver<Written>)> {
+    /// Starts the thread. The receiver gets the results of the log's writes.
+    pub(super) fn start(
+        disk: Disk,
+        folder: &Path,
+    ) -> anyhow::Result<(Self, Receiver<WriteResult>)> {
         let (queue, writes) = unbounded();
-        let (report, reports) = unbounded();
-        let work = Work {
+        let (sender, results) = unbounded();
+        let worker = WriterThread {
             disk,
             folder: folder.to_owned(),
-            report,
-            workers: None,
+            results: sender,
+            unsaved_workers: None,
         };
         let thread = thread::Builder::new()
             .name("disk".into())
-            .stack_size(STACK)
-            .spawn(move || work.run(&writes))
+            .stack_size(STACK_SIZE)
+            .spawn(move || worker.run(&writes))
             .context("store: cannot start the disk's thread")?;
         let writer = Self {
             queue: Some(queue),
             thread: Some(thread),
         };
-        Ok((writer, reports))
+        Ok((writer, results))
     }
 
     pub(super) fn write(&self, write: Write) {
         if let Some(queue) = &self.queue {
-            // Without a thread there is an error among the reports.
+            // Fails only if the thread has ended; then an error is among the results.
             let _ = queue.send(write);
         }
     }
 }
 
 impl Drop for Writer {
-    /// Waits for the write under way: nobody else may use the folder before.
+    /// Waits for the current write, as nothing else may use the folder before it ends.
     fn drop(&mut self) {
         self.queue = None;
         if let Some(thread) = self.thread.take() {
@@ -74,23 +78,23 @@
     }
 }
 
-struct Work {
+struct WriterThread {
     disk: Disk,
     folder: PathBuf,
-    report: Sender<Written>,
-    /// Workers that are not saved yet.
-    workers: Option<Vec<WorkerAnnouncement>>,
+    results: Sender<WriteResult>,
+    /// The latest list of workers, if it was not saved yet.
+    unsaved_workers: Option<Vec<WorkerAnnouncement>>,
 }
 
-impl Work {
+impl WriterThread {
     fn run(mut self, writes: &Receiver<Write>) {
         while let Ok(first) = writes.recv() {
             if let Err(error) = self.write_all(first, writes) {
-                self.tell(Err(error));
+                self.report(Err(error));
                 return;
             }
             if writes.is_empty()
-                && let Some(workers) = self.workers.take()
+                && let Some(workers) = self.unsaved_workers.take()
             {
                 self.save_workers(&workers);
             }
@@ -106,38 +110,38 @@
                 Write::Snapshot(snapshot) => {
                     self.append(&mut batch)?;
                     self.disk.compact(&snapshot)?;
-                    self.tell(Ok(1));
+                    self.report(Ok(1));
                 }
-                Write::Workers(workers) => self.workers = Some(workers),
+                Write::Workers(workers) => self.unsaved_workers = Some(workers),
             }
         }
         self.append(&mut batch)
     }
 
-    /// Writes that arrived while the disk was busy share one sync.
+    /// Appends the batch with one sync, which is shared by the writes that arrived while the disk was busy.
     fn append(&mut self, batch: &mut Batch) -> Result<(), DiskError> {
         let Batch { records, writes } = std::mem::take(batch);
         if writes > 0 {
             self.disk.append(&records)?;
-            self.tell(Ok(writes));
+            self.report(Ok(writes));
         }
         Ok(())
     }
 
-    fn tell(&self, written: Written) {
-        // The keeper's thread ends before only when the process does.
-        let _ = self.report.send(written);
+    fn report(&self, result: WriteResult) {
+        // Fails only if the keeper's thread has ended, which it does only with the process.
+        let _ = self.results.send(result);
     }
 
-    /// Nothing rests on the file: without it workers are known when they announce themselves.
+    /// Saves the workers. A failure is only logged: without the file, workers are known once they announce themselves.
     fn save_workers(&self, workers: &[WorkerAnnouncement]) {
-        if let Err(error) = save_file(&self.folder, WORKERS, &workers) {
-            log::warn!("store: The workers cannot be written: {error:#}.");
+        if let Err(error) = save_file(&self.folder, WORKERS_FILE, &workers) {
+            log::warn!("store: Cannot write the known workers: {error:#}.");
         }
     }
 }
 
-/// Records of several writes.
+/// The records of several writes.
 #[derive(Default)]
 struct Batch {
     records: Vec<Record>,
