--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -1,4 +1,4 @@
-//! The core: drives the state machines and carries out what they decide.
+//! The core of a process: it drives the state machines and carries out their outputs.
 
 mod keepers;
 mod members;
@@ -34,40 +34,44 @@
 use crate::store::{self, StoreInput, StoreOutput};
 use crate::{Clock, Fleet, FleetConfig, Port};
 
-/// Between two ticks while tasks are dispatched here: time-outs of tens of ms need them; ...
+/// Interval of ticks while tasks are dispatched here, for time-outs of tens of ms.
 const BUSY_TICK: Duration = Duration::from_millis(10);
-/// ... while only callers wait here: four of them are a heartbeat's time; ...
+/// Interval of ticks while callers wait here but nothing is dispatched: a quarter of the heartbeat interval.
 const CALLERS_TICK: Duration = Duration::from_millis(25);
-/// ... and while nothing is open.
+/// Interval of ticks while no caller waits and nothing is dispatched here.
 const IDLE_TICK: Duration = Duration::from_millis(40);
-/// A process that was not scheduled for this long may have been taken for lost.
+/// Time without being scheduled after which other processes may count this one as lost.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
+/// Number of workers that a dispatcher can serve per core: 48 workers with 500 starts a second took 0.05 of a core, and
+/// this should use at most a third of the process's share, as callers' requests arrive in bursts.
 const WORKERS_PER_CORE: f64 = 320.0;
-/// Bytes a second of a link for each worker: at the users' sites a worker gets four starts a second of 1.4 KB, and eight
-/// looks of 0.4 KB, and half as much again comes in bursts.
+/// Link rate per worker, in bytes per second: at the users' sites a worker gets four starts of 1.4 KB and eight polls of
+/// 0.4 KB a second, and bursts take half as much again.
 const LINK_RATE_PER_WORKER: f64 = 15_000.0;
-/// Fewer workers leave too little choice where to place a wide job, ...
+/// Minimum size of a shard by cores: fewer workers leave too little choice where to place a wide job.
 const MIN_SHARD: usize = 32;
-/// ... which is better than a link that cannot carry their orders.
+/// Minimum size of a shard by the link rate. It is lower, as too little choice is better than an overloaded link.
 const MIN_LINK_SHARD: usize = 12;
-/// More are served by several dispatchers also where one could do it: it is lost with all of them.
+/// Maximum size of a shard. More workers get several dispatchers even if one could serve them, as the loss of a dispatcher
+/// affects its whole shard.
 const MAX_SHARD: usize = 160;
-/// Between two lines in the log on what was sent.
+/// Interval of log lines on the messages sent.
 const TRAFFIC_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// The most messages handled before what they led to is sent.
+/// Maximum number of messages handled before the member is flushed.
 const MAX_BATCH: usize = 64;
 
-/// What the core is told.
+/// A message to the core.
 #[derive(Debug)]
 pub(crate) enum CoreMsg {
     Peer(Process, FleetMsg),
     Accepted(Process),
-    /// A stream of the first was rejected, as the second is the current process of its instance.
+    /// A stream from the first process was rejected, as the second is the current process of the same instance.
     Rejected(Process, Process),
     Link(InstanceId, LinkEvent),
     Submit(CallerId, NewJob, oneshot::Sender<JobEnd>),
     CallerGone(CallerId),
     Answered(CallKey, Answer),
+    /// A worker answered after its call had timed out. The duration excludes the time for which the worker may hold the call.
     AnsweredLate(Duration),
     Announce(WorkerAnnouncement, oneshot::Sender<bool>),
     WorkerLeft(String, Option<Incarnation>, oneshot::Sender<bool>),
@@ -77,7 +81,7 @@
     Stop,
 }
 
-/// A change of what this process believes, for the logs.
+/// A change of this process's state, as one structured log line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub(crate) enum CoreEvent {
@@ -88,8 +92,10 @@
     Stopping {
         jobs: usize,
     },
+    /// The process was not scheduled for a while.
     Paused {
-        stood: u32,
+        #[serde(rename = "stood")]
+        paused_ms: u32,
     },
     InForce {
         version: u64,
@@ -102,7 +108,7 @@
     Seeds {
         seeds: Vec<InstanceId>,
     },
-    /// A stream of a peer was rejected, as another one counts as its latest.
+    /// A stream of a peer was rejected, as another process counts as the current one of that instance.
     StreamRejected {
         peer: InstanceId,
         incarnation: Incarnation,
@@ -110,16 +116,20 @@
     },
     Announced {
         worker: String,
-        said: AnnouncementVersion,
+        #[serde(rename = "said")]
+        version: AnnouncementVersion,
         stage: WorkerStage,
+        /// Number of workers that were known before.
         known: usize,
     },
-    /// An announcement that changes nothing here, as the worker has said something later.
+    /// An announcement was not applied, as a later one of that worker is known.
     NotTaken {
         worker: String,
-        said: AnnouncementVersion,
+        #[serde(rename = "said")]
+        version: AnnouncementVersion,
         stage: WorkerStage,
-        heard: AnnounceOutcome,
+        #[serde(rename = "heard")]
+        outcome: AnnounceOutcome,
     },
     Keeper {
         role: String,
@@ -128,21 +138,25 @@
         learners: usize,
         version: u64,
     },
-    /// Messages to other processes and their bytes so far, by kind.
+    /// The number of messages sent to other processes so far, and of their bytes, by kind.
     Sent {
         kinds: BTreeMap<String, (u64, u64)>,
     },
+    /// The keepers answered the proposal of a document. `current` is `None` if its outcome is unknown.
     Proposed {
         version: u64,
-        held: Option<u64>,
+        #[serde(rename = "held")]
+        current: Option<u64>,
     },
+    /// The keepers answered an evacuation order. `current` is `None` if its outcome is unknown.
     EvacuationProposed {
         order: EvacuationOrder,
-        held: Option<Evacuations>,
+        #[serde(rename = "held")]
+        current: Option<Evacuations>,
     },
 }
 
-/// The kind of a request to the keepers that awaits its answer.
+/// The kind of an outstanding request to the keepers.
 #[derive(Clone, Copy, Debug)]
 enum RequestKind {
     Read,
@@ -150,7 +164,7 @@
     Evacuate(EvacuationOrder),
 }
 
-/// Everything the core owns.
+/// The state of the core.
 pub(crate) struct Core {
     config: FleetConfig,
     me: Process,
@@ -163,14 +177,14 @@
     links: Links,
     member: Member,
     last_tick: Time,
-    /// When the log was last told what was sent.
+    /// When the messages sent were last logged.
     traffic_logged: Time,
-    /// When seeds that are not heard got the last heartbeat.
+    /// When heartbeats were last sent to seeds that have never sent one.
     seeds_contacted: Time,
     callers: HashMap<CallerId, oneshot::Sender<JobEnd>>,
     config_sync: ConfigSync,
     directory: WorkerDirectory,
-    /// Workers that the entries have to hear of with the next tick.
+    /// Announcements to be sent to the entries at the next tick.
     unsent_workers: Vec<WorkerAnnouncement>,
     store: Option<Sender<StoreInput>>,
     keeper_requests: HashMap<u64, (RequestKind, oneshot::Sender<Option<KeeperState>>)>,
@@ -178,7 +192,7 @@
     contacts: BTreeSet<InstanceId>,
 }
 
-/// What a core is made of.
+/// The arguments of [`Core::new`].
 struct Parts {
     config: FleetConfig,
     me: Process,
@@ -191,11 +205,11 @@
     metrics: Metrics,
 }
 
-/// Starts the process; called within an `ntex` system.
+/// Starts the process. It has to be called within an `ntex` system.
 ///
 /// # Errors
 ///
-/// The address for links cannot be bound, or a disk cannot be used.
+/// Returns an error if the address for links cannot be bound, or the disk, a thread or the metrics cannot be set up.
 pub async fn start(config: FleetConfig, port: Rc<dyn Port>) -> anyhow::Result<Fleet> {
     let clock = Clock::new(config.clock_offset);
     let me = Process {
@@ -205,7 +219,7 @@
     let (sender, inbox) = unbounded_channel();
     let listener = TcpListener::bind(config.link_addr)
         .await
-        .with_context(|| format!("links: cannot listen at {}", config.link_addr))?;
+        .with_context(|| format!("links: cannot listen on {}", config.link_addr))?;
     let metrics = Metrics::new().context("metrics: cannot be set up")?;
     let host = LinkHost {
         core: sender.clone(),
@@ -242,18 +256,17 @@
     })
 }
 
-/// A number that no earlier process of this instance had. The time of day would be one only while no clock is set back, and an
-/// entry has no disk to count on. 53 bits, which all readers of JSON hold.
+/// Draws a number that no earlier process of this instance had. The time of day would be unique only if no clock was ever
+/// set back, and an entry has no disk to store a counter. The number has 53 bits, which every reader of JSON represents
+/// exactly.
 fn draw_incarnation() -> Incarnation {
     Incarnation(rand::random::<u64>() >> 11)
 }
 
-/// How many workers a dispatcher can take, by the cores that it has: 48 workers with 500 starts a
-/// second took a twentieth of a core, measured on the platform; a process should use a third at most of
-/// what it has for that, as callers' requests come in bursts. `link` is what its link carries, in bytes a second.
-fn max_workers(cores: f64, link: Option<f64>) -> usize {
+/// Returns the maximum number of workers per dispatcher, by its cores and by the rate of its link in bytes per second.
+fn max_shard_size(cores: f64, link_rate: Option<f64>) -> usize {
     let by_cores = ((cores * WORKERS_PER_CORE) as usize).clamp(MIN_SHARD, MAX_SHARD);
-    let by_link = link.map_or(MAX_SHARD, |link| (link / LINK_RATE_PER_WORKER) as usize);
+    let by_link = link_rate.map_or(MAX_SHARD, |rate| (rate / LINK_RATE_PER_WORKER) as usize);
     by_cores.min(by_link.max(MIN_LINK_SHARD))
 }
 
@@ -276,7 +289,7 @@
             part: config.kind,
             dc: config.dc,
             dcs: config.dcs.clone(),
-            shard_size: max_workers(config.cores, config.link_rate),
+            shard_size: max_shard_size(config.cores, config.link_rate),
             pool: PoolConfig {
                 disabled: config.disabled,
                 ..PoolConfig::default()
@@ -315,11 +328,11 @@
         Ok(core)
     }
 
-    /// Runs until the process ends.
+    /// Handles messages and ticks until all senders are dropped.
     async fn run(mut self, mut inbox: UnboundedReceiver<CoreMsg>) {
         loop {
-            let sleep = self.sleep();
-            match tokio::time::timeout(sleep, inbox.recv()).await {
+            let timeout = self.until_tick();
+            match tokio::time::timeout(timeout, inbox.recv()).await {
                 Ok(None) => return,
                 Ok(Some(first)) => {
                     self.check_pause();
@@ -337,13 +350,13 @@
                 Err(_) => self.check_pause(),
             }
             let now = self.clock.now();
-            if now.since(self.last_tick) >= self.interval() {
+            if now.since(self.last_tick) >= self.tick_interval() {
                 self.tick(now);
             }
         }
     }
 
-    fn interval(&self) -> Duration {
+    fn tick_interval(&self) -> Duration {
         if !self.member.pool().is_idle() {
             BUSY_TICK
         } else if self.member.open_jobs() > 0 {
@@ -353,22 +366,22 @@
         }
     }
 
-    fn sleep(&self) -> Duration {
-        let due = self.last_tick + self.interval();
+    fn until_tick(&self) -> Duration {
+        let due = self.last_tick + self.tick_interval();
         due.since(self.clock.now())
     }
 
-    /// A process that stood still must not act on what it knew before: its leases are over, and
-    /// others may dispatch in its place.
+    /// Reports a pause to the member. A process that was paused must not act on its earlier state: its leases have expired,
+    /// and others may dispatch in its place.
     fn check_pause(&mut self) {
         let now = self.clock.now();
-        let stood = now.since(self.last_tick);
-        if stood < PAUSE_THRESHOLD + IDLE_TICK {
+        let paused = now.since(self.last_tick);
+        if paused < PAUSE_THRESHOLD + IDLE_TICK {
             return;
         }
         self.last_tick = now;
         self.log_event(&CoreEvent::Paused {
-            stood: stood.as_millis() as u32,
+            paused_ms: paused.as_millis() as u32,
         });
         self.input(now, Input::Paused);
     }
@@ -415,11 +428,11 @@
                 self.metrics.late_answers.inc();
                 self.input(now, Input::AnsweredLate(took));
             }
-            CoreMsg::Announce(note, answer) => {
-                let _ = answer.send(self.handle_announcement(now, note));
+            CoreMsg::Announce(announcement, answer) => {
+                let _ = answer.send(self.handle_announcement(now, announcement));
             }
-            CoreMsg::WorkerLeft(worker, life, answer) => {
-                let _ = answer.send(self.worker_left(now, &worker, life));
+            CoreMsg::WorkerLeft(worker, incarnation, answer) => {
+                let _ = answer.send(self.worker_left(now, &worker, incarnation));
             }
             CoreMsg::KeeperRequest(request, answer) => self.request_keepers(request, answer),
             CoreMsg::Store(out) => self.handle_store_output(now, out),
@@ -435,14 +448,14 @@
 
     fn handle_message(&mut self, now: Time, from: Process, msg: FleetMsg) {
         match msg {
-            FleetMsg::Heartbeat(beat) => {
+            FleetMsg::Heartbeat(heartbeat) => {
                 let input = ConfigSyncInput::Heartbeat(PeerStatus {
                     instance: from.instance,
-                    kind: beat.kind,
-                    dc: beat.dc,
-                    version: beat.version,
+                    kind: heartbeat.kind,
+                    dc: heartbeat.dc,
+                    version: heartbeat.version,
                 });
-                self.input(now, Input::Heartbeat(from, beat));
+                self.input(now, Input::Heartbeat(from, heartbeat));
                 self.sync_config(now, input);
             }
             FleetMsg::Contacts(contacts) => {
@@ -451,13 +464,13 @@
             }
             FleetMsg::Log(bytes) => self.to_store(StoreInput::Log(from.instance, bytes)),
             FleetMsg::Keeper(msg) => self.handle_keeper_message(from.instance, msg),
-            FleetMsg::Workers(notes) => self.input(now, Input::Workers(notes)),
+            FleetMsg::Workers(announcements) => self.input(now, Input::Workers(announcements)),
             FleetMsg::Config(msg) => {
                 self.sync_config(now, ConfigSyncInput::Message(from.instance, msg))
             }
             FleetMsg::Work(msg) => self.input(now, Input::Work(from, msg)),
             FleetMsg::Learned(learned) => self.input(now, Input::Learned(learned)),
-            FleetMsg::Crashes(told) => self.input(now, Input::Crashes(told)),
+            FleetMsg::Crashes(crashes) => self.input(now, Input::Crashes(crashes)),
             FleetMsg::ProbeQueues(queues) => self.input(now, Input::ProbeQueues(queues)),
         }
     }
@@ -469,8 +482,8 @@
         self.input(now, Input::Stop);
     }
 
-    fn log_event(&mut self, note: &CoreEvent) {
+    fn log_event(&mut self, event: &CoreEvent) {
         let now = self.clock.now();
-        self.journal.write(now, "core", EventClass::Notable, note);
+        self.journal.write(now, "core", EventClass::Notable, event);
     }
 }
--- a/crates/celerywinch_fleet/src/core/keepers.rs
+++ b/crates/celerywinch_fleet/src/core/keepers.rs
@@ -1,4 +1,4 @@
-//! The configuration's keepers, and the workers' announcements.
+//! Requests to the keepers, distribution of the configuration, and announcements of workers.
 
 use celerywinch_member::Input;
 use celerywinch_registry::Request;
@@ -17,7 +17,7 @@
 impl Core {
     pub(super) fn to_store(&self, msg: StoreInput) {
         if let Some(store) = &self.store {
-            // The thread ends only with the process.
+            // Fails only if the store's thread has ended, which it does only with the process.
             let _ = store.send(msg);
         }
     }
@@ -26,26 +26,26 @@
         match out {
             StoreOutput::Send(to, msg) => self.links.send(to, msg),
             StoreOutput::Answer(id, state) => self.finish_request(id, state),
-            StoreOutput::Committed(held) => self.put_in_force(now, held),
+            StoreOutput::Committed(document) => self.put_in_force(now, document),
             StoreOutput::EvacuationsChanged(evacuations) => {
                 self.input(now, Input::Evacuations(evacuations))
             }
-            StoreOutput::Workers(notes) => {
-                for note in notes {
-                    self.handle_announcement(now, note);
+            StoreOutput::Workers(announcements) => {
+                for announcement in announcements {
+                    self.handle_announcement(now, announcement);
                 }
             }
-            StoreOutput::Role(figures) => self.log_event(&CoreEvent::Keeper {
-                role: format!("{:?}", figures.role),
-                term: figures.term,
-                voters: figures.voters,
-                learners: figures.learners,
-                version: figures.version,
+            StoreOutput::Role(status) => self.log_event(&CoreEvent::Keeper {
+                role: format!("{:?}", status.role),
+                term: status.term,
+                voters: status.voters,
+                learners: status.learners,
+                version: status.version,
             }),
         }
     }
 
-    /// Carries out what the spread of the configuration wants.
+    /// Passes an input to the distribution of the configuration and carries out its outputs.
     pub(super) fn sync_config(&mut self, now: Time, input: ConfigSyncInput) {
         let mut out = Vec::new();
         self.config_sync.handle(now, input, &mut out);
@@ -57,14 +57,14 @@
                 }
                 ConfigSyncOutput::SendHeartbeats(entries) => {
                     for entry in entries {
-                        let beat = self.member.heartbeat_for(now, entry);
-                        self.links.send(entry, FleetMsg::Heartbeat(beat));
+                        let heartbeat = self.member.heartbeat_for(now, entry);
+                        self.links.send(entry, FleetMsg::Heartbeat(heartbeat));
                     }
                 }
-                ConfigSyncOutput::Fetched(held) => self.put_in_force(now, held),
-                ConfigSyncOutput::Event(note) => {
-                    self.metrics.config_sync_event(&note);
-                    self.journal.write(now, "core", EventClass::Notable, &note);
+                ConfigSyncOutput::Fetched(document) => self.put_in_force(now, document),
+                ConfigSyncOutput::Event(event) => {
+                    self.metrics.config_sync_event(&event);
+                    self.journal.write(now, "core", EventClass::Notable, &event);
                 }
             }
         }
@@ -80,7 +80,7 @@
             return;
         }
         self.keeper_requests
-            .retain(|_, (_, waiting)| !waiting.is_closed());
+            .retain(|_, (_, answer)| !answer.is_closed());
         self.next_request += 1;
         let id = self.next_request;
         let kind = match &request {
@@ -103,48 +103,58 @@
     }
 
     fn finish_request(&mut self, id: u64, state: Option<KeeperState>) {
-        let Some((kind, waiting)) = self.keeper_requests.remove(&id) else {
+        let Some((kind, answer)) = self.keeper_requests.remove(&id) else {
             return;
         };
         match kind {
             RequestKind::Read => {}
             RequestKind::PutDocument(version) => {
-                let held = state.as_ref().map(|state| state.version);
-                self.log_event(&CoreEvent::Proposed { version, held });
+                let current = state.as_ref().map(|state| state.version);
+                self.log_event(&CoreEvent::Proposed { version, current });
             }
             RequestKind::Evacuate(order) => self.log_event(&CoreEvent::EvacuationProposed {
                 order,
-                held: state.as_ref().map(|state| state.evacuations.clone()),
+                current: state.as_ref().map(|state| state.evacuations.clone()),
             }),
         }
-        // An operator that gave up asks again.
-        let _ = waiting.send(state);
+        // Fails only if the requester has stopped waiting; the operator then retries.
+        let _ = answer.send(state);
     }
 
-    /// Takes a worker's announcement; false if it is not to be acknowledged.
+    /// Handles a worker's announcement and returns whether it may be acknowledged.
     ///
-    /// A worker that leaves goes on to serve until its notice is acknowledged, and then counts on it that nothing more is started
-    /// there. So an acknowledgement says that the notice was taken, and that there are dispatchers which were told.
-    pub(super) fn handle_announcement(&mut self, now: Time, note: WorkerAnnouncement) -> bool {
-        let (worker, stage, said) = (note.id.clone(), note.stage, note.version);
+    /// A worker that leaves continues to serve until its notice is acknowledged, and then relies on no more tasks being started
+    /// there. So a notice is acknowledged only if it was accepted and there are live entries that were notified.
+    pub(super) fn handle_announcement(
+        &mut self,
+        now: Time,
+        announcement: WorkerAnnouncement,
+    ) -> bool {
+        let (worker, stage, version) = (
+            announcement.id.clone(),
+            announcement.stage,
+            announcement.version,
+        );
         let known = self.directory.len();
-        let heard = self.directory.record_announcement(now, note.clone());
-        self.metrics.worker_announced(heard);
-        let tells = matches!(
-            heard,
+        let outcome = self
+            .directory
+            .record_announcement(now, announcement.clone());
+        self.metrics.worker_announced(outcome);
+        let broadcast = matches!(
+            outcome,
             AnnounceOutcome::Changed | AnnounceOutcome::OtherIncarnation(_)
         );
-        if tells {
-            self.unsent_workers.push(note);
+        if broadcast {
+            self.unsent_workers.push(announcement);
             if stage != WorkerStage::Ready {
                 self.announce_workers(now);
             }
         }
-        let taken = tells || self.directory.is_leaving(&worker);
-        match heard {
+        let accepted = broadcast || self.directory.is_leaving(&worker);
+        match outcome {
             AnnounceOutcome::Changed => self.log_event(&CoreEvent::Announced {
                 worker,
-                said,
+                version,
                 stage,
                 known,
             }),
@@ -154,28 +164,29 @@
             | AnnounceOutcome::Left => {
                 self.log_event(&CoreEvent::NotTaken {
                     worker,
-                    said,
+                    version,
                     stage,
-                    heard,
+                    outcome,
                 });
             }
         }
-        stage == WorkerStage::Ready || (taken && !self.entries(now).is_empty())
+        stage == WorkerStage::Ready || (accepted && !self.entries(now).is_empty())
     }
 
-    /// Tells the entries of the workers that have come or changed since the last time. With one message for each, 1,100
-    /// workers that start together were 160,000 messages to 147 entries.
+    /// Sends the new and changed announcements to the entries in one batch. With one message for each, 1,100 workers that
+    /// started together caused 160,000 messages to 147 entries.
     pub(super) fn announce_workers(&mut self, now: Time) {
         if self.unsent_workers.is_empty() {
             return;
         }
-        let notes = std::mem::take(&mut self.unsent_workers);
+        let announcements = std::mem::take(&mut self.unsent_workers);
         for entry in self.entries(now) {
-            self.links.send(entry, FleetMsg::Workers(notes.clone()));
+            self.links
+                .send(entry, FleetMsg::Workers(announcements.clone()));
         }
     }
 
-    /// Has the workers written to the disk, if that is due.
+    /// Has the list of workers written to the disk, if that is due.
     pub(super) fn save_workers(&mut self, now: Time) {
         if self.store.is_some()
             && let Some(workers) = self.directory.take_unsaved(now)
@@ -184,15 +195,15 @@
         }
     }
 
-    /// A worker has left; `life` is none where it does not say which of its lives did.
+    /// Records that a worker has left; `incarnation` is `None` if the worker did not state its incarnation.
     pub(super) fn worker_left(
         &mut self,
         now: Time,
         worker: &str,
-        life: Option<Incarnation>,
+        incarnation: Option<Incarnation>,
     ) -> bool {
-        if let Some(note) = self.directory.record_departure(now, worker, life) {
-            self.unsent_workers.push(note);
+        if let Some(announcement) = self.directory.record_departure(now, worker, incarnation) {
+            self.unsent_workers.push(announcement);
             self.announce_workers(now);
         }
         true
--- a/crates/celerywinch_fleet/src/core/members.rs
+++ b/crates/celerywinch_fleet/src/core/members.rs
@@ -1,4 +1,4 @@
-//! Links to the other processes.
+//! Links to other processes, and what is sent when one opens.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -12,11 +12,11 @@
 use crate::config_sync::ConfigSyncInput;
 use crate::store::StoreInput;
 
-/// Between two heartbeats to seeds that were not heard yet; as often as to others.
+/// Interval of heartbeats to seeds that have not sent one yet: the same as between frequent peers.
 const SEED_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Core {
-    /// Opens links to instances that were heard of.
+    /// Opens links to those instances that have none.
     pub(super) fn open_links(&mut self, instances: &[InstanceId]) {
         for instance in instances {
             if *instance == self.me.instance || self.links.contains(*instance) {
@@ -30,15 +30,15 @@
 
     pub(super) fn handle_accepted(&mut self, now: Time, from: Process) {
         self.open_links(&[from.instance]);
-        // What it sent on an earlier stream may be lost: ends of tasks, or tasks.
+        // Messages on its earlier stream, such as tasks and their ends, may be lost.
         self.input(now, Input::LinkReset(from.instance));
     }
 
     pub(super) fn handle_link_event(&mut self, now: Time, peer: InstanceId, event: LinkEvent) {
         match event {
             LinkEvent::Opened | LinkEvent::Replaced => {
-                let beat = self.member.heartbeat_for(now, peer);
-                self.links.send(peer, FleetMsg::Heartbeat(beat));
+                let heartbeat = self.member.heartbeat_for(now, peer);
+                self.links.send(peer, FleetMsg::Heartbeat(heartbeat));
                 self.send_contacts(peer);
                 self.send_workers(peer);
                 self.input(now, Input::LinkReset(peer));
@@ -51,16 +51,15 @@
         }
     }
 
-    /// Tells a process of all workers that are known here.
+    /// Sends the announcements of all known workers to a process.
     ///
-    /// A worker is told once, to the entries that are heard at that moment. One that a keeper's link
-    /// had reached, but whose first heartbeat was still on its way, would never learn of the workers
-    /// that announced themselves in between, and dispatch without them for as long as it runs. So
-    /// each that is heard, for the first time or again, is told of all.
+    /// A changed announcement is sent once, to the entries that are live at that moment. An entry with an open link whose
+    /// first heartbeat had not arrived yet would never learn of the workers announced in between, and would dispatch without
+    /// them as long as it runs. So all announcements are sent to each peer that becomes live, for the first time or again.
     pub(super) fn send_workers(&self, to: InstanceId) {
         if !self.directory.is_empty() {
-            let notes = self.directory.announcements();
-            self.links.send(to, FleetMsg::Workers(notes));
+            let announcements = self.directory.announcements();
+            self.links.send(to, FleetMsg::Workers(announcements));
         }
     }
 
@@ -83,7 +82,7 @@
         self.update_keepers();
     }
 
-    /// Tells the others of a process that was not known, so that few seeds suffice to find all.
+    /// Sends the contact of a new process to all peers, if this is a keeper, so that a few seeds suffice to find all processes.
     fn broadcast_contact(&self, instance: InstanceId) {
         let peers = self.member.peers();
         let Some(view) = peers.get(instance) else {
@@ -101,7 +100,7 @@
         }
     }
 
-    /// The log looks for its group at all keepers that were heard of.
+    /// Passes the known keepers to the log, which searches for its group at all of them.
     fn update_keepers(&mut self) {
         let keepers: BTreeSet<_> = self.member.peers().keepers().collect();
         if keepers != self.contacts {
@@ -111,7 +110,7 @@
         }
     }
 
-    /// Seeds that were never heard get heartbeats too: by these they learn of this process.
+    /// Sends heartbeats to seeds that have never sent one, as these learn of this process by them.
     pub(super) fn contact_seeds(&mut self, now: Time) {
         if now.since(self.seeds_contacted) < SEED_INTERVAL {
             return;
@@ -119,10 +118,10 @@
         self.seeds_contacted = now;
         let peers = self.member.peers();
         let seeds = self.config.seeds.iter().copied();
-        let unheard: Vec<_> = seeds.filter(|seed| peers.get(*seed).is_none()).collect();
-        for seed in unheard {
-            let beat = self.member.heartbeat_for(now, seed);
-            self.links.send(seed, FleetMsg::Heartbeat(beat));
+        let unknown: Vec<_> = seeds.filter(|seed| peers.get(*seed).is_none()).collect();
+        for seed in unknown {
+            let heartbeat = self.member.heartbeat_for(now, seed);
+            self.links.send(seed, FleetMsg::Heartbeat(heartbeat));
         }
     }
 
@@ -132,7 +131,7 @@
         }
     }
 
-    /// Entries that are heard.
+    /// Returns the live entries.
     pub(super) fn entries(&self, now: Time) -> Vec<InstanceId> {
         let alive = self.member.peers().alive(now);
         let entries = alive.filter(|(_, view)| view.heartbeat.kind == ProcessKind::Entry);
--- a/crates/celerywinch_fleet/src/core/work.rs
+++ b/crates/celerywinch_fleet/src/core/work.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the member decides.
+//! Inputs and outputs of the member.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,13 +13,13 @@
 use crate::config_sync::ConfigSyncInput;
 use crate::journal::EventClass;
 
-/// How much longer an answer is waited for that may have arrived and was not read yet. A process with
-/// an eighth of a core stands still for tens of ms when several requests come at once; without this,
-/// one answer in forty was taken for missing.
+/// Time after the time-out of a call in which its answer still counts, as it may have arrived but not been read. A process
+/// with an eighth of a core pauses for tens of ms when several requests arrive at once: without this, one answer in 40 was
+/// counted as missing.
 const READ_GRACE: Duration = Duration::from_millis(20);
 
-/// How much longer an answer is listened for that is not waited for any more. It shows that the path is slow, and not
-/// that answers are lost: later ones are waited for longer.
+/// Time for which an answer that missed its time-out is still observed. A late answer shows that the path is slow rather than
+/// that answers are lost, and raises the time-outs of later calls.
 const LATE_ANSWER_WINDOW: Duration = Duration::from_millis(600);
 
 fn event_class(routine: bool) -> EventClass {
@@ -48,32 +48,32 @@
             Output::Call(call) => self.call(call),
             Output::Send(to, msg) => self.links.send(to, msg),
             Output::Answer(caller, end) => {
-                if let Some(waiting) = self.callers.remove(&caller) {
-                    // A caller that has left needs no answer.
-                    let _ = waiting.send(end);
+                if let Some(answer) = self.callers.remove(&caller) {
+                    // Fails only if the caller has left.
+                    let _ = answer.send(end);
                 }
             }
             Output::NewPeer(peer) => self.add_peer(peer),
             Output::PeerAlive(peer) => self.send_workers(peer),
             Output::RemovePeer(peer) => self.remove_peer(peer),
             Output::Stage(_) => {}
-            Output::Member(note) => self
+            Output::Member(event) => self
                 .journal
-                .write(now, "member", EventClass::Notable, &note),
-            Output::Dispatch(note) => {
-                self.metrics.dispatch_event(&note);
-                let class = event_class(note.is_routine());
-                self.journal.write(now, "dispatch", class, &note);
+                .write(now, "member", EventClass::Notable, &event),
+            Output::Dispatch(event) => {
+                self.metrics.dispatch_event(&event);
+                let class = event_class(event.is_routine());
+                self.journal.write(now, "dispatch", class, &event);
             }
-            Output::Origin(note) => {
-                self.metrics.origin_event(&note);
-                let class = event_class(note.is_routine());
-                self.journal.write(now, "origin", class, &note);
+            Output::Origin(event) => {
+                self.metrics.origin_event(&event);
+                let class = event_class(event.is_routine());
+                self.journal.write(now, "origin", class, &event);
             }
         }
     }
 
-    /// Sets the gauges.
+    /// Updates the gauges of the metrics.
     pub(super) fn update_gauges(&self, now: Time) {
         let peers = self.member.peers().alive(now).count();
         let (_, _, workers) = self.member.pool().counts();
@@ -92,55 +92,55 @@
     fn call(&self, call: Call) {
         let core = self.sender.clone();
         let key = call.key;
-        let limit = call.timeout;
-        let waits = call.request.max_wait();
+        let timeout = call.timeout;
+        let max_wait = call.request.max_wait();
         self.metrics.worker_called(&call.request);
         let answer = self.port.call(call);
         ntex::rt::spawn(async move {
-            let began = Instant::now();
+            let started = Instant::now();
             let mut answer = answer;
-            let mut got = tokio::time::timeout(limit, &mut answer).await;
-            if got.is_err() {
-                // The process may have stood still itself, with the answer waiting to be read.
-                got = tokio::time::timeout(READ_GRACE, &mut answer).await;
+            let mut result = tokio::time::timeout(timeout, &mut answer).await;
+            if result.is_err() {
+                // The process itself may have been paused, with the answer waiting to be read.
+                result = tokio::time::timeout(READ_GRACE, &mut answer).await;
             }
-            let silent = got.is_err();
-            let answer_in_time = got.unwrap_or(Answer::NoAnswer);
-            // The core ends before its calls only when the process does.
-            let _ = core.send(CoreMsg::Answered(key, answer_in_time));
-            if silent
+            let timed_out = result.is_err();
+            let timely_answer = result.unwrap_or(Answer::NoAnswer);
+            // Fails only if the core has ended, which it does only with the process.
+            let _ = core.send(CoreMsg::Answered(key, timely_answer));
+            if timed_out
                 && let Ok(late) = tokio::time::timeout(LATE_ANSWER_WINDOW, &mut answer).await
                 && late != Answer::NoAnswer
             {
-                let took = began.elapsed().saturating_sub(waits);
+                let took = started.elapsed().saturating_sub(max_wait);
                 let _ = core.send(CoreMsg::AnsweredLate(took));
             }
         });
     }
 
-    /// Puts a document in force if it is newer than the one that is. Within one life of a process
-    /// the version never falls.
-    pub(super) fn put_in_force(&mut self, now: Time, held: VersionedDocument) {
-        if held.version <= self.config_sync.version() {
+    /// Puts a document in force if it is newer than the current one. Within an incarnation of the process the version never
+    /// decreases.
+    pub(super) fn put_in_force(&mut self, now: Time, document: VersionedDocument) {
+        if document.version <= self.config_sync.version() {
             return;
         }
-        match self.port.parse_config(&held.document) {
+        match self.port.parse_config(&document.document) {
             Ok(config) => {
                 self.log_event(&CoreEvent::InForce {
-                    version: held.version,
+                    version: document.version,
                     queues: config.queues.len(),
                 });
                 self.snapshot.queue_config.store(Some(Arc::new(config)));
-                let version = held.version;
+                let version = document.version;
                 self.input(now, Input::ConfigVersion(version));
-                self.sync_config(now, ConfigSyncInput::InForce(held));
+                self.sync_config(now, ConfigSyncInput::InForce(document));
             }
             Err(error) => {
                 self.log_event(&CoreEvent::BadDocument {
-                    version: held.version,
+                    version: document.version,
                     error: format!("{error:#}"),
                 });
-                self.sync_config(now, ConfigSyncInput::Unreadable(held.version));
+                self.sync_config(now, ConfigSyncInput::Unreadable(document.version));
             }
         }
     }
--- a/crates/celerywinch_fleet/src/journal.rs
+++ b/crates/celerywinch_fleet/src/journal.rs
@@ -1,7 +1,7 @@
-//! Structured logs: one JSON line for each decision, to standard output.
+//! The structured log: one JSON line per event, on standard output.
 //!
-//! Lines go through a bounded channel to a thread of its own, so that a slow reader never holds up
-//! a request. Each second has a budget of lines; what is left out is counted, and the count is told.
+//! A thread of its own writes the lines, which it gets by a bounded channel, so that a slow reader never delays a request. The
+//! number of lines per second is limited; omitted lines are counted, and their count is logged.
 
 use std::io::Write;
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
@@ -14,54 +14,55 @@
 
 use crate::Clock;
 
-/// Lines that wait for the writer; a burst of one second of the budget.
-const WAITING: usize = 1024;
-/// Lines a second of each kind. At about 200 bytes a line both together stay under 120 KB/s, and under
-/// a hundredth of a core by the cost of formatting a line (about 3 us).
-const BUDGET: u32 = 300;
-/// The span of the budget.
-const SPAN: Duration = Duration::from_secs(1);
+/// Maximum number of lines that wait for the writer: more than the budget of one second.
+const QUEUE_CAPACITY: usize = 1024;
+/// Maximum number of lines per second of each class. At about 200 bytes per line both classes together stay below 120 KB/s,
+/// and, at about 3 us to format a line, below 0.01 of a core.
+const LINES_PER_WINDOW: u32 = 300;
+/// Time after which the budget of lines is reset.
+const BUDGET_WINDOW: Duration = Duration::from_secs(1);
 
-/// A line.
+/// A line of the log.
 #[derive(Serialize)]
 struct Line<'a, T> {
     at: WallMs,
     instance: celerywinch_types::InstanceId,
-    life: celerywinch_types::Incarnation,
+    #[serde(rename = "life")]
+    incarnation: celerywinch_types::Incarnation,
     part: &'static str,
     #[serde(flatten)]
-    note: &'a T,
+    event: &'a T,
 }
 
-/// Whether a line tells of something that goes as it should. Under load those fill their budget; what
-/// explains a failure has one of its own.
+/// The class of an event. Each class has a budget of its own, so that events that explain a failure are logged even when
+/// routine ones exhaust their budget under load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EventClass {
     Routine,
     Notable,
 }
 
-/// What is left out of the logs.
+/// An event of the log itself.
 #[derive(Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 enum Omission {
-    /// Lines that the budget or a slow reader left out.
+    /// Lines were omitted because of the budget or a slow reader.
     Omitted { lines: u64 },
 }
 
-/// Writes the lines of one process.
+/// The structured log of one process.
 pub(crate) struct Journal {
     me: Process,
     clock: Clock,
     lines: SyncSender<Vec<u8>>,
-    span: Time,
+    window_start: Time,
     written: [u32; 2],
     omitted: u64,
 }
 
 impl Journal {
     pub(crate) fn start(me: Process, clock: Clock) -> anyhow::Result<Self> {
-        let (lines, receiver) = sync_channel(WAITING);
+        let (lines, receiver) = sync_channel(QUEUE_CAPACITY);
         thread::Builder::new()
             .name("journal".into())
             .stack_size(128 << 10)
@@ -71,44 +72,44 @@
             me,
             clock,
             lines,
-            span: Time::default(),
+            window_start: Time::default(),
             written: [0; 2],
             omitted: 0,
         })
     }
 
-    /// Writes a line if the budget allows.
+    /// Writes an event if the budget of its class allows it.
     pub(crate) fn write<T: Serialize>(
         &mut self,
         now: Time,
         part: &'static str,
         class: EventClass,
-        note: &T,
+        event: &T,
     ) {
-        if now.since(self.span) >= SPAN {
-            self.span = now;
+        if now.since(self.window_start) >= BUDGET_WINDOW {
+            self.window_start = now;
             self.written = [0; 2];
             if self.omitted > 0 {
                 let lines = std::mem::take(&mut self.omitted);
-                self.put("journal", &Omission::Omitted { lines });
+                self.enqueue("journal", &Omission::Omitted { lines });
             }
         }
         let written = &mut self.written[class as usize];
-        if *written >= BUDGET {
+        if *written >= LINES_PER_WINDOW {
             self.omitted += 1;
             return;
         }
         *written += 1;
-        self.put(part, note);
+        self.enqueue(part, event);
     }
 
-    fn put<T: Serialize>(&mut self, part: &'static str, note: &T) {
+    fn enqueue<T: Serialize>(&mut self, part: &'static str, event: &T) {
         let line = Line {
             at: self.clock.wall(),
             instance: self.me.instance,
-            life: self.me.incarnation,
+            incarnation: self.me.incarnation,
             part,
-            note,
+            event,
         };
         let Ok(mut bytes) = serde_json::to_vec(&line) else {
             self.omitted += 1;
@@ -129,7 +130,7 @@
         while let Ok(more) = lines.try_recv() {
             batch.extend_from_slice(&more);
         }
-        // A reader that is gone must not end the process; later lines are dropped here too.
+        // A closed standard output must not end the process; later lines are lost as well.
         let _ = out.write_all(&batch).and_then(|()| out.flush());
     }
 }
