--- a/crates/celerywinch_fleet/src/clock.rs
+++ b/crates/celerywinch_fleet/src/clock.rs
@@ -1,23 +1,23 @@
-//! The one place that reads clocks.
+//! The clock of a process, which gives the state machines their time.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use celerywinch_types::{Time, WallMs};
 use rustix::time::{ClockId, clock_gettime};
 
-/// Monotonic time that goes on while the machine is suspended.
+/// A monotonic clock that advances while the machine is suspended.
 ///
-/// A lease is over after a suspension, though the process has seen no time pass; a clock that stands
-/// still meanwhile would let it go on under a lease that others know to be over.
+/// With a clock that stops during a suspension, a process would continue under a lease that has expired for all others.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
+    /// Reading of the system clock when this one was created, in us.
     origin: u64,
-    /// Added to the time of day, in ms.
+    /// Offset added to the time of day, in ms.
     offset: i64,
 }
 
 impl Clock {
-    /// A clock that starts now and whose time of day is off by `offset` ms.
+    /// Creates a clock that starts at 0 now and adds `offset` ms to the time of day.
     #[must_use]
     pub fn new(offset: i64) -> Self {
         Self {
@@ -26,13 +26,13 @@
         }
     }
 
-    /// Time since the clock was made.
+    /// Returns the time since the clock was created.
     #[must_use]
     pub fn now(&self) -> Time {
         Time(micros().saturating_sub(self.origin))
     }
 
-    /// The time of day.
+    /// Returns the time of day.
     #[must_use]
     pub fn wall(&self) -> WallMs {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/crates/celerywinch_fleet/src/config.rs
+++ b/crates/celerywinch_fleet/src/config.rs
@@ -1,4 +1,4 @@
-//! What a host tells the process.
+//! The interface between a process and its host.
 
 use std::collections::BTreeSet;
 use std::future::Future;
@@ -9,47 +9,47 @@
 use celerywinch_pool::{Answer, Call};
 use celerywinch_types::{DataCentreId, DisabledMechanisms, InstanceId, ProcessKind, QueueConfig};
 
-/// The checked settings of a process.
+/// The validated settings of a process.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
-    /// This instance; its number is its IPv4 address, by which the others reach it.
+    /// The instance. Its number is the IPv4 address that other processes connect to.
     pub instance: InstanceId,
-    /// What it does.
+    /// The kind of the process.
     pub kind: ProcessKind,
     /// Its data centre.
     pub dc: DataCentreId,
-    /// Cores that the process may use, or the fraction of one.
+    /// Number of cores that the process may use; may be a fraction.
     pub cores: f64,
-    /// Bytes a second that its link carries, if that is known.
+    /// Rate of its network link in bytes per second, if known.
     pub link_rate: Option<f64>,
     /// All data centres.
     pub dcs: BTreeSet<DataCentreId>,
-    /// Where it listens for other processes; the port is the same for all.
+    /// Address on which it listens for other processes. All processes use the same port.
     pub link_addr: SocketAddr,
-    /// Keepers to ask first.
+    /// Keepers that it contacts first.
     pub seeds: Vec<InstanceId>,
     /// Whether the deployment starts for the first time, with empty disks.
     pub bootstrap: bool,
-    /// How many keepers may be lost at once; twice as many and one count for majorities.
+    /// Number of keepers that may be lost at once, `f`. The log has `2f + 1` voters.
     pub fault_tolerance: usize,
-    /// The folder for what must last; keepers need one.
+    /// Folder for persistent data; required for keepers.
     pub data_dir: Option<PathBuf>,
-    /// Ms by which the time of day is off; other than 0 only in tests.
+    /// Offset added to the time of day, in ms; not 0 only in tests.
     pub clock_offset: i64,
-    /// Mechanisms of dispatching that are left out.
+    /// Disabled mechanisms of dispatching.
     pub disabled: DisabledMechanisms,
 }
 
-/// What the host does for the process.
+/// The operations that the host provides to the process.
 pub trait Port: 'static {
-    /// Carries a call to a worker out. The future goes on for a while after the call's timeout, to see whether
-    /// the answer is late or never comes, and is dropped then.
+    /// Sends a call to a worker. The future is polled for a while after the call's time-out, to tell late answers from missing
+    /// ones, and is then dropped.
     fn call(&self, call: Call) -> Pin<Box<dyn Future<Output = Answer>>>;
 
-    /// Reads a configuration document that an operator's request brought.
+    /// Parses a configuration document as sent by an operator.
     ///
     /// # Errors
     ///
-    /// The document is invalid; none that was accepted is.
+    /// Returns an error if the document is invalid, which no accepted document is.
     fn parse_config(&self, document: &[u8]) -> anyhow::Result<QueueConfig>;
 }
--- a/crates/celerywinch_fleet/src/handle.rs
+++ b/crates/celerywinch_fleet/src/handle.rs
@@ -1,4 +1,4 @@
-//! How a host talks to the process.
+//! The handle by which a host controls the process.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -18,7 +18,7 @@
 use crate::core::CoreMsg;
 use crate::metrics::Metrics;
 
-/// What requests read without asking the core.
+/// State that requests read without a message to the core.
 #[derive(Debug, Default)]
 pub(crate) struct Snapshot {
     pub(crate) queue_config: ArcSwapOption<QueueConfig>,
@@ -27,16 +27,16 @@
     pub(crate) open_jobs: AtomicU64,
 }
 
-/// When a planned stop ends.
+/// The schedule of a planned stop.
 #[derive(Clone, Copy, Debug)]
 pub struct StopSchedule {
-    /// Until then callers are still sent here.
+    /// Until then, callers may still be routed to this process.
     pub routed_until: Instant,
-    /// The process ends then at the latest.
+    /// The latest time at which the process exits.
     pub exit_by: Instant,
 }
 
-/// A running process.
+/// A handle of a running process.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     pub(crate) core: UnboundedSender<CoreMsg>,
@@ -46,7 +46,7 @@
     pub(crate) next_caller: Arc<AtomicU64>,
 }
 
-/// A job that was submitted; dropped without an answer, it is cancelled.
+/// A submitted job. Dropping it before the answer cancels the job.
 #[derive(Debug)]
 pub struct JobHandle {
     core: UnboundedSender<CoreMsg>,
@@ -56,7 +56,7 @@
 }
 
 impl JobHandle {
-    /// Waits for the end of the job.
+    /// Waits until the job ends.
     pub async fn wait(mut self) -> JobEnd {
         let end = (&mut self.answer).await;
         self.answered = true;
@@ -67,34 +67,34 @@
 impl Drop for JobHandle {
     fn drop(&mut self) {
         if !self.answered {
-            // The caller's connection is gone; the core ends before only when the process does.
+            // The caller's connection is closed. Fails only if the core has ended, which it does only with the process.
             let _ = self.core.send(CoreMsg::CallerGone(self.caller));
         }
     }
 }
 
 impl Fleet {
-    /// The configuration in force; none before the first one is known.
+    /// Returns the configuration in force, or `None` before the first one is known.
     #[must_use]
     pub fn queue_config(&self) -> Option<Arc<QueueConfig>> {
         self.snapshot.queue_config.load_full()
     }
 
-    /// Whether callers should be sent here.
+    /// Returns whether callers should be routed to this process.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.snapshot.ready.load(Ordering::Acquire) && !self.is_stopping()
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a planned stop has begun.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.snapshot.stop_schedule.get().is_some()
     }
 
-    /// Whether a job can be answered before the process ends, that should take `expected` and is waited for as long as
-    /// `timeout`. A caller may have kept its connection idle since before the stop began; once all others go elsewhere, the
-    /// few that are left are not worth the risk that a job takes longer.
+    /// Returns whether a job that is expected to take `expected`, and whose caller waits for `timeout`, can be answered before
+    /// the process exits. A caller may still use a connection that was idle when the stop began. Once all others are routed
+    /// elsewhere, these few are not worth the risk that a job takes longer than expected, so `timeout` has to fit.
     #[must_use]
     pub fn has_time_for(&self, expected: Duration, timeout: Duration) -> bool {
         let now = Instant::now();
@@ -109,19 +109,19 @@
         })
     }
 
-    /// The figures of this process, as text.
+    /// Returns the metrics of this process in the text format.
     #[must_use]
     pub fn metrics(&self) -> String {
         self.metrics.text()
     }
 
-    /// The time of day.
+    /// Returns the time of day.
     #[must_use]
     pub fn wall(&self) -> WallMs {
         self.clock.wall()
     }
 
-    /// How many jobs are open.
+    /// Returns the number of open jobs.
     #[must_use]
     pub fn open_jobs(&self) -> u64 {
         self.snapshot.open_jobs.load(Ordering::Acquire)
@@ -132,7 +132,7 @@
     pub fn submit(&self, job: NewJob) -> JobHandle {
         let caller = CallerId(self.next_caller.fetch_add(1, Ordering::Relaxed));
         let (sender, answer) = oneshot::channel();
-        // Without a core the answer is `Unsure`, by the closed channel.
+        // If the core has ended, the closed channel makes the answer `Unsure`.
         let _ = self.core.send(CoreMsg::Submit(caller, job, sender));
         JobHandle {
             core: self.core.clone(),
@@ -142,47 +142,47 @@
         }
     }
 
-    /// A worker announces itself; true once the dispatchers hear of it.
-    pub async fn announce(&self, note: WorkerAnnouncement) -> bool {
-        self.request(|answer| CoreMsg::Announce(note, answer))
+    /// Handles the announcement of a worker. Returns whether it may be acknowledged to the worker.
+    pub async fn announce(&self, announcement: WorkerAnnouncement) -> bool {
+        self.send_request(|answer| CoreMsg::Announce(announcement, answer))
             .await
             .unwrap_or(false)
     }
 
-    /// A worker has left; `life` is none where it does not say which of its lives did.
+    /// Reports that a worker has left; `incarnation` is `None` if the worker did not state it.
     pub async fn worker_left(&self, worker: String, incarnation: Option<Incarnation>) -> bool {
-        self.request(|answer| CoreMsg::WorkerLeft(worker, incarnation, answer))
+        self.send_request(|answer| CoreMsg::WorkerLeft(worker, incarnation, answer))
             .await
             .unwrap_or(false)
     }
 
-    /// Puts a checked document in force, unless a version as high is held. The version held after
-    /// it; none if it is not known what became of it.
+    /// Puts a validated document in force, unless the stored version is as high or higher. Returns the version stored afterwards,
+    /// or `None` if the outcome is unknown.
     pub async fn propose_config(&self, version: u64, document: Vec<u8>) -> Option<u64> {
         let request = KeeperRequest::PutDocument(version, document);
         let state = tokio::time::timeout(REQUEST_TIMEOUT, self.request_keepers(request)).await;
         Some(state.ok().flatten()?.version)
     }
 
-    /// Reads the newest version and document; `None` if the keepers did not confirm them in time.
+    /// Reads the newest version and document. Returns `None` if the keepers did not confirm them in time.
     pub async fn read_config(&self) -> Option<KeeperState> {
         let request = self.request_keepers(KeeperRequest::ReadDocument);
         let state = tokio::time::timeout(REQUEST_TIMEOUT, request).await;
         state.ok().flatten()
     }
 
-    /// Starts or ends the evacuation of a data centre; false if the outcome is unknown.
+    /// Starts or ends the evacuation of a data centre. Returns false if the outcome is unknown.
     pub async fn set_evacuated(&self, dc: DataCentreId, evacuated: bool) -> bool {
         let order = self.order_evacuation(dc, evacuated);
-        let done = tokio::time::timeout(REQUEST_TIMEOUT, order).await;
-        done.ok().flatten().is_some()
+        let result = tokio::time::timeout(REQUEST_TIMEOUT, order).await;
+        result.ok().flatten().is_some()
     }
 
-    /// Bases an order on the current revision, and retries until the data centre is in the wanted state.
+    /// Submits an order based on the current revision, and retries until the data centre is in the requested state.
     ///
-    /// The revision is read only after the request arrived. A request that was delayed before has
-    /// lost its caller's connection by the time of the answer, and is dropped with it. An order that
-    /// is delayed afterwards is void if another one was committed meanwhile.
+    /// The revision is read only after the request has arrived. A request that was delayed before that has lost its caller's
+    /// connection by the time of the answer, and is dropped with it. An order that is delayed afterwards is void if another one
+    /// was committed meanwhile.
     async fn order_evacuation(&self, dc: DataCentreId, evacuated: bool) -> Option<()> {
         loop {
             let state = self.request_keepers(KeeperRequest::ReadEvacuations).await?;
@@ -200,24 +200,27 @@
 
     async fn request_keepers(&self, request: KeeperRequest) -> Option<KeeperState> {
         let answer = self
-            .request(|answer| CoreMsg::KeeperRequest(request, answer))
+            .send_request(|answer| CoreMsg::KeeperRequest(request, answer))
             .await;
         answer.flatten()
     }
 
-    /// The settings name other keepers to ask first.
+    /// Sets the keepers to contact first, after a change of the settings.
     pub fn set_seeds(&self, seeds: Vec<InstanceId>) {
         let _ = self.core.send(CoreMsg::Seeds(seeds));
     }
 
-    /// Begins a planned stop: no new callers, and what this process dispatches for goes to others.
+    /// Begins a planned stop: the process is no longer ready, and hands over the domains that it dispatches for.
     pub fn stop(&self, schedule: StopSchedule) {
-        // A second signal changes nothing.
+        // A second signal does not change the schedule.
         let _ = self.snapshot.stop_schedule.set(schedule);
         let _ = self.core.send(CoreMsg::Stop);
     }
 
-    async fn request<T>(&self, message: impl FnOnce(oneshot::Sender<T>) -> CoreMsg) -> Option<T> {
+    async fn send_request<T>(
+        &self,
+        message: impl FnOnce(oneshot::Sender<T>) -> CoreMsg,
+    ) -> Option<T> {
         let (sender, receiver) = oneshot::channel();
         self.core.send(message(sender)).ok()?;
         receiver.await.ok()
--- a/crates/celerywinch_fleet/src/lib.rs
+++ b/crates/celerywinch_fleet/src/lib.rs
@@ -1,10 +1,10 @@
-//! The process around the state machines of a deployment whose callers wait for jobs of tasks, and
-//! whose members find each other by seeds.
+//! The process that drives the state machines of a deployment whose callers wait for their jobs to end, and whose members
+//! find each other by seeds.
 //!
-//! An entry runs an origin, a dispatcher and the choice of who dispatches; a keeper runs the
-//! configuration's log on a thread of its own, the only one that waits for a disk. All else is one
-//! thread: the machines give a process a fraction of one core. What callers, operators and workers
-//! speak is not known here: the host brings a [`Port`], and talks to the process by a [`Fleet`].
+//! An entry runs an origin and a dispatcher, and determines who dispatches. A keeper runs the replicated log of the
+//! configuration on a second thread and writes to its disk on a third, so that nothing else waits for the disk. Everything
+//! else runs on one thread, as the machines give a process a fraction of a core. The protocols of callers, operators and
+//! workers belong to the host: it provides a [`Port`], and controls the process by a [`Fleet`].
 
 mod clock;
 mod config;
--- a/crates/celerywinch_fleet/src/links.rs
+++ b/crates/celerywinch_fleet/src/links.rs
@@ -1,4 +1,4 @@
-//! What links between processes need of this one.
+//! The host of the links between processes.
 
 use celerywinch_links::{Host, LinkConfig, LinkEvent};
 use celerywinch_types::{FleetMsg, InstanceId, Process};
@@ -7,30 +7,29 @@
 use crate::core::CoreMsg;
 use crate::metrics::Metrics;
 
-/// Flow-control window of a stream and a connection, in bytes. Two of the largest configurations
-/// fit; a process has a few hundred MB for all its links.
-const WINDOW: u32 = 1 << 20;
-/// The secret that both ends of a link show. The platform hands out none, and its network admits
-/// only the deployment's own machines; this keeps strays of other deployments on reused addresses
-/// from being taken for members.
+/// Flow-control window of a stream and of a connection, in bytes. Two of the largest configurations fit, and a process has a
+/// few hundred MB for all its links.
+const FLOW_WINDOW: u32 = 1 << 20;
+/// Secret that both ends of a link present. The platform provides none, and its network admits only the deployment's own
+/// machines. This constant keeps processes of other deployments at reused addresses from being accepted as members.
 const SECRET: &str = "celerywinch-fleet-1";
 
 /// The links of this process.
 pub(crate) type Links = celerywinch_links::Links<FleetMsg, LinkHost>;
 
-/// Passes what happens on links to the core.
+/// Passes events and messages of links to the core.
 #[derive(Clone)]
 pub(crate) struct LinkHost {
     pub(crate) core: UnboundedSender<CoreMsg>,
     pub(crate) metrics: Metrics,
 }
 
-/// The configuration of the links of a process.
+/// Returns the configuration of the links of a process.
 pub(crate) fn config(me: Process) -> LinkConfig {
     LinkConfig {
         me,
         secret: SECRET.to_owned(),
-        window: WINDOW,
+        window: FLOW_WINDOW,
     }
 }
 
@@ -38,11 +37,11 @@
     fn received(&self, from: Process, msg: FleetMsg) -> anyhow::Result<()> {
         self.core
             .send(CoreMsg::Peer(from, msg))
-            .map_err(|_| anyhow::anyhow!("link: the core is gone"))
+            .map_err(|_| anyhow::anyhow!("link: the core has ended"))
     }
 
     fn accepted(&self, from: Process) {
-        // The core ends before the links only when the process does.
+        // Fails only if the core has ended, which it does only with the process.
         let _ = self.core.send(CoreMsg::Accepted(from));
     }
 
@@ -56,7 +55,7 @@
     }
 
     fn stamp(&self) -> u64 {
-        // Logs carry wall-clock times; nothing here orders events over processes.
+        // Log lines carry wall-clock times; events are not ordered across processes.
         0
     }
 
--- a/crates/celerywinch_fleet/src/metrics.rs
+++ b/crates/celerywinch_fleet/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures of a process, as text for whoever collects them.
+//! The metrics of a process, in the text format that collectors scrape.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 use crate::config_sync::ConfigSyncEvent;
 use crate::directory::AnnounceOutcome;
 
-/// Bounds of the time to an answer, in seconds: objectives are 0.1 to a few s.
+/// Bucket bounds of the time to an answer, in seconds. The objectives of queues are 0.1 s to a few seconds.
 const JOB_SECONDS: &[f64] = &[0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0];
 
-/// Bounds of the time to a configuration, in seconds: it should be in force everywhere within 2 s.
+/// Bucket bounds of the time to fetch a configuration, in seconds. It should be in force everywhere within 2 s.
 const DOCUMENT_SECONDS: &[f64] = &[0.01, 0.03, 0.1, 0.2, 0.5, 1.0, 1.5, 2.0, 4.0];
 
-/// Kinds of messages to other processes.
+/// Label values for the kinds of messages to other processes.
 const MESSAGE_KINDS: [&str; 9] = [
     "heartbeat",
     "contacts",
@@ -31,7 +31,7 @@
     "crashes",
 ];
 
-/// Counters, gauges and histograms; every clone counts into the same ones.
+/// The counters, gauges and histograms. All clones share them.
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
     meter: Meter,
@@ -66,36 +66,47 @@
     pub(crate) fn new() -> anyhow::Result<Self> {
         let meter = Meter::new()?;
         Ok(Self {
-            jobs: meter.family("jobs_total", "Jobs answered here, by their end.", "end")?,
+            jobs: meter.family(
+                "jobs_total",
+                "Jobs answered by this process, by end.",
+                "end",
+            )?,
             job_seconds: meter.histogram(
                 "job_seconds",
-                "Seconds from arrival to answer.",
+                "Seconds from the arrival of a job to its answer.",
                 JOB_SECONDS,
             )?,
-            runs: meter.family("runs_total", "Runs that ended, by how.", "how")?,
+            runs: meter.family("runs_total", "Runs that ended, by kind of end.", "how")?,
             refused: meter.counter("refused_total", "Jobs refused by this dispatcher.")?,
             moved: meter.counter("moved_total", "Runs stopped for too little progress.")?,
             crashes: meter.counter(
                 "crashes_total",
-                "Times that a worker ended under a task, or fell silent with it.",
+                "Times that a worker crashed or became unreachable while running a task.",
             )?,
             given_up: meter.counter(
                 "given_up_total",
-                "Tasks that were given up after workers had ended under them.",
+                "Tasks given up after workers had crashed while running them.",
             )?,
-            aside: meter.counter("aside_total", "Times a worker was set aside.")?,
+            aside: meter.counter("aside_total", "Times that a worker was quarantined.")?,
             gone: meter.family(
                 "workers_gone_total",
-                "Workers that are gone, by how it is known.",
+                "Workers that are gone, by how this was detected.",
                 "why",
             )?,
-            changes: meter.counter("changes_total", "Domains acquired or resigned here.")?,
+            changes: meter.counter(
+                "changes_total",
+                "Domains acquired or resigned by this process.",
+            )?,
             messages: meter.family(
                 "messages_total",
                 "Messages sent to other processes, by kind.",
                 "kind",
             )?,
-            message_bytes: meter.family("message_bytes_total", "Bytes of them.", "kind")?,
+            message_bytes: meter.family(
+                "message_bytes_total",
+                "Bytes of messages sent to other processes, by kind.",
+                "kind",
+            )?,
             worker_calls: meter.family(
                 "worker_calls_total",
                 "Calls to workers, by kind.",
@@ -103,45 +114,47 @@
             )?,
             announced: meter.family(
                 "announcements_total",
-                "Announcements of workers, by what they changed.",
+                "Announcements of workers, by their effect.",
                 "what",
             )?,
             late_answers: meter.counter(
                 "late_answers_total",
-                "Answers of workers that came after they were waited for.",
+                "Answers of workers that arrived after their time-out.",
             )?,
             rejected_streams: meter.counter(
                 "rejected_streams_total",
-                "Streams of other processes that were rejected, as another one counts as the latest of its instance.",
+                "Streams rejected, as another process counts as the current one of their instance.",
             )?,
             documents: meter.counter(
                 "documents_total",
-                "Copies of the configuration begun to be sent.",
+                "Transfers of the configuration started to other processes.",
+            )?,
+            document_bytes: meter.counter(
+                "document_bytes_total",
+                "Bytes of the configuration sent to other processes.",
             )?,
-            document_bytes: meter
-                .counter("document_bytes_total", "Bytes of the configuration sent.")?,
             document_seconds: meter.histogram(
                 "document_seconds",
-                "Seconds from first hearing of a configuration until it is here.",
+                "Seconds from the first report of a configuration until it was fetched.",
                 DOCUMENT_SECONDS,
             )?,
-            peers: meter.gauge("peers", "Processes that are heard.")?,
-            workers: meter.gauge("workers", "Workers that obey this dispatcher.")?,
-            open_jobs: meter.gauge("open_jobs", "Jobs of callers that are open.")?,
+            peers: meter.gauge("peers", "Live peers.")?,
+            workers: meter.gauge("workers", "Workers controlled by this dispatcher.")?,
+            open_jobs: meter.gauge("open_jobs", "Open jobs of callers.")?,
             evacuated_data_centres: meter.gauge(
                 "evacuated_data_centres",
-                "Data centres that are evacuated, as far as is known here.",
+                "Evacuated data centres known to this process.",
             )?,
             evacuated_runs: meter.gauge(
                 "evacuated_runs",
-                "Runs of this dispatcher that are left in evacuated data centres.",
+                "Runs of this dispatcher that remain in evacuated data centres.",
             )?,
             version: meter.gauge("version", "Version of the configuration in force.")?,
             meter,
         })
     }
 
-    /// A worker has announced itself.
+    /// Counts an announcement of a worker.
     pub(crate) fn worker_announced(&self, outcome: AnnounceOutcome) {
         let what = match outcome {
             AnnounceOutcome::Changed => "news",
@@ -153,6 +166,7 @@
         self.announced.with_label_values(&[what]).inc();
     }
 
+    /// Counts an event of the dispatcher.
     pub(crate) fn dispatch_event(&self, event: &PoolEvent) {
         match event {
             PoolEvent::RunEnded { how, .. } => self.runs.with_label_values(&[*how]).inc(),
@@ -173,6 +187,7 @@
         }
     }
 
+    /// Counts the answer to a job and its time.
     pub(crate) fn origin_event(&self, event: &JobEvent) {
         if let JobEvent::Answered { end, took, .. } = event {
             let label = match end {
@@ -187,7 +202,7 @@
         }
     }
 
-    /// A message is sent to another process.
+    /// Counts a message sent to another process.
     pub(crate) fn message_sent(&self, msg: &FleetMsg, bytes: usize) {
         let kind = match msg {
             FleetMsg::Heartbeat(_) => MESSAGE_KINDS[0],
@@ -205,7 +220,7 @@
         self.message_bytes.with_label_values(&[kind]).inc_by(bytes);
     }
 
-    /// Messages to other processes and their bytes so far, by kind.
+    /// Returns the numbers of messages sent to other processes so far and of their bytes, by kind.
     pub(crate) fn traffic(&self) -> BTreeMap<String, (u64, u64)> {
         let kinds = MESSAGE_KINDS.iter().map(|kind| {
             let count = self.messages.with_label_values(&[*kind]).get();
@@ -215,7 +230,7 @@
         kinds.filter(|(_, (count, _))| *count > 0).collect()
     }
 
-    /// A worker is called.
+    /// Counts a call to a worker.
     pub(crate) fn worker_called(&self, request: &Request) {
         let kind = match request {
             Request::Start { .. } => "start",
@@ -225,16 +240,17 @@
         self.worker_calls.with_label_values(&[kind]).inc();
     }
 
-    /// A message of the configuration is sent.
+    /// Counts the chunks of the configuration sent to other processes.
     pub(crate) fn config_sent(&self, msg: &ConfigMsg) {
-        if let ConfigMsg::Chunk(piece) = msg {
-            self.document_bytes.inc_by(piece.bytes.len() as u64);
-            if piece.offset == 0 {
+        if let ConfigMsg::Chunk(chunk) = msg {
+            self.document_bytes.inc_by(chunk.bytes.len() as u64);
+            if chunk.offset == 0 {
                 self.documents.inc();
             }
         }
     }
 
+    /// Records the time of a completed transfer.
     pub(crate) fn config_sync_event(&self, event: &ConfigSyncEvent) {
         if let ConfigSyncEvent::DocumentWhole { took, .. } = event {
             let took = Duration::from_millis((*took).into());
@@ -242,10 +258,10 @@
         }
     }
 
-    /// All figures as text.
+    /// Returns all metrics in the text format.
     pub(crate) fn text(&self) -> String {
         self.meter.text().unwrap_or_else(|error| {
-            log::error!("metrics: Cannot be written: {error}.");
+            log::error!("metrics: Cannot encode the metrics: {error}.");
             String::new()
         })
     }
