--- a/crates/celerywinch_fleet/src/metrics.rs
+++ b/crates/celerywinch_fleet/src/metrics.rs
@@ -66,7 +66,7 @@
     pub(crate) fn new() -> anyhow::Result<Self> {
         let meter = Meter::new()?;
         Ok(Self {
-            jobs: meter.family(
+            jobs: meter.counter_vec(
                 "jobs_total",
                 "Jobs answered by this process, by end.",
                 "end",
@@ -76,7 +76,7 @@
                 "Seconds from the arrival of a job to its answer.",
                 JOB_SECONDS,
             )?,
-            runs: meter.family("runs_total", "Runs that ended, by kind of end.", "how")?,
+            runs: meter.counter_vec("runs_total", "Runs that ended, by kind of end.", "how")?,
             refused: meter.counter("refused_total", "Jobs refused by this dispatcher.")?,
             moved: meter.counter("moved_total", "Runs stopped for too little progress.")?,
             crashes: meter.counter(
@@ -88,7 +88,7 @@
                 "Tasks given up after workers had crashed while running them.",
             )?,
             aside: meter.counter("aside_total", "Times that a worker was quarantined.")?,
-            gone: meter.family(
+            gone: meter.counter_vec(
                 "workers_gone_total",
                 "Workers that are gone, by how this was detected.",
                 "why",
@@ -97,22 +97,22 @@
                 "changes_total",
                 "Domains acquired or resigned by this process.",
             )?,
-            messages: meter.family(
+            messages: meter.counter_vec(
                 "messages_total",
                 "Messages sent to other processes, by kind.",
                 "kind",
             )?,
-            message_bytes: meter.family(
+            message_bytes: meter.counter_vec(
                 "message_bytes_total",
                 "Bytes of messages sent to other processes, by kind.",
                 "kind",
             )?,
-            worker_calls: meter.family(
+            worker_calls: meter.counter_vec(
                 "worker_calls_total",
                 "Calls to workers, by kind.",
                 "kind",
             )?,
-            announced: meter.family(
+            announced: meter.counter_vec(
                 "announcements_total",
                 "Announcements of workers, by their effect.",
                 "what",
@@ -260,7 +260,7 @@
 
     /// Returns all metrics in the text format.
     pub(crate) fn text(&self) -> String {
-        self.meter.text().unwrap_or_else(|error| {
+        self.meter.encode().unwrap_or_else(|error| {
             log::error!("metrics: Cannot encode the metrics: {error}.");
             String::new()
         })
--- a/crates/celerywinch_fleet/src/store.rs
+++ b/crates/celerywinch_fleet/src/store.rs
@@ -107,10 +107,10 @@
 impl Store {
     fn open(&mut self) -> anyhow::Result<()> {
         let (disk, identity, loaded) = Disk::open(&self.folder.join(LOG_FOLDER), rand::random())?;
-        if loaded.torn > 0 {
+        if loaded.torn_bytes > 0 {
             log::warn!(
                 "store: Truncated {} bytes of an incomplete record.",
-                loaded.torn
+                loaded.torn_bytes
             );
         }
         let config = RaftConfig {
@@ -119,10 +119,10 @@
                 disk: identity,
             },
             instances: self.seeds.clone(),
-            forms: self.bootstrap,
-            voters: self.voters,
-            heartbeat: HEARTBEAT_INTERVAL,
-            election: ELECTION_TIMEOUT,
+            bootstrap: self.bootstrap,
+            max_voters: self.voters,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
+            election_timeout: ELECTION_TIMEOUT,
             compact_after: COMPACT_AFTER,
             seed: rand::random(),
         };
@@ -246,7 +246,7 @@
         let now = self.clock.now();
         match result {
             Ok(count) => {
-                let input = Input::Written(count);
+                let input = Input::Synced(count);
                 self.update_registry(now, |registry, out| registry.handle(now, input, out));
             }
             Err(error) => self.close_disk(now, &error.into()),
@@ -299,7 +299,7 @@
                 writer.write(Write::Record(Record::Vote { term, vote }));
             }
             Output::Truncate(index) => writer.write(Write::Record(Record::Truncate(index))),
-            Output::Persist(entries) => {
+            Output::PersistEntries(entries) => {
                 let records = entries.into_iter().map(Record::Entry).collect();
                 writer.write(Write::Records(records));
             }
@@ -308,12 +308,15 @@
                 let bytes = registry.encode_message(to, to_disk, msg)?;
                 self.notify_core(StoreOutput::Send(to, FleetMsg::Log(bytes)));
             }
-            Output::Role(_) => {
+            Output::RoleChanged(_) => {
                 let status = registry.status();
                 self.notify_core(StoreOutput::Role(status));
             }
             // Handled by the state machine of the registry.
-            Output::Apply(_) | Output::Restore(_) | Output::Compact(_) | Output::Readable(_) => {}
+            Output::Apply(_)
+            | Output::Restore(_)
+            | Output::TakeSnapshot(_)
+            | Output::ReadReady(_) => {}
         }
         Ok(())
     }
--- a/crates/celerywinch_registry/src/registry.rs
+++ b/crates/celerywinch_registry/src/registry.rs
@@ -6,7 +6,8 @@
 use anyhow::Context;
 use bincode::config::standard;
 use celerywinch_store::{
-    Entry, Input, KeeperId, Loaded, Output, Payload, Raft, RaftConfig, RaftMsg, Role, Snapshot,
+    Entry, Input, KeeperId, Output, Payload, PersistedState, Raft, RaftConfig, RaftMsg, Role,
+    Snapshot,
 };
 use celerywinch_types::{
     EvacuationOrder, Evacuations, InstanceId, KeeperRequest, KeeperState, Time, domain,
@@ -44,7 +45,7 @@
 /// An output that the host carries out, strictly in the order given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistryOutput {
-    /// An output of the log, except `Apply`, `Restore` and `Compact`, which are handled here.
+    /// An output of the log, except `Apply`, `Restore` and `TakeSnapshot`, which are handled here.
     Log(Output),
     /// Answer a request; `None` if its outcome is not known.
     Answer(InstanceId, u64, Option<KeeperState>),
@@ -111,7 +112,7 @@
     /// # Errors
     ///
     /// The snapshot cannot be read.
-    pub fn new(config: RaftConfig, now: Time, loaded: Loaded) -> anyhow::Result<Self> {
+    pub fn new(config: RaftConfig, now: Time, loaded: PersistedState) -> anyhow::Result<Self> {
         let (document, evacuations) = decode_state(&loaded.snapshot)?;
         let last = loaded.entries.last();
         let last_proposed = last.map_or(loaded.snapshot.index, |entry| entry.index);
@@ -148,13 +149,13 @@
     /// Returns the status of this keeper, for operators and logs.
     #[must_use]
     pub fn status(&self) -> RegistryStatus {
-        let group = self.raft.group();
+        let membership = self.raft.membership();
         RegistryStatus {
             term: self.raft.term(),
             role: self.raft.role(),
-            commit: self.raft.commit(),
-            voters: group.voters.len(),
-            learners: group.learners.len(),
+            commit: self.raft.commit_index(),
+            voters: membership.voters.len(),
+            learners: membership.learners.len(),
             version: self.document.version,
         }
     }
@@ -186,29 +187,29 @@
         match output {
             Output::Apply(entry) => self.apply(now, entry, out),
             Output::Restore(snapshot) => self.restore(&snapshot, out),
-            Output::Compact(index) => {
+            Output::TakeSnapshot(index) => {
                 let state = (&self.document, &self.evacuations);
                 let state = bincode::serde::encode_to_vec(state, standard());
                 let state = state.expect("plain data encodes");
-                inputs.push(Input::State { index, state });
+                inputs.push(Input::SnapshotState { index, state });
             }
-            Output::Readable(read) => {
+            Output::ReadReady(read) => {
                 if let Some(pending) = self.pending_reads.remove(&read) {
                     let state = Some(self.state(pending.wants_document));
                     out.push(RegistryOutput::Answer(pending.from, pending.id, state));
                 }
             }
-            Output::Role(role) => {
+            Output::RoleChanged(role) => {
                 if role != Role::Leader {
                     self.fail_pending(out);
                 }
-                out.push(RegistryOutput::Log(Output::Role(role)));
+                out.push(RegistryOutput::Log(Output::RoleChanged(role)));
             }
-            Output::Persist(entries) => {
+            Output::PersistEntries(entries) => {
                 self.last_proposed = entries
                     .last()
                     .map_or(self.last_proposed, |entry| entry.index);
-                out.push(RegistryOutput::Log(Output::Persist(entries)));
+                out.push(RegistryOutput::Log(Output::PersistEntries(entries)));
             }
             other => out.push(RegistryOutput::Log(other)),
         }
@@ -269,7 +270,7 @@
         let command = bincode::serde::encode_to_vec(command, standard());
         let command = command.expect("plain data encodes");
         let mut open = self.pending.keys().rev().copied();
-        let same = open.find(|index| self.raft.open_command(*index) == Some(&command));
+        let same = open.find(|index| self.raft.uncommitted_command(*index) == Some(&command));
         same.unwrap_or_else(|| {
             self.handle(now, Input::Propose(command), out);
             self.last_proposed
--- a/crates/celerywinch_store/tests/members.rs
+++ b/crates/celerywinch_store/tests/membership.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use celerywinch_store::{
-    Group, Input, KeeperId, Output, Raft, RaftConfig, RaftMsg, Role, Snapshot,
+    Input, KeeperId, Membership, Output, Raft, RaftConfig, RaftMsg, Role, Snapshot,
 };
 use celerywinch_types::{InstanceId, Time};
 
@@ -32,10 +32,10 @@
             let config = RaftConfig {
                 me: id(index),
                 instances: (1..=3).map(InstanceId).collect(),
-                forms: true,
-                voters: 3,
-                heartbeat: Duration::from_millis(100),
-                election: Duration::from_millis(400),
+                bootstrap: true,
+                max_voters: 3,
+                heartbeat_interval: Duration::from_millis(100),
+                election_timeout: Duration::from_millis(400),
                 compact_after: 128,
                 seed: index as u64,
             };
@@ -70,8 +70,8 @@
                 match output {
                     Output::PersistVote { .. }
                     | Output::Truncate(_)
-                    | Output::Persist(_)
-                    | Output::PersistSnapshot(_) => inputs.insert(0, (index, Input::Written(1))),
+                    | Output::PersistEntries(_)
+                    | Output::PersistSnapshot(_) => inputs.insert(0, (index, Input::Synced(1))),
                     Output::Send(to, _, msg) => {
                         let msg: RaftMsg = msg;
                         let from = Input::Message(id(index), msg);
@@ -89,8 +89,8 @@
         leaders.next().expect("a leader")
     }
 
-    fn group(&self) -> Group {
-        self.keepers[self.leader()].group()
+    fn membership(&self) -> Membership {
+        self.keepers[self.leader()].membership()
     }
 }
 
@@ -100,9 +100,9 @@
 fn fourth_keeper_learns() {
     let mut net = Net::new(4);
     net.run(Duration::from_secs(4));
-    let group = net.group();
-    assert_eq!(group.voters, [id(0), id(1), id(2)]);
-    assert_eq!(group.learners, [id(3)]);
+    let membership = net.membership();
+    assert_eq!(membership.voters, [id(0), id(1), id(2)]);
+    assert_eq!(membership.learners, [id(3)]);
 }
 
 /// Changes stop for good: a keeper is lost, the learner never takes its place, and a second one is lost
@@ -117,23 +117,23 @@
     net.down.insert(lost);
     net.run(Duration::from_secs(3));
     assert!(
-        net.group().voters.contains(&id(lost)),
+        net.membership().voters.contains(&id(lost)),
         "a restart takes as long"
     );
     net.run(Duration::from_secs(5));
-    let group = net.group();
-    assert_eq!(group.voters.len(), 3);
+    let membership = net.membership();
+    assert_eq!(membership.voters.len(), 3);
     assert!(
-        group.voters.contains(&id(3)) && !group.voters.contains(&id(lost)),
-        "{group:?}"
+        membership.voters.contains(&id(3)) && !membership.voters.contains(&id(lost)),
+        "{membership:?}"
     );
     net.down.remove(&lost);
     net.run(Duration::from_secs(6));
-    let group = net.group();
-    assert!(group.learners.contains(&id(lost)), "{group:?}");
+    let membership = net.membership();
+    assert!(membership.learners.contains(&id(lost)), "{membership:?}");
     let commits = (
-        net.keepers[lost].commit(),
-        net.keepers[net.leader()].commit(),
+        net.keepers[lost].commit_index(),
+        net.keepers[net.leader()].commit_index(),
     );
     assert_eq!(commits.0, commits.1, "it has the whole log");
 }
