--- a/crates/celerywinch_fleet/src/config_sync.rs
+++ b/crates/celerywinch_fleet/src/config_sync.rs
@@ -366,7 +366,7 @@
             let reason = if newest > version {
                 "overtaken"
             } else {
-                "no live peer has it"
+                "nobody has it"
             };
             self.abort_transfer(at, source, reason, out);
             self.continue_transfers(now, out);
@@ -436,10 +436,10 @@
             .live_peers(now)
             .filter(|status| status.version >= version);
         let rank = |status: &&PeerStatus| {
-            let silent = self.timed_out.get(&status.instance).copied();
+            let timed_out = self.timed_out.get(&status.instance).copied();
             let other = (status.kind != ProcessKind::Keeper, status.dc != self.dc);
             let score = score(self.me.0.into(), status.instance.0.into());
-            (silent, other, Reverse(score))
+            (timed_out, other, Reverse(score))
         };
         sources.min_by_key(rank).map(|status| status.instance)
     }
--- a/crates/celerywinch_fleet/src/config_sync/transfer.rs
+++ b/crates/celerywinch_fleet/src/config_sync/transfer.rs
@@ -170,14 +170,14 @@
     pub(super) fn add_chunk(&mut self, now: Time, chunk: Chunk) -> ChunkOutcome {
         let expected = (chunk.total, chunk.digest);
         if *self.expected.get_or_insert(expected) != expected {
-            return ChunkOutcome::Invalid("chunks of two documents");
+            return ChunkOutcome::Invalid("pieces of two documents");
         }
         let bytes = chunk.bytes.len();
         let end = chunk.offset + bytes as u64;
         let full = bytes == CHUNK_SIZE || end == chunk.total;
         let fits = full && end <= chunk.total && chunk.total <= MAX_DOCUMENT_SIZE;
         if bytes == 0 || bytes > CHUNK_SIZE || !fits {
-            return ChunkOutcome::Invalid("invalid length of a chunk");
+            return ChunkOutcome::Invalid("lengths do not fit");
         }
         let requested = self
             .outstanding
@@ -195,7 +195,7 @@
         } else if stable_hash(&self.document) == chunk.digest {
             ChunkOutcome::Complete
         } else {
-            ChunkOutcome::Invalid("hash mismatch")
+            ChunkOutcome::Invalid("another hash")
         }
     }
 
--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -57,7 +57,7 @@
 const MAX_SHARD: usize = 160;
 /// Interval of log lines on the messages sent.
 const TRAFFIC_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// Maximum number of messages handled before the member is flushed.
+/// Maximum number of messages handled before the member is flushed, which sends the resulting messages.
 const MAX_BATCH: usize = 64;
 
 /// A message to the core.
--- a/crates/celerywinch_fleet/src/metrics.rs
+++ b/crates/celerywinch_fleet/src/metrics.rs
@@ -42,8 +42,8 @@
     moved: IntCounter,
     crashes: IntCounter,
     given_up: IntCounter,
-    aside: IntCounter,
-    gone: IntCounterVec,
+    quarantined: IntCounter,
+    lost_workers: IntCounterVec,
     changes: IntCounter,
     messages: IntCounterVec,
     message_bytes: IntCounterVec,
@@ -87,8 +87,8 @@
                 "given_up_total",
                 "Tasks given up after workers had crashed while running them.",
             )?,
-            aside: meter.counter("aside_total", "Times that a worker was quarantined.")?,
-            gone: meter.counter_vec(
+            quarantined: meter.counter("aside_total", "Times that a worker was quarantined.")?,
+            lost_workers: meter.counter_vec(
                 "workers_gone_total",
                 "Workers that are gone, by how this was detected.",
                 "why",
@@ -174,8 +174,10 @@
             PoolEvent::Crashed { .. } => self.crashes.inc(),
             PoolEvent::GivenUp { .. } => self.given_up.inc(),
             PoolEvent::Moved { .. } => self.moved.inc(),
-            PoolEvent::WorkerAside { .. } => self.aside.inc(),
-            PoolEvent::WorkerGone { why, .. } => self.gone.with_label_values(&[why.label()]).inc(),
+            PoolEvent::WorkerAside { .. } => self.quarantined.inc(),
+            PoolEvent::WorkerGone { why, .. } => {
+                self.lost_workers.with_label_values(&[why.label()]).inc()
+            }
             PoolEvent::Acquired { .. } | PoolEvent::Resigned { .. } => self.changes.inc(),
             PoolEvent::Queued { .. }
             | PoolEvent::Passed { .. }
--- a/crates/celerywinch_fleet/src/store.rs
+++ b/crates/celerywinch_fleet/src/store.rs
@@ -186,7 +186,7 @@
         match msg {
             StoreInput::Log(from, bytes) => self.update_registry(now, |registry, out| {
                 if let Err(error) = registry.handle_encoded(now, &bytes, out) {
-                    log::warn!("store: Dropped an invalid message from {from}: {error:#}.");
+                    log::warn!("store: Dropped a message from {from}: {error:#}.");
                 }
             }),
             StoreInput::Request(request) => {
@@ -256,7 +256,7 @@
     /// Closes the log after an error of the disk, until it is opened again. Meanwhile changes are refused, and the
     /// configuration in force stays in force.
     fn close_disk(&mut self, now: Time, error: &anyhow::Error) {
-        log::error!("store: Disk error, changes are refused until it is opened again: {error:#}.");
+        log::error!("store: The disk cannot be used, changes are refused: {error:#}.");
         self.open = None;
         self.results = never();
         self.reopen_at = now + REOPEN_DELAY;
--- a/crates/celerywinch_fleet/tests/chunks.rs
+++ b/crates/celerywinch_fleet/tests/chunks.rs
@@ -136,7 +136,7 @@
     assert_eq!(out, [ConfigSyncOutput::SendHeartbeats(vec![ENTRY])]);
 }
 
-/// Returns an entry that was told of a version.
+/// Returns an entry to which a keeper has reported a version.
 fn fetching(version: u64) -> ConfigSync {
     let mut sync = ConfigSync::new(ENTRY, ProcessKind::Entry, DC);
     handle(&mut sync, NOW, ConfigSyncInput::InForce(document(3, 10)));
