--- a/crates/celerywinch_bench/src/members/history.rs
+++ b/crates/celerywinch_bench/src/members/history.rs
@@ -24,7 +24,7 @@
     OverRoom(TaskId, String),
     /// A task was started on a worker of an evacuated data centre after the permitted delay.
     InEvacuatedDataCentre(TaskId, String),
-    /// A task was started this many more times after it had crashed three workers.
+    /// A task was started this number of times after it had crashed three workers.
     Restarted(TaskId, usize),
     /// A member still had open work at the end of the run.
     Restless(String),
--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -30,9 +30,9 @@
 const LOAD_START: Time = Time(1_500_000);
 /// Interval between two ticks of a member.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
-/// One-way network delay within a data centre, of the reference deployment.
+/// One-way network delay within a data centre in the reference deployment.
 const LOCAL_DELAY: Duration = Duration::from_micros(100);
-/// One-way network delay between two data centres, of the reference deployment.
+/// One-way network delay between two data centres in the reference deployment.
 const REMOTE_DELAY: Duration = Duration::from_micros(1_400);
 /// Delay until a member that was stopped as planned starts again.
 const RESTART_DELAY: Duration = Duration::from_millis(600);
@@ -431,6 +431,7 @@
         }
     }
 
+    /// Passes an input to a member and handles its outputs.
     pub(crate) fn input(&mut self, index: usize, input: Input) {
         let now = self.now;
         let Some(member) = &mut self.members[index].member else {
@@ -480,6 +481,7 @@
         }
     }
 
+    /// Sends a message from a member to another one. It is lost or deferred where the link between them is down.
     pub(crate) fn deliver(&mut self, from: usize, to: usize, msg: FleetMsg) {
         let (here, there) = (self.members[from].dc, self.members[to].dc);
         if self.is_cut(here, there) {
