--- a/crates/celerywinch_catalogue/src/edit.rs
+++ b/crates/celerywinch_catalogue/src/edit.rs
@@ -53,7 +53,7 @@
 
     /// The replicated state: the catalogue, and the answers to recent changes.
     #[derive(Default)]
-    pub struct CatalogueState {
+    pub struct ReplicatedCatalogue {
         version: Version,
         #[serde(rename = "winner")]
         current_change: String,
@@ -62,7 +62,7 @@
     }
 }
 
-impl CatalogueState {
+impl ReplicatedCatalogue {
     /// Returns the current version.
     #[must_use]
     pub fn version(&self) -> Version {
--- a/crates/celerywinch_catalogue/src/lib.rs
+++ b/crates/celerywinch_catalogue/src/lib.rs
@@ -9,4 +9,4 @@
 
 pub use check::{Catalogue, Kind, Problem, Team};
 pub use document::{Class, DeadlineBounds, Document, KindEntry, TeamEntry};
-pub use edit::{Applied, ApplyError, CatalogueState, Edit, Version};
+pub use edit::{Applied, ApplyError, Edit, ReplicatedCatalogue, Version};
--- a/crates/celerywinch_keeper/src/keeper.rs
+++ b/crates/celerywinch_keeper/src/keeper.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use anyhow::Context;
-use celerywinch_catalogue::{CatalogueState, Document, Version};
+use celerywinch_catalogue::{Document, ReplicatedCatalogue, Version};
 use celerywinch_store::{
     Entry, Input, KeeperId, Output, Payload, PersistedState, Raft, RaftConfig, Role, Snapshot,
 };
@@ -64,7 +64,7 @@
 pub struct Keeper {
     me: KeeperId,
     raft: Raft,
-    catalogue: CatalogueState,
+    catalogue: ReplicatedCatalogue,
     /// Proposals by the index of their entry.
     pending: BTreeMap<u64, Pending>,
     /// The index of the last entry written to the log.
@@ -270,9 +270,9 @@
     }
 }
 
-fn decode_state(snapshot: &Snapshot) -> anyhow::Result<CatalogueState> {
+fn decode_state(snapshot: &Snapshot) -> anyhow::Result<ReplicatedCatalogue> {
     if snapshot.state.is_empty() {
-        return Ok(CatalogueState::default());
+        return Ok(ReplicatedCatalogue::default());
     }
     serde_json::from_slice(&snapshot.state)
         .context("store: cannot decode the state in the snapshot")
