--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -552,7 +552,7 @@
         let host = &self.members[index];
         let config = MemberConfig {
             me,
-            part: ProcessKind::Entry,
+            kind: ProcessKind::Entry,
             dc: DataCentreId(host.dc),
             dcs: (0..self.options.dcs).map(DataCentreId).collect(),
             shard_size: self.options.shard,
--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -273,7 +273,7 @@
         let now = clock.now();
         let member = MemberConfig {
             me,
-            part: config.kind,
+            kind: config.kind,
             dc: config.dc,
             dcs: config.dcs.clone(),
             shard_size: max_workers(config.cores, config.link_rate),
--- a/crates/celerywinch_member/src/heartbeats.rs
+++ b/crates/celerywinch_member/src/heartbeats.rs
@@ -73,7 +73,7 @@
 impl Member {
     /// Determines the dispatcher of each domain by the highest fencing token that any live peer reports.
     pub(crate) fn update_holders(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.config.part != ProcessKind::Entry {
+        if self.config.kind != ProcessKind::Entry {
             return;
         }
         self.holders_stale = false;
@@ -225,7 +225,7 @@
         owned_domains: Vec<OwnedDomain>,
         out: &mut Vec<Output>,
     ) {
-        if self.config.part == ProcessKind::Entry && !owned_domains.is_empty() {
+        if self.config.kind == ProcessKind::Entry && !owned_domains.is_empty() {
             let input = OriginInput::Loads(dispatcher, owned_domains);
             self.origin_input(now, input, out);
         }
@@ -248,7 +248,7 @@
             self.slow_interval()
         };
         FleetHeartbeat {
-            kind: self.config.part,
+            kind: self.config.kind,
             dc: self.config.dc,
             stage: self.stage,
             owned_domains: self.owned_domains.clone(),
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -51,7 +51,7 @@
     /// This process.
     pub me: Process,
     /// Whether it is an entry or a keeper.
-    pub part: ProcessKind,
+    pub kind: ProcessKind,
     /// Its data centre.
     pub dc: DataCentreId,
     /// All data centres of the fleet.
@@ -180,7 +180,7 @@
     /// Creates a member. The wall clock makes fencing tokens increase over restarts of all members.
     #[must_use]
     pub fn new(config: MemberConfig, now: Time, wall: WallMs) -> Self {
-        let stage = match config.part {
+        let stage = match config.kind {
             ProcessKind::Entry => Stage::Joining,
             ProcessKind::Keeper => Stage::Ready,
         };
@@ -240,7 +240,7 @@
             .peers
             .get(peer)
             .is_some_and(|view| !view.just_started());
-        self.config.part == ProcessKind::Keeper || !was_there
+        self.config.kind == ProcessKind::Keeper || !was_there
     }
 
     /// Returns the number of callers' jobs that are open.
@@ -331,7 +331,7 @@
             Input::ConfigVersion(version) => self.version = version,
             Input::Evacuations(evacuations) => {
                 let adopted = self.adopt_evacuations(now, &evacuations, out);
-                if adopted && self.config.part == ProcessKind::Keeper {
+                if adopted && self.config.kind == ProcessKind::Keeper {
                     self.broadcast_heartbeat(now, out);
                 }
             }
@@ -404,7 +404,7 @@
             self.lost.remove(&peer);
             out.push(Output::RemovePeer(peer));
         }
-        if self.config.part == ProcessKind::Entry {
+        if self.config.kind == ProcessKind::Entry {
             self.join_when_ready(now, out);
             if now.since(self.domains_updated) >= UPDATE_INTERVAL {
                 self.update_domains(now, out);
@@ -583,7 +583,7 @@
 
     /// Re-evaluates which domains this entry dispatches for, and applies the changes.
     fn update_domains(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.config.part != ProcessKind::Entry {
+        if self.config.kind != ProcessKind::Entry {
             return;
         }
         self.domains_updated = now;
--- a/crates/celerywinch_member/tests/arrivals.rs
+++ b/crates/celerywinch_member/tests/arrivals.rs
@@ -18,7 +18,7 @@
             instance: InstanceId(1),
             incarnation: Incarnation(1),
         },
-        part: ProcessKind::Entry,
+        kind: ProcessKind::Entry,
         dc: DataCentreId(0),
         dcs: [DataCentreId(0)].into(),
         shard_size: 80,
--- a/crates/celerywinch_member/tests/contacts.rs
+++ b/crates/celerywinch_member/tests/contacts.rs
@@ -17,7 +17,7 @@
 
 struct Case {
     /// The part of the process under test.
-    part: ProcessKind,
+    kind: ProcessKind,
     /// How long the peer had run at its last heartbeat, in ms; `None` if there was none.
     uptime: Option<u64>,
     sent: bool,
@@ -26,10 +26,10 @@
 /// Guards against two faults: after a restart of all processes the workers are divided among the few entries
 /// that each entry knows by then; and the lists fill the links of a data centre that is reachable again.
 #[rstest]
-#[case::unknown(Case { part: ProcessKind::Entry, uptime: None, sent: true })]
-#[case::just_started(Case { part: ProcessKind::Entry, uptime: Some(200), sent: true })]
-#[case::running_before(Case { part: ProcessKind::Entry, uptime: Some(30_000), sent: false })]
-#[case::by_a_keeper(Case { part: ProcessKind::Keeper, uptime: Some(30_000), sent: true })]
+#[case::unknown(Case { kind: ProcessKind::Entry, uptime: None, sent: true })]
+#[case::just_started(Case { kind: ProcessKind::Entry, uptime: Some(200), sent: true })]
+#[case::running_before(Case { kind: ProcessKind::Entry, uptime: Some(30_000), sent: false })]
+#[case::by_a_keeper(Case { kind: ProcessKind::Keeper, uptime: Some(30_000), sent: true })]
 fn which_peers_get_all_contacts(#[case] case: Case) {
     let me = Process {
         instance: InstanceId(1),
@@ -37,7 +37,7 @@
     };
     let config = MemberConfig {
         me,
-        part: case.part,
+        kind: case.kind,
         dc: DC,
         dcs: BTreeSet::from([DC]),
         shard_size: 80,
--- a/crates/celerywinch_member/tests/evacuations.rs
+++ b/crates/celerywinch_member/tests/evacuations.rs
@@ -45,10 +45,10 @@
     }
 }
 
-fn member(part: ProcessKind) -> Member {
+fn member(kind: ProcessKind) -> Member {
     let config = MemberConfig {
         me: process(ME.0),
-        part,
+        kind,
         dc: DataCentreId(0),
         dcs: [DataCentreId(0), DataCentreId(1)].into(),
         shard_size: 48,
--- a/crates/celerywinch_member/tests/handovers.rs
+++ b/crates/celerywinch_member/tests/handovers.rs
@@ -47,7 +47,7 @@
 fn member(now: Time, others: u32) -> Member {
     let config = MemberConfig {
         me: process(1),
-        part: ProcessKind::Entry,
+        kind: ProcessKind::Entry,
         dc: HERE,
         dcs: BTreeSet::from([HERE, THERE]),
         shard_size: 80,
--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -60,7 +60,7 @@
 fn count_resignations(live_steps: u64, dead: u16, workers: u16) -> usize {
     let config = MemberConfig {
         me: process(1),
-        part: ProcessKind::Entry,
+        kind: ProcessKind::Entry,
         dc: DataCentreId(0),
         dcs: BTreeSet::from([DataCentreId(0), FAR]),
         shard_size: 80,
--- a/crates/celerywinch_member/tests/learned.rs
+++ b/crates/celerywinch_member/tests/learned.rs
@@ -71,7 +71,7 @@
 fn learned_is_sent_to_one_entry_after_the_other(#[case] case: Case) {
     let config = MemberConfig {
         me: process(ME),
-        part: ProcessKind::Entry,
+        kind: ProcessKind::Entry,
         dc: DC,
         dcs: BTreeSet::from([DC]),
         shard_size: 80,
--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -23,10 +23,10 @@
 }
 
 /// Returns the member under test, in the only data centre.
-fn member(now: Time, part: ProcessKind) -> Member {
+fn member(now: Time, kind: ProcessKind) -> Member {
     let config = MemberConfig {
         me: process(1, 1),
-        part,
+        kind,
         dc: DC,
         dcs: BTreeSet::from([DC]),
         shard_size: 80,
--- a/crates/celerywinch_member/tests/probes.rs
+++ b/crates/celerywinch_member/tests/probes.rs
@@ -61,7 +61,7 @@
 fn member(now: Time) -> Member {
     let config = MemberConfig {
         me: process(1),
-        part: ProcessKind::Entry,
+        kind: ProcessKind::Entry,
         dc: HERE,
         dcs: BTreeSet::from([HERE, THERE]),
         shard_size: 80,
--- a/crates/celerywinch_member/tests/restarts.rs
+++ b/crates/celerywinch_member/tests/restarts.rs
@@ -22,7 +22,7 @@
 fn entry() -> Member {
     let config = MemberConfig {
         me: process(1, 1),
-        part: ProcessKind::Entry,
+        kind: ProcessKind::Entry,
         dc: DC,
         dcs: BTreeSet::from([DC]),
         shard_size: 32,
