--- a/crates/celerywinch_dispatch/src/dispatch.rs
+++ b/crates/celerywinch_dispatch/src/dispatch.rs
@@ -440,7 +440,7 @@
             state.failure_rate =
                 state.failure_rate * (1.0 - FAILURE_WEIGHT) + failed * FAILURE_WEIGHT;
         }
-        let blame = self.at_fault(kind);
+        let may_quarantine = self.at_fault(kind);
         let state = self.kinds.get_mut(kind)?;
         let endpoint = self.endpoints.get_mut(id)?;
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
@@ -454,7 +454,7 @@
                 let ratio = run.as_secs_f64() / median.as_secs_f64();
                 endpoint.health.record_success(now, ratio)
             }
-            CallEnd::Failed => endpoint.health.record_failure(now, blame),
+            CallEnd::Failed => endpoint.health.record_failure(now, may_quarantine),
             CallEnd::Refused => {
                 endpoint.full_until = now + FULL_BACKOFF;
                 None
--- a/crates/celerywinch_dispatch/src/health.rs
+++ b/crates/celerywinch_dispatch/src/health.rs
@@ -88,12 +88,12 @@
         self.updated = now;
     }
 
-    /// Records a failure. `blame` is false if the whole kind or too many endpoints fail: another quarantine would only
+    /// Records a failure. `may_quarantine` is false if the whole kind or too many endpoints fail: another quarantine would only
     /// overload the remaining endpoints.
-    pub fn record_failure(&mut self, now: Time, blame: bool) -> Option<HealthChange> {
+    pub fn record_failure(&mut self, now: Time, may_quarantine: bool) -> Option<HealthChange> {
         self.failures += 1;
         self.start_probation(now);
-        if !blame || matches!(self.state, State::Quarantined { .. }) {
+        if !may_quarantine || matches!(self.state, State::Quarantined { .. }) {
             return None;
         }
         let quarantine = MIN_QUARANTINE * 2_u32.saturating_pow(self.quarantines.min(8));
--- a/crates/celerywinch_dispatch/tests/loans.rs
+++ b/crates/celerywinch_dispatch/tests/loans.rs
@@ -23,7 +23,7 @@
     Catalogue::check(1, document).expect("a good catalogue")
 }
 
-fn note() -> EndpointAnnouncement {
+fn announcement() -> EndpointAnnouncement {
     EndpointAnnouncement {
         addr: ([127, 0, 0, 1], 80).into(),
         incarnation: 1,
@@ -44,7 +44,7 @@
 fn lender_admits_its_own_work() {
     let mut dispatch = Dispatch::new(InstanceId(1), Policy::Shares, 1);
     dispatch.set_catalogue(&catalogue());
-    dispatch.update(&note());
+    dispatch.update(&announcement());
     let mut loans = 0;
     while dispatch.lend(NOW, PEER, "k", 16).is_some() {
         loans += 1;
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -315,7 +315,9 @@
                 self.origin_input(now, OriginInput::LinkReset(peer), out);
             }
             Input::Work(from, msg) => self.handle_work(now, from, msg, out),
-            Input::Workers(notes) => self.pool_input(now, PoolInput::Workers(notes), out),
+            Input::Workers(announcements) => {
+                self.pool_input(now, PoolInput::Workers(announcements), out)
+            }
             Input::Learned(learned) => self.pool.learn_from(learned),
             Input::Crashes(crashes) => self.pool_input(now, PoolInput::Crashes(crashes), out),
             Input::ProbeQueues(queues) => self.pool_input(now, PoolInput::ProbeQueues(queues), out),
--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -68,8 +68,8 @@
     };
     let mut now = Time(1_000_000);
     let mut member = Member::new(config, now, WallMs(1_700_000_000_000));
-    let notes = (0..workers).map(worker).collect();
-    let mut inputs = vec![Input::ConfigVersion(1), Input::Workers(notes)];
+    let announcements = (0..workers).map(worker).collect();
+    let mut inputs = vec![Input::ConfigVersion(1), Input::Workers(announcements)];
     let mut resignations = 0;
     for step in 0..500 {
         now = now + Duration::from_millis(10);
--- a/crates/celerywinch_origin/src/lost.rs
+++ b/crates/celerywinch_origin/src/lost.rs
@@ -117,11 +117,11 @@
             if lost {
                 job.maybe_ran = true;
                 self.pending.insert(job.id);
-                let note = JobEvent::DispatcherLost {
+                let event = JobEvent::DispatcherLost {
                     job: job.id,
                     dispatcher: peer,
                 };
-                out.push(Output::Event(note));
+                out.push(Output::Event(event));
             }
         }
     }
--- a/crates/celerywinch_pool/src/admission.rs
+++ b/crates/celerywinch_pool/src/admission.rs
@@ -29,7 +29,8 @@
         let workers = self.workers.values();
         let usable =
             workers.filter(|w| self.accepts_tasks(now, w) || self.accepts_after_takeover(w));
-        let speed = |w: &crate::worker::Worker| f64::from(w.note.capacity.cpu) / w.pace.max(1.0);
+        let speed =
+            |w: &crate::worker::Worker| f64::from(w.announcement.capacity.cpu) / w.pace.max(1.0);
         usable.map(speed).sum::<f64>() * PACKING_EFFICIENCY
     }
 
@@ -60,8 +61,10 @@
             return false;
         }
         let workers = self.workers.values();
-        let mut workers = workers.filter(|w| w.note.service == service).peekable();
-        workers.peek().is_some() && workers.all(|w| self.evacuated.contains(&w.note.dc))
+        let mut workers = workers
+            .filter(|w| w.announcement.service == service)
+            .peekable();
+        workers.peek().is_some() && workers.all(|w| self.evacuated.contains(&w.announcement.dc))
     }
 
     /// Returns how many tasks of a batch could start now.
--- a/crates/celerywinch_pool/src/crashes.rs
+++ b/crates/celerywinch_pool/src/crashes.rs
@@ -86,9 +86,9 @@
 
     /// Records a run whose worker did not answer until the lease expired.
     pub(crate) fn lease_expired_with(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
-        let note = &self.workers[run.worker].note;
-        let incarnation = note.version.incarnation;
-        let silent = self.crashes.silent_workers.entry(note.id.clone());
+        let announcement = &self.workers[run.worker].announcement;
+        let incarnation = announcement.version.incarnation;
+        let silent = self.crashes.silent_workers.entry(announcement.id.clone());
         let silent = silent.or_insert_with(|| SilentWorker {
             incarnation,
             tasks: Vec::new(),
@@ -106,10 +106,10 @@
     /// Records that an incarnation of a worker has ended: the tasks that it had when it stopped answering may have
     /// crashed it.
     pub(crate) fn incarnation_ended(&mut self, now: Time, worker: &Worker, out: &mut Vec<Output>) {
-        let Some(silent) = self.crashes.silent_workers.remove(&worker.note.id) else {
+        let Some(silent) = self.crashes.silent_workers.remove(&worker.announcement.id) else {
             return;
         };
-        if silent.incarnation != worker.note.version.incarnation {
+        if silent.incarnation != worker.announcement.version.incarnation {
             return;
         }
         for task in silent.tasks {
@@ -229,7 +229,7 @@
         self.crashes.probe_until.insert(queue, now + PROBE_PERIOD);
     }
 
-    pub(crate) fn merge_careful(&mut self, now: Time, queues: Vec<String>) {
+    pub(crate) fn merge_probe_queues(&mut self, now: Time, queues: Vec<String>) {
         let queues = queues.into_iter().map(|queue| (queue, now + PROBE_PERIOD));
         self.crashes.probe_until.extend(queues);
     }
--- a/crates/celerywinch_pool/src/incarnations.rs
+++ b/crates/celerywinch_pool/src/incarnations.rs
@@ -25,11 +25,11 @@
 pub(crate) struct OtherIncarnations(BTreeMap<Incarnation, WorkerAnnouncement>);
 
 impl OtherIncarnations {
-    fn keep(&mut self, note: WorkerAnnouncement) {
-        let incarnation = note.version.incarnation;
+    fn keep(&mut self, announcement: WorkerAnnouncement) {
+        let incarnation = announcement.version.incarnation;
         let known = self.0.get(&incarnation);
-        if known.is_none_or(|known| known.version < note.version) {
-            self.0.insert(incarnation, note);
+        if known.is_none_or(|known| known.version < announcement.version) {
+            self.0.insert(incarnation, announcement);
         }
         while self.0.len() > MAX_OTHER_INCARNATIONS {
             self.0.pop_first();
@@ -52,34 +52,34 @@
         &mut self,
         now: Time,
         key: WorkerKey,
-        note: WorkerAnnouncement,
+        announcement: WorkerAnnouncement,
         out: &mut Vec<Output>,
     ) {
         let Some(mut earlier) = self.workers.remove(key) else {
             return;
         };
         self.takeover.remove_worker(key);
-        self.remove_addr(earlier.note.addr);
+        self.remove_addr(earlier.announcement.addr);
         out.push(Output::Event(PoolEvent::WorkerGone {
-            worker: note.id.clone(),
+            worker: announcement.id.clone(),
             why: Departure::OtherIncarnation,
             silent: now.since(earlier.last_contact).as_millis() as u32,
             runs: earlier.runs.len(),
         }));
-        let loss = match earlier.note.stage {
+        let loss = match earlier.announcement.stage {
             WorkerStage::Ready => Loss::Crashed,
             WorkerStage::Draining | WorkerStage::Gone => Loss::Left,
         };
-        let moved = earlier.note.addr != note.addr;
+        let moved = earlier.announcement.addr != announcement.addr;
         let runs = std::mem::take(&mut earlier.runs);
         let restarts = earlier.restarts + 1;
-        let later = self.add_worker(now, note, restarts, out);
+        let later = self.add_worker(now, announcement, restarts, out);
         let worker = &mut self.workers[later];
         worker.pace = earlier.pace;
         worker.previous_loss = Some(loss);
         worker.other_incarnations = std::mem::take(&mut earlier.other_incarnations);
         // The earlier incarnation becomes the known one again if it turns out to be the one that is running.
-        worker.other_incarnations.keep(earlier.note.clone());
+        worker.other_incarnations.keep(earlier.announcement.clone());
         for run in runs {
             self.inherit_run(now, later, run, moved, out);
         }
@@ -95,12 +95,12 @@
     pub(crate) fn add_unknown(
         &mut self,
         now: Time,
-        note: WorkerAnnouncement,
+        announcement: WorkerAnnouncement,
         out: &mut Vec<Output>,
     ) {
-        let removed = self.removed.remove(&note.id);
+        let removed = self.removed.remove(&announcement.id);
         let restarts = removed.map_or(0, |(restarts, _)| restarts + 1);
-        let key = self.add_worker(now, note, restarts, out);
+        let key = self.add_worker(now, announcement, restarts, out);
         if restarts > MAX_INCARNATIONS {
             out.push(Output::TokenExhausted(self.workers[key].domain));
         }
@@ -116,7 +116,7 @@
         out: &mut Vec<Output>,
     ) {
         let worker = &self.workers[key];
-        let note = worker
+        let announcement = worker
             .other_incarnations
             .of(incarnation)
             .unwrap_or_else(|| WorkerAnnouncement {
@@ -125,9 +125,9 @@
                     incarnation,
                     sequence: 0,
                 },
-                ..worker.note.clone()
+                ..worker.announcement.clone()
             });
-        self.replace_worker(now, key, note, out);
+        self.replace_worker(now, key, announcement, out);
     }
 
     /// Handles an announcement of an earlier incarnation. Usually the message was delayed. But if the worker's clock
@@ -136,10 +136,10 @@
     pub(crate) fn earlier_incarnation_announced(
         &mut self,
         key: WorkerKey,
-        note: WorkerAnnouncement,
+        announcement: WorkerAnnouncement,
         out: &mut Vec<Output>,
     ) {
-        self.workers[key].other_incarnations.keep(note);
+        self.workers[key].other_incarnations.keep(announcement);
         self.short_poll(key, out);
     }
 
--- a/crates/celerywinch_pool/src/job.rs
+++ b/crates/celerywinch_pool/src/job.rs
@@ -37,7 +37,7 @@
     /// The highest run number used so far.
     pub(crate) run: RunNumber,
     /// What is not known of runs under an earlier dispatcher.
-    pub(crate) doubt: PriorRuns,
+    pub(crate) prior_runs: PriorRuns,
     /// Number of its latest submission.
     pub(crate) submission: u32,
     /// The session in which its origin submitted it; none after another origin has taken over the job.
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -198,7 +198,7 @@
         out.push(Output::Event(PoolEvent::RunEnded {
             task: run.task,
             run: run.number,
-            worker: self.workers[run.worker].note.id.clone(),
+            worker: self.workers[run.worker].announcement.id.clone(),
             how: loss.label(),
             took: now.since(run.started).as_millis() as u32,
         }));
@@ -225,10 +225,10 @@
         let Some(worker) = self.workers.get(key) else {
             return;
         };
-        let id = worker.note.id.clone();
-        let addr = worker.note.addr;
+        let id = worker.announcement.id.clone();
+        let addr = worker.announcement.addr;
         let runs = worker.runs.clone();
-        let stage = worker.note.stage;
+        let stage = worker.announcement.stage;
         out.push(Output::Event(PoolEvent::WorkerGone {
             worker: id.clone(),
             why,
@@ -306,7 +306,7 @@
         }
         out.push(Output::Event(PoolEvent::Moved {
             task: run.task,
-            worker: worker.note.id.clone(),
+            worker: worker.announcement.id.clone(),
             took: took.as_millis() as u32,
             expected: run.expected.as_millis() as u32,
             percent,
--- a/crates/celerywinch_pool/src/origins.rs
+++ b/crates/celerywinch_pool/src/origins.rs
@@ -36,12 +36,12 @@
         &mut self,
         now: Time,
         origin: InstanceId,
-        ask: u64,
+        request: u64,
         unsure: &[TaskId],
         out: &mut Vec<Output>,
     ) {
         // This answers an earlier request, which does not cover tasks submitted after it.
-        if self.resyncs.get(&origin) != Some(&ask) {
+        if self.resyncs.get(&origin) != Some(&request) {
             return;
         }
         self.resyncs.remove(&origin);
@@ -109,7 +109,7 @@
 
     pub(crate) fn drop_origin(&mut self, now: Time, origin: InstanceId, out: &mut Vec<Output>) {
         // The next incarnation of the origin numbers its submissions from the beginning.
-        let returned = |sent: &SentEnd| sent.origin == origin && sent.news.returns_task();
+        let returned = |sent: &SentEnd| sent.origin == origin && sent.report.returns_task();
         self.sent_ends.retain(|_, sent| !returned(sent));
         let keys: Vec<_> = self
             .batches
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -103,7 +103,10 @@
     fn locality_cost(&self, worker: &Worker, probing: bool) -> f64 {
         let prefers_local =
             self.shards > 1 && !probing && !self.config.disabled.contains(Mechanism::Locality);
-        let elsewhere = self.config.dc.is_some_and(|dc| dc != worker.note.dc);
+        let elsewhere = self
+            .config
+            .dc
+            .is_some_and(|dc| dc != worker.announcement.dc);
         if prefers_local && elsewhere {
             REMOTE_DC_COST
         } else {
@@ -128,9 +131,9 @@
     /// Returns whether a worker offers the service, the label and the free capacity that a task of the batch needs.
     pub(crate) fn can_run(&self, batch: &Batch, key: WorkerKey, worker: &Worker) -> bool {
         let order = &batch.order;
-        let service = worker.note.service == order.service;
+        let service = worker.announcement.service == order.service;
         let label = order.label.as_ref();
-        let labelled = label.is_none_or(|label| worker.note.labels.contains(label));
+        let labelled = label.is_none_or(|label| worker.announcement.labels.contains(label));
         service
             && labelled
             && worker.free().fits(order.need)
@@ -165,7 +168,9 @@
             self.may_start(now, batch.origin, &batch.tasks[&index])
         };
         assert!(granted, "a task is started only under its origin's grant");
-        let evacuated = self.evacuated.contains(&self.workers[worker_key].note.dc);
+        let evacuated = self
+            .evacuated
+            .contains(&self.workers[worker_key].announcement.dc);
         assert!(!evacuated, "no task is started in an evacuated data centre");
         let worker = &mut self.workers[worker_key];
         let Some(deadline) = worker.deadline(now, lease) else {
@@ -199,7 +204,7 @@
         out.push(Output::Event(PoolEvent::Started {
             task: run.task,
             run: run.number,
-            worker: self.workers[worker_key].note.id.clone(),
+            worker: self.workers[worker_key].announcement.id.clone(),
             expected: run.expected.as_millis() as u32,
         }));
         let number = run.number;
@@ -229,7 +234,7 @@
 fn placement_cost(batch: &Batch, task: &Task, key: WorkerKey, worker: &Worker, packs: bool) -> f64 {
     let left = worker.free().saturating_sub(batch.order.need).cpu;
     let empty = if packs {
-        f64::from(left) / f64::from(worker.note.capacity.cpu.max(1))
+        f64::from(left) / f64::from(worker.announcement.capacity.cpu.max(1))
     } else {
         0.0
     };
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -178,7 +178,7 @@
     pub fn set_shards(&mut self, shards: u8) {
         self.shards = shards;
         for worker in self.workers.values_mut() {
-            worker.domain = domain_of(&worker.note, shards);
+            worker.domain = domain_of(&worker.announcement, shards);
         }
     }
 
@@ -201,7 +201,7 @@
             .workers
             .values()
             .filter(|w| w.ownership == Ownership::Owned);
-        let paces = owned.map(|w| (w.note.id.clone(), w.pace as f32));
+        let paces = owned.map(|w| (w.announcement.id.clone(), w.pace as f32));
         Learned {
             queues: self.run_times.learned(),
             slowdowns: paces.collect(),
@@ -278,7 +278,7 @@
     #[must_use]
     pub fn evacuated_runs(&self) -> usize {
         let workers = self.workers.values();
-        let evacuated = workers.filter(|w| self.evacuated.contains(&w.note.dc));
+        let evacuated = workers.filter(|w| self.evacuated.contains(&w.announcement.dc));
         evacuated.map(|worker| worker.runs.len()).sum()
     }
 
@@ -288,9 +288,9 @@
         match input {
             Input::Acquire(domain, fence) => self.acquire(now, domain, fence, out),
             Input::Resign(domain) => self.resign(now, domain, out),
-            Input::Workers(notes) => {
-                for note in notes {
-                    self.worker_announced(now, note, out);
+            Input::Workers(announcements) => {
+                for announcement in announcements {
+                    self.worker_announced(now, announcement, out);
                 }
             }
             Input::EvacuatedDataCentres(dcs) => self.evacuated = dcs,
@@ -301,7 +301,7 @@
             Input::Answered(key, answer) => self.answered(now, key, answer, out),
             Input::AnsweredLate(took) => self.answer_times.record(took),
             Input::Crashes(crashes) => self.merge_crashes(now, crashes, out),
-            Input::ProbeQueues(queues) => self.merge_careful(now, queues),
+            Input::ProbeQueues(queues) => self.merge_probe_queues(now, queues),
             Input::CheckReachable(domain) => self.check_reachable(now, domain, out),
             Input::Tick => self.tick(now, out),
         }
@@ -346,35 +346,40 @@
         }
     }
 
-    fn worker_announced(&mut self, now: Time, note: WorkerAnnouncement, out: &mut Vec<Output>) {
-        let gone = note.stage == WorkerStage::Gone;
+    fn worker_announced(
+        &mut self,
+        now: Time,
+        announcement: WorkerAnnouncement,
+        out: &mut Vec<Output>,
+    ) {
+        let gone = announcement.stage == WorkerStage::Gone;
         if gone {
-            self.record_departure(now, &note);
+            self.record_departure(now, &announcement);
         }
-        let Some(key) = self.worker_ids.get(&note.id).copied() else {
-            let departed = self.departed.get(&note.id);
+        let Some(key) = self.worker_ids.get(&announcement.id).copied() else {
+            let departed = self.departed.get(&announcement.id);
             let has_left =
-                departed.is_some_and(|left| note.version.incarnation <= left.incarnation);
+                departed.is_some_and(|left| announcement.version.incarnation <= left.incarnation);
             if !gone && !has_left {
-                self.add_unknown(now, note, out);
+                self.add_unknown(now, announcement, out);
             }
             return;
         };
-        let known = self.workers[key].note.version;
-        match note.version.incarnation.cmp(&known.incarnation) {
+        let known = self.workers[key].announcement.version;
+        match announcement.version.incarnation.cmp(&known.incarnation) {
             Ordering::Less if gone => {}
-            Ordering::Less => self.earlier_incarnation_announced(key, note, out),
+            Ordering::Less => self.earlier_incarnation_announced(key, announcement, out),
             Ordering::Equal if gone => self.worker_left(now, key, out),
             // A delayed announcement must not restore an earlier state.
-            Ordering::Equal if note.version <= known => {}
-            Ordering::Equal => self.update_worker(key, note),
-            Ordering::Greater => self.replace_worker(now, key, note, out),
+            Ordering::Equal if announcement.version <= known => {}
+            Ordering::Equal => self.update_worker(key, announcement),
+            Ordering::Greater => self.replace_worker(now, key, announcement, out),
         }
     }
 
     /// Returns whether a worker takes new tasks and its data centre is not evacuated.
     pub(crate) fn accepts_tasks(&self, now: Time, worker: &Worker) -> bool {
-        worker.accepts_tasks(now) && !self.evacuated.contains(&worker.note.dc)
+        worker.accepts_tasks(now) && !self.evacuated.contains(&worker.announcement.dc)
     }
 
     /// Returns whether a worker is being taken over and is expected to take new tasks once it has answered the first
@@ -382,26 +387,29 @@
     pub(crate) fn accepts_after_takeover(&self, worker: &Worker) -> bool {
         let answering = worker.ownership == Ownership::Acquiring && worker.missed_calls == 0;
         answering
-            && worker.note.stage == WorkerStage::Ready
-            && !self.evacuated.contains(&worker.note.dc)
+            && worker.announcement.stage == WorkerStage::Ready
+            && !self.evacuated.contains(&worker.announcement.dc)
     }
 
-    fn record_departure(&mut self, now: Time, note: &WorkerAnnouncement) {
-        let incarnation = note.version.incarnation;
+    fn record_departure(&mut self, now: Time, announcement: &WorkerAnnouncement) {
+        let incarnation = announcement.version.incarnation;
         let departed = Departed {
             incarnation,
             last_contact: now,
         };
-        let known = self.departed.entry(note.id.clone()).or_insert(departed);
+        let known = self
+            .departed
+            .entry(announcement.id.clone())
+            .or_insert(departed);
         known.incarnation = known.incarnation.max(incarnation);
         known.last_contact = now;
     }
 
     /// Applies a newer announcement of the known incarnation of a worker.
-    fn update_worker(&mut self, key: WorkerKey, note: WorkerAnnouncement) {
+    fn update_worker(&mut self, key: WorkerKey, announcement: WorkerAnnouncement) {
         let worker = &mut self.workers[key];
-        let addr = std::mem::replace(&mut worker.note, note).addr;
-        let new = worker.note.addr;
+        let addr = std::mem::replace(&mut worker.announcement, announcement).addr;
+        let new = worker.announcement.addr;
         if addr != new {
             self.remove_addr(addr);
             *self.addr_counts.entry(new).or_default() += 1;
@@ -413,7 +421,7 @@
     /// If the acknowledgement is lost, the worker keeps running for seconds, and a task started elsewhere would run
     /// twice. So it stays known, without new tasks, until it has listed the ends of its runs or its lease has expired.
     fn worker_left(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
-        self.workers[key].note.stage = WorkerStage::Gone;
+        self.workers[key].announcement.stage = WorkerStage::Gone;
         self.remove_if_left(now, key, out);
     }
 
@@ -425,7 +433,7 @@
         out: &mut Vec<Output>,
     ) -> bool {
         let worker = &self.workers[key];
-        let has_left = worker.note.stage == WorkerStage::Gone && worker.runs.is_empty();
+        let has_left = worker.announcement.stage == WorkerStage::Gone && worker.runs.is_empty();
         if has_left {
             self.remove_worker(now, key, Departure::Left, out);
         }
@@ -444,13 +452,13 @@
     pub(crate) fn add_worker(
         &mut self,
         now: Time,
-        note: WorkerAnnouncement,
+        announcement: WorkerAnnouncement,
         restarts: u64,
         out: &mut Vec<Output>,
     ) -> WorkerKey {
-        let id = note.id.clone();
-        *self.addr_counts.entry(note.addr).or_default() += 1;
-        let mut worker = Worker::new(now, note, self.shards);
+        let id = announcement.id.clone();
+        *self.addr_counts.entry(announcement.addr).or_default() += 1;
+        let mut worker = Worker::new(now, announcement, self.shards);
         worker.restarts = restarts;
         let domain = worker.domain;
         let key = self.workers.insert(worker);
@@ -508,7 +516,7 @@
         let sent = SentEnd {
             sent_at: now,
             origin: batch.origin,
-            news: report,
+            report,
         };
         self.sent_ends.insert(id, sent);
         self.report_end(key, report);
@@ -558,7 +566,7 @@
                 wait.max(shared)
             }
         };
-        let callee = &self.workers[worker].note;
+        let callee = &self.workers[worker].announcement;
         let key = self.calls.insert(PendingCall { worker, purpose });
         out.push(Output::Call(Call {
             key,
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -111,7 +111,7 @@
                 worker.quarantined_until = now + self.config.quarantine;
                 worker.probation = true;
                 let why = "it says that it is not well";
-                let worker = worker.note.id.clone();
+                let worker = worker.announcement.id.clone();
                 out.push(Output::Event(PoolEvent::WorkerAside { worker, why }));
             }
             Rejection::NoCapacity => {
@@ -254,7 +254,7 @@
         worker.next_poll = now + retry;
         if worker.missed_calls == SILENT_AFTER_MISSES {
             let looks = worker.missed_calls;
-            let worker = worker.note.id.clone();
+            let worker = worker.announcement.id.clone();
             out.push(Output::Event(PoolEvent::WorkerSilent { worker, looks }));
             self.suspect_runs(now, key, out);
         }
@@ -315,7 +315,7 @@
         let Some(run) = self.remove_run(key) else {
             return;
         };
-        self.note_end(now, &run, end, out);
+        self.log_end(now, &run, end, out);
         let Some(batch) = run.batch else {
             return;
         };
@@ -330,7 +330,7 @@
         }
     }
 
-    fn note_end(&self, now: Time, run: &Run, end: RunEnd, out: &mut Vec<Output>) {
+    fn log_end(&self, now: Time, run: &Run, end: RunEnd, out: &mut Vec<Output>) {
         let how = match end {
             RunEnd::Done => "done",
             RunEnd::Failed => "failed",
@@ -339,7 +339,7 @@
         out.push(Output::Event(PoolEvent::RunEnded {
             task: run.task,
             run: run.number,
-            worker: self.workers[run.worker].note.id.clone(),
+            worker: self.workers[run.worker].announcement.id.clone(),
             how,
             took: now.since(run.started).as_millis() as u32,
         }));
@@ -395,11 +395,11 @@
         let quarantine = !self.config.disabled.contains(Mechanism::Probation);
         if quarantine
             && worker.failure_rate >= FAILURE_LIMIT
-            && worker.note.stage == WorkerStage::Ready
+            && worker.announcement.stage == WorkerStage::Ready
         {
             worker.quarantined_until = now + self.config.quarantine;
             worker.probation = true;
-            let worker = worker.note.id.clone();
+            let worker = worker.announcement.id.clone();
             let why = "it fails tasks";
             out.push(Output::Event(PoolEvent::WorkerAside { worker, why }));
         }
--- a/crates/celerywinch_pool/src/sent_ends.rs
+++ b/crates/celerywinch_pool/src/sent_ends.rs
@@ -12,7 +12,7 @@
 pub(crate) struct SentEnd {
     pub(crate) sent_at: Time,
     pub(crate) origin: InstanceId,
-    pub(crate) news: TaskReport,
+    pub(crate) report: TaskReport,
 }
 
 impl SentEnd {
@@ -26,12 +26,12 @@
     /// A result always does. `Full` (no capacity) does if the task was with this dispatcher all the time, so that it
     /// cannot have started since. If another dispatcher had it in between, it may be running there.
     pub(crate) fn answers_resubmission(&self, origin: InstanceId, order: &TaskOrder) -> bool {
-        match self.news.end {
+        match self.report.end {
             TaskEnd::Done | TaskEnd::Failed | TaskEnd::GivenUp => {
                 order.prior_runs != PriorRuns::None
             }
             TaskEnd::Full => {
-                self.origin == origin && self.news.submission >= order.first_submission
+                self.origin == origin && self.report.submission >= order.first_submission
             }
             TaskEnd::Returned { .. }
             | TaskEnd::Undetermined
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -211,7 +211,7 @@
         {
             let report = TaskReport {
                 submission: order.submission,
-                ..sent.news
+                ..sent.report
             };
             self.report_end(key, report);
             return;
@@ -221,7 +221,7 @@
             failures: order.failures,
             crashes: order.crashes.merge(self.crashes.of(id)),
             run: order.run,
-            doubt: order.prior_runs,
+            prior_runs: order.prior_runs,
             submission: order.submission,
             session: Some(session),
             unconfirmed: false,
@@ -268,7 +268,7 @@
         let origin = self.batches[key].origin;
         self.sent_ends.get(&id).is_some_and(|sent| {
             let recent = now.since(sent.sent_at) <= RESEND_WINDOW;
-            recent && sent.origin != origin && sent.news.returns_task()
+            recent && sent.origin != origin && sent.report.returns_task()
         })
     }
 }
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -110,7 +110,7 @@
         worker.foreign_runs = running.len();
         worker.next_poll = now + self.config.ack_delay;
         out.push(Output::Event(PoolEvent::WorkerHeld {
-            worker: worker.note.id.clone(),
+            worker: worker.announcement.id.clone(),
             found: running.len(),
         }));
         // Tasks that origins resubmitted before this poll was answered wait for its result.
@@ -138,7 +138,7 @@
             self.takeover.ends.remove(&id);
             return;
         }
-        let open = task.doubt == PriorRuns::Unknown;
+        let open = task.prior_runs == PriorRuns::Unknown;
         match self.takeover.foreign_runs.get(&id).copied() {
             Some(foreign)
                 if !foreign.stopped
@@ -171,7 +171,7 @@
         let Some(task) = self.batches[key].tasks.get_mut(&index) else {
             return false;
         };
-        let last = task.doubt == PriorRuns::Last && run == task.run && !no_shortcuts;
+        let last = task.prior_runs == PriorRuns::Last && run == task.run && !no_shortcuts;
         match end {
             RunEnd::Done => self.finish_task(now, key, index, TaskEnd::Done),
             RunEnd::Failed | RunEnd::Interrupted if last => {
--- a/crates/celerywinch_pool/src/worker.rs
+++ b/crates/celerywinch_pool/src/worker.rs
@@ -40,7 +40,7 @@
 /// A worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
-    pub(crate) note: WorkerAnnouncement,
+    pub(crate) announcement: WorkerAnnouncement,
     /// The last announcements of other incarnations. One of them may be the incarnation that is running.
     pub(crate) other_incarnations: OtherIncarnations,
     /// How the previous incarnation ended, if this dispatcher had one.
@@ -88,11 +88,11 @@
 }
 
 impl Worker {
-    pub(crate) fn new(now: Time, note: WorkerAnnouncement, shards: u8) -> Self {
+    pub(crate) fn new(now: Time, announcement: WorkerAnnouncement, shards: u8) -> Self {
         Self {
-            domain: domain_of(&note, shards),
+            domain: domain_of(&announcement, shards),
             used: Resources::default(),
-            note,
+            announcement,
             other_incarnations: OtherIncarnations::default(),
             previous_loss: None,
             ownership: Ownership::None,
@@ -141,7 +141,7 @@
 
     /// Returns whether an answer comes from another incarnation than the known one.
     pub(crate) fn is_other_incarnation(&self, incarnation: Incarnation) -> bool {
-        let known = self.note.version.incarnation;
+        let known = self.announcement.version.incarnation;
         known != Incarnation::default() && incarnation != known
     }
 
@@ -158,7 +158,7 @@
     /// that moment would consider all of them silent and refuse callers.
     pub(crate) fn idle_interval(&self, most: Duration) -> Duration {
         let spread = u64::from(u32::MAX);
-        let share = stable_hash(self.note.id.as_bytes()) % spread;
+        let share = stable_hash(self.announcement.id.as_bytes()) % spread;
         most - most.mul_f64(share as f64 / spread as f64 / 4.0)
     }
 
@@ -218,7 +218,7 @@
     /// Returns the free capacity. It is zero if the capacity has shrunk below what is in use: those runs continue, and
     /// new tasks wait.
     pub(crate) fn free(&self) -> Resources {
-        self.note.capacity.saturating_sub(self.used)
+        self.announcement.capacity.saturating_sub(self.used)
     }
 
     /// Returns whether a new task may be sent to the worker.
@@ -229,12 +229,12 @@
         sound
             && idle
             && self.has_clock(now)
-            && self.note.stage == WorkerStage::Ready
+            && self.announcement.stage == WorkerStage::Ready
             && self.quarantined_until <= now
     }
 
     pub(crate) fn is_in_rack(&self, rack: &str) -> bool {
-        self.note.labels.iter().any(|label| label == rack)
+        self.announcement.labels.iter().any(|label| label == rack)
     }
 
     /// Records a run time as a ratio to the expected time on a usual worker.
@@ -259,10 +259,10 @@
 }
 
 /// Returns the domain of a worker, by a hash of its address, which stays the same over its incarnations.
-pub(crate) fn domain_of(note: &WorkerAnnouncement, shards: u8) -> Domain {
-    let hash = stable_hash(note.addr.to_string().as_bytes());
+pub(crate) fn domain_of(announcement: &WorkerAnnouncement, shards: u8) -> Domain {
+    let hash = stable_hash(announcement.addr.to_string().as_bytes());
     Domain {
-        dc: note.dc,
+        dc: announcement.dc,
         shard: (hash % u64::from(shards.max(1))) as u8,
     }
 }
--- a/crates/celerywinch_pool/tests/capacity.rs
+++ b/crates/celerywinch_pool/tests/capacity.rs
@@ -5,8 +5,8 @@
 use celerywinch_pool::{Answer, Input, RunEnd};
 use celerywinch_types::{AnnouncementVersion, JobId, PriorRuns, Resources, WorkerAnnouncement};
 use rig::{
-    DOMAIN, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step,
-    worker_note,
+    DOMAIN, Rig, clock, ended_row, is_poll, is_start, is_stop, lists, running_row, step,
+    worker_announcement,
 };
 use rstest::rstest;
 
@@ -27,7 +27,7 @@
 }
 
 fn announce(rig: &mut Rig, sequence: u64, capacity: Resources) {
-    let first = worker_note("w1", 1);
+    let first = worker_announcement("w1", 1);
     let version = AnnouncementVersion {
         sequence: first.version.sequence + sequence,
         ..first.version
@@ -100,7 +100,7 @@
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
     announce(&mut rig, 1, ONE);
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     let cancel = celerywinch_types::WorkMsg::Cancel {
         job: rig::JOB,
         last_submission: u32::MAX,
@@ -114,7 +114,7 @@
     assert_eq!(rig.count_calls(is_start), 1, "the first run has not ended");
     rig.answer(&poll, lists(vec![running_row(1)], Vec::new()));
     assert_eq!(rig.count_calls(is_start), 1);
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(
         &poll,
         lists(Vec::new(), vec![ended_row(1, RunEnd::Interrupted)]),
--- a/crates/celerywinch_pool/tests/crashes.rs
+++ b/crates/celerywinch_pool/tests/crashes.rs
@@ -10,7 +10,8 @@
     WorkMsg, WorkerAnnouncement, WorkerStage,
 };
 use rig::{
-    ORIGIN, Rig, clock, is_look, is_start, lists, lists_of, running_row, step, task, worker_note,
+    ORIGIN, Rig, clock, is_poll, is_start, lists, lists_of, running_row, step, task,
+    worker_announcement,
 };
 use rstest::rstest;
 
@@ -38,11 +39,11 @@
 fn rig(workers: u16) -> Rig {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     for index in 2..=workers {
-        rig.handle(Input::Workers(vec![worker_note(
+        rig.handle(Input::Workers(vec![worker_announcement(
             &format!("w{index}"),
             index,
         )]));
-        let poll = rig.last_call(is_look);
+        let poll = rig.last_call(is_poll);
         rig.answer(&poll, lists_of(1, Vec::new(), Vec::new()));
     }
     rig
@@ -57,7 +58,7 @@
             sequence: if stage == WorkerStage::Ready { 2 } else { 3 },
         },
         stage,
-        ..worker_note(worker, port)
+        ..worker_announcement(worker, port)
     }
 }
 
@@ -74,7 +75,7 @@
             for _ in 0..130 {
                 let calls = rig.calls.iter().filter(|call| call.worker == worker);
                 let calls: Vec<_> = calls
-                    .filter(|call| is_look(&call.request))
+                    .filter(|call| is_poll(&call.request))
                     .cloned()
                     .collect();
                 for call in calls {
@@ -93,7 +94,7 @@
             let later = *known;
             let back = incarnation_note(&worker, later, WorkerStage::Ready);
             rig.handle(Input::Workers(vec![back]));
-            let poll = rig.last_call(is_look);
+            let poll = rig.last_call(is_poll);
             rig.answer(&poll, lists_of(later, Vec::new(), Vec::new()));
             rig.advance(10);
         }
@@ -141,7 +142,7 @@
         2,
         WorkerStage::Ready,
     )]));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists_of(2, Vec::new(), Vec::new()));
     assert!(rig.ends.is_empty(), "only one worker has crashed");
     end(&mut rig, &mut incarnations, End::Restarts);
@@ -212,7 +213,7 @@
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
     rig.advance(60);
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     let mut running = running_row(1);
     running.task.job = JobId(500);
     assert_eq!(poll.worker, start.worker);
@@ -266,7 +267,7 @@
         2,
         WorkerStage::Ready,
     )]));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists_of(2, Vec::new(), Vec::new()));
     let again: Vec<_> = rig
         .calls
@@ -304,7 +305,7 @@
 /// Lets time pass while polls of the `silent` workers get no answer and others stay open.
 fn pass_without_answers(rig: &mut Rig, silent: &BTreeSet<String>, ms: u64) {
     for _ in 0..ms / 10 {
-        let polls = rig.calls.iter().filter(|call| is_look(&call.request));
+        let polls = rig.calls.iter().filter(|call| is_poll(&call.request));
         let polls: Vec<_> = polls.cloned().collect();
         for poll in polls.iter().filter(|poll| silent.contains(&poll.worker)) {
             rig.answer(poll, Answer::NoAnswer);
@@ -367,7 +368,7 @@
     rig.answer(&start, Answer::Accepted(clock()));
     let polls = |rig: &Rig| {
         let here = rig.calls.iter().filter(|call| call.worker == start.worker);
-        here.filter(|call| is_look(&call.request)).count()
+        here.filter(|call| is_poll(&call.request)).count()
     };
     let before = polls(&rig);
     rig.advance(40);
--- a/crates/celerywinch_pool/tests/evacuated.rs
+++ b/crates/celerywinch_pool/tests/evacuated.rs
@@ -9,7 +9,8 @@
     DataCentreId, Domain, Fence, JobId, PriorRuns, TaskEnd, WorkerAnnouncement,
 };
 use rig::{
-    DC, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step, worker_note,
+    DC, Rig, clock, ended_row, is_poll, is_start, is_stop, lists, running_row, step,
+    worker_announcement,
 };
 use rstest::rstest;
 
@@ -20,7 +21,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     let far = WorkerAnnouncement {
         dc: OTHER,
-        ..worker_note("w2", 2)
+        ..worker_announcement("w2", 2)
     };
     rig.handle(Input::Workers(vec![far]));
     let domain = Domain {
@@ -28,7 +29,7 @@
         shard: 0,
     };
     rig.handle(Input::Acquire(domain, Fence(5 << 5)));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     assert_eq!(poll.worker, "w2");
     rig.answer(&poll, lists(Vec::new(), Vec::new()));
     rig
@@ -90,12 +91,12 @@
     rig.answer(&start, Answer::Accepted(clock()));
     evacuate(&mut rig, &[DC]);
     for _ in 0..5 {
-        let poll = rig.last_call(is_look);
+        let poll = rig.last_call(is_poll);
         rig.answer(&poll, lists(vec![running_row(1)], Vec::new()));
         rig.advance(50);
     }
     assert_eq!(rig.count_calls(is_stop), 0);
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
     assert_eq!(rig.ends.last().map(|(_, end)| *end), Some(TaskEnd::Done));
     submit(&mut rig, 1..2);
@@ -116,7 +117,7 @@
 fn waiting_jobs_that_may_have_run_are_given_up(#[case] evacuated: bool) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     let mut full = step(PriorRuns::None, 0);
-    full.need = rig::ROOM;
+    full.need = rig::CAPACITY;
     full.job = JobId(1);
     rig.submit(full);
     submit(&mut rig, 2..3);
@@ -144,7 +145,7 @@
 fn jobs_are_refused_while_all_data_centres_are_evacuated(#[case] new: bool) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     let mut full = step(PriorRuns::None, 0);
-    full.need = rig::ROOM;
+    full.need = rig::CAPACITY;
     full.job = JobId(1);
     rig.submit(full);
     if new {
--- a/crates/celerywinch_pool/tests/grants.rs
+++ b/crates/celerywinch_pool/tests/grants.rs
@@ -6,7 +6,7 @@
 
 use celerywinch_pool::{Answer, Grant, Input, Rejection, Request, RunEnd};
 use celerywinch_types::{Incarnation, InstanceId, JobId, PriorRuns, Session, TaskEnd, WorkMsg};
-use rig::{ORIGIN, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step};
+use rig::{ORIGIN, Rig, clock, ended_row, is_poll, is_start, is_stop, lists, running_row, step};
 use rstest::rstest;
 
 const REMOTE: InstanceId = InstanceId(5);
@@ -36,8 +36,8 @@
         self.rig.handle(Input::Granted(REMOTE, grant));
     }
 
-    fn submit(&mut self, session: u32, doubt: PriorRuns) {
-        let mut order = step(doubt, 0);
+    fn submit(&mut self, session: u32, prior_runs: PriorRuns) {
+        let mut order = step(prior_runs, 0);
         order.session = Session(session);
         // A fresh step would be refused while it waits.
         order.refusable = false;
@@ -50,7 +50,7 @@
 
     /// Returns whether the last poll extends the lease.
     fn extends_lease(&self) -> bool {
-        let poll = self.rig.last_call(is_look);
+        let poll = self.rig.last_call(is_poll);
         matches!(
             poll.request,
             Request::Poll {
@@ -125,13 +125,13 @@
     remote.submit(0, PriorRuns::None);
     let start = remote.rig.last_call(is_start);
     remote.rig.answer(&start, Answer::Accepted(clock()));
-    let poll = remote.rig.last_call(is_look);
+    let poll = remote.rig.last_call(is_poll);
     remote
         .rig
         .answer(&poll, lists(vec![running_row(1)], Vec::new()));
     assert!(remote.extends_lease());
     remote.rig.advance(510);
-    let poll = remote.rig.last_call(is_look);
+    let poll = remote.rig.last_call(is_poll);
     remote
         .rig
         .answer(&poll, lists(vec![running_row(1)], Vec::new()));
@@ -163,7 +163,7 @@
     remote.submit(0, PriorRuns::None);
     let start = remote.rig.last_call(is_start);
     remote.rig.answer(&start, Answer::Accepted(clock()));
-    let poll = remote.rig.last_call(is_look);
+    let poll = remote.rig.last_call(is_poll);
     remote
         .rig
         .answer(&poll, lists(vec![running_row(1)], Vec::new()));
@@ -265,18 +265,18 @@
     }
     let start = remote.rig.last_call(is_start);
     remote.rig.answer(&start, Answer::Accepted(clock()));
-    let poll = remote.rig.last_call(is_look);
+    let poll = remote.rig.last_call(is_poll);
     remote
         .rig
         .answer(&poll, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
-    let news = remote
+    let ends = remote
         .rig
         .ends_by_origin
         .iter()
         .map(|(to, end)| (*to, *end));
-    let news: Vec<_> = news.collect();
+    let ends: Vec<_> = ends.collect();
     assert_eq!(
-        news,
+        ends,
         [(superseded, TaskEnd::Superseded), (keeps, TaskEnd::Done)]
     );
 }
@@ -323,16 +323,16 @@
         "the first run has not ended yet"
     );
     rig.answer(&stop, Answer::Accepted(clock()));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists(Vec::new(), vec![ended_row(1, end)]));
-    let told: &[_] = if end == RunEnd::Done {
+    let expected: &[_] = if end == RunEnd::Done {
         &[TaskEnd::Done]
     } else {
         &[]
     };
     assert_eq!(
         rig.ends.iter().map(|(_, end)| *end).collect::<Vec<_>>(),
-        told
+        expected
     );
     let starts = 1 + usize::from(end == RunEnd::Interrupted);
     assert_eq!(rig.count_calls(is_start), starts);
@@ -355,7 +355,7 @@
 fn task_that_was_just_returned_is_not_started_for_another_origin(#[case] case: Resubmission) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     let mut full = step(PriorRuns::None, 0);
-    full.need = rig::ROOM;
+    full.need = rig::CAPACITY;
     full.job = JobId(1);
     rig.submit(full);
     let start = rig.last_call(is_start);
@@ -371,7 +371,7 @@
     rig.handle(Input::Work(ORIGIN, cancel));
     let stop = rig.last_call(is_stop);
     rig.answer(&stop, Answer::Accepted(clock()));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     let mut over = ended_row(1, RunEnd::Interrupted);
     over.task.job = JobId(1);
     rig.answer(&poll, lists(Vec::new(), vec![over]));
@@ -404,7 +404,7 @@
     let stop = rig.last_call(is_stop);
     rig.submit(step(PriorRuns::Unknown, 0));
     rig.answer(&stop, Answer::Accepted(clock()));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(
         &poll,
         lists(Vec::new(), vec![ended_row(1, RunEnd::Interrupted)]),
--- a/crates/celerywinch_pool/tests/leaving.rs
+++ b/crates/celerywinch_pool/tests/leaving.rs
@@ -4,7 +4,9 @@
 
 use celerywinch_pool::{Answer, Input, RunEnd};
 use celerywinch_types::{PriorRuns, WorkerAnnouncement, WorkerStage};
-use rig::{Rig, clock, ended_row, is_look, is_start, lists, running_row, step, worker_note};
+use rig::{
+    Rig, clock, ended_row, is_poll, is_start, lists, running_row, step, worker_announcement,
+};
 use rstest::rstest;
 
 /// What a worker does after it has announced that it leaves.
@@ -37,7 +39,7 @@
 fn gone(id: &str, port: u16) -> WorkerAnnouncement {
     WorkerAnnouncement {
         stage: WorkerStage::Gone,
-        ..worker_note(id, port)
+        ..worker_announcement(id, port)
     }
 }
 
@@ -46,7 +48,7 @@
     let mut answered = Vec::new();
     for _ in 0..ms / 20 {
         let polls = rig.calls.iter();
-        let open = polls.filter(|call| call.worker == "w1" && is_look(&call.request));
+        let open = polls.filter(|call| call.worker == "w1" && is_poll(&call.request));
         let open: Vec<_> = open.cloned().collect();
         for poll in open {
             if !answered.contains(&poll.key) {
@@ -70,8 +72,8 @@
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
-    let other = rig.last_call(is_look);
+    rig.handle(Input::Workers(vec![worker_announcement("w2", 2)]));
+    let other = rig.last_call(is_poll);
     rig.answer(&other, lists(Vec::new(), Vec::new()));
     rig.handle(Input::Workers(vec![gone("w1", 1)]));
     pass(&mut rig, case.then, 400);
@@ -106,12 +108,12 @@
 fn worker_that_has_left_is_not_added_again(#[case] known: bool) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     if known {
-        rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
-        let poll = rig.last_call(is_look);
+        rig.handle(Input::Workers(vec![worker_announcement("w2", 2)]));
+        let poll = rig.last_call(is_poll);
         rig.answer(&poll, lists(Vec::new(), Vec::new()));
     }
     rig.handle(Input::Workers(vec![gone("w2", 2)]));
     rig.advance(15_000);
-    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
+    rig.handle(Input::Workers(vec![worker_announcement("w2", 2)]));
     assert_eq!(rig.pool.known_workers(), 1, "only w1 is known");
 }
--- a/crates/celerywinch_pool/tests/locality.rs
+++ b/crates/celerywinch_pool/tests/locality.rs
@@ -7,7 +7,7 @@
     DataCentreId, DisabledMechanisms, Domain, Fence, JobId, Mechanism, PriorRuns, Resources,
     WorkerAnnouncement,
 };
-use rig::{DC, ROOM, Rig, is_look, is_start, lists, step, worker_note};
+use rig::{CAPACITY, DC, Rig, is_poll, is_start, lists, step, worker_announcement};
 use rstest::rstest;
 
 const OTHER: DataCentreId = DataCentreId(1);
@@ -25,12 +25,12 @@
         dc: OTHER,
         capacity: Resources {
             cpu: 16_000,
-            ..ROOM
+            ..CAPACITY
         },
-        ..worker_note(id, port)
+        ..worker_announcement(id, port)
     };
     rig.handle(Input::Workers(vec![
-        worker_note("near", 1),
+        worker_announcement("near", 1),
         far("far-1", 2),
         far("far-2", 3),
     ]));
@@ -43,7 +43,7 @@
         .calls
         .clone()
         .iter()
-        .filter(|call| is_look(&call.request))
+        .filter(|call| is_poll(&call.request))
     {
         rig.answer(poll, lists(Vec::new(), Vec::new()));
     }
--- a/crates/celerywinch_pool/tests/reachability.rs
+++ b/crates/celerywinch_pool/tests/reachability.rs
@@ -6,7 +6,7 @@
 
 use celerywinch_pool::{Answer, CallKey, Input};
 use celerywinch_types::Time;
-use rig::{DOMAIN, Rig, lists, worker_note};
+use rig::{DOMAIN, Rig, lists, worker_announcement};
 use rstest::rstest;
 
 /// Timeout of a call without an answer: that of a poll that does not wait, plus the time for which an answer may lie
@@ -66,7 +66,10 @@
     let mut open = OpenCalls::default();
     open.answer(&mut rig, true);
     for port in 2..2 + dead {
-        rig.handle(Input::Workers(vec![worker_note(&format!("w{port}"), port)]));
+        rig.handle(Input::Workers(vec![worker_announcement(
+            &format!("w{port}"),
+            port,
+        )]));
         open.answer(&mut rig, true);
         open.advance(&mut rig, 30, true);
     }
--- a/crates/celerywinch_pool/tests/rig/mod.rs
+++ b/crates/celerywinch_pool/tests/rig/mod.rs
@@ -20,7 +20,7 @@
 /// A fencing token above the one that the dispatcher starts with.
 pub(crate) const LATER_FENCE: Fence = Fence(9 << 5);
 pub(crate) const JOB: JobId = JobId(77);
-pub(crate) const ROOM: Resources = Resources {
+pub(crate) const CAPACITY: Resources = Resources {
     cpu: 32_000,
     memory: 65_536,
     accelerators: 0,
@@ -34,13 +34,13 @@
     }
 }
 
-pub(crate) fn worker_note(id: &str, port: u16) -> WorkerAnnouncement {
+pub(crate) fn worker_announcement(id: &str, port: u16) -> WorkerAnnouncement {
     WorkerAnnouncement {
         id: id.to_owned(),
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], port).into(),
         dc: DC,
-        capacity: ROOM,
+        capacity: CAPACITY,
         labels: Vec::new(),
         stage: WorkerStage::Ready,
         version: AnnouncementVersion {
@@ -103,9 +103,9 @@
     /// Creates a dispatcher with one worker, which listed these runs at its takeover.
     pub(crate) fn new(running: Vec<RunningRow>, ended: Vec<EndedRow>) -> Self {
         let mut rig = Self::empty(PoolConfig::default());
-        rig.handle(Input::Workers(vec![worker_note("w1", 1)]));
+        rig.handle(Input::Workers(vec![worker_announcement("w1", 1)]));
         rig.handle(Input::Acquire(DOMAIN, Fence(5 << 5)));
-        let poll = rig.last_call(|order| matches!(order, Request::Poll { .. }));
+        let poll = rig.last_call(|request| matches!(request, Request::Poll { .. }));
         rig.answer(&poll, lists(running, ended));
         rig
     }
@@ -202,16 +202,16 @@
     }
 }
 
-pub(crate) fn is_start(order: &Request) -> bool {
-    matches!(order, Request::Start { .. })
+pub(crate) fn is_start(request: &Request) -> bool {
+    matches!(request, Request::Start { .. })
 }
 
-pub(crate) fn is_stop(order: &Request) -> bool {
-    matches!(order, Request::Stop { .. })
+pub(crate) fn is_stop(request: &Request) -> bool {
+    matches!(request, Request::Stop { .. })
 }
 
-pub(crate) fn is_look(order: &Request) -> bool {
-    matches!(order, Request::Poll { .. })
+pub(crate) fn is_poll(request: &Request) -> bool {
+    matches!(request, Request::Poll { .. })
 }
 
 /// A running run of task 0.
--- a/crates/celerywinch_pool/tests/runs.rs
+++ b/crates/celerywinch_pool/tests/runs.rs
@@ -5,8 +5,8 @@
 use celerywinch_pool::{Answer, EndedRow, Input, Rejection, Request, RunEnd, RunningRow};
 use celerywinch_types::{JobId, PriorRuns, RunNumber, TaskEnd, WorkMsg};
 use rig::{
-    JOB, ORIGIN, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step, task,
-    worker_note,
+    JOB, ORIGIN, Rig, clock, ended_row, is_poll, is_start, is_stop, lists, running_row, step, task,
+    worker_announcement,
 };
 use rstest::rstest;
 
@@ -102,7 +102,7 @@
     rig.answer(&start, Answer::NoAnswer);
     for _ in 0..6 {
         rig.advance(60);
-        let poll = rig.last_call(is_look);
+        let poll = rig.last_call(is_poll);
         rig.answer(&poll, lists(Vec::new(), Vec::new()));
     }
     assert_eq!(rig.pool.counts().1, 0, "no run is left");
@@ -178,15 +178,15 @@
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
-    let other = rig.last_call(is_look);
+    rig.handle(Input::Workers(vec![worker_announcement("w2", 2)]));
+    let other = rig.last_call(is_poll);
     assert_eq!(other.worker, "w2");
     rig.answer(&other, lists(Vec::new(), Vec::new()));
     for _ in 0..20 {
         let polls: Vec<_> = rig
             .calls
             .iter()
-            .filter(|c| c.worker == "w1" && is_look(&c.request))
+            .filter(|c| c.worker == "w1" && is_poll(&c.request))
             .cloned()
             .collect();
         for poll in polls {
@@ -257,7 +257,7 @@
     rig.submit(step(PriorRuns::Unknown, 7));
     for _ in 0..10 {
         rig.advance(20);
-        let poll = rig.last_call(is_look);
+        let poll = rig.last_call(is_poll);
         let Request::Poll { deadline, .. } = poll.request else {
             panic!("{poll:?}");
         };
@@ -269,9 +269,9 @@
     }
     assert_eq!(rig.count_calls(is_stop), 1, "no origin wants task 1");
     rig.advance(60);
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists(vec![row(0)], Vec::new()));
-    let Request::Poll { deadline, .. } = rig.last_call(is_look).request else {
+    let Request::Poll { deadline, .. } = rig.last_call(is_poll).request else {
         panic!("a poll");
     };
     assert!(deadline.is_some());
@@ -288,14 +288,14 @@
         percent: 20,
     };
     let mut rig = Rig::new(vec![row(0), row(1)], Vec::new());
-    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
-    let other = rig.last_call(is_look);
+    rig.handle(Input::Workers(vec![worker_announcement("w2", 2)]));
+    let other = rig.last_call(is_poll);
     rig.answer(&other, lists(Vec::new(), Vec::new()));
     rig.submit(step(PriorRuns::Unknown, 7));
     let mut polls = rig
         .calls
         .iter()
-        .filter(|call| call.worker == "w1" && is_look(&call.request));
+        .filter(|call| call.worker == "w1" && is_poll(&call.request));
     let poll = polls.next_back().expect("a poll").clone();
     rig.answer(&poll, Answer::NoAnswer);
     rig.advance(930);
@@ -386,8 +386,8 @@
 #[case::of_the_run_itself(7, 1)]
 fn end_on_another_worker_leaves_a_run_running(#[case] run: u64, #[case] serial: u64) {
     let mut rig = Rig::new(vec![running_row(7)], Vec::new());
-    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
-    let poll = rig.last_call(is_look);
+    rig.handle(Input::Workers(vec![worker_announcement("w2", 2)]));
+    let poll = rig.last_call(is_poll);
     assert_eq!(poll.worker, "w2");
     let end = EndedRow {
         serial: serial + 1,
@@ -406,7 +406,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.advance(500);
     rig.handle(Input::CheckReachable(rig::DOMAIN));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists(vec![running_row(3)], Vec::new()));
     rig.advance(200);
     let stop = rig.last_call(is_stop);
@@ -425,10 +425,10 @@
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    let late = rig.last_call(is_look);
+    let late = rig.last_call(is_poll);
     rig.handle(Input::Resign(rig::DOMAIN));
     rig.handle(Input::Acquire(rig::DOMAIN, rig::LATER_FENCE));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     assert_ne!(poll.key, late.key);
     rig.answer(&late, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
     rig.answer(&poll, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
--- a/crates/celerywinch_pool/tests/silence.rs
+++ b/crates/celerywinch_pool/tests/silence.rs
@@ -6,7 +6,7 @@
 
 use celerywinch_pool::{Answer, Input};
 use celerywinch_types::{Fence, PriorRuns};
-use rig::{DOMAIN, Rig, is_look, is_start, lists, step, worker_note};
+use rig::{DOMAIN, Rig, is_poll, is_start, lists, step, worker_announcement};
 use rstest::rstest;
 
 /// The longest duration of a lease of 800 ms on a worker that was polled recently, plus 20 ms for the tick, in ms.
@@ -18,8 +18,8 @@
 /// Returns a dispatcher with two workers.
 fn two_workers() -> Rig {
     let mut rig = Rig::new(Vec::new(), Vec::new());
-    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
-    let poll = rig.last_call(is_look);
+    rig.handle(Input::Workers(vec![worker_announcement("w2", 2)]));
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists(Vec::new(), Vec::new()));
     rig
 }
@@ -29,7 +29,7 @@
     for call in rig.calls.clone() {
         if call.worker == silent {
             rig.answer(&call, Answer::NoAnswer);
-        } else if is_look(&call.request) {
+        } else if is_poll(&call.request) {
             rig.answer(&call, lists(Vec::new(), Vec::new()));
         }
     }
@@ -105,19 +105,19 @@
 fn polls_of_idle_workers_are_spread_over_time() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.handle(Input::Resign(DOMAIN));
-    let others = (2..=40).map(|port| worker_note(&format!("w{port}"), port));
+    let others = (2..=40).map(|port| worker_announcement(&format!("w{port}"), port));
     rig.handle(Input::Workers(others.collect()));
     rig.handle(Input::Acquire(DOMAIN, Fence(7 << 5)));
     pass(&mut rig, 1_000, NO_WORKER);
     let mut most = 0;
     for _ in 0..90 {
-        let before = rig.count_calls(is_look);
+        let before = rig.count_calls(is_poll);
         pass(&mut rig, 100, NO_WORKER);
-        most = most.max(rig.count_calls(is_look) - before);
+        most = most.max(rig.count_calls(is_poll) - before);
     }
     assert!(most <= 10, "{most} of 40 within 100 ms");
     assert!(
-        rig.count_calls(is_look) >= 80 + 40,
+        rig.count_calls(is_poll) >= 80 + 40,
         "each worker is polled twice"
     );
 }
--- a/crates/celerywinch_pool/tests/takeover.rs
+++ b/crates/celerywinch_pool/tests/takeover.rs
@@ -4,7 +4,7 @@
 
 use celerywinch_pool::{Answer, Input};
 use celerywinch_types::{Fence, PriorRuns};
-use rig::{DOMAIN, Rig, is_look, is_start, lists, step, worker_note};
+use rig::{DOMAIN, Rig, is_poll, is_start, lists, step, worker_announcement};
 use rstest::rstest;
 
 /// After a restart of all processes, jobs are refused although all workers are idle, if workers that have not
@@ -15,11 +15,11 @@
 fn job_waits_for_workers_being_taken_over(#[case] answer: Answer, #[case] starts: usize) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.handle(Input::Resign(DOMAIN));
-    rig.handle(Input::Workers(vec![worker_note("w1", 1)]));
+    rig.handle(Input::Workers(vec![worker_announcement("w1", 1)]));
     rig.handle(Input::Acquire(DOMAIN, Fence(7 << 5)));
     rig.submit(step(PriorRuns::None, 0));
     assert_eq!(rig.ends, [], "job ended before the worker answered");
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, answer);
     rig.advance(20);
     assert_eq!(rig.count_calls(is_start), starts);
--- a/crates/celerywinch_pool/tests/worker_incarnations.rs
+++ b/crates/celerywinch_pool/tests/worker_incarnations.rs
@@ -8,8 +8,8 @@
     WorkerStage,
 };
 use rig::{
-    LATER_FENCE, Rig, clock, ended_row, is_look, is_start, lists, lists_of, running_row, step,
-    task, worker_note,
+    LATER_FENCE, Rig, clock, ended_row, is_poll, is_start, lists, lists_of, running_row, step,
+    task, worker_announcement,
 };
 use rstest::rstest;
 
@@ -22,7 +22,7 @@
             incarnation: Incarnation(2),
             sequence: 1,
         },
-        ..worker_note("w1", 1)
+        ..worker_announcement("w1", 1)
     }
 }
 
@@ -35,11 +35,11 @@
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
     assert_eq!(rig.ends, [(task(0), TaskEnd::Done)]);
     rig.handle(Input::Workers(vec![second_incarnation()]));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists(Vec::new(), Vec::new()));
     let mut order = step(PriorRuns::None, 0);
     order.job = LATER_JOB;
@@ -56,7 +56,7 @@
     };
     let starts = rig.count_calls(is_start);
     for _ in 0..10 {
-        let poll = rig.last_call(is_look);
+        let poll = rig.last_call(is_poll);
         rig.answer(&poll, lists(Vec::new(), vec![first_end]));
         rig.advance(20);
     }
@@ -76,10 +76,10 @@
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists(vec![running_row(1)], Vec::new()));
     rig.handle(Input::Workers(vec![second_incarnation()]));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists(Vec::new(), Vec::new()));
     rig.advance(20);
     assert_eq!(
@@ -106,7 +106,7 @@
             sequence,
         },
         stage,
-        ..worker_note("w1", 1)
+        ..worker_announcement("w1", 1)
     }
 }
 
@@ -132,7 +132,7 @@
         sequence,
         stage,
     )]));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists(Vec::new(), Vec::new()));
     rig.submit(step(PriorRuns::None, 0));
     assert_eq!(rig.count_calls(is_start) == 1, case.gets_task);
@@ -165,11 +165,11 @@
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    let polls = rig.count_calls(is_look);
-    let poll = rig.last_call(is_look);
+    let polls = rig.count_calls(is_poll);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists_of(2, running.clone(), Vec::new()));
-    assert_eq!(rig.count_calls(is_look), polls + 1, "polled again");
-    let poll = rig.last_call(is_look);
+    assert_eq!(rig.count_calls(is_poll), polls + 1, "polled again");
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists_of(2, running, Vec::new()));
     rig.advance(20);
     assert_eq!(rig.count_calls(is_start), starts);
@@ -188,7 +188,7 @@
         20,
         WorkerStage::Ready,
     )]));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists_of(2, Vec::new(), Vec::new()));
     rig.handle(Input::Workers(vec![announcement(
         1,
@@ -196,7 +196,7 @@
         WorkerStage::Draining,
     )]));
     for _ in 0..2 {
-        let poll = rig.last_call(is_look);
+        let poll = rig.last_call(is_poll);
         rig.answer(&poll, lists_of(answers, Vec::new(), Vec::new()));
     }
     // Another keeper sends all announcements that it knows.
@@ -206,7 +206,7 @@
         WorkerStage::Ready,
     )]));
     for _ in 0..2 {
-        let poll = rig.last_call(is_look);
+        let poll = rig.last_call(is_poll);
         rig.answer(&poll, lists_of(answers, Vec::new(), Vec::new()));
     }
     rig.submit(step(PriorRuns::None, 0));
@@ -231,7 +231,7 @@
         1,
         "not before the later incarnation has listed its runs"
     );
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists_of(2, Vec::new(), Vec::new()));
     rig.advance(20);
     assert_eq!(rig.count_calls(is_start), 2);
@@ -251,7 +251,7 @@
             1,
             WorkerStage::Ready,
         )]));
-        let poll = rig.last_call(is_look);
+        let poll = rig.last_call(is_poll);
         assert!(poll.fence > highest, "incarnation {incarnation}");
         rig.answer(&poll, lists_of(incarnation, Vec::new(), Vec::new()));
         rig.advance(20);
@@ -285,7 +285,7 @@
     )]));
     // Each list comes from another incarnation than the one known by then.
     for incarnation in [5, 9, 2, 2] {
-        let poll = rig.last_call(is_look);
+        let poll = rig.last_call(is_poll);
         rig.answer(&poll, lists_of(incarnation, Vec::new(), Vec::new()));
     }
     rig.submit(step(PriorRuns::None, 0));
@@ -301,10 +301,10 @@
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
     rig.handle(Input::Workers(vec![announcement(1, 9, WorkerStage::Gone)]));
     assert_eq!(rig.pool.known_workers(), 0);
     rig.handle(Input::Workers(vec![second_incarnation()]));
-    assert!(rig.last_call(is_look).fence > start.fence);
+    assert!(rig.last_call(is_poll).fence > start.fence);
 }
