--- a/crates/celerywinch_dispatch/src/dispatch.rs
+++ b/crates/celerywinch_dispatch/src/dispatch.rs
@@ -89,7 +89,7 @@
     pub(crate) borrowed: u16,
     pub(crate) in_flight: u16,
     pub(crate) health: Health,
-    /// It gets no tasks until then, because it refused one as full.
+    /// The time until which it gets no tasks, because it refused one as full.
     pub(crate) full_until: Time,
     pub(crate) gone: bool,
     /// When each call in flight was sent.
@@ -105,7 +105,7 @@
             .count()
     }
 
-    fn usable(&self) -> bool {
+    fn is_usable(&self) -> bool {
         !self.gone && self.announcement.state == EndpointState::Serving
     }
 
@@ -114,7 +114,7 @@
     }
 
     pub(crate) fn free(&self, now: Time) -> u16 {
-        if !self.usable() || self.full_until > now {
+        if !self.is_usable() || self.full_until > now {
             return 0;
         }
         let own = self.own_slots();
@@ -238,7 +238,7 @@
                 );
                 endpoint.announcement = announcement.clone();
                 endpoint.gone = false;
-                self.index();
+                self.rebuild_index();
                 return;
             }
             endpoint.gone = true;
@@ -261,7 +261,7 @@
         });
         self.by_addr.insert(announcement.addr, id);
         self.remove_gone();
-        self.index();
+        self.rebuild_index();
     }
 
     /// Removes an endpoint whose lease has expired; it gets no new tasks.
@@ -269,7 +269,7 @@
         if let Some(id) = self.by_addr.remove(&addr) {
             self.endpoints[id].gone = true;
             self.remove_gone();
-            self.index();
+            self.rebuild_index();
         }
     }
 
@@ -279,7 +279,7 @@
             .retain(|_, endpoint| !endpoint.gone || endpoint.in_flight > 0);
     }
 
-    fn index(&mut self) {
+    fn rebuild_index(&mut self) {
         for (name, kind) in &mut self.kinds {
             kind.endpoints = endpoints_of(&self.endpoints, name);
         }
@@ -440,12 +440,12 @@
             state.failure_rate =
                 state.failure_rate * (1.0 - FAILURE_WEIGHT) + failed * FAILURE_WEIGHT;
         }
-        let may_quarantine = self.at_fault(kind);
+        let may_quarantine = self.is_endpoint_fault(kind);
         let state = self.kinds.get_mut(kind)?;
         let endpoint = self.endpoints.get_mut(id)?;
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-        if let Some(place) = endpoint.sent.iter().position(|at| *at == sent) {
-            endpoint.sent.swap_remove(place);
+        if let Some(position) = endpoint.sent.iter().position(|at| *at == sent) {
+            endpoint.sent.swap_remove(position);
         }
         let change = match end {
             CallEnd::Done(run) => {
@@ -474,13 +474,13 @@
         };
         if endpoint.gone && endpoint.in_flight == 0 {
             self.endpoints.remove(id);
-            self.index();
+            self.rebuild_index();
         }
         change
     }
 
     /// Whether a failure is attributed to the endpoint rather than to the kind.
-    fn at_fault(&self, kind: &str) -> bool {
+    fn is_endpoint_fault(&self, kind: &str) -> bool {
         let Some(state) = self.kinds.get(kind) else {
             return false;
         };
@@ -524,7 +524,7 @@
     /// Returns the number of serving endpoints, and how many of them are quarantined or on probation.
     #[must_use]
     pub fn endpoint_counts(&self) -> (usize, usize) {
-        let known = self.endpoints.values().filter(|e| e.usable());
+        let known = self.endpoints.values().filter(|e| e.is_usable());
         let suspended = known.clone().filter(|e| e.health.is_suspended());
         (known.count(), suspended.count())
     }
@@ -539,7 +539,9 @@
 }
 
 fn endpoints_of(endpoints: &SlotMap<EndpointId, Endpoint>, kind: &str) -> Vec<EndpointId> {
-    let usable = endpoints.iter().filter(|(_, endpoint)| endpoint.usable());
+    let usable = endpoints
+        .iter()
+        .filter(|(_, endpoint)| endpoint.is_usable());
     usable
         .filter(|(_, endpoint)| endpoint.announcement.kinds.iter().any(|k| &**k == kind))
         .map(|(id, _)| id)
--- a/crates/celerywinch_dispatch/src/loans.rs
+++ b/crates/celerywinch_dispatch/src/loans.rs
@@ -52,13 +52,13 @@
         let mut slots = Vec::new();
         for id in ids {
             let endpoint = &mut self.endpoints[id];
-            let give = endpoint.free(now).min(left);
+            let lendable = endpoint.free(now).min(left);
             // A borrowed slot is not lent on, because its lender would not get it back in time.
-            let give = give.min(endpoint.share.saturating_sub(endpoint.lent));
-            if give > 0 && !endpoint.health.is_suspect() {
-                endpoint.lent += give;
-                left -= give;
-                slots.push((endpoint.announcement.addr, give));
+            let lendable = lendable.min(endpoint.share.saturating_sub(endpoint.lent));
+            if lendable > 0 && !endpoint.health.is_suspect() {
+                endpoint.lent += lendable;
+                left -= lendable;
+                slots.push((endpoint.announcement.addr, lendable));
             }
         }
         if slots.is_empty() {
@@ -124,7 +124,7 @@
         }
         let loans = std::mem::take(&mut self.borrowed);
         let (expired, kept): (Vec<_>, Vec<_>) = loans.into_iter().partition(|loan| {
-            loan.until <= now || (self.idle(loan) && now.since(loan.used) > IDLE_TIMEOUT)
+            loan.until <= now || (self.is_idle(loan) && now.since(loan.used) > IDLE_TIMEOUT)
         });
         self.borrowed = kept;
         for loan in &expired {
@@ -146,7 +146,7 @@
     }
 
     /// Whether a borrowed loan is not needed: nothing is queued, and the calls in flight fit into the other slots.
-    fn idle(&self, loan: &Loan) -> bool {
+    fn is_idle(&self, loan: &Loan) -> bool {
         self.queue.len() == 0
             && loan.slots.iter().all(|(addr, count)| {
                 self.by_addr.get(addr).is_none_or(|id| {
--- a/crates/celerywinch_dispatch/src/queue.rs
+++ b/crates/celerywinch_dispatch/src/queue.rs
@@ -54,8 +54,8 @@
         *queue.by_class.entry(class).or_default() += 1;
         queue.len += 1;
         self.len += 1;
-        let place = (kind.clone(), lane, deadline, task);
-        self.positions.entry(task.job).or_default().push(place);
+        let position = (kind.clone(), lane, deadline, task);
+        self.positions.entry(task.job).or_default().push(position);
     }
 
     /// Returns the head of a kind: class first, then teams within their share, then the deadline.
--- a/crates/celerywinch_domains/src/cluster_view.rs
+++ b/crates/celerywinch_domains/src/cluster_view.rs
@@ -7,8 +7,8 @@
 
 use crate::{PeerView, Peers};
 
-/// The number of entries that are ready to take over a shard. They hear its dispatcher often and receive what it has
-/// learned. With five data centres, the loss of one with the dispatcher takes all four successors with it in 1 of
+/// The number of entries that are ready to take over a shard. They get frequent heartbeats of its dispatcher and
+/// what it has learned. With five data centres, the loss of one with the dispatcher takes all four successors with it in 1 of
 /// 600 cases; the next entry then finds out by its probes, 100 ms later.
 const SUCCESSORS: usize = 4;
 
@@ -109,7 +109,7 @@
         owners.into_iter().any(|e| e.owner_rank(shard) < mine)
     }
 
-    /// Whether this entry has the first rank for a shard, among itself and all entries that are heard.
+    /// Whether this entry has the first rank for a shard, among itself and all live entries.
     pub(crate) fn ranks_first(&self, shard: u8, me: &Candidate) -> bool {
         let mine = me.rank(shard);
         !self.entries.iter().any(|e| e.rank(shard) < mine)
--- a/crates/celerywinch_domains/src/domains.rs
+++ b/crates/celerywinch_domains/src/domains.rs
@@ -11,18 +11,18 @@
 /// How long an entry listens after its start, and after a pause of its process, before it takes a
 /// data centre over. The heartbeat of an owner that is alive arrives within that time.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(450);
-/// The delay where all processes that are heard have just started, so that no domain has an owner. Heartbeats of
-/// processes that started at the same moment have arrived by then, and tell which of them are ready.
-/// With several dispatchers it applies only once all entries that are heard are ready; else a few of them would take most shards.
+/// The delay if all live processes have just started, so that no domain has an owner. Heartbeats of processes that
+/// started at the same moment have arrived by then, and show which of them are ready. With several dispatchers it
+/// applies only once all live entries are ready; else a few of them would take most shards.
 const COLD_START_DELAY: Duration = Duration::from_millis(200);
-/// The longest wait while processes are still being discovered. Among many processes some are first heard after
-/// `TAKEOVER_DELAY`, for example when the links to all of them open at once, and an owner may be one of those.
+/// The longest wait while processes are still being discovered. Among many processes, the first heartbeat of some
+/// arrives after `TAKEOVER_DELAY`, for example when the links to all of them open at once, and an owner may be one of those.
 const MAX_DISCOVERY_DELAY: Duration = Duration::from_millis(4_500);
 /// How long an entry that was fenced waits for the heartbeat of the new owner, which may arrive over a link
 /// that is still being opened.
 const FENCED_DELAY: Duration = Duration::from_millis(250);
-/// How long an entry owns a data centre on trial: none of its processes is heard, but its workers may be reachable
-/// all the same. Only an entry that hears more than half of all data centres tries this.
+/// How long an entry owns a data centre on trial: none of its processes is in contact, but its workers may still be
+/// reachable. Only an entry that is in contact with more than half of all data centres tries this.
 const TRIAL_DURATION: Duration = Duration::from_millis(800);
 /// The least time between two trials of a data centre.
 const TRIAL_INTERVAL: Duration = Duration::from_secs(3);
@@ -80,9 +80,9 @@
     listen_start: Time,
     /// When the last process was discovered that had run for some time.
     last_discovery: Time,
-    /// Since when at least one process of the data centre is heard without a break.
-    heard_since: BTreeMap<DataCentreId, Time>,
-    /// Since when no process of the data centre is heard.
+    /// Since when at least one process of the data centre has been in contact without a break.
+    contact_since: BTreeMap<DataCentreId, Time>,
+    /// Since when no process of the data centre has been in contact.
     silent_since: BTreeMap<DataCentreId, Time>,
     /// The start of the last trial of each data centre.
     last_trials: BTreeMap<DataCentreId, Time>,
@@ -105,7 +105,7 @@
             epoch_leap: EPOCH_LEAP,
             listen_start: now,
             last_discovery: Time::default(),
-            heard_since: BTreeMap::new(),
+            contact_since: BTreeMap::new(),
             silent_since: BTreeMap::new(),
             last_trials: BTreeMap::new(),
         }
@@ -151,8 +151,7 @@
         self.me.stage = stage;
     }
 
-    /// Records that a process which has run for some time is heard for the first time or after a silence. It may own
-    /// domains.
+    /// Records that a process which has run for some time is in contact for the first time or again. It may own domains.
     pub fn peer_found(&mut self, now: Time) {
         self.last_discovery = now;
     }
@@ -174,8 +173,8 @@
             return;
         };
         out.push(Change::Resign(domain));
-        // The owner of the higher token is heard within this time. If it is not, that owner is gone; if no heartbeat
-        // has reported its token either, its clock was ahead of this one.
+        // A heartbeat of the owner of the higher token arrives within this time. If none does, that owner is gone; if no
+        // heartbeat has reported its token either, its clock was ahead of this one.
         self.listen_start = self.listen_start.max(now + FENCED_DELAY - TAKEOVER_DELAY);
         if self.highest_fence <= fence {
             let epoch = (fence.epoch() + self.epoch_leap).min(MAX_LEAP_EPOCH);
@@ -184,7 +183,7 @@
         }
     }
 
-    /// Acquires an owned domain again under a new token, as the old one is used up.
+    /// Acquires an owned domain again under a new token, as the old one cannot tell further restarts of a worker apart.
     pub fn renew(&mut self, domain: Domain, out: &mut Vec<Change>) {
         if self.owned.contains_key(&domain) {
             self.resign(domain, out);
@@ -215,11 +214,11 @@
             return;
         }
         for dc in self.dcs.clone() {
-            if self.is_heard(now, dc, peers) {
-                self.heard_since.entry(dc).or_insert(now);
+            if self.has_contact(now, dc, peers) {
+                self.contact_since.entry(dc).or_insert(now);
                 self.silent_since.remove(&dc);
             } else {
-                self.heard_since.remove(&dc);
+                self.contact_since.remove(&dc);
                 self.silent_since.entry(dc).or_insert(now);
             }
         }
@@ -262,8 +261,8 @@
         let shard = domain.shard;
         match (self.owned.get(&domain).copied(), other) {
             // Several entries dispatch for the shard, as after a partition. One queue over all workers of a shard serves
-            // callers best, and all entries agree on the preferred owner. It takes the domain over once it has heard
-            // all others. Runs started here would end if it did not do so before their leases expire.
+            // callers best, and all entries agree on the preferred owner. It takes the domain over once it has
+            // listened to all others. Runs started here would end if it did not do so before their leases expire.
             (Some(_), _) if view.has_preferred_owner(shard, &self.candidate()) => {
                 if self.has_listened_to_all(now, peers) {
                     self.resign(domain, out);
@@ -325,41 +324,44 @@
         span >= listen_period && !discovering
     }
 
-    /// Whether the listening period is over for every other data centre that is heard.
+    /// Whether the listening period is over for every other data centre in contact.
     fn has_listened_to_all(&self, now: Time, peers: &Peers) -> bool {
         let listen_period = self.listen_period(now, peers);
-        let others = self.heard_since.iter().filter(|(dc, _)| **dc != self.me.dc);
+        let others = self
+            .contact_since
+            .iter()
+            .filter(|(dc, _)| **dc != self.me.dc);
         let mut others = others.map(|(_, since)| *since);
         listen_period == COLD_START_DELAY
             || others.all(|since| self.has_listened(now, since, listen_period))
     }
 
-    /// Whether the processes of a data centre show that its workers can be reached. Across a partition they cannot,
-    /// and its own entries dispatch there.
-    fn is_heard(&self, now: Time, dc: DataCentreId, peers: &Peers) -> bool {
+    /// Whether a data centre is in contact: one of its processes is alive, or its machine refuses connections, which shows
+    /// that the workers there can be reached. Across a partition they cannot, and its own entries dispatch there.
+    fn has_contact(&self, now: Time, dc: DataCentreId, peers: &Peers) -> bool {
         let there = |view: &PeerView| view.heartbeat.dc == dc && (view.alive(now) || view.refused);
         dc == self.me.dc || peers.all().any(|(_, view)| there(view))
     }
 
-    /// Returns the owned domains of data centres of which no process is heard. They are kept only while their workers
-    /// answer, as `reached` tells.
+    /// Returns the owned domains of data centres that are not in contact. They are kept only while their workers answer,
+    /// as `reached` in [`Self::tick`] says.
     #[must_use]
     pub fn silent_domains(&self, now: Time, peers: &Peers) -> Vec<Domain> {
         let owned = self.owned.keys().copied();
         owned
-            .filter(|domain| !self.is_heard(now, domain.dc, peers))
+            .filter(|domain| !self.has_contact(now, domain.dc, peers))
             .collect()
     }
 
-    /// Whether a domain of a data centre may be acquired: the data centre is heard, or a trial is due, which is
-    /// recorded as started.
+    /// Whether a domain of a data centre may be acquired: the data centre is in contact, or a trial is due,
+    /// which is recorded as started.
     fn may_acquire(&mut self, now: Time, dc: DataCentreId, listen_period: Duration) -> bool {
-        if let Some(since) = self.heard_since.get(&dc) {
-            // As a partition heals, its processes are heard one after the other, and its owner may be the last.
+        if let Some(since) = self.contact_since.get(&dc) {
+            // As a partition heals, contact with its processes returns one after the other, and its owner may be the last.
             return dc == self.me.dc || self.has_listened(now, *since, listen_period);
         }
-        // As a partition heals, data centres are heard one after the other.
-        let listened = self.heard_since.iter();
+        // As a partition heals, contact with the data centres returns one after the other.
+        let listened = self.contact_since.iter();
         let listened = listened.filter(|(dc, since)| {
             **dc == self.me.dc || self.has_listened(now, **since, listen_period)
         });
@@ -380,14 +382,14 @@
         let trial_over = trial.is_none_or(|start| now.since(*start) >= TRIAL_DURATION);
         let silent = self.silent_since.get(&dc);
         let timed_out = silent.is_some_and(|since| now.since(*since) >= SILENCE_TIMEOUT);
-        !reached && trial_over && timed_out && !self.is_heard(now, dc, peers)
+        !reached && trial_over && timed_out && !self.has_contact(now, dc, peers)
     }
 }
 
-/// Whether any other process is heard, or its machine refuses the connection. An entry that is cut off from all
+/// Whether any other process is alive, or its machine refuses the connection. An entry that is partitioned from all
 /// others but reaches the workers would take them from their dispatcher, which would take them back, again and again;
 /// it sends its callers elsewhere instead.
 fn is_connected(now: Time, peers: &Peers) -> bool {
-    let heard = |view: &PeerView| view.alive(now) || view.refused;
-    peers.count() == 0 || peers.all().any(|(_, view)| heard(view))
+    let in_contact = |view: &PeerView| view.alive(now) || view.refused;
+    peers.count() == 0 || peers.all().any(|(_, view)| in_contact(view))
 }
--- a/crates/celerywinch_links/src/outgoing.rs
+++ b/crates/celerywinch_links/src/outgoing.rs
@@ -100,7 +100,7 @@
                         Err(error) => {
                             log::info!("link: Lost the link to {}: {error:#}.", self.peer);
                             self.event(LinkEvent::Lost);
-                            // A peer that accepts and closes at once would be called in a busy loop.
+                            // Without a delay, a peer that accepts and closes at once would cause a busy loop of attempts.
                             if opened.elapsed() < RETRY_DELAY
                                 && !self.wait_before_retry(&mut inbox).await
                             {
@@ -321,10 +321,10 @@
     activity: Rc<Notify>,
     broken: UnboundedSender<()>,
 ) {
-    let every = MIN_PING_INTERVAL.max(PING_INTERVAL_PER_LINK * links);
+    let interval = MIN_PING_INTERVAL.max(PING_INTERVAL_PER_LINK * links);
     loop {
         activity.notified().await;
-        sleep(every).await;
+        sleep(interval).await;
         match timeout(PING_TIMEOUT, ping.ping(Ping::opaque())).await {
             Ok(Ok(_)) if !broken.is_closed() => {}
             _ => {
--- a/crates/celerywinch_member/src/heartbeats.rs
+++ b/crates/celerywinch_member/src/heartbeats.rs
@@ -205,7 +205,7 @@
         self.is_small_fleet() || self.frequent.dispatchers.contains(&dispatcher)
     }
 
-    /// Updates the reported room of the domains it dispatches for. Called once per tick, because it reads the
+    /// Updates the reported load of the domains it dispatches for. Called once per tick, because it reads the
     /// state of each worker.
     pub(crate) fn update_owned_domains(&mut self, now: Time) {
         let owned = self.domains.owned().iter();
@@ -217,7 +217,7 @@
         self.owned_domains = owned.map(report).collect();
     }
 
-    /// Updates the room of a dispatcher whose domains did not change.
+    /// Updates the load of a dispatcher whose domains did not change.
     pub(crate) fn update_loads(
         &mut self,
         now: Time,
@@ -380,8 +380,8 @@
     /// Probes all processes of a data centre if the peers with frequent heartbeats there have fallen silent.
     ///
     /// Processes that exchange rare heartbeats would notice a network partition only after seconds: meanwhile
-    /// a partitioned entry would rely on dispatchers, and wait for better placed entries, that it cannot
-    /// reach. The partition of a data centre shows at the peers with frequent heartbeats, of which there are
+    /// a partitioned entry would rely on dispatchers that it cannot reach, and wait for unreachable entries that
+    /// rank before it. The partition of a data centre shows at the peers with frequent heartbeats, of which there are
     /// nearly always some. A probe and its answer cost one message each; in steady service there are none.
     pub(crate) fn probe_silent_data_centres(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.is_small_fleet() {
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -90,8 +90,8 @@
     Flush,
     /// The result of a call to a worker.
     Answered(CallKey, Answer),
-    /// A worker's answer arrived after the timeout of its call: the time since the call, less the time that the
-    /// worker was told to wait.
+    /// A worker answered after the timeout of its call. The duration is the time from the call to the answer,
+    /// less the wait that the call asked for.
     AnsweredLate(Duration),
     /// The version of the configuration that is in force here.
     ConfigVersion(u64),
@@ -162,7 +162,7 @@
     succession_updated: Time,
     /// When the domains to dispatch for were last evaluated.
     domains_updated: Time,
-    /// The domains it dispatches for, with their room at the last tick.
+    /// The domains it dispatches for, with their load at the last tick.
     pub(crate) owned_domains: Vec<OwnedDomain>,
     /// Workers that crashed under tasks, to be reported to other dispatchers.
     pub(crate) crashes: BTreeMap<TaskId, Crashes>,
--- a/crates/celerywinch_members/src/peers.rs
+++ b/crates/celerywinch_members/src/peers.rs
@@ -35,9 +35,9 @@
 /// The state of a peer in the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerState {
-    /// Never heard from.
+    /// No message of it has been received yet.
     Unknown,
-    /// Heard from recently.
+    /// A message of it was received recently.
     Alive,
     /// Silent; a probe on a new connection has been in flight since this time.
     Suspect(Time),
@@ -57,7 +57,7 @@
     /// The incarnations before it, the latest at the end. Their numbers may be greater: an entry without a disk takes its
     /// own from a clock that may be set back.
     former: VecDeque<Incarnation>,
-    /// When it was last heard from.
+    /// When its last message was received.
     pub last_contact: Time,
     /// Whether it receives messages of this instance; false indicates a one-way loss.
     pub receives: bool,
@@ -93,7 +93,7 @@
     Probe(InstanceId),
     /// A peer is dead.
     Down(InstanceId),
-    /// A peer has a new incarnation: what the earlier one held is lost.
+    /// A peer has a new incarnation: the state of the earlier one is lost.
     Restarted(InstanceId, Incarnation),
     /// A heartbeat to this peer is due.
     HeartbeatDue(InstanceId),
@@ -275,10 +275,10 @@
     ) -> Option<(Option<Time>, bool, Incarnation)> {
         let peer = self.peers.get(&id)?;
         let interval = interval(self.config, self.dc, peer.dc);
-        let hears = now.since(peer.last_contact) <= interval * self.config.max_missed;
+        let receives = now.since(peer.last_contact) <= interval * self.config.max_missed;
         Some((
             peer.echo,
-            hears && peer.last_contact != Time::default(),
+            receives && peer.last_contact != Time::default(),
             peer.incarnation,
         ))
     }
--- a/crates/celerywinch_origin/src/choice.rs
+++ b/crates/celerywinch_origin/src/choice.rs
@@ -20,7 +20,7 @@
     pub domain: Domain,
     /// The entry that dispatches for it.
     pub instance: InstanceId,
-    /// Its last reported load, with the tasks submitted since taken off its free places.
+    /// Its last reported load; the tasks submitted since are subtracted from its free places.
     pub load: Load,
     /// Whether it is one of the dispatchers that this origin submits new tasks to. Any other gets only the tasks of
     /// dispatchers whose domains it has taken over, as long as a preferred one is known.
@@ -36,7 +36,7 @@
     pub(crate) dc: DataCentreId,
     /// The job.
     pub(crate) job: JobId,
-    /// 0 comes first.
+    /// Its priority; 0 is the highest.
     pub(crate) priority: u8,
     /// Number of tasks.
     pub(crate) tasks: u32,
--- a/crates/celerywinch_origin/src/lost.rs
+++ b/crates/celerywinch_origin/src/lost.rs
@@ -133,8 +133,8 @@
             .jobs
             .values()
             .map(|job| (job.id, job.may_have_started()));
-        for (id, begun) in jobs.collect::<Vec<_>>() {
-            let end = if begun {
+        for (id, may_have_started) in jobs.collect::<Vec<_>>() {
+            let end = if may_have_started {
                 JobEnd::Unsure
             } else {
                 JobEnd::Refused(RETRY_AFTER_MS)
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -16,7 +16,7 @@
 use crate::{Holder, JobEvent};
 
 /// How long a new job waits while no dispatcher is known. A handoff takes up to 500 ms, by which time most latency
-/// targets have been missed, so the job is refused earlier and the caller is told when to retry.
+/// targets have been missed, so the job is refused earlier, with a retry delay.
 const DISPATCHER_TIMEOUT: Duration = Duration::from_millis(200);
 /// Retry delay given to such a caller, in ms: the longest duration of a handoff.
 pub(crate) const RETRY_AFTER_MS: u32 = 500;
@@ -162,7 +162,7 @@
             Input::CallerGone(caller) => self.caller_gone(now, caller, out),
             Input::Work(from, msg) => self.work(now, from, msg, out),
             Input::Holders(holders) => self.set_holders(holders),
-            Input::Loads(dispatcher, holdings) => self.set_loads(dispatcher, &holdings),
+            Input::Loads(dispatcher, owned_domains) => self.set_loads(dispatcher, &owned_domains),
             Input::LinkReset(peer) => self.resubmit(now, peer, out),
             Input::PeerLost(peer) => self.peer_lost(now, peer, out),
             Input::Paused => self.end_all(now, out),
@@ -187,10 +187,10 @@
         self.holders_incomplete = false;
     }
 
-    fn set_loads(&mut self, dispatcher: InstanceId, holdings: &[OwnedDomain]) {
+    fn set_loads(&mut self, dispatcher: InstanceId, owned_domains: &[OwnedDomain]) {
         let holders = self.holders.iter_mut();
         for holder in holders.filter(|holder| holder.instance == dispatcher) {
-            let reported = holdings.iter().find(|h| h.domain == holder.domain);
+            let reported = owned_domains.iter().find(|h| h.domain == holder.domain);
             if let Some(reported) = reported {
                 holder.load = reported.load;
             }
@@ -383,8 +383,8 @@
         }
     }
 
-    /// Removes a dispatcher that returned tasks until the next heartbeat reports the owner of its domain. It no longer
-    /// owns the domain, and until then would get the tasks again and return them again.
+    /// Removes a dispatcher that returned tasks from the list of holders until the next heartbeat reports the owner of its
+    /// domain. It no longer owns the domain, and would get the tasks and return them over and over.
     fn await_holder(&mut self, job: JobId, from: InstanceId) {
         self.pending.insert(job);
         self.holders.retain(|holder| holder.instance != from);
@@ -579,10 +579,11 @@
     }
 }
 
-/// Returns the state of a task that a dispatcher returned in doubt after it was submitted to it again.
+/// Returns the state of a task that a dispatcher returned as undetermined after it was submitted to it again.
 ///
-/// The dispatcher may have started a run after the first submission and reported it in a lost message. Were the earlier,
-/// narrower doubt kept, the next dispatcher could find the end of an earlier run and start the task a second time.
+/// The dispatcher may have started a run after the first submission and reported it in a lost message. If the state
+/// of the first submission were kept, the next dispatcher could take the end of an earlier run for the end of the last
+/// one and start the task a second time.
 fn run_after_resubmission(
     now: Time,
     owned: &BTreeSet<Domain>,
--- a/crates/celerywinch_pool/src/call.rs
+++ b/crates/celerywinch_pool/src/call.rs
@@ -172,7 +172,7 @@
 pub(crate) enum PollKind {
     /// Waits for ends; the next one is sent after the answer.
     Long,
-    /// Sent beside the long poll and answered at once, to learn what became of a request without an answer.
+    /// Sent beside the long poll and answered at once, to find out whether a request without an answer was carried out.
     Short,
 }
 
--- a/crates/celerywinch_pool/src/config.rs
+++ b/crates/celerywinch_pool/src/config.rs
@@ -26,7 +26,7 @@
     pub min_wait: Duration,
     /// How much longer than its wait the answer to a poll may take.
     pub answer_timeout: Duration,
-    /// How long the answer to an order to start or stop may take. A start without an answer is resolved by a stop.
+    /// How long the answer to a start or stop request may take. A start without an answer is resolved by a stop.
     pub order_timeout: Duration,
     /// The longest timeout of any call, beside the wait of a poll, where all answers are slow. Two such timeouts, with the
     /// allowance for answers that are not read yet, fit into a lease.
@@ -39,7 +39,7 @@
     /// under load.
     pub idle_interval: Duration,
     /// A domain without an answer for this long has one of its workers polled when its dispatcher needs to know whether
-    /// the workers can be reached. Several can be polled in turn, each for the timeout of an order, before the domain
+    /// the workers can be reached. Several can be polled in turn, each for the timeout of a request, before the domain
     /// is given up after a second.
     pub reach_window: Duration,
     /// Delay between two attempts to reach a worker that does not answer.
--- a/crates/celerywinch_pool/src/crashes.rs
+++ b/crates/celerywinch_pool/src/crashes.rs
@@ -1,11 +1,11 @@
 //! Tasks that crash the workers on which they run.
 //!
-//! When a worker crashes, all its runs end, and any one of their tasks may be the cause. The cause shows in where those
-//! tasks start next: two of them never share a worker. A task is given up after a few crashes. Until a queue has been
-//! free of such tasks for some seconds, each of its steps starts with one task as a probe, and the others follow when
-//! the probe has been running for a moment. So a step all of whose tasks crash their workers takes one worker at a
-//! time, and is not started again. For this a worker need not be known to have crashed: that it does not answer already
-//! limits what else is started, while its lease only decides when its tasks may be started elsewhere.
+//! When a worker crashes, all its runs end, and any one of their tasks may be the cause. To find the cause,
+//! no two of these tasks run on one worker at the same time afterwards. A task is given up after a few crashes. Until a
+//! queue has been free of such tasks for some seconds, each of its steps starts with one task as a probe, and the others
+//! follow when the probe has been running for a moment. So a step whose tasks all crash their workers takes one worker
+//! at a time, and is not started again. These limits apply as soon as a worker does not answer, before it is known to
+//! have crashed. Its lease only decides when its tasks may be started elsewhere.
 //!
 //! Dispatchers share what they know of crashes, since the caller sends the job again to another origin, which may
 //! submit it to another dispatcher.
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Records a run whose worker did not answer until the lease expired.
-    pub(crate) fn lease_expired_with(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
+    /// Records a suspected crash of a worker that did not answer until the lease of a run expired.
+    pub(crate) fn record_lease_expiry(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
         let announcement = &self.workers[run.worker].announcement;
         let incarnation = announcement.version.incarnation;
         let silent = self.crashes.silent_workers.entry(announcement.id.clone());
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Records a run that was on a worker when its incarnation ended, unless the worker had accepted a stop of the run.
-    pub(crate) fn crashed_with(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
+    /// Records a crash of the worker of a run whose incarnation ended, unless the worker had accepted a stop of the run.
+    pub(crate) fn record_crash(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
         if !run.stop_accepted {
             self.count_crash(now, run.task, out, |crashes| {
                 crashes.record_confirmed(false)
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Gives up steps that seem to have crashed a worker that does not answer any more. Their tasks may have run, and
-    /// the callers are told so.
+    /// Gives up the steps that seem to have crashed a worker which does not answer any more. Their callers learn that the
+    /// tasks may have run.
     pub(crate) fn suspect_runs(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         let runs = self.workers[key].runs.iter();
         let batches: BTreeSet<_> = runs.filter_map(|run| self.runs[*run].batch).collect();
@@ -229,6 +229,7 @@
         self.crashes.probe_until.insert(queue, now + PROBE_PERIOD);
     }
 
+    /// Merges the queues whose steps another dispatcher starts with a probe.
     pub(crate) fn merge_probe_queues(&mut self, now: Time, queues: Vec<String>) {
         let queues = queues.into_iter().map(|queue| (queue, now + PROBE_PERIOD));
         self.crashes.probe_until.extend(queues);
--- a/crates/celerywinch_pool/src/grants.rs
+++ b/crates/celerywinch_pool/src/grants.rs
@@ -93,7 +93,11 @@
     }
 
     /// Returns those of `origins` whose grants expired at least `SUSPENSION` ago, so that their tasks here are dropped.
-    fn lapsed(&self, now: Time, origins: impl Iterator<Item = InstanceId>) -> BTreeSet<InstanceId> {
+    fn expired_origins(
+        &self,
+        now: Time,
+        origins: impl Iterator<Item = InstanceId>,
+    ) -> BTreeSet<InstanceId> {
         let expired = |origin: &InstanceId| {
             let grant = self.grants.get(origin);
             grant.is_some_and(|grant| now.since(grant.until) >= SUSPENSION)
@@ -152,7 +156,7 @@
     ///
     /// The same holds for a run whose task was taken back, until the worker has accepted the stop: if stops are lost
     /// while polls are answered, the run would continue beside the new run of its task elsewhere.
-    pub(crate) fn has_suspended(&self, now: Time, worker: &Worker) -> bool {
+    pub(crate) fn has_suspended_run(&self, now: Time, worker: &Worker) -> bool {
         worker.runs.iter().any(|key| {
             let run = &self.runs[*key];
             let Some(batch) = run.batch.and_then(|batch| self.batches.get(batch)) else {
@@ -166,7 +170,7 @@
     /// Drops the tasks of origins whose grants expired at least `SUSPENSION` ago.
     pub(crate) fn tick_grants(&mut self, now: Time, out: &mut Vec<Output>) {
         let origins = self.batches.values().map(|batch| batch.origin);
-        for origin in self.grants.lapsed(now, origins) {
+        for origin in self.grants.expired_origins(now, origins) {
             out.push(Output::Event(PoolEvent::GrantOver { origin }));
             self.drop_origin(now, origin, out);
         }
--- a/crates/celerywinch_pool/src/job.rs
+++ b/crates/celerywinch_pool/src/job.rs
@@ -23,7 +23,7 @@
     Waiting,
     /// May be running under an earlier dispatcher. Waits until this is resolved, at most until the given time.
     MaybeRunning(Time),
-    /// Has a run, which may be starting or in doubt.
+    /// Has a run, which may be unconfirmed.
     Running(RunKey),
 }
 
@@ -36,7 +36,7 @@
     pub(crate) crashes: Crashes,
     /// The highest run number used so far.
     pub(crate) run: RunNumber,
-    /// What is not known of runs under an earlier dispatcher.
+    /// What is known of runs under earlier dispatchers.
     pub(crate) prior_runs: PriorRuns,
     /// Number of its latest submission.
     pub(crate) submission: u32,
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -56,7 +56,7 @@
         let own = worker.ownership == Ownership::Owned && !worker.runs.is_empty();
         let responsive = worker.missed_calls == 0
             && worker.foreign_runs == 0
-            && !self.has_suspended(now, worker);
+            && !self.has_suspended_run(now, worker);
         // A poll that may get no answer does not extend the lease, or the tasks of an unresponsive worker could not be
         // started elsewhere while it is polled. A lease covers all runs on a worker. So it is not extended while a
         // foreign run is there, which its own dispatcher, on the other side of a network partition, expects to end with
@@ -184,7 +184,7 @@
         self.poll(now, key, out);
     }
 
-    /// The lease of an unresponsive worker has expired: nothing runs there any more.
+    /// Ends the runs of an unresponsive worker whose lease has expired, so that nothing runs there any more.
     fn expire_lease(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         for run in self.workers[key].runs.clone() {
             self.lose_run(now, run, Loss::LeaseExpired, out);
@@ -203,8 +203,8 @@
             took: now.since(run.started).as_millis() as u32,
         }));
         match loss {
-            Loss::LeaseExpired => self.lease_expired_with(now, &run, out),
-            Loss::Crashed => self.crashed_with(now, &run, out),
+            Loss::LeaseExpired => self.record_lease_expiry(now, &run, out),
+            Loss::Crashed => self.record_crash(now, &run, out),
             Loss::Left => {}
         }
         if let Some(batch) = run.batch
--- a/crates/celerywinch_pool/src/origins.rs
+++ b/crates/celerywinch_pool/src/origins.rs
@@ -1,4 +1,4 @@
-//! Tasks that their origins do not want any more, or may not.
+//! Removal of tasks that their origins no longer want, and resyncs with origins after lost messages.
 
 use std::collections::BTreeSet;
 
@@ -11,9 +11,9 @@
 impl Pool {
     /// Asks an origin which tasks it wants here.
     ///
-    /// A broken connection may have lost the message that a caller has left. Its tasks would continue, and run a second
-    /// time when the caller sends the job again elsewhere. So whenever messages may have been lost, the origin names
-    /// the tasks that it wants, and all others are stopped.
+    /// A broken connection may have lost the cancellation of a job whose caller has left. Its tasks would continue,
+    /// and run a second time when the caller sends the job again elsewhere. So whenever messages may have been lost,
+    /// the origin names the tasks that it wants, and all others are stopped.
     pub(crate) fn request_resync(&mut self, origin: InstanceId, out: &mut Vec<Output>) {
         self.resync_count += 1;
         self.resyncs.insert(origin, self.resync_count);
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -79,7 +79,7 @@
         let fitting = workers.filter(|(key, worker)| {
             self.accepts_tasks(now, worker)
                 && self.can_run(batch, *key, worker)
-                && !self.has_suspended(now, worker)
+                && !self.has_suspended_run(now, worker)
                 && !self.shares_with_suspect(task.crashes, worker)
         });
         let packs = !self.config.disabled.contains(Mechanism::Packing);
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -26,7 +26,7 @@
 use crate::{Departure, PoolConfig, PoolEvent};
 
 /// How long a worker that has left is remembered. A keeper that did not receive its last announcement may report it as
-/// ready for 20 s after the one before, and a dispatcher that started tasks there would disturb its shutdown.
+/// ready until 20 s after the announcement before that, and a dispatcher that started tasks there would disturb its shutdown.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(30);
 
 /// A worker that has left.
@@ -55,11 +55,12 @@
     Granted(InstanceId, Grant),
     /// Messages from an origin may be lost: ask it which tasks it still wants.
     ResyncOrigin(InstanceId),
-    /// An origin is lost: the connections of its callers broke, or it cannot be told how tasks ended.
+    /// An origin is lost: the connections of its callers broke, or the ends of its tasks cannot be reported to it.
     OriginLost(InstanceId),
     /// The answer to a call, or the lack of one.
     Answered(CallKey, Answer),
-    /// An answer arrived after its timeout. The duration runs from the call, without the time that the worker was to wait.
+    /// A call was answered after its timeout. The duration is the time from the call to the answer, less the wait that the
+    /// call asked for.
     AnsweredLate(Duration),
     /// What other dispatchers know of crashes of workers under tasks.
     Crashes(Vec<(TaskId, Crashes)>),
@@ -230,11 +231,11 @@
             && self
                 .calls
                 .values()
-                .all(|call| self.is_routine(call.purpose))
+                .all(|call| self.is_idle_poll(call.purpose))
     }
 
     /// Returns whether a call is a poll of an idle worker.
-    fn is_routine(&self, call: CallPurpose) -> bool {
+    fn is_idle_poll(&self, call: CallPurpose) -> bool {
         match call {
             CallPurpose::Poll(worker, PollKind::Long, _) => {
                 self.workers.get(worker).is_some_and(Worker::is_settled)
@@ -416,7 +417,7 @@
         }
     }
 
-    /// Handles the announcement of a worker that it leaves.
+    /// Handles the announcement with which a worker leaves.
     ///
     /// If the acknowledgement is lost, the worker keeps running for seconds, and a task started elsewhere would run
     /// twice. So it stays known, without new tasks, until it has listed the ends of its runs or its lease has expired.
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The request was never received, so the run did not start.
+    /// Removes a run whose start request was never received, and requeues its task.
     fn not_started(&mut self, _now: Time, key: RunKey, _out: &mut Vec<Output>) {
         if let Some(run) = self.remove_run(key)
             && let Some(batch) = run.batch
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -44,18 +44,18 @@
             }
             None => {
                 let batch = self.new_batch(now, from, order);
-                let (fresh, pass) = (batch.order.refusable, batch.order.no_wait);
-                if fresh && !pass && self.refuse_new(now, &batch, tasks.len(), out) {
+                let (refusable, no_wait) = (batch.order.refusable, batch.order.no_wait);
+                if refusable && !no_wait && self.refuse_new(now, &batch, tasks.len(), out) {
                     return;
                 }
-                if !pass {
+                if !no_wait {
                     let work = batch.work_of(tasks.len());
                     self.inflow.add(now, batch.order.priority, work);
                 }
                 let name = (batch.order.job, batch.order.step);
                 let key = self.batches.insert(batch);
                 self.batch_keys.insert(name, key);
-                self.passing.extend(pass.then_some(key));
+                self.passing.extend(no_wait.then_some(key));
                 key
             }
         };
@@ -67,8 +67,9 @@
         self.shrunk.push(key);
     }
 
-    /// Handles the repeated submission of a known step, perhaps by another origin. Tasks that this one does not name may be
-    /// elsewhere. Part of the job may have run before, unless the order says that it is new. Returns false if the
+    /// Handles the repeated submission of a known step, perhaps by another origin. Tasks that the
+    /// submission does not name may be at another dispatcher. Part of the job may have run before, unless the submission is
+    /// marked as refusable. Returns false if the
     /// submission is superseded.
     ///
     /// A caller that got no answer sends its job to another entry, while the first one may still have it and submits it
@@ -145,8 +146,8 @@
         self.remove_empty();
     }
 
-    /// Returns submitted tasks because no domain is owned here. Tasks that may be running elsewhere stay in doubt at
-    /// their origin, until a heartbeat names the dispatcher.
+    /// Returns submitted tasks because no domain is owned here. Tasks that may be running elsewhere are
+    /// returned as undetermined; their origin keeps them until a heartbeat names the dispatcher.
     pub(crate) fn return_tasks(&mut self, to: InstanceId, order: &StepOrder, tasks: &[TaskOrder]) {
         for task in tasks {
             let id = TaskId {
@@ -240,7 +241,7 @@
     }
 
     /// Assigns a task the run that it still has here and that is being stopped, and returns whether there is one. This
-    /// happens where a caller whose connection broke sends its job again before the worker has carried out the stop.
+    /// happens when a caller whose connection broke sends its job again before the worker has carried out the stop.
     /// The task is started again when the run has ended.
     fn reclaim_stopping_run(&mut self, key: BatchKey, index: u16) -> bool {
         let id = self.batches[key].task_id(index);
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -38,6 +38,7 @@
 }
 
 impl Pool {
+    /// Becomes the dispatcher of a domain and takes over its workers.
     pub(crate) fn acquire(
         &mut self,
         now: Time,
@@ -68,6 +69,8 @@
         self.poll(now, key, out);
     }
 
+    /// Applies the list with which a worker accepted the fencing token. The runs in it that this dispatcher did not start
+    /// wait until an origin claims them or `PoolConfig::adopt_timeout` expires.
     pub(crate) fn worker_taken_over(
         &mut self,
         now: Time,
@@ -183,6 +186,7 @@
         true
     }
 
+    /// Assigns a task the run that another dispatcher started.
     fn adopt_run(&mut self, now: Time, key: BatchKey, index: u16, foreign: ForeignRun) {
         let batch = &self.batches[key];
         let run = Run {
@@ -219,6 +223,8 @@
         self.requeue(key);
     }
 
+    /// Handles the end of a run that this dispatcher did not start. If it does not settle its task, it is retained for
+    /// [`END_RETENTION`].
     pub(crate) fn foreign_run_ended(&mut self, now: Time, key: WorkerKey, row: &EndedRow) {
         // An earlier run of the task may have ended on another worker; only the end of this run removes it.
         let this_run = |foreign: &ForeignRun| foreign.worker == key && foreign.run == row.run;
@@ -233,12 +239,12 @@
             worker.foreign_runs = worker.foreign_runs.saturating_sub(1);
         }
         let batch = self.batch_keys.get(&(row.task.job, row.task.step)).copied();
-        let doubtful = batch.is_some_and(|batch| {
+        let maybe_running = batch.is_some_and(|batch| {
             let task = self.batches[batch].tasks.get(&row.task.index);
             task.is_some_and(|task| matches!(task.state, TaskState::MaybeRunning(_)))
         });
         let settled = match batch {
-            Some(batch) if doubtful => {
+            Some(batch) if maybe_running => {
                 self.settle_by_end(now, batch, row.task.index, row.end, row.run)
             }
             _ => false,
@@ -286,7 +292,7 @@
         let ends = &mut self.takeover.ends;
         ends.retain(|_, (at, _, _)| now.since(*at) <= END_RETENTION);
         self.stop_foreign_runs(now, out);
-        self.release_doubtful(now);
+        self.release_maybe_running(now);
     }
 
     fn stop_foreign_runs(&mut self, now: Time, out: &mut Vec<Output>) {
@@ -312,7 +318,7 @@
         }
     }
 
-    fn release_doubtful(&mut self, now: Time) {
+    fn release_maybe_running(&mut self, now: Time) {
         let keys: Vec<_> = self.batches.keys().collect();
         for key in keys {
             let over = |state: &TaskState| matches!(state, TaskState::MaybeRunning(t) if *t <= now);
--- a/crates/celerywinch_pool/src/worker.rs
+++ b/crates/celerywinch_pool/src/worker.rs
@@ -66,7 +66,7 @@
     pub(crate) long_poll: Option<CallKey>,
     /// The outstanding short poll, which settles a request without an answer.
     pub(crate) short_poll: Option<CallKey>,
-    /// The count of inputs when the newest list that was applied was requested.
+    /// The input count at which the newest applied list was requested.
     pub(crate) list_input: u64,
     /// The times that the worker took to answer start requests.
     pub(crate) answer_times: AnswerTimes,
@@ -153,13 +153,13 @@
             && self.cursor == self.acked_cursor
     }
 
-    /// Returns the time between polls of an idle worker: `most` less up to a quarter, by a hash of its id. Otherwise
-    /// workers that were taken over together would always be polled together, and a process that stalls for 100 ms at
-    /// that moment would consider all of them silent and refuse callers.
-    pub(crate) fn idle_interval(&self, most: Duration) -> Duration {
+    /// Returns the time between polls of an idle worker: `max`, shortened by up to a quarter by a hash of its id.
+    /// Otherwise workers that were taken over together would always be polled together, and a process that stalls for
+    /// 100 ms at that moment would consider all of them silent and refuse callers.
+    pub(crate) fn idle_interval(&self, max: Duration) -> Duration {
         let spread = u64::from(u32::MAX);
         let share = stable_hash(self.announcement.id.as_bytes()) % spread;
-        most - most.mul_f64(share as f64 / spread as f64 / 4.0)
+        max - max.mul_f64(share as f64 / spread as f64 / 4.0)
     }
 
     /// Returns the outstanding poll of a kind.
@@ -178,18 +178,18 @@
         self.missed_calls += 1;
     }
 
-    /// Returns whether calls have failed for longer than `forget` and no run of this dispatcher can be active there.
+    /// Returns whether calls have failed for longer than `remove_after` and no run of this dispatcher can be active there.
     ///
     /// The age of the last contact does not matter, since an idle worker is polled rarely. A dispatcher that counted
     /// from the last answer removed such a worker together with its run when the answer to the first start was late,
     /// and the task ran a second time elsewhere. Runs are given up only when their lease expires.
-    pub(crate) fn is_lost(&self, now: Time, forget: Duration) -> bool {
-        self.missed_calls > 0 && self.runs.is_empty() && now.since(self.first_miss) > forget
+    pub(crate) fn is_lost(&self, now: Time, remove_after: Duration) -> bool {
+        self.missed_calls > 0 && self.runs.is_empty() && now.since(self.first_miss) > remove_after
     }
 
     /// Returns whether the clock reading is recent enough for a lease. A lease counted from a reading that is minutes
     /// old could last seconds longer than a successor waits for it, and the task would run on both.
-    fn has_clock(&self, now: Time) -> bool {
+    fn has_recent_clock(&self, now: Time) -> bool {
         let read = self.clock.map(|(read, _)| now.since(read));
         read.is_some_and(|age| age <= MAX_READING_AGE)
     }
@@ -223,12 +223,12 @@
 
     /// Returns whether a new task may be sent to the worker.
     pub(crate) fn accepts_tasks(&self, now: Time) -> bool {
-        let sound =
+        let available =
             self.ownership == Ownership::Owned && self.missed_calls == 0 && self.foreign_runs == 0;
         let idle = !self.probation || self.runs.is_empty();
-        sound
+        available
             && idle
-            && self.has_clock(now)
+            && self.has_recent_clock(now)
             && self.announcement.stage == WorkerStage::Ready
             && self.quarantined_until <= now
     }
@@ -252,7 +252,7 @@
         self.failure_rate = self.failure_rate * (1.0 - FAILURE_WEIGHT) + FAILURE_WEIGHT;
     }
 
-    /// Takes a failure back that turned out to be the fault of the task.
+    /// Takes back a failure that turned out to be the fault of the task.
     pub(crate) fn retract_failure(&mut self) {
         self.failure_rate = (self.failure_rate - FAILURE_WEIGHT).max(0.0);
     }
--- a/crates/celerywinch_pool/tests/crashes.rs
+++ b/crates/celerywinch_pool/tests/crashes.rs
@@ -49,7 +49,11 @@
     rig
 }
 
-fn incarnation_note(worker: &str, incarnation: u64, stage: WorkerStage) -> WorkerAnnouncement {
+fn incarnation_announcement(
+    worker: &str,
+    incarnation: u64,
+    stage: WorkerStage,
+) -> WorkerAnnouncement {
     let port = worker[1..].parse().expect("a worker's number");
     WorkerAnnouncement {
         version: AnnouncementVersion {
@@ -87,12 +91,12 @@
         End::Restarts | End::Planned => {
             let known = incarnations.entry(worker.clone()).or_insert(1);
             if ends == End::Planned {
-                let leaves = incarnation_note(&worker, *known, WorkerStage::Draining);
+                let leaves = incarnation_announcement(&worker, *known, WorkerStage::Draining);
                 rig.handle(Input::Workers(vec![leaves]));
             }
             *known += 1;
             let later = *known;
-            let back = incarnation_note(&worker, later, WorkerStage::Ready);
+            let back = incarnation_announcement(&worker, later, WorkerStage::Ready);
             rig.handle(Input::Workers(vec![back]));
             let poll = rig.last_call(is_poll);
             rig.answer(&poll, lists_of(later, Vec::new(), Vec::new()));
@@ -137,7 +141,7 @@
     end(&mut rig, &mut incarnations, End::Silent);
     let second = rig.last_call(is_start).worker;
     assert_ne!(first, second);
-    rig.handle(Input::Workers(vec![incarnation_note(
+    rig.handle(Input::Workers(vec![incarnation_announcement(
         &first,
         2,
         WorkerStage::Ready,
@@ -262,7 +266,7 @@
     for start in starts {
         rig.answer(&start, Answer::Accepted(clock()));
     }
-    rig.handle(Input::Workers(vec![incarnation_note(
+    rig.handle(Input::Workers(vec![incarnation_announcement(
         &worker,
         2,
         WorkerStage::Ready,
--- a/crates/celerywinch_pool/tests/grants.rs
+++ b/crates/celerywinch_pool/tests/grants.rs
@@ -39,7 +39,7 @@
     fn submit(&mut self, session: u32, prior_runs: PriorRuns) {
         let mut order = step(prior_runs, 0);
         order.session = Session(session);
-        // A fresh step would be refused while it waits.
+        // A refusable step would be refused while it waits.
         order.refusable = false;
         self.rig.handle(Input::Work(REMOTE, WorkMsg::Submit(order)));
     }
@@ -204,9 +204,9 @@
         remote.rig.advance(10);
     }
     let calls = &remote.rig.calls[before..];
-    let extends = |order: &Request| {
+    let extends = |request: &Request| {
         matches!(
-            order,
+            request,
             Request::Poll {
                 deadline: Some(_),
                 ..
@@ -246,7 +246,7 @@
 }
 
 /// Guards against a caller that gets no answer until its deadline: it sent its job to another entry, and the first one,
-/// which still has it, names it again after its connection broke; then only the first one would be told how the job
+/// which still has it, names it again after its connection broke; then only the first one would learn how the job
 /// ends. The entry that got the job last keeps it, and the other one gives its caller a final answer.
 #[rstest]
 #[case::later(5, 300, REMOTE, ORIGIN)]
--- a/crates/celerywinch_pool/tests/reachability.rs
+++ b/crates/celerywinch_pool/tests/reachability.rs
@@ -61,7 +61,7 @@
 #[case::all_alive(0)]
 #[case::one_dead(1)]
 #[case::some_dead(12)]
-fn worker_that_answers_is_asked_beside_dead_ones(#[case] dead: u16) {
+fn worker_that_answers_is_polled_beside_dead_ones(#[case] dead: u16) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     let mut open = OpenCalls::default();
     open.answer(&mut rig, true);
--- a/crates/celerywinch_pool/tests/runs.rs
+++ b/crates/celerywinch_pool/tests/runs.rs
@@ -19,9 +19,9 @@
     again: bool,
 }
 
-fn is_check(order: &Request) -> bool {
+fn is_short_poll(request: &Request) -> bool {
     matches!(
-        order,
+        request,
         Request::Poll {
             deadline: None,
             wait: 0,
@@ -34,26 +34,26 @@
 /// only a refusal is certain. The worker is polled, and a run that it does not list is stopped, before the task is started
 /// again.
 #[rstest]
-#[case::taken(Case { answer: Answer::Accepted(clock()), stops: false, again: false })]
-#[case::silent(Case { answer: Answer::NoAnswer, stops: true, again: false })]
-#[case::late(Case {
+#[case::accepted(Case { answer: Answer::Accepted(clock()), stops: false, again: false })]
+#[case::no_answer(Case { answer: Answer::NoAnswer, stops: true, again: false })]
+#[case::lease_expired(Case {
     answer: Answer::Rejected(Rejection::LeaseExpired, Some(clock())), stops: false, again: true,
 })]
-#[case::old(Case {
+#[case::stale_run(Case {
     answer: Answer::Rejected(Rejection::StaleRun, Some(clock())), stops: false, again: true,
 })]
-#[case::unwell(Case {
+#[case::unhealthy(Case {
     answer: Answer::Rejected(Rejection::Unhealthy, None), stops: false, again: false,
 })]
 fn answer_to_a_start(#[case] case: Case) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
-    let before = rig.count_calls(is_check);
+    let before = rig.count_calls(is_short_poll);
     rig.answer(&start, case.answer);
-    assert_eq!(rig.count_calls(is_check) > before, case.stops);
+    assert_eq!(rig.count_calls(is_short_poll) > before, case.stops);
     if case.stops {
-        let check = rig.last_call(is_check);
+        let check = rig.last_call(is_short_poll);
         rig.answer(&check, lists(Vec::new(), Vec::new()));
     }
     rig.handle(Input::Tick);
@@ -66,7 +66,7 @@
 #[rstest]
 #[case::running(lists(vec![running_row(1)], Vec::new()), 0)]
 #[case::no_answer(Answer::NoAnswer, 1)]
-fn order_without_an_answer_is_settled_by_what_the_worker_has(
+fn start_without_an_answer_is_settled_by_what_the_worker_has(
     #[case] answer: Answer,
     #[case] stops: usize,
 ) {
@@ -74,7 +74,7 @@
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::NoAnswer);
-    let check = rig.last_call(is_check);
+    let check = rig.last_call(is_short_poll);
     rig.answer(&check, answer);
     rig.handle(Input::Tick);
     assert_eq!(
@@ -130,13 +130,13 @@
     prior_runs: PriorRuns::Unknown, running: None, ended: Some((7, RunEnd::Done)), starts: false,
     reported: Some(TaskEnd::Done),
 })]
-#[case::cut_and_no_later_run(Found {
+#[case::interrupted_and_no_later_run(Found {
     prior_runs: PriorRuns::Last, running: None, ended: Some((7, RunEnd::Interrupted)), starts: true, reported: None,
 })]
-#[case::cut_and_a_later_run(Found {
+#[case::interrupted_and_a_later_run(Found {
     prior_runs: PriorRuns::Last, running: None, ended: Some((6, RunEnd::Interrupted)), starts: false, reported: None,
 })]
-#[case::cut_and_perhaps_a_later_run(Found {
+#[case::interrupted_and_perhaps_a_later_run(Found {
     prior_runs: PriorRuns::Unknown, running: None, ended: Some((7, RunEnd::Interrupted)), starts: false, reported: None,
 })]
 #[case::nothing(Found {
@@ -337,8 +337,8 @@
     rig.submit(again);
     let reported = rig.ends.first().map(|(_, end)| *end);
     assert_eq!(reported, case.reported);
-    let starts =
-        rig.count_calls(|order| matches!(order, Request::Start { task, .. } if task.job == JOB));
+    let starts = rig
+        .count_calls(|request| matches!(request, Request::Start { task, .. } if task.job == JOB));
     assert_eq!(starts, 0);
 }
 
@@ -375,7 +375,7 @@
     let unsure = case.unsure.then_some(task(0)).into_iter().collect();
     let named = WorkMsg::ResyncDone { request: 1, unsure };
     rig.handle(Input::Work(ORIGIN, named));
-    let stops = rig.count_calls(|order| matches!(order, Request::Stop { .. }));
+    let stops = rig.count_calls(|request| matches!(request, Request::Stop { .. }));
     assert_eq!(stops, usize::from(case.stopped));
 }
 
--- a/crates/celerywinch_pool/tests/silence.rs
+++ b/crates/celerywinch_pool/tests/silence.rs
@@ -144,7 +144,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.now = rig.now + Duration::from_millis(age_ms);
     let mut order = step(PriorRuns::None, 0);
-    // A fresh step would be refused for lack of workers.
+    // A refusable step would be refused for lack of workers.
     order.refusable = false;
     rig.submit(order);
     assert_eq!(rig.count_calls(is_start), starts);
--- a/crates/celerywinch_pool/tests/takeover.rs
+++ b/crates/celerywinch_pool/tests/takeover.rs
@@ -7,8 +7,8 @@
 use rig::{DOMAIN, Rig, is_poll, is_start, lists, step, worker_announcement};
 use rstest::rstest;
 
-/// After a restart of all processes, jobs are refused although all workers are idle, if workers that have not
-/// answered the new dispatcher yet do not count as capacity.
+/// Guards against refusing jobs after a restart of all processes although all workers are idle: workers that have not
+/// answered the new dispatcher yet must count as capacity.
 #[rstest]
 #[case::worker_answers(lists(Vec::new(), Vec::new()), 1)]
 #[case::worker_does_not_answer(Answer::NoAnswer, 0)]
--- a/crates/celerywinch_registry/src/lib.rs
+++ b/crates/celerywinch_registry/src/lib.rs
@@ -1,6 +1,6 @@
-//! The operators' configuration and the evacuations on the replicated log. Of the configuration, a
-//! document with a version, the one with the highest version is stored; the set of evacuated data
-//! centres has a revision.
+//! The operators' configuration and the evacuations on the replicated log. The configuration is a document
+//! with a version, and the document with the highest version is stored. The set of evacuated data centres has
+//! a revision.
 //!
 //! [`Registry`] is a state machine without clock, socket or disk, like the log below it. The host
 //! carries out its outputs as those of the log, and guarantees that a document was validated before it
--- a/crates/celerywinch_registry/src/registry.rs
+++ b/crates/celerywinch_registry/src/registry.rs
@@ -310,8 +310,8 @@
     /// acknowledged. The commit of the one proposed here is in progress by then.
     fn repropose_if_late(&mut self, now: Time, order: EvacuationOrder, waiting: &[Pending]) {
         let late = |pending: &Pending| now.since(pending.received) >= REQUEST_TIMEOUT;
-        let leads = self.raft.role() == Role::Leader;
-        if leads && !waiting.is_empty() && waiting.iter().all(late) {
+        let is_leader = self.raft.role() == Role::Leader;
+        if is_leader && !waiting.is_empty() && waiting.iter().all(late) {
             let base = self.evacuations.revision;
             self.reproposals.push(EvacuationOrder { base, ..order });
         }
@@ -419,7 +419,7 @@
     }
 }
 
-/// Decodes a snapshot. Those of releases without evacuations end after the document.
+/// Decodes a snapshot. Snapshots of releases without evacuations end after the document.
 fn decode_state(snapshot: &Snapshot) -> anyhow::Result<(VersionedDocument, Evacuations)> {
     let state = &snapshot.state;
     if state.is_empty() {
--- a/crates/celerywinch_types/src/fleet.rs
+++ b/crates/celerywinch_types/src/fleet.rs
@@ -86,10 +86,10 @@
         pub base: u64,
     }
 
-    /// The last heartbeat that the sender of this one received from its receiver.
+    /// The last heartbeat that the sender of the echo received from the receiver of the echo.
     ///
-    /// It tells the receiver, on its own clock and however late the heartbeat arrives, until when the sender
-    /// certainly counts it as alive.
+    /// From it the receiver knows, on its own clock and however late the echo arrives, until when the sender certainly
+    /// counts it as alive.
     #[derive(Copy)]
     pub struct Echo {
         /// The incarnation of the receiver that sent it.
@@ -127,8 +127,8 @@
         /// Whether the sender needs frequent heartbeats of the receiver: it submits work to it, or would succeed it
         /// as a dispatcher.
         pub wants_frequent: bool,
-        /// Whether the receiver is to answer at once, as all processes of its data centre that the sender hears often
-        /// have fallen silent.
+        /// Whether the receiver is to answer at once, as all processes of its data centre that send frequent heartbeats to
+        /// the sender have fallen silent.
         pub probe: bool,
     }
 
@@ -186,7 +186,7 @@
     /// Tasks of one step of a job, submitted to a dispatcher.
     pub struct StepOrder {
         /// The session of the dispatcher at the origin. If it is earlier than the one in the origin's heartbeats, the
-        /// order was delayed on its way, and its tasks may have been submitted elsewhere.
+        /// submission was delayed on its way, and its tasks may have been submitted elsewhere.
         pub session: Session,
         /// The job.
         pub job: JobId,
@@ -248,9 +248,9 @@
             /// The highest run number that may have been used for it.
             run: RunNumber,
         },
-        /// Not started: there is no capacity at present, and the order asked not to wait.
+        /// Not started: there is no capacity at present, and the submission asked not to wait.
         Full,
-        /// Returned in doubt, as it was submitted: whether it runs could not be determined.
+        /// Returned with the [`PriorRuns`] of its submission: whether it is running could not be determined.
         Undetermined,
         /// Refused, and nothing of its job has run here; worth another try after this many ms.
         Refused(u32),
--- a/crates/celerywinch_types/src/mechanism.rs
+++ b/crates/celerywinch_types/src/mechanism.rs
@@ -28,17 +28,17 @@
         Passing,
         /// Adopts the runs that a lost dispatcher started.
         Adoption,
-        /// Settles tasks in doubt by the ends of runs that are found at a takeover.
+        /// Settles tasks that may have run by the ends of runs that are found at a takeover.
         Shortcuts,
         /// Sends learned run times to successors.
         Teaching,
         /// Learns run times.
         Learning,
-        /// Derives the timeout of an order from the answer times of earlier ones.
+        /// Derives the timeouts of start and stop requests from earlier answer times.
         Patience,
         /// Shortens the takeover delay of dispatchers where all processes have just started.
         ShortListening,
-        /// Tells a refused caller when the queue will be empty.
+        /// Gives a refused caller the time until the queue is empty as its retry delay.
         RetryTime,
         /// Keeps work in one data centre while that has capacity.
         Locality,
--- a/crates/celerywinch_types/src/work.rs
+++ b/crates/celerywinch_types/src/work.rs
@@ -107,7 +107,7 @@
         pub id: String,
         /// The service whose tasks it runs.
         pub service: String,
-        /// The address at which it accepts orders.
+        /// The address at which it accepts requests.
         pub addr: std::net::SocketAddr,
         /// Its data centre.
         pub dc: crate::DataCentreId,
@@ -172,8 +172,8 @@
 
     /// Returns the token for a worker that has restarted this often since the domain was acquired.
     ///
-    /// A worker that has restarted has seen no token. It would obey an order that was sent to its earlier incarnation and delayed
-    /// on its way, while the task runs elsewhere. Once it has seen this token it refuses that order.
+    /// A worker that has restarted has seen no token. It would obey a request that was sent to its earlier incarnation and
+    /// delayed on its way, while the task runs elsewhere. Once it has seen this token it refuses that request.
     #[must_use]
     pub fn for_incarnation(self, restarts: u64) -> Self {
         Self(self.0 + restarts.min(MAX_INCARNATIONS))
