--- a/crates/celerywinch_claims/tests/settling.rs
+++ b/crates/celerywinch_claims/tests/settling.rs
@@ -49,6 +49,7 @@
     }
 }
 
+/// Guards against a false "not run": it is proposed only if no holder can have had a majority of the votes.
 #[rstest]
 #[case::nobody(Case { promises: &[(1, Vote::None), (2, Vote::None)], not_run: true })]
 #[case::one_vote_and_one_missing(Case {
@@ -64,11 +65,11 @@
     promises: &[(1, Vote::For(1)), (2, Vote::For(2))],
     not_run: false,
 })]
-#[case::split_given_up(Case {
+#[case::split_and_void(Case {
     promises: &[(1, Vote::Void(1)), (2, Vote::Void(2))],
     not_run: true,
 })]
-#[case::given_up_by_its_holder(Case {
+#[case::void_by_its_holder(Case {
     promises: &[(1, Vote::Void(1)), (2, Vote::For(1))],
     not_run: true,
 })]
--- a/crates/celerywinch_domains/tests/ownership.rs
+++ b/crates/celerywinch_domains/tests/ownership.rs
@@ -94,15 +94,16 @@
     }
 }
 
-/// An entry that is alone in its data centre, and hears keepers of all, of some or of no other data centres.
+/// Checks which data centres are acquired by an entry that is alone in its own and receives heartbeats of keepers in all,
+/// some or no other data centres.
 #[rstest]
-#[case::hears_all(&[1, 2], &[0, 1, 2])]
+#[case::contact_with_all(&[1, 2], &[0, 1, 2])]
 #[case::partitioned(&[], &[0])]
 #[case::two_of_three(&[1], &[0, 1, 2])]
-fn acquires_reachable_data_centres(#[case] heard: &[u8], #[case] owned: &[u8]) {
+fn acquires_reachable_data_centres(#[case] in_contact: &[u8], #[case] owned: &[u8]) {
     let mut harness = Harness::new();
     for _ in 0..20 {
-        for dc in heard {
+        for dc in in_contact {
             harness.receive(
                 100 + u32::from(*dc),
                 heartbeat(*dc, ProcessKind::Keeper, &[]),
@@ -110,14 +111,15 @@
         }
         harness.tick();
     }
-    // When more than half of the data centres are heard, the entry tries to reach the workers of the others.
+    // When more than half of the data centres are in contact, the entry tries to reach the workers of the others.
     assert_eq!(harness.owned(), owned);
 }
 
-/// Guards against two dispatchers that order the same workers in turn: as a partition heals, the processes of a
-/// data centre are heard one after the other and its dispatcher last, so another entry takes the data centre over.
+/// Guards against two dispatchers that take the same workers from each other: as a partition heals, contact with the
+/// processes of a data centre returns one after the other and with its dispatcher last, so another entry takes the data
+/// centre over.
 #[test]
-fn listens_before_it_acquires_a_data_centre_heard_again() {
+fn listens_before_it_acquires_a_data_centre_that_is_back() {
     let mut harness = Harness::new();
     for _ in 0..20 {
         harness.tick();
@@ -138,9 +140,9 @@
 }
 
 struct PartitionHeal {
-    /// How long further processes are discovered, in ms after the first one was heard.
+    /// How long further processes are discovered, in ms after the first heartbeat of another process.
     found: u64,
-    /// When the domain is resigned, in ms after the first process was heard.
+    /// When the domain is resigned, in ms after that first heartbeat.
     resigned: u64,
 }
 
@@ -170,8 +172,8 @@
     }
 }
 
-/// Guards against shards that change owners as a partition heals: the dispatcher is heard after other processes of its data centre,
-/// and later than the usual takeover delay.
+/// Guards against shards that change owners as a partition heals: the first heartbeat of the dispatcher arrives after
+/// those of other processes of its data centre, and later than the usual takeover delay.
 #[test]
 fn acquires_nothing_while_processes_are_discovered() {
     let mut harness = Harness::new();
@@ -248,7 +250,7 @@
 /// Guards against two dispatchers that take the same workers from each other in turn: an entry that is cut off from
 /// all other processes, but not from the workers, goes on to dispatch. Once fenced it must acquire nothing.
 #[test]
-fn entry_that_hears_nobody_acquires_nothing() {
+fn entry_without_contact_acquires_nothing() {
     let mut harness = Harness::new();
     for _ in 0..20 {
         harness.receive(101, heartbeat(1, ProcessKind::Keeper, &[]));
@@ -264,30 +266,30 @@
     }
     for _ in 0..50 {
         harness.tick();
-        assert_eq!(harness.owned(), [], "nobody is heard");
+        assert_eq!(harness.owned(), [], "no process is in contact");
     }
     harness.receive(101, heartbeat(1, ProcessKind::Keeper, &[]));
     for _ in 0..15 {
         harness.receive(101, heartbeat(1, ProcessKind::Keeper, &[]));
         harness.tick();
     }
-    assert!(harness.owned().contains(&0), "heard again");
+    assert!(harness.owned().contains(&0), "in contact again");
 }
 
 /// Guards against refusals while entries listen for owners that cannot exist: all processes have lost power at once,
-/// are back within tens of ms and have just started. A process that has run for longer may know of an owner that is
-/// not heard yet. With several dispatchers, the few entries that are ready first would take most of the shards.
+/// are back within tens of ms and have just started. A process that has run for longer may know of an owner
+/// whose heartbeat has not arrived yet. With several dispatchers, the few entries that are ready first would take most of the shards.
 #[rstest]
 #[case::all_have_just_started(20, true, &[0, 1, 2])]
 #[case::one_has_not(5_000, true, &[])]
 #[case::several_dispatchers(20, false, &[])]
 fn takeover_is_faster_after_a_loss_of_all_processes(
     #[case] age: u64,
-    #[case] undivided: bool,
+    #[case] single_dispatcher: bool,
     #[case] owned: &[u8],
 ) {
     let mut harness = Harness::new();
-    harness.domains.set_single_dispatcher(undivided);
+    harness.domains.set_single_dispatcher(single_dispatcher);
     for _ in 0..8 {
         for (instance, dc, age) in [(101, 1, 20), (102, 2, age)] {
             let heartbeat = FleetHeartbeat {
@@ -307,7 +309,7 @@
 #[case::all_ready(&[Stage::Ready, Stage::Ready], 20, true)]
 #[case::one_is_joining(&[Stage::Ready, Stage::Joining], 20, false)]
 #[case::all_have_run_for_longer(&[Stage::Ready, Stage::Ready], 5_000, false)]
-#[case::no_entry_is_heard(&[], 20, false)]
+#[case::no_entry_is_alive(&[], 20, false)]
 fn several_dispatchers_listen_briefly_once_all_entries_are_ready(
     #[case] stages: &[Stage],
     #[case] age: u64,
--- a/crates/celerywinch_member/tests/contacts.rs
+++ b/crates/celerywinch_member/tests/contacts.rs
@@ -16,7 +16,7 @@
 const NOW: Time = Time(10_000_000);
 
 struct Case {
-    /// The part of the process under test.
+    /// The kind of the process under test.
     kind: ProcessKind,
     /// How long the peer had run at its last heartbeat, in ms; `None` if there was none.
     uptime: Option<u64>,
--- a/crates/celerywinch_member/tests/idle.rs
+++ b/crates/celerywinch_member/tests/idle.rs
@@ -106,15 +106,15 @@
 }
 
 /// Guards against needless changes of the dispatcher, for which callers wait: the processes of a data centre
-/// are silent and its workers answer, but none is called as there is no work. After 1 s the dispatcher takes
-/// the data centre for cut off, resigns it, acquires it again 3 s later, and so on.
+/// are silent and its workers answer, but none is called as there is no work. After 1 s the dispatcher would
+/// consider the data centre unreachable, resign it, acquire it again 3 s later, and so on.
 #[test]
 fn idle_data_centre_is_kept_while_its_workers_answer() {
     assert_eq!(count_resignations(150, 0, 1), 0);
 }
 
-/// As above, but some workers died with the processes: whichever worker is asked first, one of the others
-/// answers within the second.
+/// Guards against the same changes when some workers died with the processes: whichever worker is polled first,
+/// one of the others answers within the second.
 #[test]
 fn idle_data_centre_is_kept_while_some_of_its_workers_answer() {
     assert_eq!(count_resignations(150, 3, 5), 0);
@@ -127,8 +127,8 @@
     assert!(count_resignations(150, 5, 5) >= 1);
 }
 
-/// As above, but the workers have not been called for a long time when the processes fall silent: they are
-/// asked first.
+/// Guards against the same changes when the workers have not been called for a long time before the processes
+/// fall silent: a worker is polled before the data centre is resigned.
 #[test]
 fn long_idle_data_centre_is_kept_while_its_workers_answer() {
     assert_eq!(count_resignations(350, 0, 1), 0);
--- a/crates/celerywinch_member/tests/learned.rs
+++ b/crates/celerywinch_member/tests/learned.rs
@@ -59,7 +59,7 @@
 
 /// Guards against late starts of tasks, once a second, when a dispatcher sends what it has learned to all
 /// other entries at the same moment: with 350 workers and 45 queues, 27 messages of 8 KB take its link for 70
-/// ms, before its own orders and heartbeats. If they are sent one after the other, each entry gets them as
+/// ms, before its own requests to workers and heartbeats. If they are sent one after the other, each entry gets them as
 /// often, and other messages wait for one of them at most. Among many entries only the four that would
 /// dispatch next get them.
 #[rstest]
--- a/crates/celerywinch_member/tests/origins.rs
+++ b/crates/celerywinch_member/tests/origins.rs
@@ -108,7 +108,7 @@
 #[case::refused(Origin::Refused, false)]
 #[case::silent(Origin::Silent, false)]
 #[case::other_incarnation(Origin::OtherIncarnation, false)]
-fn work_of_a_lost_origin_is_dropped(#[case] origin: Origin, #[case] taken: bool) {
+fn work_of_a_lost_origin_is_dropped(#[case] origin: Origin, #[case] accepted: bool) {
     let mut now = Time(1_000_000);
     let mut member = member(now, ProcessKind::Entry);
     let mut out = Vec::new();
@@ -136,7 +136,7 @@
     }
     let msg = WorkMsg::Submit(order());
     member.handle(now, Input::Work(process(2, 1), msg), &mut out);
-    assert_eq!(member.is_busy(), taken);
+    assert_eq!(member.is_busy(), accepted);
 }
 
 /// Guards against a caller that waits until its deadline: work is dropped while its origin counts as lost,
@@ -189,9 +189,9 @@
         Input::Heartbeat(process(2, 1), heartbeat(now)),
         &mut out,
     );
-    let asks =
+    let is_resync =
         |output: &Output| matches!(output, Output::Send(_, FleetMsg::Work(WorkMsg::Resync(_))));
-    assert!(out.iter().any(asks), "{out:?}");
+    assert!(out.iter().any(is_resync), "{out:?}");
 }
 
 /// Guards against idle workers while callers are refused. A keeper reports each new worker to the entries
@@ -284,16 +284,16 @@
 /// Guards against running a job twice. Its entry is cut off from a dispatcher when the caller's connection to
 /// the entry breaks, and the caller submits the job to another entry 1.3 s later. The dispatcher drops the
 /// work of a silent origin at its next tick; but it is suspended for a moment, and its first action
-/// afterwards is to start a waiting task on the worker that has room. The lease of that task would end after
+/// afterwards is to start a waiting task on the worker that has free capacity. The lease of that task would end after
 /// the caller's second submission.
 #[rstest]
 #[case::within_the_timeout(300, true)]
 #[case::after_the_timeout(360, false)]
-fn nothing_is_started_for_a_silent_origin(#[case] silent: u64, #[case] starts: bool) {
+fn nothing_is_started_for_a_silent_origin(#[case] silent_ms: u64, #[case] starts: bool) {
     let mut now = Time(1_000_000);
     let mut member = member(now, ProcessKind::Entry);
     let cpu = 16_000;
-    let room = Resources {
+    let capacity = Resources {
         cpu,
         ..Resources::default()
     };
@@ -302,7 +302,7 @@
         service: "s".to_owned(),
         addr: ([127, 0, 0, 1], 1).into(),
         dc: DC,
-        capacity: room,
+        capacity,
         labels: Vec::new(),
         stage: WorkerStage::Ready,
         version: AnnouncementVersion {
@@ -332,7 +332,7 @@
     for job in [7, 8] {
         let mut order = order();
         order.job = JobId(job);
-        order.need = room;
+        order.need = capacity;
         let msg = WorkMsg::Submit(order);
         member.handle(now, Input::Work(process(2, 1), msg), &mut out);
     }
@@ -342,15 +342,15 @@
         Request::Stop { .. } | Request::Poll { .. } => None,
     });
     let (key, task, run) = start.expect("the first is started");
-    let taken = Input::Answered(key, Answer::Accepted(WorkerClock(5_000)));
-    member.handle(now, taken, &mut out);
+    let accepted = Input::Answered(key, Answer::Accepted(WorkerClock(5_000)));
+    member.handle(now, accepted, &mut out);
     let polls = calls(&out);
     let poll = polls
         .iter()
         .rev()
         .find(|call| matches!(call.request, Request::Poll { .. }));
     let poll = poll.expect("a poll").key;
-    now = now + Duration::from_millis(silent);
+    now = now + Duration::from_millis(silent_ms);
     out.clear();
     let ended = EndedRow {
         serial: 1,
--- a/crates/celerywinch_origin/tests/submissions.rs
+++ b/crates/celerywinch_origin/tests/submissions.rs
@@ -69,7 +69,7 @@
 
 impl Harness {
     /// Creates an origin with a job of so many tasks, and dispatchers with these numbers of free places.
-    fn new(tasks: u16, rooms: &[u32]) -> Self {
+    fn new(tasks: u16, free_places: &[u32]) -> Self {
         let mut harness = Self {
             origin: Origin::new(DC, DisabledMechanisms::default()),
             now: Time(1_000_000),
@@ -78,7 +78,7 @@
             resyncs: Vec::new(),
             answers: Vec::new(),
         };
-        let holders = (1..).zip(rooms);
+        let holders = (1..).zip(free_places);
         let holders = holders.map(|(instance, free)| holder(instance, *free));
         harness.handle(Input::Holders(holders.collect()));
         harness.handle(Input::Submit(CALLER, job(tasks)));
@@ -168,9 +168,9 @@
     assert_eq!(harness.answers, [JobEnd::Refused(100)]);
 }
 
-struct DispatcherRooms {
-    /// Room of dispatchers in other data centres, and of the one in the origin's.
-    rooms: (u32, u32),
+struct FreeCapacity {
+    /// Free places of each dispatcher in other data centres, and of the one in the origin's.
+    free_places: (u32, u32),
     /// Whether the local one is tried first.
     first: bool,
 }
@@ -178,10 +178,10 @@
 /// Guards against losing jobs with any data centre that is cut off, because their dispatchers are drawn from all data
 /// centres. A local dispatcher that had no room is not tried again.
 #[rstest]
-#[case::room_for_a_part(DispatcherRooms { rooms: (9, 1), first: true })]
-#[case::no_room(DispatcherRooms { rooms: (9, 0), first: false })]
-fn local_dispatchers_are_preferred(#[case] case: DispatcherRooms) {
-    let (far, local) = case.rooms;
+#[case::room_for_a_part(FreeCapacity { free_places: (9, 1), first: true })]
+#[case::no_room(FreeCapacity { free_places: (9, 0), first: false })]
+fn local_dispatchers_are_preferred(#[case] case: FreeCapacity) {
+    let (far, local) = case.free_places;
     let mut harness = Harness::new(2, &[]);
     let mut holders: Vec<_> = (1..=5).map(|instance| holder(instance, far)).collect();
     for holder in &mut holders {
@@ -337,8 +337,8 @@
 
 /// Guards against two runs of one task. A successor gets it with the number of its last run, finds that run ended, starts
 /// the next one, and returns the task; that message is lost in a reset of the link, and the reply to the second
-/// submission says only that the task is in doubt. If the origin kept the doubt of the first submission, the task
-/// would be started again.
+/// submission says only that the task is in doubt. If the origin kept the prior runs of the first submission,
+/// the task would be started again.
 #[test]
 fn resubmitted_task_in_doubt_may_have_run_meanwhile() {
     let mut harness = Harness::new(1, &[5]);
--- a/crates/celerywinch_registry/tests/slow_disks.rs
+++ b/crates/celerywinch_registry/tests/slow_disks.rs
@@ -154,7 +154,12 @@
     }
 
     /// Sends a request to a keeper and waits for the answer until a time.
-    fn ask(&mut self, keeper: usize, until: Time, request: KeeperRequest) -> Option<KeeperState> {
+    fn send_and_wait(
+        &mut self,
+        keeper: usize,
+        until: Time,
+        request: KeeperRequest,
+    ) -> Option<KeeperState> {
         self.last_request += 1;
         let request = Request {
             from: InstanceId(keeper as u32 + 1),
@@ -174,14 +179,14 @@
         let mut keeper = 0;
         while self.now.since(start) < timeout {
             let until = self.now + REQUEST_TIMEOUT;
-            if let Some(state) = self.ask(keeper, until, KeeperRequest::ReadEvacuations) {
+            if let Some(state) = self.send_and_wait(keeper, until, KeeperRequest::ReadEvacuations) {
                 let base = state.evacuations.revision;
                 let order = KeeperRequest::Evacuate(EvacuationOrder {
                     dc,
                     evacuated,
                     base,
                 });
-                let state = self.ask(keeper, until, order);
+                let state = self.send_and_wait(keeper, until, order);
                 let state = state.map(|state| state.evacuations);
                 if let Some(state) = state.filter(|state| state.dcs.contains(&dc) == evacuated) {
                     return Some(state.revision);
@@ -231,12 +236,12 @@
         let stored = loop {
             let until = group.now + REQUEST_TIMEOUT;
             let put = KeeperRequest::PutDocument(version, vec![7]);
-            if let Some(state) = group.ask(keeper, until, put) {
+            if let Some(state) = group.send_and_wait(keeper, until, put) {
                 break state.version;
             }
             let sent = group.now;
             let until = sent + REQUEST_TIMEOUT;
-            let read = group.ask(keeper, until, KeeperRequest::ReadDocument);
+            let read = group.send_and_wait(keeper, until, KeeperRequest::ReadDocument);
             assert!(read.is_some(), "no answer to a read");
             let took = group.now.since(sent);
             assert!(took <= Duration::from_millis(50), "a read took {took:?}");
@@ -278,7 +283,7 @@
     assert!(group.evacuate(1, true, timeout) > Some(base));
     group.run(due + Duration::from_secs(10), None);
     let until = group.now + Duration::from_secs(10);
-    let state = group.ask(1, until, KeeperRequest::ReadEvacuations);
+    let state = group.send_and_wait(1, until, KeeperRequest::ReadEvacuations);
     let dcs = state.expect("an answer").evacuations.dcs;
     assert!(dcs.contains(&DataCentreId(1)));
 }
