--- a/crates/celerywinch_pool/src/config.rs
+++ b/crates/celerywinch_pool/src/config.rs
@@ -27,7 +27,7 @@
     /// How much longer than its wait the answer to a poll may take.
     pub answer_timeout: Duration,
     /// How long the answer to a start or stop request may take. A start without an answer is resolved by a stop.
-    pub order_timeout: Duration,
+    pub request_timeout: Duration,
     /// The longest timeout of any call, beside the wait of a poll, where all answers are slow. Two such timeouts, with the
     /// allowance for answers that are not read yet, fit into a lease.
     pub max_timeout: Duration,
@@ -71,7 +71,7 @@
             poll_wait: Duration::from_millis(150),
             min_wait: Duration::from_millis(80),
             answer_timeout: Duration::from_millis(80),
-            order_timeout: Duration::from_millis(80),
+            request_timeout: Duration::from_millis(80),
             max_timeout: Duration::from_millis(300),
             ack_delay: Duration::from_millis(400),
             idle_interval: Duration::from_secs(4),
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -558,12 +558,12 @@
             Request::Start { .. } | Request::Stop { .. }
                 if self.config.disabled.contains(Mechanism::Patience) =>
             {
-                self.config.order_timeout
+                self.config.request_timeout
             }
             Request::Start { .. } | Request::Stop { .. } => {
                 let wait = self.workers[worker]
                     .answer_times
-                    .timeout(self.config.order_timeout);
+                    .timeout(self.config.request_timeout);
                 wait.max(shared)
             }
         };
