--- a/crates/celerywinch_claims/src/claim.rs
+++ b/crates/celerywinch_claims/src/claim.rs
@@ -163,8 +163,8 @@
 
     /// Records a replica's answer; `None` is an abstention.
     pub fn answer(&mut self, from: InstanceId, grant: Option<Grant>) -> Progress<Verdict> {
-        let known = self.state.answers.iter().any(|(id, _)| *id == from);
-        if known || !self.group.contains(from) {
+        let answered = self.state.answers.iter().any(|(id, _)| *id == from);
+        if answered || !self.group.contains(from) {
             return Progress::Pending;
         }
         let taken = match &grant {
@@ -193,8 +193,8 @@
         if granted >= self.group.majority() {
             return Progress::Done(Verdict::Won);
         }
-        let open = self.group.members().len() - self.state.answers.len();
-        if granted + open >= self.group.majority() {
+        let outstanding = self.group.members().len() - self.state.answers.len();
+        if granted + outstanding >= self.group.majority() {
             return Progress::Pending;
         }
         Progress::Done(self.failed_vote())
--- a/crates/celerywinch_dispatch/src/admission.rs
+++ b/crates/celerywinch_dispatch/src/admission.rs
@@ -71,7 +71,7 @@
 
     /// Returns the expected time until the last of `tasks` gets one of `slots`.
     fn wait(&self, tasks: usize, slots: usize) -> Duration {
-        let over = tasks.saturating_sub(slots);
-        self.mean.mul_f64(over as f64 / slots.max(1) as f64)
+        let excess = tasks.saturating_sub(slots);
+        self.mean.mul_f64(excess as f64 / slots.max(1) as f64)
     }
 }
--- a/crates/celerywinch_dispatch/src/dispatch.rs
+++ b/crates/celerywinch_dispatch/src/dispatch.rs
@@ -524,9 +524,9 @@
     /// Returns the number of serving endpoints, and how many of them are quarantined or on probation.
     #[must_use]
     pub fn endpoint_counts(&self) -> (usize, usize) {
-        let known = self.endpoints.values().filter(|e| e.is_usable());
-        let suspended = known.clone().filter(|e| e.health.is_suspended());
-        (known.count(), suspended.count())
+        let serving = self.endpoints.values().filter(|e| e.is_usable());
+        let suspended = serving.clone().filter(|e| e.health.is_suspended());
+        (serving.count(), suspended.count())
     }
 
     /// Returns the announcement of an endpoint, as long as it has calls in flight or a lease.
--- a/crates/celerywinch_dispatch/src/loans.rs
+++ b/crates/celerywinch_dispatch/src/loans.rs
@@ -48,16 +48,16 @@
         }
         let ids = self.kinds.get(kind)?.endpoints.clone();
         let free: u16 = ids.iter().map(|id| self.endpoints[*id].free(now)).sum();
-        let mut left = count.min(free.div_ceil(2));
+        let mut remaining = count.min(free.div_ceil(2));
         let mut slots = Vec::new();
         for id in ids {
             let endpoint = &mut self.endpoints[id];
-            let lendable = endpoint.free(now).min(left);
+            let lendable = endpoint.free(now).min(remaining);
             // A borrowed slot is not lent on, because its lender would not get it back in time.
             let lendable = lendable.min(endpoint.share.saturating_sub(endpoint.lent));
             if lendable > 0 && !endpoint.health.is_suspect() {
                 endpoint.lent += lendable;
-                left -= lendable;
+                remaining -= lendable;
                 slots.push((endpoint.announcement.addr, lendable));
             }
         }
--- a/crates/celerywinch_domains/src/cluster_view.rs
+++ b/crates/celerywinch_domains/src/cluster_view.rs
@@ -43,8 +43,12 @@
     }
 
     fn rank(&self, shard: u8) -> Rank {
-        let here = self.owned_in_shard(shard);
-        (here == 0, self.total - here, tie_break(shard, self.id))
+        let owned_here = self.owned_in_shard(shard);
+        (
+            owned_here == 0,
+            self.total - owned_here,
+            tie_break(shard, self.id),
+        )
     }
 
     /// Returns the rank among several owners of a shard. The one with the most data centres comes first, as less work
--- a/crates/celerywinch_domains/src/domains.rs
+++ b/crates/celerywinch_domains/src/domains.rs
@@ -283,9 +283,9 @@
                 let listen_period = self.listen_period(now, peers);
                 let listened =
                     !self.resharding && self.has_listened(now, self.listen_start, listen_period);
-                let first = listened && view.ranks_first(shard, &self.candidate());
-                let may = first && is_connected(now, peers);
-                if may && self.may_acquire(now, domain.dc, listen_period) {
+                let is_first = listened && view.ranks_first(shard, &self.candidate());
+                let allowed = is_first && is_connected(now, peers);
+                if allowed && self.may_acquire(now, domain.dc, listen_period) {
                     self.acquire(domain, out);
                 }
             }
@@ -339,8 +339,9 @@
     /// Whether a data centre is in contact: one of its processes is alive, or its machine refuses connections, which shows
     /// that the workers there can be reached. Across a partition they cannot, and its own entries dispatch there.
     fn has_contact(&self, now: Time, dc: DataCentreId, peers: &Peers) -> bool {
-        let there = |view: &PeerView| view.heartbeat.dc == dc && (view.alive(now) || view.refused);
-        dc == self.me.dc || peers.all().any(|(_, view)| there(view))
+        let in_contact =
+            |view: &PeerView| view.heartbeat.dc == dc && (view.alive(now) || view.refused);
+        dc == self.me.dc || peers.all().any(|(_, view)| in_contact(view))
     }
 
     /// Returns the owned domains of data centres that are not in contact. They are kept only while their workers answer,
--- a/crates/celerywinch_member/src/heartbeats.rs
+++ b/crates/celerywinch_member/src/heartbeats.rs
@@ -137,12 +137,12 @@
 
     /// Whether a process is in this data centre, so that callers' jobs are submitted to it first.
     fn is_local(&self, peer: InstanceId) -> bool {
-        let here = peer == self.config.me.instance
+        let same_dc = peer == self.config.me.instance
             || self
                 .peers
                 .get(peer)
                 .is_some_and(|view| view.heartbeat.dc == self.config.dc);
-        here && !self.config.pool.disabled.contains(Mechanism::Locality)
+        same_dc && !self.config.pool.disabled.contains(Mechanism::Locality)
     }
 
     /// Requests frequent heartbeats from a dispatcher before it gets work: it starts the work only with a
@@ -162,11 +162,11 @@
     /// its last heartbeat, seconds ago. Callers' jobs submitted to such a dispatcher would wait there for as
     /// long, and so would a shard whose takeover waits for such an entry because it ranks before this one.
     fn request_heartbeat(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
-        let known = self
+        let has_long_timeout = self
             .peers
             .get(peer)
             .is_some_and(|view| !view.has_short_timeout());
-        if known && !self.is_small_fleet() {
+        if has_long_timeout && !self.is_small_fleet() {
             self.update_announced(now, peer);
             self.send_probe(now, peer, out);
         }
@@ -318,8 +318,8 @@
 
     /// Sends the heartbeats that are due: to frequent peers at once, to the others one after the other.
     pub(crate) fn send_due_heartbeats(&mut self, now: Time, out: &mut Vec<Output>) {
-        let often = self.is_small_fleet() && !self.domains.owned().is_empty();
-        let interval = if often {
+        let is_dispatcher = self.is_small_fleet() && !self.domains.owned().is_empty();
+        let interval = if is_dispatcher {
             DISPATCHER_INTERVAL
         } else {
             HEARTBEAT_INTERVAL
@@ -389,10 +389,10 @@
         }
         let mut silent: BTreeMap<DataCentreId, bool> = BTreeMap::new();
         for (_, view) in self.peers.all() {
-            let quiet = now.since(view.last_contact);
-            if view.has_short_timeout() && !view.refused && quiet < PROBE_INTERVAL {
+            let silence = now.since(view.last_contact);
+            if view.has_short_timeout() && !view.refused && silence < PROBE_INTERVAL {
                 let all = silent.entry(view.heartbeat.dc).or_insert(true);
-                *all &= quiet >= SUSPECT_AFTER;
+                *all &= silence >= SUSPECT_AFTER;
             }
         }
         for (dc, _) in silent.into_iter().filter(|(_, all)| *all) {
@@ -407,8 +407,8 @@
     /// Probes the live peers of a data centre that do not send frequent heartbeats.
     fn probe_data_centre(&mut self, now: Time, dc: DataCentreId, out: &mut Vec<Output>) {
         let alive = self.peers.alive(now);
-        let there = alive.filter(|(_, view)| view.heartbeat.dc == dc && !view.has_short_timeout());
-        let peers: Vec<_> = there.map(|(peer, _)| peer).collect();
+        let in_dc = alive.filter(|(_, view)| view.heartbeat.dc == dc && !view.has_short_timeout());
+        let peers: Vec<_> = in_dc.map(|(peer, _)| peer).collect();
         for peer in peers {
             self.send_probe(now, peer, out);
         }
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -439,8 +439,8 @@
         } else {
             JOIN_DELAY
         };
-        let known = self.version > 0 && now.since(self.started) >= wait;
-        if self.stage == Stage::Joining && known {
+        let may_join = self.version > 0 && now.since(self.started) >= wait;
+        if self.stage == Stage::Joining && may_join {
             self.set_stage(Stage::Ready, out);
             self.broadcast_heartbeat(now, out);
         }
@@ -474,7 +474,7 @@
         self.domains.observe(heartbeat.fence);
         let timeout = Self::timeout_after(&heartbeat);
         let (echo, loads) = (heartbeat.echo, heartbeat.owned_domains.clone());
-        let answer = heartbeat.probe;
+        let is_probe = heartbeat.probe;
         if !self.peers.record_heartbeat(now, from, heartbeat, timeout) {
             return;
         }
@@ -495,7 +495,7 @@
             // need the echo to start what was submitted to it.
             let now_frequent = timeout <= FREQUENT_TIMEOUT && !was_frequent;
             self.holders_stale |= now_frequent;
-            if answer || now_frequent {
+            if is_probe || now_frequent {
                 self.send_heartbeat(now, from.instance, out);
             }
         }
--- a/crates/celerywinch_origin/src/lost.rs
+++ b/crates/celerywinch_origin/src/lost.rs
@@ -62,11 +62,11 @@
             }
             for step in steps {
                 let tasks = job.tasks.range_mut((step, 0)..=(step, u16::MAX));
-                let here = tasks
+                let resubmitted = tasks
                     .filter(|(_, t)| matches!(t.state, TaskState::Submitted(at, _) if at == peer));
                 self.last_submission += 1;
                 let submission = self.last_submission;
-                let orders = here.map(|((_, index), task)| {
+                let orders = resubmitted.map(|((_, index), task)| {
                     task.submission = submission;
                     task.order(*index, PriorRuns::Unknown)
                 });
@@ -82,8 +82,8 @@
     pub(crate) fn lost_tasks(&self, peer: InstanceId) -> Vec<TaskId> {
         let mut found = Vec::new();
         for job in self.jobs.values() {
-            let lost = |state: &TaskState| matches!(state, TaskState::MaybeRunning(run) if run.dispatcher == Some(peer));
-            let tasks = job.tasks.iter().filter(|(_, task)| lost(&task.state));
+            let was_lost = |state: &TaskState| matches!(state, TaskState::MaybeRunning(run) if run.dispatcher == Some(peer));
+            let tasks = job.tasks.iter().filter(|(_, task)| was_lost(&task.state));
             found.extend(tasks.map(|((step, index), _)| TaskId {
                 job: job.id,
                 step: *step,
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -562,9 +562,9 @@
         let mut taken = u32::try_from(count).unwrap_or(u32::MAX);
         let known = self.holders.iter_mut();
         for known in known.filter(|known| known.instance == holder.instance) {
-            let here = taken.min(known.load.free);
-            known.load.free -= here;
-            taken -= here;
+            let taken_here = taken.min(known.load.free);
+            known.load.free -= taken_here;
+            taken -= taken_here;
         }
     }
 }
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -53,7 +53,7 @@
         if worker.ownership == Ownership::None || worker.long_poll.is_some() || !due {
             return;
         }
-        let own = worker.ownership == Ownership::Owned && !worker.runs.is_empty();
+        let has_own_runs = worker.ownership == Ownership::Owned && !worker.runs.is_empty();
         let responsive = worker.missed_calls == 0
             && worker.foreign_runs == 0
             && !self.has_suspended_run(now, worker);
@@ -61,12 +61,12 @@
         // started elsewhere while it is polled. A lease covers all runs on a worker. So it is not extended while a
         // foreign run is there, which its own dispatcher, on the other side of a network partition, expects to end with
         // the lease that it gave; nor while a task runs there that its origin may have started elsewhere.
-        let deadline = if own && responsive {
+        let deadline = if has_own_runs && responsive {
             worker.deadline(now, self.config.lease)
         } else {
             None
         };
-        let waits = own && worker.missed_calls == 0;
+        let waits = has_own_runs && worker.missed_calls == 0;
         self.send_poll(now, key, deadline, waits, out);
     }
 
@@ -108,8 +108,10 @@
         let runs = self.workers[key].runs.iter().map(|run| &self.runs[*run]);
         let remaining =
             runs.map(|run| (run.started + run.expected.mul_f64(WAIT_FACTOR)).since(now));
-        let first = remaining.min().unwrap_or_default();
-        let wait = first.max(self.config.min_wait).min(self.config.poll_wait);
+        let earliest = remaining.min().unwrap_or_default();
+        let wait = earliest
+            .max(self.config.min_wait)
+            .min(self.config.poll_wait);
         wait.as_millis() as u32
     }
 
@@ -165,8 +167,8 @@
         if self.is_reachable(now, domain, self.config.reach_window) {
             return;
         }
-        let there = self.workers.iter().filter(|(_, w)| w.domain == domain);
-        let mut owned = there.filter(|(_, w)| w.ownership == Ownership::Owned);
+        let in_domain = self.workers.iter().filter(|(_, w)| w.domain == domain);
+        let mut owned = in_domain.filter(|(_, w)| w.ownership == Ownership::Owned);
         // Workers that have missed a call are polled again anyway. An outstanding poll to one of them is no reason to
         // wait: with a few dead workers there always is one, and a domain whose other workers would answer would be
         // resigned.
--- a/crates/celerywinch_pool/src/origins.rs
+++ b/crates/celerywinch_pool/src/origins.rs
@@ -46,13 +46,13 @@
         }
         self.resyncs.remove(&origin);
         let unsure: BTreeSet<_> = unsure.iter().copied().collect();
-        let mut left = Vec::new();
+        let mut unnamed_tasks = Vec::new();
         for batch in self.batches.values().filter(|b| b.origin == origin) {
             let unnamed = batch.tasks.iter().filter(|(_, task)| task.unconfirmed);
-            left.extend(unnamed.map(|(index, _)| batch.task_id(*index)));
+            unnamed_tasks.extend(unnamed.map(|(index, _)| batch.task_id(*index)));
         }
-        left.retain(|task| !unsure.contains(task));
-        self.drop_tasks(now, origin, &left, u32::MAX, out);
+        unnamed_tasks.retain(|task| !unsure.contains(task));
+        self.drop_tasks(now, origin, &unnamed_tasks, u32::MAX, out);
     }
 
     /// Drops tasks that their origin does not want here any more and stops their runs, unless they were submitted after
@@ -70,8 +70,8 @@
             let Some(key) = known.filter(|key| self.batches[*key].origin == origin) else {
                 continue;
             };
-            let here = self.batches[key].tasks.get(&task.index);
-            if here.is_some_and(|here| here.submission <= last) {
+            let current = self.batches[key].tasks.get(&task.index);
+            if current.is_some_and(|current| current.submission <= last) {
                 self.drop_task(now, key, task.index, out);
             }
         }
@@ -96,11 +96,11 @@
         last: u32,
         out: &mut Vec<Output>,
     ) {
-        let meant = |batch: &Batch| {
+        let is_cancelled = |batch: &Batch| {
             let before = batch.tasks.values().all(|task| task.submission <= last);
             batch.order.job == job && batch.origin == from && before
         };
-        let batches = self.batches.iter().filter(|(_, batch)| meant(batch));
+        let batches = self.batches.iter().filter(|(_, batch)| is_cancelled(batch));
         let keys: Vec<_> = batches.map(|(key, _)| key).collect();
         for key in keys {
             self.drop_batch(now, key, out);
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -55,8 +55,8 @@
         let mut placed_all = true;
         if self.needs_probe(batch) {
             let running = |task: &Task| matches!(task.state, TaskState::Running(_));
-            let first = !batch.tasks.values().any(running);
-            waiting.truncate(usize::from(first));
+            let none_running = !batch.tasks.values().any(running);
+            waiting.truncate(usize::from(none_running));
         }
         for index in waiting {
             let Some(worker) = self.choose_worker(now, &self.batches[key], index) else {
@@ -146,11 +146,11 @@
             return true;
         };
         let (job, step) = (batch.order.job, batch.order.step);
-        let here = worker.runs.iter().filter(|run| {
+        let runs_of_step = worker.runs.iter().filter(|run| {
             let task = self.runs[**run].task;
             (task.job, task.step) == (job, step)
         });
-        here.count() < usize::from(most)
+        runs_of_step.count() < usize::from(most)
     }
 
     /// Starts a task on a worker. Returns false if no lease can be given, as the worker's clock was never read.
@@ -232,9 +232,9 @@
 /// Returns the cost of a task on a worker: the share of the worker left empty, its pace, and whether the task failed
 /// there last.
 fn placement_cost(batch: &Batch, task: &Task, key: WorkerKey, worker: &Worker, packs: bool) -> f64 {
-    let left = worker.free().saturating_sub(batch.order.need).cpu;
+    let remaining = worker.free().saturating_sub(batch.order.need).cpu;
     let empty = if packs {
-        f64::from(left) / f64::from(worker.announcement.capacity.cpu.max(1))
+        f64::from(remaining) / f64::from(worker.announcement.capacity.cpu.max(1))
     } else {
         0.0
     };
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -47,8 +47,8 @@
         out: &mut Vec<Output>,
     ) {
         self.owned.insert(domain, fence);
-        let here = |worker: &Worker| worker.domain == domain;
-        let workers = self.workers.iter().filter(|(_, w)| here(w));
+        let in_domain = |worker: &Worker| worker.domain == domain;
+        let workers = self.workers.iter().filter(|(_, w)| in_domain(w));
         let keys: Vec<_> = workers.map(|(key, _)| key).collect();
         out.push(Output::Event(PoolEvent::Acquired {
             domain,
@@ -141,11 +141,11 @@
             self.takeover.ends.remove(&id);
             return;
         }
-        let open = task.prior_runs == PriorRuns::Unknown;
+        let runs_unknown = task.prior_runs == PriorRuns::Unknown;
         match self.takeover.foreign_runs.get(&id).copied() {
             Some(foreign)
                 if !foreign.stopped
-                    && (open || foreign.run == task.run)
+                    && (runs_unknown || foreign.run == task.run)
                     && !self.config.disabled.contains(Mechanism::Adoption) =>
             {
                 self.takeover.foreign_runs.remove(&id);
@@ -280,11 +280,11 @@
                 stopped: false,
             });
         }
-        let left = foreign_runs
+        let count = foreign_runs
             .values()
             .filter(|foreign| foreign.worker == key)
             .count();
-        self.workers[key].foreign_runs = left;
+        self.workers[key].foreign_runs = count;
     }
 
     /// Stops foreign runs that no origin has claimed, and releases tasks whose earlier runs must have ended by now.
@@ -321,9 +321,10 @@
     fn release_maybe_running(&mut self, now: Time) {
         let keys: Vec<_> = self.batches.keys().collect();
         for key in keys {
-            let over = |state: &TaskState| matches!(state, TaskState::MaybeRunning(t) if *t <= now);
+            let is_due =
+                |state: &TaskState| matches!(state, TaskState::MaybeRunning(t) if *t <= now);
             let batch = &self.batches[key];
-            let tasks = batch.tasks.iter().filter(|(_, task)| over(&task.state));
+            let tasks = batch.tasks.iter().filter(|(_, task)| is_due(&task.state));
             let due: Vec<u16> = tasks.map(|(index, _)| *index).collect();
             for index in due {
                 if let Some(task) = self.batches[key].tasks.get_mut(&index) {
@@ -338,8 +339,8 @@
     /// returned too if no domain is owned any more.
     pub(crate) fn resign(&mut self, now: Time, domain: Domain, out: &mut Vec<Output>) {
         self.owned.remove(&domain);
-        let here = |worker: &Worker| worker.domain == domain;
-        let workers = self.workers.iter().filter(|(_, w)| here(w));
+        let in_domain = |worker: &Worker| worker.domain == domain;
+        let workers = self.workers.iter().filter(|(_, w)| in_domain(w));
         let keys: Vec<_> = workers.map(|(key, _)| key).collect();
         let mut returned = 0;
         for key in keys {
--- a/crates/celerywinch_registry/src/registry.rs
+++ b/crates/celerywinch_registry/src/registry.rs
@@ -269,8 +269,8 @@
     fn propose(&mut self, now: Time, command: &Command, out: &mut Vec<RegistryOutput>) -> u64 {
         let command = bincode::serde::encode_to_vec(command, standard());
         let command = command.expect("plain data encodes");
-        let mut open = self.pending.keys().rev().copied();
-        let same = open.find(|index| self.raft.uncommitted_command(*index) == Some(&command));
+        let mut pending = self.pending.keys().rev().copied();
+        let same = pending.find(|index| self.raft.uncommitted_command(*index) == Some(&command));
         same.unwrap_or_else(|| {
             self.handle(now, Input::Propose(command), out);
             self.last_proposed
