--- a/crates/celerywinch_claims/src/claim.rs
+++ b/crates/celerywinch_claims/src/claim.rs
@@ -33,7 +33,9 @@
 #[derive(Debug)]
 pub struct Voting {
     holder: Holder,
+    /// The replica that is asked before all others.
     first: Option<InstanceId>,
+    /// The answers so far; `None` is an abstention.
     answers: Vec<(InstanceId, Option<Grant>)>,
 }
 
--- a/crates/celerywinch_claims/src/replica.rs
+++ b/crates/celerywinch_claims/src/replica.rs
@@ -67,10 +67,12 @@
 #[derive(Debug)]
 pub struct Replica {
     limits: Limits,
+    /// When this incarnation started, by its own clock.
     start: WallMs,
     /// Keys created up to this time may have been voted on by an earlier incarnation.
     abstain_until: WallMs,
     records: HashMap<Key, Record>,
+    /// The recorded keys, by the time at which their records are removed.
     expiry: BTreeSet<(WallMs, Key)>,
 }
 
--- a/crates/celerywinch_dispatch/src/dispatch.rs
+++ b/crates/celerywinch_dispatch/src/dispatch.rs
@@ -84,13 +84,18 @@
 #[derive(Debug)]
 pub(crate) struct Endpoint {
     pub(crate) announcement: EndpointAnnouncement,
+    /// The number of its slots that this entry owns.
     pub(crate) share: u16,
+    /// The number of slots lent to other entries.
     pub(crate) lent: u16,
+    /// The number of slots borrowed from other entries.
     pub(crate) borrowed: u16,
+    /// The number of calls of this entry in flight.
     pub(crate) in_flight: u16,
     pub(crate) health: Health,
     /// The time until which it gets no tasks, because it refused one as full.
     pub(crate) full_until: Time,
+    /// Whether its lease has expired or another incarnation has replaced it.
     pub(crate) gone: bool,
     /// When each call in flight was sent.
     pub(crate) sent: Vec<Time>,
@@ -140,17 +145,21 @@
 pub struct Dispatch {
     instance: InstanceId,
     policy: Policy,
+    /// The entries that share the slots of the data centre.
     owners: Vec<InstanceId>,
     pub(crate) endpoints: SlotMap<EndpointId, Endpoint>,
     pub(crate) by_addr: BTreeMap<SocketAddr, EndpointId>,
     pub(crate) kinds: BTreeMap<KindName, KindState>,
     pub(crate) queue: Queue,
     jobs: HashMap<JobId, Work>,
+    /// The number of running tasks of this entry, by team.
     running: HashMap<Arc<str>, u32>,
+    /// The quota of each team, for all entries together.
     quotas: HashMap<Arc<str>, u32>,
     pub(crate) lent: BTreeMap<u64, Loan>,
     pub(crate) borrowed: Vec<Loan>,
     pub(crate) next_loan: u64,
+    /// The position of [`Policy::RoundRobin`].
     next_index: usize,
     random: ChaCha8Rng,
 }
@@ -264,7 +273,7 @@
         self.rebuild_index();
     }
 
-    /// Removes an endpoint whose lease has expired; it gets no new tasks.
+    /// Removes an endpoint whose lease has expired: it gets no new tasks, and its calls in flight continue.
     pub fn remove(&mut self, addr: SocketAddr) {
         if let Some(id) = self.by_addr.remove(&addr) {
             self.endpoints[id].gone = true;
--- a/crates/celerywinch_dispatch/src/estimate.rs
+++ b/crates/celerywinch_dispatch/src/estimate.rs
@@ -21,6 +21,7 @@
     declared: Duration,
     recent: Histogram<u32>,
     previous: Histogram<u32>,
+    /// When the recent generation began.
     started: Time,
 }
 
--- a/crates/celerywinch_domains/tests/ownership.rs
+++ b/crates/celerywinch_domains/tests/ownership.rs
@@ -277,8 +277,9 @@
 }
 
 /// Guards against refusals while entries listen for owners that cannot exist: all processes have lost power at once,
-/// are back within tens of ms and have just started. A process that has run for longer may know of an owner
-/// whose heartbeat has not arrived yet. With several dispatchers, the few entries that are ready first would take most of the shards.
+/// are back within tens of ms and have just started. A process that has run for longer may know of an owner whose
+/// heartbeat has not arrived yet. With several dispatchers, the few entries that are ready first would take most of
+/// the shards.
 #[rstest]
 #[case::all_have_just_started(20, true, &[0, 1, 2])]
 #[case::one_has_not(5_000, true, &[])]
--- a/crates/celerywinch_links/src/lib.rs
+++ b/crates/celerywinch_links/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Every instance opens one connection to every other one and sends its messages on one stream of it; replies
 //! come on the other instance's own connection. A connection can stop delivering while new ones work, so
-//! every link sends pings, and a connection without an answer is replaced ([`outgoing`]). Only messages
+//! every link sends pings, and a connection without an answer is replaced (module `outgoing`). Only messages
 //! are lost then, and the protocols that use the links send again whatever needs an answer.
 //!
 //! The host guarantees a current-thread `ntex` system, and defines the type of the messages.
--- a/crates/celerywinch_members/src/peers.rs
+++ b/crates/celerywinch_members/src/peers.rs
@@ -79,6 +79,7 @@
     pub round_trip: Option<Duration>,
     /// When the last heartbeat was sent to it.
     sent: Time,
+    /// The sequence number of its last heartbeat.
     sequence: u64,
     /// The send time of its last heartbeat, by its own clock, to be echoed.
     echo: Option<Time>,
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -159,8 +159,8 @@
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Submit(caller, new) => self.submit(now, caller, new, out),
-            Input::CallerGone(caller) => self.caller_gone(now, caller, out),
-            Input::Work(from, msg) => self.work(now, from, msg, out),
+            Input::CallerGone(caller) => self.handle_caller_gone(now, caller, out),
+            Input::Work(from, msg) => self.handle_work(now, from, msg, out),
             Input::Holders(holders) => self.set_holders(holders),
             Input::Loads(dispatcher, owned_domains) => self.set_loads(dispatcher, &owned_domains),
             Input::LinkReset(peer) => self.resubmit(now, peer, out),
@@ -229,7 +229,7 @@
         self.finish_if_done(now, id, out);
     }
 
-    fn caller_gone(&mut self, now: Time, caller: CallerId, out: &mut Vec<Output>) {
+    fn handle_caller_gone(&mut self, now: Time, caller: CallerId, out: &mut Vec<Output>) {
         let Some(id) = self.callers.remove(&caller) else {
             return;
         };
@@ -274,11 +274,11 @@
         }
     }
 
-    fn work(&mut self, now: Time, from: InstanceId, msg: WorkMsg, out: &mut Vec<Output>) {
+    fn handle_work(&mut self, now: Time, from: InstanceId, msg: WorkMsg, out: &mut Vec<Output>) {
         match msg {
             WorkMsg::Ended(reports) => {
                 for report in reports {
-                    self.ended(now, from, report, out);
+                    self.handle_end(now, from, report, out);
                 }
             }
             WorkMsg::Crashed(task, crashes) => {
@@ -301,7 +301,13 @@
         }
     }
 
-    fn ended(&mut self, now: Time, from: InstanceId, report: TaskReport, out: &mut Vec<Output>) {
+    fn handle_end(
+        &mut self,
+        now: Time,
+        from: InstanceId,
+        report: TaskReport,
+        out: &mut Vec<Output>,
+    ) {
         let TaskReport {
             task: id,
             submission,
--- a/crates/celerywinch_pool/src/call.rs
+++ b/crates/celerywinch_pool/src/call.rs
@@ -181,5 +181,6 @@
 pub(crate) struct PollContext {
     /// The count of inputs when the poll was sent.
     pub(crate) input: u64,
+    /// The cursor that the poll acknowledges.
     pub(crate) cursor: u64,
 }
--- a/crates/celerywinch_pool/src/grants.rs
+++ b/crates/celerywinch_pool/src/grants.rs
@@ -114,7 +114,7 @@
 
     /// Applies a grant that a heartbeat of an origin has renewed. If the grant is new, the origin is asked which tasks
     /// it wants: submissions may have been dropped before, and tasks that it does not name are elsewhere.
-    pub(crate) fn granted(
+    pub(crate) fn handle_grant(
         &mut self,
         now: Time,
         origin: InstanceId,
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -11,8 +11,8 @@
 
 /// Assumed factor by which a task takes longer on another rack than the one near its data.
 const REMOTE_RACK_FACTOR: f64 = 1.5;
-/// Cost of a pace that is higher by one, in shares of a worker left empty. A slow worker is chosen when placement elsewhere
-/// would waste more than that.
+/// Cost of a worker per unit of its pace, in shares of a worker left empty, like all costs of a placement. A slow worker
+/// is chosen only if any other placement would leave more capacity unused than that.
 const PACE_COST: f64 = 2.0;
 /// Cost of a worker in another data centre than the dispatcher's, in shares of a worker left empty: less than that of
 /// data on another rack, and more than the differences that packing makes.
--- a/crates/celerywinch_pool/src/pool.rs
+++ b/crates/celerywinch_pool/src/pool.rs
@@ -291,15 +291,15 @@
             Input::Resign(domain) => self.resign(now, domain, out),
             Input::Workers(announcements) => {
                 for announcement in announcements {
-                    self.worker_announced(now, announcement, out);
+                    self.handle_announcement(now, announcement, out);
                 }
             }
             Input::EvacuatedDataCentres(dcs) => self.evacuated = dcs,
             Input::Work(from, msg) => self.handle_message(now, from, msg, out),
-            Input::Granted(origin, grant) => self.granted(now, origin, grant, out),
+            Input::Granted(origin, grant) => self.handle_grant(now, origin, grant, out),
             Input::ResyncOrigin(origin) => self.request_resync(origin, out),
             Input::OriginLost(origin) => self.drop_origin(now, origin, out),
-            Input::Answered(key, answer) => self.answered(now, key, answer, out),
+            Input::Answered(key, answer) => self.handle_answer(now, key, answer, out),
             Input::AnsweredLate(took) => self.answer_times.record(took),
             Input::Crashes(crashes) => self.merge_crashes(now, crashes, out),
             Input::ProbeQueues(queues) => self.merge_probe_queues(now, queues),
@@ -347,7 +347,7 @@
         }
     }
 
-    fn worker_announced(
+    fn handle_announcement(
         &mut self,
         now: Time,
         announcement: WorkerAnnouncement,
--- a/crates/celerywinch_pool/src/results.rs
+++ b/crates/celerywinch_pool/src/results.rs
@@ -19,7 +19,7 @@
 const FAILURE_LIMIT: f64 = 0.5;
 
 impl Pool {
-    pub(crate) fn answered(
+    pub(crate) fn handle_answer(
         &mut self,
         now: Time,
         key: CallKey,
--- a/crates/celerywinch_registry/src/registry.rs
+++ b/crates/celerywinch_registry/src/registry.rs
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Handles a request. A keeper that does not lead forwards the requests of its own instance to the
-    /// leader, and rejects those of others.
+    /// Handles a request. A keeper that is not the leader forwards the requests of its own instance to the leader,
+    /// if it knows one, and answers all others with an unknown outcome.
     pub fn request(&mut self, now: Time, request: Request, out: &mut Vec<RegistryOutput>) {
         if self.raft.role() != Role::Leader {
             let leader = self.raft.leader().map(|keeper| keeper.instance);
@@ -255,7 +255,7 @@
         self.pending.entry(index).or_default().push(pending);
     }
 
-    /// Answers a request with the current state, once a majority has confirmed that this keeper leads.
+    /// Answers a request with the current state, once a majority has confirmed that this keeper is the leader.
     fn read(&mut self, now: Time, pending: Pending, out: &mut Vec<RegistryOutput>) {
         self.next_read += 1;
         self.pending_reads.insert(self.next_read, pending);
