--- a/crates/celerywinch_dispatch/src/dispatch.rs
+++ b/crates/celerywinch_dispatch/src/dispatch.rs
@@ -114,10 +114,12 @@
         !self.gone && self.announcement.state == EndpointState::Serving
     }
 
+    /// Returns the number of slots that this entry may use: those owned and borrowed, less those lent.
     pub(crate) fn own_slots(&self) -> u16 {
         (self.share + self.borrowed).saturating_sub(self.lent)
     }
 
+    /// Returns the number of tasks that this entry may send to the endpoint now.
     pub(crate) fn free(&self, now: Time) -> u16 {
         if !self.is_usable() || self.full_until > now {
             return 0;
--- a/crates/celerywinch_domains/tests/ownership.rs
+++ b/crates/celerywinch_domains/tests/ownership.rs
@@ -338,8 +338,8 @@
     rounds: usize,
 }
 
-/// Guards against a standstill of hours after all processes have lost power: their clocks are behind by up to decades, and workers
-/// refuse the new fencing tokens as lower than the earlier ones.
+/// Guards against a standstill of hours after all processes have lost power: their clocks are behind by up to
+/// decades, and workers refuse the new fencing tokens as lower than the earlier ones.
 #[rstest]
 #[case::by_an_hour(ClockLag { epoch: WALL.0 / 1000 + 3_600, rounds: 1 })]
 #[case::by_days(ClockLag { epoch: WALL.0 / 1000 + 400_000, rounds: 4 })]
--- a/crates/celerywinch_origin/src/job.rs
+++ b/crates/celerywinch_origin/src/job.rs
@@ -115,12 +115,12 @@
         }
     }
 
-    fn step_done(&self, step: u16) -> bool {
+    fn is_step_done(&self, step: u16) -> bool {
         let mut tasks = self.tasks.range((step, 0)..=(step, u16::MAX));
         tasks.all(|(_, task)| task.state == TaskState::Done)
     }
 
-    pub(crate) fn done(&self) -> bool {
+    pub(crate) fn is_done(&self) -> bool {
         self.tasks
             .values()
             .all(|task| task.state == TaskState::Done)
@@ -144,7 +144,7 @@
                 matches!(state, TaskState::Pending | TaskState::MaybeRunning(_))
             };
             tasks.any(|(_, task)| unassigned(&task.state))
-                && plan.after.iter().all(|s| self.step_done(*s))
+                && plan.after.iter().all(|s| self.is_step_done(*s))
         };
         let count = u16::try_from(self.plan.steps.len()).unwrap_or(u16::MAX);
         (0..count).filter(open).collect()
--- a/crates/celerywinch_origin/src/origin.rs
+++ b/crates/celerywinch_origin/src/origin.rs
@@ -390,7 +390,7 @@
     }
 
     /// Removes a dispatcher that returned tasks from the list of holders until the next heartbeat reports the owner of its
-    /// domain. It no longer owns the domain, and would get the tasks and return them over and over.
+    /// domain. It no longer owns the domain, and until then would get the tasks and return them over and over.
     fn await_holder(&mut self, job: JobId, from: InstanceId) {
         self.pending.insert(job);
         self.holders.retain(|holder| holder.instance != from);
@@ -398,7 +398,7 @@
     }
 
     fn finish_if_done(&mut self, now: Time, id: JobId, out: &mut Vec<Output>) {
-        if self.jobs.get(&id).is_some_and(Job::done) {
+        if self.jobs.get(&id).is_some_and(Job::is_done) {
             self.answer(now, id, JobEnd::Completed, out);
         }
     }
--- a/crates/celerywinch_pool/src/crashes.rs
+++ b/crates/celerywinch_pool/src/crashes.rs
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Records a crash of the worker of a run whose incarnation ended, unless the worker had accepted a stop of the run.
+    /// Records that the worker of a run has crashed, since its incarnation ended, unless it had accepted a stop of the run.
     pub(crate) fn record_crash(&mut self, now: Time, run: &Run, out: &mut Vec<Output>) {
         if !run.stop_accepted {
             self.count_crash(now, run.task, out, |crashes| {
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -193,6 +193,7 @@
         }
     }
 
+    /// Ends a run whose end its worker has not listed, and requeues its task unless that is given up.
     pub(crate) fn lose_run(&mut self, now: Time, key: RunKey, loss: Loss, out: &mut Vec<Output>) {
         let Some(run) = self.remove_run(key) else {
             return;
--- a/crates/celerywinch_pool/src/origins.rs
+++ b/crates/celerywinch_pool/src/origins.rs
@@ -88,6 +88,7 @@
         }
     }
 
+    /// Drops the steps of a job, except those with a task that was submitted after `last`.
     pub(crate) fn cancel(
         &mut self,
         now: Time,
@@ -107,6 +108,7 @@
         }
     }
 
+    /// Drops all tasks of a lost origin.
     pub(crate) fn drop_origin(&mut self, now: Time, origin: InstanceId, out: &mut Vec<Output>) {
         // The next incarnation of the origin numbers its submissions from the beginning.
         let returned = |sent: &SentEnd| sent.origin == origin && sent.report.returns_task();
--- a/crates/celerywinch_pool/src/submit.rs
+++ b/crates/celerywinch_pool/src/submit.rs
@@ -67,10 +67,9 @@
         self.shrunk.push(key);
     }
 
-    /// Handles the repeated submission of a known step, perhaps by another origin. Tasks that the
-    /// submission does not name may be at another dispatcher. Part of the job may have run before, unless the submission is
-    /// marked as refusable. Returns false if the
-    /// submission is superseded.
+    /// Handles the repeated submission of a known step, perhaps by another origin. Tasks that the submission does not name
+    /// may be at another dispatcher. Part of the job may have run before, unless the submission is marked as refusable.
+    /// Returns false if the submission is superseded.
     ///
     /// A caller that got no answer sends its job to another entry, while the first one may still have it and submits it
     /// again after each broken link. If the job's ends went to the origin that submitted it last, the caller at the other one
