--- a/crates/celerywinch_bench/src/trial.rs
+++ b/crates/celerywinch_bench/src/trial.rs
@@ -176,7 +176,7 @@
     let responses: Vec<_> = responses.into_iter().collect::<anyhow::Result<_>>()?;
     let first = &responses[0];
     let same = responses.iter().all(|response| response == first);
-    let starts = cluster.fleet.ledger().starts_of(&key);
+    let starts = cluster.fleet.execution_log().key_starts(&key);
     let ideal = case.run_ms.iter().copied().fold(0.0, f64::max);
     println!("  {}: {}", case.what, first.outcome());
     println!(
@@ -200,15 +200,15 @@
 
 async fn report(cluster: &Cluster) -> anyhow::Result<bool> {
     use std::sync::atomic::Ordering::Relaxed;
-    let ledger = cluster.fleet.ledger();
-    let doubled = ledger.doubled();
+    let log = cluster.fleet.execution_log();
+    let doubled = log.duplicate_starts();
     let violations = cluster.violations().await?;
     println!(
         "  starts {}, wasted: {} refused as full, {} refused as leaving, {} late; doubled {}, violations {violations}",
-        ledger.started.load(Relaxed),
-        ledger.refused_full.load(Relaxed),
-        ledger.refused_leaving.load(Relaxed),
-        ledger.late.load(Relaxed),
+        log.started.load(Relaxed),
+        log.refused_full.load(Relaxed),
+        log.refused_leaving.load(Relaxed),
+        log.late.load(Relaxed),
         doubled.len(),
     );
     Ok(doubled.is_empty() && violations == 0)
--- a/crates/celerywinch_standin/src/ledger.rs
+++ b/crates/celerywinch_standin/src/execution_log.rs
@@ -6,7 +6,7 @@
 
 /// Starts by key and task, and counts of messages.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct ExecutionLog {
     starts: Mutex<HashMap<(String, u32), u32>>,
     /// Tasks that were started.
     pub started: AtomicU64,
@@ -22,9 +22,9 @@
     pub late: AtomicU64,
 }
 
-impl Ledger {
+impl ExecutionLog {
     /// Notes a start; returns how often this task was started so far.
-    pub fn start(&self, key: &str, task: u32) -> u32 {
+    pub fn record_start(&self, key: &str, task: u32) -> u32 {
         self.started.fetch_add(1, Ordering::Relaxed);
         let mut starts = self.starts.lock().expect("no holder of the lock panics");
         let count = starts.entry((key.to_owned(), task)).or_default();
@@ -34,14 +34,14 @@
 
     /// How often a task was started.
     #[must_use]
-    pub fn starts(&self, key: &str, task: u32) -> u32 {
+    pub fn task_starts(&self, key: &str, task: u32) -> u32 {
         let starts = self.starts.lock().expect("no holder of the lock panics");
         starts.get(&(key.to_owned(), task)).copied().unwrap_or(0)
     }
 
     /// How many starts a key had, over all its tasks.
     #[must_use]
-    pub fn starts_of(&self, key: &str) -> u32 {
+    pub fn key_starts(&self, key: &str) -> u32 {
         let starts = self.starts.lock().expect("no holder of the lock panics");
         let of_key = starts.iter().filter(|((k, _), _)| k == key);
         of_key.map(|(_, count)| *count).sum()
@@ -49,7 +49,7 @@
 
     /// Tasks that were started more than once.
     #[must_use]
-    pub fn doubled(&self) -> Vec<(String, u32, u32)> {
+    pub fn duplicate_starts(&self) -> Vec<(String, u32, u32)> {
         let starts = self.starts.lock().expect("no holder of the lock panics");
         let doubled = starts.iter().filter(|(_, count)| **count > 1);
         doubled
--- a/crates/celerywinch_standin/src/fleet.rs
+++ b/crates/celerywinch_standin/src/fleet.rs
@@ -17,7 +17,7 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use crate::Ledger;
+use crate::ExecutionLog;
 
 /// How long idle connections are kept: longer than the entries keep theirs.
 const KEEP_ALIVE: Seconds = Seconds(30);
@@ -82,7 +82,7 @@
 struct Inner {
     endpoints: HashMap<SocketAddr, Arc<Endpoint>>,
     order: Vec<SocketAddr>,
-    ledger: Arc<Ledger>,
+    execution_log: Arc<ExecutionLog>,
     cancelled: Mutex<HashSet<(String, u32)>>,
     entries: HashMap<String, Vec<SocketAddr>>,
 }
@@ -114,7 +114,7 @@
         let inner = Arc::new(Inner {
             endpoints,
             order,
-            ledger: Arc::default(),
+            execution_log: Arc::default(),
             cancelled: Mutex::default(),
             entries: plan.entries,
         });
@@ -140,8 +140,8 @@
 
     /// What the endpoints saw.
     #[must_use]
-    pub fn ledger(&self) -> Arc<Ledger> {
-        self.inner.ledger.clone()
+    pub fn execution_log(&self) -> Arc<ExecutionLog> {
+        self.inner.execution_log.clone()
     }
 
     /// The addresses, in the order of the plan.
@@ -270,15 +270,21 @@
     let task: u32 = header("celerywinch-task").parse().unwrap_or(0);
     let remaining: u64 = header("celerywinch-remaining-ms").parse().unwrap_or(0);
     if endpoint.leaving.load(Ordering::Relaxed) {
-        inner.ledger.refused_leaving.fetch_add(1, Ordering::Relaxed);
+        inner
+            .execution_log
+            .refused_leaving
+            .fetch_add(1, Ordering::Relaxed);
         return not_run("leaving");
     }
     let Some(slot) = Slot::take(endpoint) else {
-        inner.ledger.refused_full.fetch_add(1, Ordering::Relaxed);
+        inner
+            .execution_log
+            .refused_full
+            .fetch_add(1, Ordering::Relaxed);
         return not_run("all slots are in use");
     };
     let script: Script = serde_json::from_slice(&body).unwrap_or_default();
-    let count = inner.ledger.start(&key, task);
+    let count = inner.execution_log.record_start(&key, task);
     let began = Instant::now();
     match endpoint.mode() {
         Mode::Fail => return HttpResponse::InternalServerError().body("broken worker"),
@@ -295,17 +301,20 @@
     };
     let span = Duration::from_secs_f64((script.run_ms * factor / 1000.0).max(0.0));
     if !work(&inner, &key, task, span).await {
-        inner.ledger.cancelled.fetch_add(1, Ordering::Relaxed);
+        inner
+            .execution_log
+            .cancelled
+            .fetch_add(1, Ordering::Relaxed);
         return HttpResponse::Conflict().body("cancelled");
     }
     drop(slot);
     if began.elapsed() > Duration::from_millis(remaining) {
-        inner.ledger.late.fetch_add(1, Ordering::Relaxed);
+        inner.execution_log.late.fetch_add(1, Ordering::Relaxed);
     }
     if script.fail {
         return HttpResponse::UnprocessableEntity().body("the task says so");
     }
-    inner.ledger.finished.fetch_add(1, Ordering::Relaxed);
+    inner.execution_log.finished.fetch_add(1, Ordering::Relaxed);
     HttpResponse::Ok().json(&json!({ "task": task, "starts": count, "echo": script.echo }))
 }
 
--- a/crates/celerywinch_standin/src/lib.rs
+++ b/crates/celerywinch_standin/src/lib.rs
@@ -6,13 +6,13 @@
 //! - [`Relay`]: a TCP relay between two processes that can cut, stall and delay.
 
 mod caller;
+mod execution_log;
 mod fleet;
 mod leased;
-mod ledger;
 mod relay;
 
 pub use caller::{Caller, Response, fresh_key};
+pub use execution_log::ExecutionLog;
 pub use fleet::{EndpointPlan, Fleet, FleetPlan, Mode};
 pub use leased::{Health, LeasedWorker, Ran};
-pub use ledger::Ledger;
 pub use relay::{Direction, Relay};
--- a/crates/celerywinchd/tests/at_most_once.rs
+++ b/crates/celerywinchd/tests/at_most_once.rs
@@ -40,7 +40,7 @@
                 responses.iter().all(|r| *r == responses[0]),
                 "{responses:?}"
             );
-            assert_eq!(world.fleet.ledger().starts_of(&key), 2);
+            assert_eq!(world.fleet.execution_log().key_starts(&key), 2);
         }
         world.check().await
     });
@@ -59,7 +59,7 @@
             async move { submit(&caller, entry, &key, "stock-hold", 9000, &[3000, 3000]).await }
         });
         sleep(300).await;
-        assert_eq!(world.fleet.ledger().starts_of(&key), 2);
+        assert_eq!(world.fleet.execution_log().key_starts(&key), 2);
         world.processes[0].kill();
         assert!(lost.await?.is_err(), "its own caller loses the connection");
         let began = Instant::now();
@@ -85,7 +85,7 @@
             .submit(0, &key, "stock-hold", 9000, &[3000, 3000])
             .await?;
         assert_eq!(again, response);
-        assert_eq!(world.fleet.ledger().starts_of(&key), 2);
+        assert_eq!(world.fleet.execution_log().key_starts(&key), 2);
         world.check().await
     });
 }
@@ -110,7 +110,7 @@
         world.processes[0].thaw();
         let own = own.await??;
         assert_eq!(own, settled, "one outcome for all");
-        assert_eq!(world.fleet.ledger().starts_of(&key), 1);
+        assert_eq!(world.fleet.execution_log().key_starts(&key), 1);
         world.check().await
     });
 }
@@ -143,7 +143,7 @@
             assert_eq!(again.outcome(), "undecided", "{again:?}");
             assert_eq!(again.ran(), "maybe", "{again:?}");
         }
-        assert_eq!(world.fleet.ledger().starts_of(&key), 1);
+        assert_eq!(world.fleet.execution_log().key_starts(&key), 1);
         let fresh = world.key(1);
         let next = world.submit(1, &fresh, "stock-hold", 3000, &[20]).await?;
         assert_eq!(next.outcome(), "answer", "new keys are served on: {next:?}");
@@ -279,7 +279,7 @@
         refused.push(key);
         sleep(1000).await;
         for key in &refused {
-            assert_eq!(world.fleet.ledger().starts_of(key), 0, "{key} ran");
+            assert_eq!(world.fleet.execution_log().key_starts(key), 0, "{key} ran");
         }
         world.check().await
     });
@@ -323,7 +323,7 @@
         sleep(1200).await;
         for done in responses {
             let (key, response) = done?;
-            let starts = world.fleet.ledger().starts_of(&key);
+            let starts = world.fleet.execution_log().key_starts(&key);
             match response.ran() {
                 "no" => assert_eq!(starts, 0, "{key}: {response:?}"),
                 "maybe" | "yes" => assert!(starts <= 1, "{key}: {response:?}"),
--- a/crates/celerywinchd/tests/cuts.rs
+++ b/crates/celerywinchd/tests/cuts.rs
@@ -54,7 +54,7 @@
                 .await?;
             assert_eq!(response, before, "entry {entry}");
         }
-        assert_eq!(world.fleet.ledger().starts_of(&shared), 1);
+        assert_eq!(world.fleet.execution_log().key_starts(&shared), 1);
         world.check().await
     });
 }
@@ -78,12 +78,12 @@
             "held back: {:?}",
             began.elapsed()
         );
-        assert_eq!(world.fleet.ledger().starts_of(&key), 0);
+        assert_eq!(world.fleet.execution_log().key_starts(&key), 0);
         world.cut(&[3, 4], &[0, 1, 2, 5], false);
         sleep(2500).await;
         let again = world.submit(3, &key, "stock-hold", 3000, &[20]).await?;
         assert_eq!(again.outcome(), "answer", "{again:?}");
-        assert_eq!(world.fleet.ledger().starts_of(&key), 1);
+        assert_eq!(world.fleet.execution_log().key_starts(&key), 1);
         world.check().await
     });
 }
@@ -105,7 +105,7 @@
                 let key = world.key(home);
                 let response = world.submit(entry, &key, "stock-hold", 4000, &[5]).await?;
                 assert_eq!(response.outcome(), "answer", "{entry} {home}: {response:?}");
-                assert_eq!(world.fleet.ledger().starts_of(&key), 1);
+                assert_eq!(world.fleet.execution_log().key_starts(&key), 1);
             }
         }
         println!(
--- a/crates/celerywinchd/tests/harness/mod.rs
+++ b/crates/celerywinchd/tests/harness/mod.rs
@@ -305,7 +305,7 @@
 
     /// Checks what must hold whatever happened: no task started twice, no assertion failed.
     pub(crate) async fn check(&self) -> anyhow::Result<()> {
-        let doubled = self.fleet.ledger().doubled();
+        let doubled = self.fleet.execution_log().duplicate_starts();
         anyhow::ensure!(doubled.is_empty(), "started more than once: {doubled:?}");
         for index in 0..self.processes.len() {
             if self.processes[index].child.is_none() {
--- a/crates/celerywinchd/tests/leaving.rs
+++ b/crates/celerywinchd/tests/leaving.rs
@@ -36,10 +36,10 @@
             }
             let two_seconds = left_at.is_some_and(|at| at.elapsed() < Duration::from_secs(2));
             if two_seconds {
-                refused_by_then = world.fleet.ledger().refused_leaving.load(Relaxed);
+                refused_by_then = world.fleet.execution_log().refused_leaving.load(Relaxed);
             }
         }
-        let refused = world.fleet.ledger().refused_leaving.load(Relaxed);
+        let refused = world.fleet.execution_log().refused_leaving.load(Relaxed);
         assert_eq!(refused, refused_by_then, "work was sent after two seconds");
         world.check().await
     });
@@ -103,7 +103,7 @@
         let code = world.processes[0].ended(Duration::from_secs(8)).await?;
         assert_eq!(code, Some(0));
         for key in &keys {
-            assert_eq!(world.fleet.ledger().starts_of(key), 2);
+            assert_eq!(world.fleet.execution_log().key_starts(key), 2);
             let again = world
                 .submit(1, key, "scan-match", 6000, &[900, 700])
                 .await?;
--- a/crates/celerywinchd/tests/whole_path.rs
+++ b/crates/celerywinchd/tests/whole_path.rs
@@ -54,7 +54,7 @@
                 again, response,
                 "a resubmission elsewhere gets the same answer"
             );
-            assert_eq!(world.fleet.ledger().starts_of(&key), 8);
+            assert_eq!(world.fleet.execution_log().key_starts(&key), 8);
         }
         world.check().await
     });
