--- a/crates/celerywinch_bench/src/members/faults.rs
+++ b/crates/celerywinch_bench/src/members/faults.rs
@@ -128,12 +128,12 @@
             Fault::Cut => self.cut(lasts),
             Fault::CutEntries => self.cut_entries(lasts),
             Fault::Crash => self.crash_worker(lasts),
-            Fault::Hang => self.weaken(Health::Hangs, lasts),
+            Fault::Hang => self.weaken(Health::Hung, lasts),
             Fault::Slow => {
                 let slower = self.random.random_range(2.0..8.0);
-                self.weaken(Health::Sound(slower), lasts);
+                self.weaken(Health::Healthy(slower), lasts);
             }
-            Fault::Fail => self.weaken(Health::Fails, lasts),
+            Fault::Fail => self.weaken(Health::Failing, lasts),
             Fault::LoseCalls => self.lose_calls(lasts),
             Fault::LateOrders => self.late_orders(lasts),
             Fault::Congest => self.congest(lasts),
--- a/crates/celerywinch_bench/src/members/lives.rs
+++ b/crates/celerywinch_bench/src/members/lives.rs
@@ -70,7 +70,7 @@
             service: "catalogue".to_owned(),
             addr: ([127, 0, 0, 1], 1 + index as u16).into(),
             dc: celerywinch_types::DataCentreId(host.dc),
-            capacity: host.worker.room,
+            capacity: host.worker.capacity,
             labels: Vec::new(),
             stage: host.word.stage,
             version: AnnouncementVersion {
@@ -131,7 +131,7 @@
             format!("worker-{index}-{}", host.lives)
         };
         let mut next = LeasedWorker::new(host.local(now), &id, host.word.whole);
-        next.guards = host.worker.guards;
+        next.checks_capacity = host.worker.checks_capacity;
         next.incarnation = life;
         host.word = Word::new(host.word.whole);
         self.history.extend(host.history());
@@ -204,7 +204,7 @@
         if !host.up {
             return;
         }
-        host.worker.room.cpu = cpu;
+        host.worker.capacity.cpu = cpu;
         host.word.room_since = now;
         self.say_again(index);
     }
@@ -232,7 +232,7 @@
             self.broken.push(late);
         }
         let host = &self.workers[index];
-        let over = !host.worker.room.fits(host.worker.taken());
+        let over = !host.worker.capacity.fits(host.worker.reserved());
         if over && now.since(host.word.room_since) > SHRUNK + hears_late {
             let over = Violation::OverRoom(task, host.worker.id.clone());
             self.broken.push(over);
@@ -261,7 +261,7 @@
         let now = self.now;
         let host = &mut self.workers[index];
         host.worker.advance(host.local(now));
-        let there = host.up && host.lives == lives && host.worker.has(task);
+        let there = host.up && host.lives == lives && host.worker.has_task(task);
         if there {
             self.ended_workers.entry(task).or_default().push(now);
             let lasts = Duration::from_millis(self.random.random_range(DOWN_MS));
--- a/crates/celerywinch_bench/src/members/workers.rs
+++ b/crates/celerywinch_bench/src/members/workers.rs
@@ -138,7 +138,7 @@
             let local = self.workers[index].local(self.now);
             self.workers[index].worker.advance(local);
             let until = way.sent + Duration::from_millis(wait.into());
-            if self.now < until && !self.workers[index].worker.has_news(cursor) {
+            if self.now < until && !self.workers[index].worker.has_ends_after(cursor) {
                 self.extend(index, &way);
                 self.at(self.now + POLL, Event::Order(index, way));
                 return;
@@ -186,7 +186,7 @@
             return Answer::OtherIncarnation;
         }
         let before = worker.started;
-        let answer = worker.order(now, call.fence, &call.request, need, takes);
+        let answer = worker.handle_request(now, call.fence, &call.request, need, takes);
         if let Request::Start { task, .. } = &call.request
             && worker.started > before
         {
@@ -246,7 +246,7 @@
         let local = self.workers[index].local(self.now);
         let worker = &mut self.workers[index].worker;
         worker.advance(local);
-        worker.health = Health::Sound(1.0);
+        worker.health = Health::Healthy(1.0);
     }
 
     pub(crate) fn lose_calls(&mut self, lasts: Duration) {
--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -261,7 +261,7 @@
             };
             let plan = world.options.faults.unwrap_or_default();
             let mut worker = LeasedWorker::new(Time(0), &format!("worker-{index}-0"), room);
-            worker.guards = !plan.shrinking;
+            worker.checks_capacity = !plan.shrinking;
             worker.incarnation = plan.reborn.then_some(Incarnation(EPOCH_MS));
             world.workers.push(WorkerHost {
                 worker,
--- a/crates/celerywinch_standin/src/leased.rs
+++ b/crates/celerywinch_standin/src/leased.rs
@@ -14,11 +14,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
     /// As it should, this much slower than usual.
-    Sound(f64),
+    Healthy(f64),
     /// Work stands still.
-    Hangs,
+    Hung,
     /// All work fails.
-    Fails,
+    Failing,
 }
 
 /// A task at work.
@@ -56,9 +56,9 @@
     /// Which of its lives this is; none where it does not say.
     pub incarnation: Option<Incarnation>,
     /// What it has.
-    pub room: Resources,
+    pub capacity: Resources,
     /// Whether it refuses what it has no room for.
-    pub guards: bool,
+    pub checks_capacity: bool,
     /// How its work goes.
     pub health: Health,
     /// How many tasks were started in this life.
@@ -79,14 +79,14 @@
 impl LeasedWorker {
     /// A worker that starts now.
     #[must_use]
-    pub fn new(now: Time, id: &str, room: Resources) -> Self {
+    pub fn new(now: Time, id: &str, capacity: Resources) -> Self {
         Self {
             id: id.to_owned(),
             incarnation: None,
-            room,
-            guards: true,
+            capacity,
+            checks_capacity: true,
             started: 0,
-            health: Health::Sound(1.0),
+            health: Health::Healthy(1.0),
             history: Vec::new(),
             born: now,
             advanced: now,
@@ -110,13 +110,13 @@
     /// What is free.
     #[must_use]
     pub fn free(&self) -> Resources {
-        let taken = self.work.values();
-        taken.fold(self.room, |free, work| free.saturating_sub(work.need))
+        let reserved = self.work.values();
+        reserved.fold(self.capacity, |free, work| free.saturating_sub(work.need))
     }
 
     /// What all that is there needs, also what is being stopped.
     #[must_use]
-    pub fn taken(&self) -> Resources {
+    pub fn reserved(&self) -> Resources {
         let work = self.work.values();
         work.fold(Resources::default(), |sum, work| {
             sum.saturating_add(work.need)
@@ -125,7 +125,7 @@
 
     /// Whether a task is there.
     #[must_use]
-    pub fn has(&self, task: TaskId) -> bool {
+    pub fn has_task(&self, task: TaskId) -> bool {
         self.work.contains_key(&task)
     }
 
@@ -148,9 +148,9 @@
     fn advance_task(&mut self, task: TaskId, start: Time, now: Time) {
         let work = self.work.get_mut(&task).expect("a task at work");
         let slower = match self.health {
-            Health::Sound(slower) => Some(slower),
-            Health::Fails => Some(1.0),
-            Health::Hangs => None,
+            Health::Healthy(slower) => Some(slower),
+            Health::Failing => Some(1.0),
+            Health::Hung => None,
         };
         let from = start.max(work.started);
         let done = slower.map(|slower| from + work.left.mul_f64(slower));
@@ -162,7 +162,7 @@
         let first = ends.into_iter().flatten().min_by_key(|(at, _)| *at);
         match first {
             Some((at, how)) if at <= now => {
-                let fails = self.health == Health::Fails && how == RunEnd::Done;
+                let fails = self.health == Health::Failing && how == RunEnd::Done;
                 let how = if fails { RunEnd::Failed } else { how };
                 self.end(task, at, how);
             }
@@ -205,12 +205,12 @@
 
     /// Whether a look would be answered at once, as there are ends to tell.
     #[must_use]
-    pub fn has_news(&self, cursor: u64) -> bool {
+    pub fn has_ends_after(&self, cursor: u64) -> bool {
         self.ended.iter().any(|row| row.serial > cursor)
     }
 
     /// Carries an order out; `need` and `takes` are those of the task to start.
-    pub fn order(
+    pub fn handle_request(
         &mut self,
         now: Time,
         fence: Fence,
@@ -290,7 +290,7 @@
         if self.over.get(&task).is_some_and(|over| *over >= run) || self.work.contains_key(&task) {
             return Answer::Rejected(Rejection::StaleRun, Some(clock));
         }
-        if self.guards && !self.free().fits(need) {
+        if self.checks_capacity && !self.free().fits(need) {
             return Answer::Rejected(Rejection::NoCapacity, Some(clock));
         }
         let work = Work {
