--- a/crates/celerywinch_standin/src/relay.rs
+++ b/crates/celerywinch_standin/src/relay.rs
@@ -73,12 +73,12 @@
     }
 
     /// Cuts everything, silently, as a partition does; or heals it.
-    pub fn cut(&self, cut: bool) {
+    pub fn set_partitioned(&self, cut: bool) {
         self.control.cut.store(cut, Ordering::Release);
     }
 
     /// Loses what goes one way.
-    pub fn lose(&self, direction: Direction, lost: bool) {
+    pub fn set_blackhole(&self, direction: Direction, lost: bool) {
         let flag = match direction {
             Direction::Forward => &self.control.forward_lost,
             Direction::Backward => &self.control.backward_lost,
@@ -87,7 +87,7 @@
     }
 
     /// Makes the open connections silent for good; new ones work.
-    pub fn silence_open(&self) {
+    pub fn blackhole_open(&self) {
         let generation = self.control.generation.load(Ordering::Acquire);
         self.control
             .silent_before
@@ -100,7 +100,7 @@
     }
 
     /// Delays every piece by `span`.
-    pub fn delay(&self, span: Duration) {
+    pub fn set_delay(&self, span: Duration) {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         self.control.delay_us.store(micros, Ordering::Release);
     }
--- a/crates/celerywinchd/tests/cuts.rs
+++ b/crates/celerywinchd/tests/cuts.rs
@@ -96,7 +96,7 @@
     run(async {
         let world = World::start(plan()).await?;
         for relay in world.relays.values() {
-            relay.silence_open();
+            relay.blackhole_open();
         }
         sleep(2000).await;
         let began = Instant::now();
@@ -125,7 +125,7 @@
             ..plan()
         })
         .await?;
-        world.relays[&(0, 1)].lose(Direction::Forward, true);
+        world.relays[&(0, 1)].set_blackhole(Direction::Forward, true);
         sleep(100).await;
         let keys: Vec<_> = (0..20).map(|_| fresh_key(Some("bog-1"))).collect();
         let submissions = keys
--- a/crates/celerywinchd/tests/harness/mod.rs
+++ b/crates/celerywinchd/tests/harness/mod.rs
@@ -298,7 +298,7 @@
             let across = one.contains(from) && other.contains(to)
                 || other.contains(from) && one.contains(to);
             if across {
-                relay.cut(cut);
+                relay.set_partitioned(cut);
             }
         }
     }
