--- a/crates/celerywinch/src/commands/bench.rs
+++ b/crates/celerywinch/src/commands/bench.rs
@@ -15,7 +15,7 @@
 /// The command.
 pub(super) const COMMAND: Command = Command {
     name: "bench",
-    what: "Drive real entries with load and faults, and measure",
+    summary: "Drive real entries with load and faults, and measure",
     run,
 };
 
--- a/crates/celerywinch/src/commands/catalogue.rs
+++ b/crates/celerywinch/src/commands/catalogue.rs
@@ -16,7 +16,7 @@
 /// The command.
 pub(super) const COMMAND: Command = Command {
     name: "catalogue",
-    what: "Get, compare, change and follow the catalogue",
+    summary: "Get, compare, change and follow the catalogue",
     run,
 };
 
--- a/crates/celerywinch/src/commands/check.rs
+++ b/crates/celerywinch/src/commands/check.rs
@@ -11,7 +11,7 @@
 /// The command.
 pub(super) const COMMAND: Command = Command {
     name: "check",
-    what: "Check settings and catalogue files",
+    summary: "Check settings and catalogue files",
     run,
 };
 
--- a/crates/celerywinch/src/commands/explain.rs
+++ b/crates/celerywinch/src/commands/explain.rs
@@ -9,7 +9,7 @@
 /// The command.
 pub(super) const COMMAND: Command = Command {
     name: "explain",
-    what: "Tell one job's story from the logs of many processes",
+    summary: "Tell one job's story from the logs of many processes",
     run,
 };
 
--- a/crates/celerywinch/src/commands/mod.rs
+++ b/crates/celerywinch/src/commands/mod.rs
@@ -19,7 +19,7 @@
     /// Its name.
     pub name: &'static str,
     /// What it does, in one line.
-    pub what: &'static str,
+    pub summary: &'static str,
     run: fn(&[String]) -> anyhow::Result<ExitStatus>,
 }
 
@@ -63,7 +63,7 @@
 fn help() -> String {
     let mut text = String::from("Usage: celerywinch COMMAND [OPTIONS]\n\nCommands:\n");
     for command in COMMANDS {
-        text.push_str(&format!("  {:<10} {}\n", command.name, command.what));
+        text.push_str(&format!("  {:<10} {}\n", command.name, command.summary));
     }
     text.push_str("\n`celerywinch COMMAND --help` tells more.\n");
     text.push_str("Exit codes: 0 done and all checks held, 1 a check failed, 2 wrong usage.");
--- a/crates/celerywinch/src/commands/report.rs
+++ b/crates/celerywinch/src/commands/report.rs
@@ -10,7 +10,7 @@
 /// The command.
 pub(super) const COMMAND: Command = Command {
     name: "report",
-    what: "Draw results of the bench as one page with plots",
+    summary: "Draw results of the bench as one page with plots",
     run,
 };
 
--- a/crates/celerywinch/src/commands/soak.rs
+++ b/crates/celerywinch/src/commands/soak.rs
@@ -12,7 +12,7 @@
 /// The command.
 pub(super) const COMMAND: Command = Command {
     name: "soak",
-    what: "Run the state machines at random under faults and check their histories",
+    summary: "Run the state machines at random under faults and check their histories",
     run,
 };
 
--- a/crates/celerywinch/src/commands/status.rs
+++ b/crates/celerywinch/src/commands/status.rs
@@ -9,7 +9,7 @@
 /// The command.
 pub(super) const COMMAND: Command = Command {
     name: "status",
-    what: "Show what an instance is doing and what it sees of the others",
+    summary: "Show what an instance is doing and what it sees of the others",
     run,
 };
 
--- a/crates/celerywinch/src/commands/timeline.rs
+++ b/crates/celerywinch/src/commands/timeline.rs
@@ -11,7 +11,7 @@
 /// The command.
 pub(super) const COMMAND: Command = Command {
     name: "timeline",
-    what: "Merge the time lines of many processes, as text or as a page",
+    summary: "Merge the time lines of many processes, as text or as a page",
     run,
 };
 
--- a/crates/celerywinch/src/commands/try_it.rs
+++ b/crates/celerywinch/src/commands/try_it.rs
@@ -11,7 +11,7 @@
 /// The command.
 pub(super) const COMMAND: Command = Command {
     name: "try",
-    what: "Run the main job with entries and stand-in endpoints in this process",
+    summary: "Run the main job with entries and stand-in endpoints in this process",
     run,
 };
 
--- a/crates/celerywinch_bench/src/bench/drive.rs
+++ b/crates/celerywinch_bench/src/bench/drive.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use celerywinch_dispatch::Policy;
-use celerywinch_standin::fresh_key;
+use celerywinch_standin::generate_key;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -232,7 +232,7 @@
     times: (Instant, usize),
     tally: Rc<RefCell<Tally>>,
 ) -> impl Future<Output = ()> + 'static {
-    let key = fresh_key(Some(cluster.home(arrival.entry)));
+    let key = generate_key(Some(cluster.home(arrival.entry)));
     let entry = cluster.callers(arrival.entry);
     let caller = cluster.caller.clone();
     let (kind, team) = work;
--- a/crates/celerywinch_bench/src/bench/scenario.rs
+++ b/crates/celerywinch_bench/src/bench/scenario.rs
@@ -61,7 +61,7 @@
         befall: |tenth, fleet| {
             if tenth == 3 {
                 let count = fleet.addrs().len() / 10;
-                (0..count.max(1)).for_each(|index| fleet.leave(index));
+                (0..count.max(1)).for_each(|index| fleet.set_leaving(index));
             }
         },
     },
--- a/crates/celerywinch_bench/src/cluster.rs
+++ b/crates/celerywinch_bench/src/cluster.rs
@@ -151,7 +151,7 @@
     /// The entry does not answer.
     pub async fn metrics(&self, index: usize) -> anyhow::Result<HashMap<String, f64>> {
         let operators = self.listen_addrs(index).operators;
-        let text = self.caller.text(operators, "/metrics", SECRET).await?;
+        let text = self.caller.get_text(operators, "/metrics", SECRET).await?;
         let mut sums = HashMap::new();
         for line in text.lines().filter(|line| !line.starts_with('#')) {
             let Some((name, value)) = line.rsplit_once(' ') else {
--- a/crates/celerywinch_bench/src/slopes/overhead.rs
+++ b/crates/celerywinch_bench/src/slopes/overhead.rs
@@ -7,7 +7,7 @@
 
 use celerywinch_client::{Client, read_response};
 use celerywinch_dispatch::Policy;
-use celerywinch_standin::fresh_key;
+use celerywinch_standin::generate_key;
 use ntex::http::Method;
 use serde_json::json;
 
@@ -110,7 +110,7 @@
 }
 
 async fn call(client: &Client, target: SocketAddr, tasks: Option<usize>) -> bool {
-    let key = fresh_key(Some("a"));
+    let key = generate_key(Some("a"));
     let body = json!({ "run_ms": RUN_MS });
     let response = match tasks {
         None => {
--- a/crates/celerywinch_bench/src/trial.rs
+++ b/crates/celerywinch_bench/src/trial.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use celerywinch_dispatch::Policy;
-use celerywinch_standin::fresh_key;
+use celerywinch_standin::generate_key;
 use serde_json::{Value, json};
 
 use crate::cluster::Cluster;
@@ -157,7 +157,7 @@
 }
 
 async fn run_case(cluster: &Cluster, case: &Case) -> anyhow::Result<bool> {
-    let key = fresh_key(Some(cluster.home(case.entries[0])));
+    let key = generate_key(Some(cluster.home(case.entries[0])));
     let tasks: Vec<Value> = case
         .run_ms
         .iter()
--- a/crates/celerywinch_standin/src/caller.rs
+++ b/crates/celerywinch_standin/src/caller.rs
@@ -153,7 +153,7 @@
     /// # Errors
     ///
     /// The connection was refused or lost.
-    pub async fn text(
+    pub async fn get_text(
         &self,
         entry: SocketAddr,
         path: &str,
@@ -178,7 +178,7 @@
 
 /// A new key, with a home data centre if one is named.
 #[must_use]
-pub fn fresh_key(home: Option<&str>) -> String {
+pub fn generate_key(home: Option<&str>) -> String {
     let id = Uuid::now_v7();
     home.map_or_else(|| id.to_string(), |home| format!("{home}:{id}"))
 }
--- a/crates/celerywinch_standin/src/fleet.rs
+++ b/crates/celerywinch_standin/src/fleet.rs
@@ -159,18 +159,18 @@
 
     /// The endpoint says that it leaves, and refuses new tasks from then on only by its ledger:
     /// tasks that come too late are counted.
-    pub fn leave(&self, index: usize) {
+    pub fn set_leaving(&self, index: usize) {
         self.endpoint(index).leaving.store(true, Ordering::Relaxed);
     }
 
     /// The endpoint stops to announce itself.
-    pub fn silence(&self, index: usize) {
+    pub fn stop_announcing(&self, index: usize) {
         self.endpoint(index).silent.store(true, Ordering::Relaxed);
     }
 
     /// Tasks that run now, over all endpoints.
     #[must_use]
-    pub fn running(&self) -> usize {
+    pub fn running_tasks(&self) -> usize {
         let endpoints = self.inner.endpoints.values();
         endpoints.map(|e| e.running.load(Ordering::Relaxed)).sum()
     }
--- a/crates/celerywinch_standin/src/lib.rs
+++ b/crates/celerywinch_standin/src/lib.rs
@@ -11,7 +11,7 @@
 mod leased;
 mod relay;
 
-pub use caller::{Caller, Response, fresh_key};
+pub use caller::{Caller, Response, generate_key};
 pub use execution_log::ExecutionLog;
 pub use fleet::{EndpointPlan, Fleet, FleetPlan, Mode};
 pub use leased::{Health, LeasedWorker, Ran};
--- a/crates/celerywinchd/tests/at_most_once.rs
+++ b/crates/celerywinchd/tests/at_most_once.rs
@@ -267,7 +267,7 @@
             .await?;
         assert_eq!(large.body["reason"], "too_large", "{large:?}");
         refused.push(key);
-        world.fleet.silence(0);
+        world.fleet.stop_announcing(0);
         world
             .wait_status(0, Duration::from_secs(10), |page| {
                 page["endpoints_known"] == 0
--- a/crates/celerywinchd/tests/bad_requests.rs
+++ b/crates/celerywinchd/tests/bad_requests.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use celerywinch_standin::fresh_key;
+use celerywinch_standin::generate_key;
 use harness::{Plan, SECRET, World, run};
 use serde_json::{Value, json};
 
@@ -77,7 +77,7 @@
         let world = World::start(Plan::default()).await?;
         let entry = world.processes[0].callers;
         for (number, case) in cases().into_iter().enumerate() {
-            let fresh = fresh_key(None);
+            let fresh = generate_key(None);
             let key = case
                 .key
                 .map(|key| if key.is_empty() { fresh.as_str() } else { key });
--- a/crates/celerywinchd/tests/cuts.rs
+++ b/crates/celerywinchd/tests/cuts.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use celerywinch_standin::{Direction, fresh_key};
+use celerywinch_standin::{Direction, generate_key};
 use harness::{Plan, World, run, sleep};
 
 fn plan() -> Plan {
@@ -127,7 +127,7 @@
         .await?;
         world.relays[&(0, 1)].set_blackhole(Direction::Forward, true);
         sleep(100).await;
-        let keys: Vec<_> = (0..20).map(|_| fresh_key(Some("bog-1"))).collect();
+        let keys: Vec<_> = (0..20).map(|_| generate_key(Some("bog-1"))).collect();
         let submissions = keys
             .iter()
             .flat_map(|key| (0..3).map(move |entry| (key, entry)));
--- a/crates/celerywinchd/tests/docs.rs
+++ b/crates/celerywinchd/tests/docs.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use celerywinch_standin::fresh_key;
+use celerywinch_standin::generate_key;
 use harness::{Plan, World, run};
 use serde_json::Value;
 
@@ -27,7 +27,7 @@
     run(async {
         let world = World::start(Plan::default()).await?;
         let entry = world.processes[0].callers;
-        let key = fresh_key(Some("bog-1"));
+        let key = generate_key(Some("bog-1"));
         let wait = Duration::from_secs(2);
         let body = example(API);
         let response = world
--- a/crates/celerywinchd/tests/harness/mod.rs
+++ b/crates/celerywinchd/tests/harness/mod.rs
@@ -15,7 +15,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use celerywinch_standin::{Caller, EndpointPlan, Fleet, FleetPlan, Relay, Response, fresh_key};
+use celerywinch_standin::{Caller, EndpointPlan, Fleet, FleetPlan, Relay, Response, generate_key};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use tempfile::TempDir;
@@ -289,7 +289,7 @@
 
     /// A key whose home is the data centre of a process.
     pub(crate) fn key(&self, index: usize) -> String {
-        fresh_key(Some(self.processes[index].dc))
+        generate_key(Some(self.processes[index].dc))
     }
 
     /// Cuts or heals all links between two sets of processes, both ways.
--- a/crates/celerywinchd/tests/leaving.rs
+++ b/crates/celerywinchd/tests/leaving.rs
@@ -31,7 +31,7 @@
                 assert_eq!(response.outcome(), "answer", "{response:?}");
             }
             if left_at.is_none() && began.elapsed() > Duration::from_millis(500) {
-                world.fleet.leave(0);
+                world.fleet.set_leaving(0);
                 left_at = Some(Instant::now());
             }
             let two_seconds = left_at.is_some_and(|at| at.elapsed() < Duration::from_secs(2));
@@ -51,7 +51,7 @@
 fn leaving_survives_the_loss_of_the_entry_that_heard_of_it() {
     run(async {
         let mut world = World::start(Plan::default()).await?;
-        world.fleet.leave(1);
+        world.fleet.set_leaving(1);
         sleep(700).await;
         world.processes[0].kill();
         for entry in [1, 2] {
