--- a/crates/celerywinch_standin/src/leased.rs
+++ b/crates/celerywinch_standin/src/leased.rs
@@ -1,5 +1,5 @@
-//! A worker that speaks the typed worker protocol: capacity check, leases, fencing, run numbers and
-//! the list of ends, as a state machine with the time handed in.
+//! A fake worker that implements the typed worker protocol (capacity check, leases, fencing, run numbers
+//! and the list of ended runs) as a state machine; the caller passes the current time.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -7,77 +7,84 @@
 use celerywinch_pool::{Answer, EndedRow, Rejection, Request, RunEnd, RunningRow};
 use celerywinch_types::{Fence, Incarnation, Resources, RunNumber, TaskId, Time, WorkerClock};
 
-/// How long a stop takes.
-const STOP: Duration = Duration::from_millis(50);
+/// Time from an accepted stop request to the end of the task.
+const STOP_DELAY: Duration = Duration::from_millis(50);
 
-/// How the work on a worker goes at present.
+/// How a worker processes its tasks at present.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
-    /// As it should, this much slower than usual.
+    /// Tasks succeed, slowed down by this factor (1.0: normal speed).
     Healthy(f64),
-    /// Work stands still.
+    /// Tasks make no progress.
     Hung,
-    /// All work fails.
+    /// Every task that completes fails.
     Failing,
 }
 
-/// A task at work.
+/// A task that occupies capacity, also while it is being stopped.
 #[derive(Clone, Debug)]
-struct Work {
+struct RunningTask {
     run: RunNumber,
     need: Resources,
     started: Time,
-    /// What is left, of sound work.
-    left: Duration,
-    whole: Duration,
-    stops: Option<Time>,
+    /// Remaining run time at normal speed.
+    remaining: Duration,
+    /// Total run time at normal speed.
+    total: Duration,
+    /// When the task ends because of a stop request.
+    stop_at: Option<Time>,
 }
 
-/// A run as the worker saw it, for checks of histories.
+/// A run as the worker recorded it, for checks of histories.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ran {
     /// The task.
     pub task: TaskId,
-    /// The run.
+    /// The run number.
     pub run: RunNumber,
-    /// When it started.
+    /// When the run started.
     pub from: Time,
-    /// When it ended.
+    /// When the run ended.
     pub to: Time,
-    /// How.
+    /// How the run ended.
     pub how: RunEnd,
 }
 
-/// A worker.
+/// A fake worker with a capacity limit and a lease.
 #[derive(Clone, Debug)]
 pub struct LeasedWorker {
-    /// Its name, which a later life may have too.
+    /// Worker ID; a later incarnation may have the same one.
     pub id: String,
-    /// Which of its lives this is; none where it does not say.
+    /// Incarnation of the worker; none if it reports none.
     pub incarnation: Option<Incarnation>,
-    /// What it has.
+    /// Total resources of the worker.
     pub capacity: Resources,
-    /// Whether it refuses what it has no room for.
+    /// Whether the worker rejects tasks that exceed its free capacity.
     pub checks_capacity: bool,
-    /// How its work goes.
+    /// How the worker processes its tasks.
     pub health: Health,
-    /// How many tasks were started in this life.
+    /// Number of runs started in this incarnation.
     pub started: usize,
-    /// Every run that ended here.
+    /// All runs that ended on this worker.
     pub history: Vec<Ran>,
-    born: Time,
-    advanced: Time,
+    started_at: Time,
+    /// The time up to which progress of the tasks has been computed.
+    advanced_to: Time,
+    /// The highest fencing token seen.
     fence: Fence,
-    deadline: Time,
-    work: BTreeMap<TaskId, Work>,
-    /// The highest run of each task that was stopped or ended here.
-    over: HashMap<TaskId, RunNumber>,
+    /// End of the lease; tasks that run then are interrupted.
+    lease_end: Time,
+    tasks: BTreeMap<TaskId, RunningTask>,
+    /// The highest run number of each task that was stopped or ended here; starts up to it are rejected.
+    finished: HashMap<TaskId, RunNumber>,
+    /// Ended runs that the dispatcher has not acknowledged.
     ended: Vec<EndedRow>,
+    /// Serial of the last ended run.
     serial: u64,
 }
 
 impl LeasedWorker {
-    /// A worker that starts now.
+    /// Creates a worker that starts at `now`.
     #[must_use]
     pub fn new(now: Time, id: &str, capacity: Resources) -> Self {
         Self {
@@ -88,135 +95,138 @@
             started: 0,
             health: Health::Healthy(1.0),
             history: Vec::new(),
-            born: now,
-            advanced: now,
+            started_at: now,
+            advanced_to: now,
             fence: Fence(0),
-            deadline: now,
-            work: BTreeMap::new(),
-            over: HashMap::new(),
+            lease_end: now,
+            tasks: BTreeMap::new(),
+            finished: HashMap::new(),
             ended: Vec::new(),
             serial: 0,
         }
     }
 
+    /// Converts a time to the steady clock of the worker, which starts at zero with the worker.
     fn clock(&self, now: Time) -> WorkerClock {
-        WorkerClock(u64::try_from(now.since(self.born).as_millis()).unwrap_or(u64::MAX))
+        WorkerClock(u64::try_from(now.since(self.started_at).as_millis()).unwrap_or(u64::MAX))
     }
 
-    fn at(&self, clock: WorkerClock) -> Time {
-        self.born + Duration::from_millis(clock.0)
+    /// Converts a reading of the steady clock of the worker to a time.
+    fn time_of(&self, clock: WorkerClock) -> Time {
+        self.started_at + Duration::from_millis(clock.0)
     }
 
-    /// What is free.
+    /// Returns the free capacity.
     #[must_use]
     pub fn free(&self) -> Resources {
-        let reserved = self.work.values();
-        reserved.fold(self.capacity, |free, work| free.saturating_sub(work.need))
+        let tasks = self.tasks.values();
+        tasks.fold(self.capacity, |free, task| free.saturating_sub(task.need))
     }
 
-    /// What all that is there needs, also what is being stopped.
+    /// Returns the resources that all tasks need, including those being stopped.
     #[must_use]
     pub fn reserved(&self) -> Resources {
-        let work = self.work.values();
-        work.fold(Resources::default(), |sum, work| {
-            sum.saturating_add(work.need)
+        let tasks = self.tasks.values();
+        tasks.fold(Resources::default(), |sum, task| {
+            sum.saturating_add(task.need)
         })
     }
 
-    /// Whether a task is there.
+    /// Returns whether a task is running or being stopped here.
     #[must_use]
     pub fn has_task(&self, task: TaskId) -> bool {
-        self.work.contains_key(&task)
+        self.tasks.contains_key(&task)
     }
 
-    /// How many tasks are at work.
+    /// Returns the number of tasks that are running or being stopped.
     #[must_use]
     pub fn running(&self) -> usize {
-        self.work.len()
+        self.tasks.len()
     }
 
-    /// Brings the work up to a moment.
+    /// Advances all tasks to `now` and ends those that are over by then.
     pub fn advance(&mut self, now: Time) {
-        let start = self.advanced;
-        self.advanced = now;
-        let tasks: Vec<_> = self.work.keys().copied().collect();
+        let start = self.advanced_to;
+        self.advanced_to = now;
+        let tasks: Vec<_> = self.tasks.keys().copied().collect();
         for task in tasks {
             self.advance_task(task, start, now);
         }
     }
 
+    /// Computes the progress of a task from `start` to `now`, and ends it by the first of completion, stop and lease end.
     fn advance_task(&mut self, task: TaskId, start: Time, now: Time) {
-        let work = self.work.get_mut(&task).expect("a task at work");
-        let slower = match self.health {
-            Health::Healthy(slower) => Some(slower),
+        let running = self.tasks.get_mut(&task).expect("a task that is running");
+        let slowdown = match self.health {
+            Health::Healthy(slowdown) => Some(slowdown),
             Health::Failing => Some(1.0),
             Health::Hung => None,
         };
-        let from = start.max(work.started);
-        let done = slower.map(|slower| from + work.left.mul_f64(slower));
+        let from = start.max(running.started);
+        let done = slowdown.map(|slowdown| from + running.remaining.mul_f64(slowdown));
         let ends = [
             done.map(|at| (at, RunEnd::Done)),
-            work.stops.map(|at| (at, RunEnd::Interrupted)),
-            Some((self.deadline, RunEnd::Interrupted)),
+            running.stop_at.map(|at| (at, RunEnd::Interrupted)),
+            Some((self.lease_end, RunEnd::Interrupted)),
         ];
         let first = ends.into_iter().flatten().min_by_key(|(at, _)| *at);
         match first {
-            Some((at, how)) if at <= now => {
-                let fails = self.health == Health::Failing && how == RunEnd::Done;
-                let how = if fails { RunEnd::Failed } else { how };
-                self.end(task, at, how);
+            Some((at, end)) if at <= now => {
+                let fails = self.health == Health::Failing && end == RunEnd::Done;
+                let end = if fails { RunEnd::Failed } else { end };
+                self.end_task(task, at, end);
             }
             _ => {
-                if let Some(slower) = slower {
-                    let worked = now.since(from).div_f64(slower);
-                    work.left = work.left.saturating_sub(worked);
+                if let Some(slowdown) = slowdown {
+                    let progress = now.since(from).div_f64(slowdown);
+                    running.remaining = running.remaining.saturating_sub(progress);
                 }
             }
         }
     }
 
-    fn end(&mut self, task: TaskId, at: Time, how: RunEnd) {
-        let work = self.work.remove(&task).expect("a task at work");
+    fn end_task(&mut self, task: TaskId, at: Time, end: RunEnd) {
+        let running = self.tasks.remove(&task).expect("a task that is running");
         self.serial += 1;
-        let over = self.over.entry(task).or_insert(work.run);
-        *over = work.run.max(*over);
+        let latest = self.finished.entry(task).or_insert(running.run);
+        *latest = running.run.max(*latest);
         self.ended.push(EndedRow {
             serial: self.serial,
             task,
-            run: work.run,
-            end: how,
+            run: running.run,
+            end,
         });
         self.history.push(Ran {
             task,
-            run: work.run,
-            from: work.started,
+            run: running.run,
+            from: running.started,
             to: at,
-            how,
+            how: end,
         });
     }
 
-    /// The worker ends now, with all that runs on it.
+    /// Ends the worker at `now`; all its tasks are interrupted.
     pub fn crash(&mut self, now: Time) {
         self.advance(now);
-        for task in self.work.keys().copied().collect::<Vec<_>>() {
-            self.end(task, now, RunEnd::Interrupted);
+        for task in self.tasks.keys().copied().collect::<Vec<_>>() {
+            self.end_task(task, now, RunEnd::Interrupted);
         }
     }
 
-    /// Whether a look would be answered at once, as there are ends to tell.
+    /// Returns whether a poll with this cursor would be answered at once because there are ended runs to report.
     #[must_use]
     pub fn has_ends_after(&self, cursor: u64) -> bool {
         self.ended.iter().any(|row| row.serial > cursor)
     }
 
-    /// Carries an order out; `need` and `takes` are those of the task to start.
+    /// Handles a request of a dispatcher; for a start, `need` and `run_time` are those of the task.
     pub fn handle_request(
         &mut self,
         now: Time,
         fence: Fence,
-        order: &Request,
+        request: &Request,
         need: Resources,
-        takes: Duration,
+        run_time: Duration,
     ) -> Answer {
         self.advance(now);
         let clock = self.clock(now);
@@ -224,20 +234,20 @@
             return Answer::Rejected(Rejection::StaleFence, Some(clock));
         }
         self.fence = fence;
-        match order {
+        match request {
             Request::Start {
                 task,
                 run,
                 deadline,
                 ..
-            } => self.start(now, (*task, *run), *deadline, need, takes),
+            } => self.start(now, (*task, *run), *deadline, need, run_time),
             Request::Stop { task, run } => {
-                let over = self.over.entry(*task).or_insert(*run);
-                *over = (*over).max(*run);
-                if let Some(work) = self.work.get_mut(task)
-                    && work.run <= *run
+                let latest = self.finished.entry(*task).or_insert(*run);
+                *latest = (*latest).max(*run);
+                if let Some(running) = self.tasks.get_mut(task)
+                    && running.run <= *run
                 {
-                    work.stops = work.stops.or(Some(now + STOP));
+                    running.stop_at = running.stop_at.or(Some(now + STOP_DELAY));
                 }
                 Answer::Accepted(clock)
             }
@@ -245,26 +255,26 @@
                 deadline, cursor, ..
             } => {
                 if let Some(deadline) = deadline {
-                    self.deadline = self.deadline.max(self.at(*deadline));
+                    self.lease_end = self.lease_end.max(self.time_of(*deadline));
                 }
                 self.ended.retain(|row| row.serial > *cursor);
                 Answer::Lists {
                     incarnation: self.incarnation,
                     clock,
-                    running: self.rows(),
+                    running: self.running_rows(),
                     ended: self.ended.clone(),
                 }
             }
         }
     }
 
-    fn rows(&self) -> Vec<RunningRow> {
-        let rows = self.work.iter().map(|(task, work)| {
-            let left = work.left.as_secs_f64() / work.whole.as_secs_f64().max(1e-6);
+    fn running_rows(&self) -> Vec<RunningRow> {
+        let rows = self.tasks.iter().map(|(task, running)| {
+            let remaining = running.remaining.as_secs_f64() / running.total.as_secs_f64().max(1e-6);
             RunningRow {
                 task: *task,
-                run: work.run,
-                percent: ((1.0 - left) * 100.0) as u8,
+                run: running.run,
+                percent: ((1.0 - remaining) * 100.0) as u8,
             }
         });
         rows.collect()
@@ -276,32 +286,41 @@
         run: (TaskId, RunNumber),
         deadline: WorkerClock,
         need: Resources,
-        takes: Duration,
+        run_time: Duration,
     ) -> Answer {
         let (task, run) = run;
         let clock = self.clock(now);
-        if self.work.get(&task).is_some_and(|work| work.run == run) {
+        if self
+            .tasks
+            .get(&task)
+            .is_some_and(|running| running.run == run)
+        {
             return Answer::Accepted(clock);
         }
-        if self.at(deadline) <= now {
+        if self.time_of(deadline) <= now {
             return Answer::Rejected(Rejection::LeaseExpired, Some(clock));
         }
-        self.deadline = self.deadline.max(self.at(deadline));
-        if self.over.get(&task).is_some_and(|over| *over >= run) || self.work.contains_key(&task) {
+        self.lease_end = self.lease_end.max(self.time_of(deadline));
+        if self
+            .finished
+            .get(&task)
+            .is_some_and(|latest| *latest >= run)
+            || self.tasks.contains_key(&task)
+        {
             return Answer::Rejected(Rejection::StaleRun, Some(clock));
         }
         if self.checks_capacity && !self.free().fits(need) {
             return Answer::Rejected(Rejection::NoCapacity, Some(clock));
         }
-        let work = Work {
+        let running = RunningTask {
             run,
             need,
             started: now,
-            left: takes,
-            whole: takes,
-            stops: None,
+            remaining: run_time,
+            total: run_time,
+            stop_at: None,
         };
-        self.work.insert(task, work);
+        self.tasks.insert(task, running);
         self.started += 1;
         Answer::Accepted(clock)
     }
