--- a/crates/celerywinch_standin/src/caller.rs
+++ b/crates/celerywinch_standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! A stand-in caller, which also acts as operator.
+//! A fake caller that also sends requests as an operator.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,20 +9,20 @@
 use serde_json::{Value, json};
 use uuid::Uuid;
 
-/// How long a reply may be late before the caller stops to wait.
-const PATIENCE_MS: u32 = 2000;
+/// Time added to the deadline of a request before the caller gives up on the reply, in ms.
+const REPLY_GRACE_MS: u32 = 2000;
 
-/// What a caller got.
+/// The response to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// The body, null if it is not JSON.
+    /// The body; null if it is not JSON.
     pub body: Value,
 }
 
 impl Response {
-    /// `answer`, `failure`, `refusal`, `undecided`, or the type of another problem.
+    /// Returns `answer`, `failure`, `refusal`, `undecided`, or the type of another problem.
     #[must_use]
     pub fn outcome(&self) -> &str {
         if let Some(outcome) = self.body["outcome"].as_str() {
@@ -32,7 +32,7 @@
         kind.rsplit(':').next().unwrap_or(kind)
     }
 
-    /// Whether the work ran, as far as the body says.
+    /// Returns the `ran` field of the body (whether the tasks ran); empty if it is missing.
     #[must_use]
     pub fn ran(&self) -> &str {
         self.body["ran"].as_str().unwrap_or("")
@@ -48,29 +48,29 @@
     }
 }
 
-/// Calls entries over HTTP.
+/// An HTTP client of entries.
 #[derive(Clone)]
 pub struct Caller {
     client: Client,
 }
 
 impl Caller {
-    /// A caller with a connection pool of its own; called within an `ntex` system.
+    /// Creates a caller with its own connection pool. Must be called within an `ntex` system.
     ///
     /// # Errors
     ///
-    /// The pool cannot be set up.
+    /// Returns an error if the connection pool cannot be set up.
     pub async fn new() -> anyhow::Result<Self> {
         Ok(Self {
             client: Client::new(None).await?,
         })
     }
 
-    /// Submits and waits for the reply.
+    /// Submits a job and waits for the reply.
     ///
     /// # Errors
     ///
-    /// The connection was refused or lost, or the wait was over.
+    /// Returns an error if the connection was refused or lost, or if no reply came in time.
     pub async fn submit(
         &self,
         entry: SocketAddr,
@@ -84,22 +84,22 @@
             .await
     }
 
-    /// Cancels keys.
+    /// Cancels the jobs with these keys.
     ///
     /// # Errors
     ///
-    /// The connection was refused or lost.
+    /// Returns an error if the connection was refused or lost.
     pub async fn cancel(&self, entry: SocketAddr, keys: &[String]) -> anyhow::Result<Response> {
         let body = json!({ "keys": keys });
         self.post(entry, "/v1/cancel", None, &body, Duration::from_secs(1))
             .await
     }
 
-    /// Posts any body.
+    /// Sends a POST request with a JSON body; waits for the reply for `wait` and a grace period.
     ///
     /// # Errors
     ///
-    /// The connection was refused or lost, or the wait was over.
+    /// Returns an error if the connection was refused or lost, or if no reply came in time.
     pub async fn post(
         &self,
         entry: SocketAddr,
@@ -109,7 +109,7 @@
         wait: Duration,
     ) -> anyhow::Result<Response> {
         let wait = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
-        let wait = Millis(wait.saturating_add(PATIENCE_MS));
+        let wait = Millis(wait.saturating_add(REPLY_GRACE_MS));
         let mut request = self.client.request(Method::POST, entry, path).timeout(wait);
         if let Some(key) = key {
             request = request.header("idempotency-key", key);
@@ -117,11 +117,11 @@
         Ok(read_response(request.send_json(body).await).await?.into())
     }
 
-    /// Puts a body, as an operator.
+    /// Sends a PUT request with a JSON body and the operators' secret.
     ///
     /// # Errors
     ///
-    /// The connection was refused or lost, or the wait was over.
+    /// Returns an error if the connection was refused or lost, or if no reply came in time.
     pub async fn put(
         &self,
         entry: SocketAddr,
@@ -134,35 +134,35 @@
         Ok(read_response(request.send_json(body).await).await?.into())
     }
 
-    /// Gets a page, with the operators' secret if there is one.
+    /// Sends a GET request, with the operators' secret if one is given.
     ///
     /// # Errors
     ///
-    /// The connection was refused or lost.
+    /// Returns an error if the connection was refused or lost.
     pub async fn get(
         &self,
         entry: SocketAddr,
         path: &str,
         secret: Option<&str>,
     ) -> anyhow::Result<Response> {
-        Ok(self.page(entry, path, secret).await?.into())
+        Ok(self.send_get(entry, path, secret).await?.into())
     }
 
-    /// Gets a page that is no JSON, as an operator.
+    /// Sends a GET request with the operators' secret and returns the body as text.
     ///
     /// # Errors
     ///
-    /// The connection was refused or lost.
+    /// Returns an error if the connection was refused or lost.
     pub async fn get_text(
         &self,
         entry: SocketAddr,
         path: &str,
         secret: &str,
     ) -> anyhow::Result<String> {
-        Ok(self.page(entry, path, Some(secret)).await?.text)
+        Ok(self.send_get(entry, path, Some(secret)).await?.text)
     }
 
-    async fn page(
+    async fn send_get(
         &self,
         entry: SocketAddr,
         path: &str,
@@ -176,7 +176,7 @@
     }
 }
 
-/// A new key, with a home data centre if one is named.
+/// Generates a new key, with a home data centre if one is given.
 #[must_use]
 pub fn generate_key(home: Option<&str>) -> String {
     let id = Uuid::now_v7();
--- a/crates/celerywinch_standin/src/fleet.rs
+++ b/crates/celerywinch_standin/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Stand-in endpoints: one server for many of them, told apart by the address that was called.
+//! Fake endpoints: one HTTP server for all of them; the `Host` header of a request selects the endpoint.
 
 use std::collections::{HashMap, HashSet};
 use std::net::{SocketAddr, TcpListener};
@@ -19,50 +19,50 @@
 
 use crate::ExecutionLog;
 
-/// How long idle connections are kept: longer than the entries keep theirs.
-const KEEP_ALIVE: Seconds = Seconds(30);
-/// Between two looks at whether a running task was cancelled.
-const CANCEL_POLL: Duration = Duration::from_millis(5);
-/// Between two announcements.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(500);
-/// How long one announcement may take.
+/// Keep-alive time of idle connections; longer than that of the entries, so that the entries close first.
+const KEEP_ALIVE_TIMEOUT: Seconds = Seconds(30);
+/// Interval at which a running task checks whether it was cancelled.
+const CANCEL_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval between two announcements of an endpoint.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
+/// Time limit for one announcement request.
 const ANNOUNCE_TIMEOUT: Millis = Millis(400);
 
-/// What an endpoint does with tasks.
+/// How an endpoint processes tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mode {
-    /// Runs them as their bodies say.
+    /// Runs tasks as their bodies specify.
     Work = 0,
-    /// Fails them at once.
+    /// Answers every task with an error at once.
     Fail = 1,
-    /// Runs them ten times as long as they say.
+    /// Runs tasks ten times as long as specified.
     Slow = 2,
-    /// Closes the connection without an answer, after the task was started.
+    /// Closes the connection without an answer after recording the start of the task.
     Drop = 3,
 }
 
-/// One endpoint of a fleet.
+/// Configuration of one endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointPlan {
-    /// Its data centre.
+    /// Data centre of the endpoint.
     pub dc: String,
-    /// Its rack.
+    /// Rack of the endpoint.
     pub rack: String,
-    /// The kinds it serves.
+    /// Task kinds that the endpoint serves.
     pub kinds: Vec<String>,
-    /// How many tasks it runs at once.
+    /// Number of tasks that the endpoint runs concurrently.
     pub slots: u16,
 }
 
-/// A fleet.
+/// Configuration of a [`Fleet`].
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// The endpoints.
+    /// The endpoints to start.
     pub endpoints: Vec<EndpointPlan>,
-    /// Where each data centre's endpoints announce themselves, in turn.
+    /// Entries by data centre, to which its endpoints send their announcements in turn.
     pub entries: HashMap<String, Vec<SocketAddr>>,
-    /// Threads that serve.
+    /// Number of server threads.
     pub threads: usize,
 }
 
@@ -75,45 +75,46 @@
     running: AtomicUsize,
     mode: AtomicU8,
     leaving: AtomicBool,
-    silent: AtomicBool,
+    announce_stopped: AtomicBool,
 }
 
 #[derive(Debug)]
 struct Inner {
     endpoints: HashMap<SocketAddr, Arc<Endpoint>>,
-    order: Vec<SocketAddr>,
+    addrs: Vec<SocketAddr>,
     execution_log: Arc<ExecutionLog>,
     cancelled: Mutex<HashSet<(String, u32)>>,
     entries: HashMap<String, Vec<SocketAddr>>,
 }
 
-/// Running endpoints.
+/// A set of running fake endpoints.
 pub struct Fleet {
     inner: Arc<Inner>,
     server: Server,
 }
 
 impl Fleet {
-    /// Starts the endpoints on ports of the system's choosing, and their announcements; called
+    /// Starts the endpoints on ports chosen by the operating system, and their announcements. Must be called
     /// within an `ntex` system.
     ///
     /// # Errors
     ///
-    /// A port that cannot be bound.
+    /// Returns an error if a port cannot be bound.
     pub fn start(plan: FleetPlan) -> anyhow::Result<Self> {
         let mut listeners = Vec::new();
         let mut endpoints = HashMap::new();
-        let mut order = Vec::new();
-        for one in plan.endpoints {
-            let listener = TcpListener::bind("127.0.0.1:0").context("stand-in: no port")?;
+        let mut addrs = Vec::new();
+        for endpoint in plan.endpoints {
+            let listener =
+                TcpListener::bind("127.0.0.1:0").context("stand-in: cannot bind a port")?;
             let addr = listener.local_addr()?;
-            endpoints.insert(addr, Arc::new(Endpoint::new(one, addr)));
-            order.push(addr);
+            endpoints.insert(addr, Arc::new(Endpoint::new(endpoint, addr)));
+            addrs.push(addr);
             listeners.push(listener);
         }
         let inner = Arc::new(Inner {
             endpoints,
-            order,
+            addrs,
             execution_log: Arc::default(),
             cancelled: Mutex::default(),
             entries: plan.entries,
@@ -128,7 +129,7 @@
         for listener in listeners {
             server = server.listen(listener)?;
         }
-        let http = HttpServiceConfig::new().set_keepalive(KeepAlive::Timeout(KEEP_ALIVE));
+        let http = HttpServiceConfig::new().set_keepalive(KeepAlive::Timeout(KEEP_ALIVE_TIMEOUT));
         let server = server
             .config(ntex::SharedCfg::new("STANDIN").add(http))
             .workers(plan.threads.max(1))
@@ -138,37 +139,39 @@
         Ok(Self { inner, server })
     }
 
-    /// What the endpoints saw.
+    /// Returns the record of the requests that the endpoints received.
     #[must_use]
     pub fn execution_log(&self) -> Arc<ExecutionLog> {
         self.inner.execution_log.clone()
     }
 
-    /// The addresses, in the order of the plan.
+    /// Returns the addresses of the endpoints, in the order of the plan.
     #[must_use]
     pub fn addrs(&self) -> &[SocketAddr] {
-        &self.inner.order
+        &self.inner.addrs
     }
 
-    /// Changes what an endpoint does with tasks.
+    /// Changes how an endpoint processes tasks.
     pub fn set_mode(&self, index: usize, mode: Mode) {
         self.endpoint(index)
             .mode
             .store(mode as u8, Ordering::Relaxed);
     }
 
-    /// The endpoint says that it leaves, and refuses new tasks from then on only by its ledger:
-    /// tasks that come too late are counted.
+    /// Makes the endpoint announce that it is leaving. It refuses new tasks from then on, and counts them in
+    /// [`ExecutionLog::refused_leaving`].
     pub fn set_leaving(&self, index: usize) {
         self.endpoint(index).leaving.store(true, Ordering::Relaxed);
     }
 
-    /// The endpoint stops to announce itself.
+    /// Makes the endpoint stop sending announcements.
     pub fn stop_announcing(&self, index: usize) {
-        self.endpoint(index).silent.store(true, Ordering::Relaxed);
+        self.endpoint(index)
+            .announce_stopped
+            .store(true, Ordering::Relaxed);
     }
 
-    /// Tasks that run now, over all endpoints.
+    /// Returns the number of tasks that are running on all endpoints.
     #[must_use]
     pub fn running_tasks(&self) -> usize {
         let endpoints = self.inner.endpoints.values();
@@ -176,10 +179,10 @@
     }
 
     fn endpoint(&self, index: usize) -> &Endpoint {
-        &self.inner.endpoints[&self.inner.order[index]]
+        &self.inner.endpoints[&self.inner.addrs[index]]
     }
 
-    /// Ends the endpoints at once.
+    /// Stops the endpoints at once, without waiting for running tasks.
     pub async fn stop(self) {
         self.server.stop(false).await;
     }
@@ -197,7 +200,7 @@
             running: AtomicUsize::new(0),
             mode: AtomicU8::new(Mode::Work as u8),
             leaving: AtomicBool::new(false),
-            silent: AtomicBool::new(false),
+            announce_stopped: AtomicBool::new(false),
         }
     }
 
@@ -226,25 +229,25 @@
     }
 }
 
-/// What a task body may say.
+/// The body of a task.
 #[derive(Debug, Default, Deserialize)]
 struct Script {
-    /// How long the task runs.
+    /// Run time in ms.
     #[serde(default)]
     run_ms: f64,
-    /// Whether it fails.
+    /// Whether the task fails.
     #[serde(default)]
     fail: bool,
-    /// Given back with the result.
+    /// Returned with the result.
     #[serde(default)]
     echo: serde_json::Value,
 }
 
-/// A slot that is in use.
+/// An occupied slot; released on drop.
 struct Slot(Arc<Endpoint>);
 
 impl Slot {
-    fn take(endpoint: &Arc<Endpoint>) -> Option<Self> {
+    fn acquire(endpoint: &Arc<Endpoint>) -> Option<Self> {
         let before = endpoint.running.fetch_add(1, Ordering::AcqRel);
         let slot = Self(endpoint.clone());
         (before < usize::from(endpoint.plan.slots)).then_some(slot)
@@ -274,18 +277,18 @@
             .execution_log
             .refused_leaving
             .fetch_add(1, Ordering::Relaxed);
-        return not_run("leaving");
+        return refuse("leaving");
     }
-    let Some(slot) = Slot::take(endpoint) else {
+    let Some(slot) = Slot::acquire(endpoint) else {
         inner
             .execution_log
             .refused_full
             .fetch_add(1, Ordering::Relaxed);
-        return not_run("all slots are in use");
+        return refuse("all slots are in use");
     };
     let script: Script = serde_json::from_slice(&body).unwrap_or_default();
     let count = inner.execution_log.record_start(&key, task);
-    let began = Instant::now();
+    let started = Instant::now();
     match endpoint.mode() {
         Mode::Fail => return HttpResponse::InternalServerError().body("broken worker"),
         Mode::Drop => {
@@ -300,7 +303,7 @@
         1.0
     };
     let span = Duration::from_secs_f64((script.run_ms * factor / 1000.0).max(0.0));
-    if !work(&inner, &key, task, span).await {
+    if !run_task(&inner, &key, task, span).await {
         inner
             .execution_log
             .cancelled
@@ -308,36 +311,36 @@
         return HttpResponse::Conflict().body("cancelled");
     }
     drop(slot);
-    if began.elapsed() > Duration::from_millis(remaining) {
+    if started.elapsed() > Duration::from_millis(remaining) {
         inner.execution_log.late.fetch_add(1, Ordering::Relaxed);
     }
     if script.fail {
-        return HttpResponse::UnprocessableEntity().body("the task says so");
+        return HttpResponse::UnprocessableEntity().body("failure requested by the task body");
     }
     inner.execution_log.finished.fetch_add(1, Ordering::Relaxed);
     HttpResponse::Ok().json(&json!({ "task": task, "starts": count, "echo": script.echo }))
 }
 
-fn not_run(why: &str) -> HttpResponse {
+fn refuse(reason: &str) -> HttpResponse {
     let mut response = HttpResponse::ServiceUnavailable();
     response.header("celerywinch-ran", "no");
-    response.body(why.to_owned())
+    response.body(reason.to_owned())
 }
 
-/// Runs for `span`; false if it was cancelled meanwhile.
-async fn work(inner: &Inner, key: &str, task: u32, span: Duration) -> bool {
+/// Runs a task for `span`; returns false if it was cancelled meanwhile.
+async fn run_task(inner: &Inner, key: &str, task: u32, span: Duration) -> bool {
     let end = Instant::now() + span;
     loop {
         let left = end.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return true;
         }
-        // Short looks only while something is cancelled at all: they cost processor time.
+        // Polls at the short interval only while cancellations are pending, as polling costs CPU time.
         let none = inner.cancelled.lock().map_or(true, |set| set.is_empty());
         let step = if none {
-            left.min(CANCEL_POLL * 4)
+            left.min(CANCEL_POLL_INTERVAL * 4)
         } else {
-            left.min(CANCEL_POLL)
+            left.min(CANCEL_POLL_INTERVAL)
         };
         tokio::time::sleep(step).await;
         let id = (key.to_owned(), task);
@@ -347,7 +350,7 @@
     }
 }
 
-/// One cancelled task.
+/// One task in a cancel request.
 #[derive(Deserialize)]
 struct Cancelled {
     key: String,
@@ -355,9 +358,13 @@
 }
 
 async fn cancel(body: Bytes, inner: State<Arc<Inner>>) -> HttpResponse {
-    let list: Vec<Cancelled> = serde_json::from_slice(&body).unwrap_or_default();
+    let tasks: Vec<Cancelled> = serde_json::from_slice(&body).unwrap_or_default();
     if let Ok(mut set) = inner.cancelled.lock() {
-        set.extend(list.into_iter().map(|one| (one.key, one.task)));
+        set.extend(
+            tasks
+                .into_iter()
+                .map(|cancelled| (cancelled.key, cancelled.task)),
+        );
     }
     HttpResponse::Ok().finish()
 }
@@ -366,9 +373,9 @@
     let client = Client::new().await;
     let mut turn = 0_usize;
     loop {
-        for addr in &inner.order {
+        for addr in &inner.addrs {
             let endpoint = inner.endpoints[addr].clone();
-            if endpoint.silent.load(Ordering::Relaxed) {
+            if endpoint.announce_stopped.load(Ordering::Relaxed) {
                 continue;
             }
             let Some(entries) = inner.entries.get(&endpoint.plan.dc) else {
@@ -379,13 +386,13 @@
             let next = entries[(turn + 1) % entries.len()];
             let client = client.clone();
             ntex::rt::spawn(async move {
-                // The balancer would send the next attempt to another entry.
+                // Retries at another entry, as a load balancer would.
                 if !announce(&client, entry, &endpoint).await {
                     announce(&client, next, &endpoint).await;
                 }
             });
         }
-        sleep(ANNOUNCE_EVERY).await;
+        sleep(ANNOUNCE_INTERVAL).await;
     }
 }
 
--- a/crates/celerywinch_standin/src/lib.rs
+++ b/crates/celerywinch_standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small fakes at the interfaces of celerywinch, for tests, trying and measuring.
+//! Fake endpoints, callers, workers and network links of celerywinch, for tests, trials and benchmarks.
 //!
-//! - [`Fleet`]: endpoints that announce themselves and run tasks as the task bodies say;
+//! - [`Fleet`]: endpoints that announce themselves and run tasks as the task bodies specify;
 //! - [`Caller`]: submits, looks up and cancels over HTTP;
-//! - [`LeasedWorker`]: a worker with capacity and leases, as a state machine;
-//! - [`Relay`]: a TCP relay between two processes that can cut, stall and delay.
+//! - [`LeasedWorker`]: a worker with a capacity limit and a lease, as a state machine;
+//! - [`Relay`]: a TCP relay between two processes that can simulate partitions, lost bytes, resets and latency.
 
 mod caller;
 mod execution_log;
--- a/crates/celerywinch_standin/src/relay.rs
+++ b/crates/celerywinch_standin/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay between two processes that can cut, stall, reset and delay what passes.
+//! A TCP relay between two processes that can simulate partitions, lost bytes, connection resets and latency.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,27 +11,29 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Which way bytes go, seen from the side that opened the connection.
+/// Direction of bytes, as seen from the side that opened the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// From the opener to the target.
     Forward,
-    /// Back.
+    /// From the target to the opener.
     Backward,
 }
 
 #[derive(Debug, Default)]
 struct Control {
-    /// No connection is taken, and what is open passes nothing.
-    cut: AtomicBool,
-    /// Bytes of open connections disappear in this direction.
-    forward_lost: AtomicBool,
-    backward_lost: AtomicBool,
-    /// Connections older than this generation pass nothing for good, while new ones work.
-    silent_before: AtomicU64,
+    /// New connections hang, and open connections forward nothing.
+    partitioned: AtomicBool,
+    /// Bytes from the opener to the target are dropped.
+    drop_forward: AtomicBool,
+    /// Bytes from the target to the opener are dropped.
+    drop_backward: AtomicBool,
+    /// Connections of earlier generations forward nothing any more; newer ones work.
+    blackhole_before: AtomicU64,
+    /// Number of connections accepted so far; each connection is a generation of its own.
     generation: AtomicU64,
     delay_us: AtomicU64,
-    /// Changes when all open connections are reset.
+    /// Changes when all open connections are to be reset.
     resets: watch::Sender<u64>,
 }
 
@@ -43,54 +45,56 @@
 }
 
 impl Relay {
-    /// Starts a relay to `target` on a port of the system's choosing; called within a runtime.
+    /// Starts a relay to `target` on a port chosen by the operating system. Must be called within an `ntex` runtime.
     ///
     /// # Errors
     ///
-    /// No port is free.
+    /// Returns an error if no port is free.
     pub async fn start(target: SocketAddr) -> anyhow::Result<Self> {
         Self::bind(SocketAddr::from(([127, 0, 0, 1], 0)), target).await
     }
 
-    /// Starts a relay to `target` at an address; called within a runtime.
+    /// Starts a relay to `target` that listens on `addr`. Must be called within an `ntex` runtime.
     ///
     /// # Errors
     ///
-    /// The address is taken.
+    /// Returns an error if the address is in use.
     pub async fn bind(addr: SocketAddr, target: SocketAddr) -> anyhow::Result<Self> {
         let listener = TcpListener::bind(addr).await;
-        let listener = listener.with_context(|| format!("relay: cannot listen at {addr}"))?;
+        let listener = listener.with_context(|| format!("relay: cannot listen on {addr}"))?;
         let addr = listener.local_addr()?;
         let control = Arc::new(Control::default());
         ntex::rt::spawn(accept(listener, target, control.clone()));
         Ok(Self { addr, control })
     }
 
-    /// Where the relay listens.
+    /// Returns the address on which the relay listens.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Cuts everything, silently, as a partition does; or heals it.
-    pub fn set_partitioned(&self, cut: bool) {
-        self.control.cut.store(cut, Ordering::Release);
+    /// Starts or ends a partition: all bytes are dropped, and no connection is refused or closed.
+    pub fn set_partitioned(&self, partitioned: bool) {
+        self.control
+            .partitioned
+            .store(partitioned, Ordering::Release);
     }
 
-    /// Loses what goes one way.
-    pub fn set_blackhole(&self, direction: Direction, lost: bool) {
+    /// Starts or ends dropping all bytes in one direction.
+    pub fn set_blackhole(&self, direction: Direction, dropping: bool) {
         let flag = match direction {
-            Direction::Forward => &self.control.forward_lost,
-            Direction::Backward => &self.control.backward_lost,
+            Direction::Forward => &self.control.drop_forward,
+            Direction::Backward => &self.control.drop_backward,
         };
-        flag.store(lost, Ordering::Release);
+        flag.store(dropping, Ordering::Release);
     }
 
-    /// Makes the open connections silent for good; new ones work.
+    /// Drops all bytes of the open connections from now on; new connections work.
     pub fn blackhole_open(&self) {
         let generation = self.control.generation.load(Ordering::Acquire);
         self.control
-            .silent_before
+            .blackhole_before
             .store(generation + 1, Ordering::Release);
     }
 
@@ -99,7 +103,7 @@
         self.control.resets.send_modify(|count| *count += 1);
     }
 
-    /// Delays every piece by `span`.
+    /// Delays every forwarded chunk by `span`.
     pub fn set_delay(&self, span: Duration) {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         self.control.delay_us.store(micros, Ordering::Release);
@@ -108,34 +112,34 @@
 
 async fn accept(listener: TcpListener, target: SocketAddr, control: Arc<Control>) {
     while let Ok((socket, _)) = listener.accept().await {
-        ntex::rt::spawn(relay(socket, target, control.clone()));
+        ntex::rt::spawn(relay_connection(socket, target, control.clone()));
     }
 }
 
-/// Passes what comes both ways until both ends have closed, or a reset.
-async fn relay(mut socket: TcpStream, target: SocketAddr, control: Arc<Control>) {
+/// Forwards bytes both ways until both ends have closed the connection or it is reset.
+async fn relay_connection(mut socket: TcpStream, target: SocketAddr, control: Arc<Control>) {
     let mut resets = control.resets.subscribe();
-    // A partition gives no refusal: the connection hangs until it heals.
-    while control.cut.load(Ordering::Acquire) {
+    // A partition refuses no connection: it hangs until the partition ends.
+    while control.partitioned.load(Ordering::Acquire) {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let generation = control.generation.fetch_add(1, Ordering::AcqRel) + 1;
-    let Ok(mut out) = TcpStream::connect(target).await else {
+    let Ok(mut outgoing) = TcpStream::connect(target).await else {
         return;
     };
     let _ = socket.set_nodelay(true);
-    let _ = out.set_nodelay(true);
+    let _ = outgoing.set_nodelay(true);
     let reset = {
         let (from_opener, to_opener) = socket.split();
-        let (from_target, to_target) = out.split();
-        let forward = pass(
+        let (from_target, to_target) = outgoing.split();
+        let forward = forward_bytes(
             from_opener,
             to_target,
             &control,
             Direction::Forward,
             generation,
         );
-        let backward = pass(
+        let backward = forward_bytes(
             from_target,
             to_opener,
             &control,
@@ -148,13 +152,13 @@
         }
     };
     if reset {
-        // Closing sends a reset then, and what was not delivered is lost.
+        // With zero linger, closing sends a reset and discards undelivered bytes.
         let _ = socket.set_zero_linger();
-        let _ = out.set_zero_linger();
+        let _ = outgoing.set_zero_linger();
     }
 }
 
-async fn pass(
+async fn forward_bytes(
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
     control: &Control,
@@ -170,9 +174,9 @@
         if delay > 0 {
             tokio::time::sleep(Duration::from_micros(delay)).await;
         }
-        if control.drops(direction, generation) {
-            // Half a stream cannot be resumed: from here on the connection is silent for good.
-            silent(&mut from, &mut buffer).await;
+        if control.drops_bytes(direction, generation) {
+            // A stream with missing bytes cannot be resumed, so this direction forwards nothing any more.
+            discard(&mut from, &mut buffer).await;
             std::future::pending::<()>().await;
         }
         if to.write_all(&buffer[..count]).await.is_err() {
@@ -182,19 +186,19 @@
     let _ = to.shutdown().await;
 }
 
-/// Goes on reading, so that the sender notices nothing.
-async fn silent(from: &mut ReadHalf<'_>, buffer: &mut [u8]) {
+/// Keeps reading and discards the bytes, so that the sender notices nothing.
+async fn discard(from: &mut ReadHalf<'_>, buffer: &mut [u8]) {
     while from.read(buffer).await.is_ok_and(|count| count > 0) {}
 }
 
 impl Control {
-    fn drops(&self, direction: Direction, generation: u64) -> bool {
-        let lost = match direction {
-            Direction::Forward => &self.forward_lost,
-            Direction::Backward => &self.backward_lost,
+    fn drops_bytes(&self, direction: Direction, generation: u64) -> bool {
+        let dropping = match direction {
+            Direction::Forward => &self.drop_forward,
+            Direction::Backward => &self.drop_backward,
         };
-        self.cut.load(Ordering::Acquire)
-            || lost.load(Ordering::Acquire)
-            || generation < self.silent_before.load(Ordering::Acquire)
+        self.partitioned.load(Ordering::Acquire)
+            || dropping.load(Ordering::Acquire)
+            || generation < self.blackhole_before.load(Ordering::Acquire)
     }
 }
