--- a/crates/celerywinch/src/commands/bench.rs
+++ b/crates/celerywinch/src/commands/bench.rs
@@ -1,4 +1,4 @@
-//! `celerywinch bench`: load and experiments.
+//! `celerywinch bench`: load tests and measurements.
 
 use std::time::Duration;
 
@@ -9,53 +9,53 @@
 use getopts::Matches;
 use ntex::rt::{DefaultRuntime, System};
 
-use super::{Command, number, parse};
+use super::{Command, parse, parse_number};
 use crate::ExitStatus;
 
-/// The command.
 pub(super) const COMMAND: Command = Command {
     name: "bench",
-    summary: "Drive real entries with load and faults, and measure",
+    summary: "Run load tests with faults against real entries",
     run,
 };
 
-const BRIEF: &str = "Usage: celerywinch bench [--scenario NAME]... [--deployment NAME] [--seed N]\n\
+const USAGE: &str = "Usage: celerywinch bench [--scenario NAME]... [--deployment NAME] [--seed N]\n\
     \x20                        [--seconds S] [--baselines] [--json OUT]\n\
     \x20      celerywinch bench --slopes | --overhead [--json OUT]\n\n\
-    Starts the entries of a deployment and its endpoints in this process, submits in an open loop,\n\
-    and shows response time over the longest task, outcomes and wasted messages. With\n\
-    `--baselines`, other ways to choose endpoints run in the same call. `--slopes` measures what\n\
-    control costs by number of instances, endpoints and changes.";
+    Starts the entries and endpoints of a deployment in this process, submits jobs in an open loop, and\n\
+    shows the ratio of response time to the longest task, outcomes and wasted messages. `--baselines`\n\
+    also runs other policies for choosing endpoints. `--slopes` measures the cost of the control plane\n\
+    by number of instances, endpoints and changes.";
 
-/// Seconds of a run where none are asked for.
-const SECONDS: u64 = 10;
+/// Default duration of a run, in seconds.
+const DEFAULT_SECONDS: u64 = 10;
 
 fn run(arguments: &[String]) -> anyhow::Result<ExitStatus> {
     let mut options = getopts::Options::new();
-    options.optmulti("", "scenario", "a scenario; all without it", "NAME");
-    options.optopt(
+    options.optmulti(
         "",
-        "deployment",
-        "condor or siam; condor without it",
+        "scenario",
+        "scenario to run, repeatable; default: all",
         "NAME",
     );
-    options.optopt("", "seed", "seed of the load; 1 without it", "N");
-    options.optopt("", "seconds", "how long callers submit; 10 without it", "S");
-    options.optflag("", "baselines", "run the baselines too");
-    options.optflag("", "slopes", "measure what control costs");
-    options.optflag(
+    options.optopt("", "deployment", "condor or siam; default: condor", "NAME");
+    options.optopt("", "seed", "seed of the load; default: 1", "N");
+    options.optopt(
         "",
-        "overhead",
-        "measure what the whole path adds to a direct call",
+        "seconds",
+        "how long callers submit jobs; default: 10",
+        "S",
     );
-    options.optopt("", "json", "write the results to a file", "OUT");
-    let Some(matches) = parse(&mut options, &brief(), arguments)? else {
+    options.optflag("", "baselines", "also run the baseline policies");
+    options.optflag("", "slopes", "measure the cost of the control plane");
+    options.optflag("", "overhead", "measure the latency added to a direct call");
+    options.optopt("", "json", "write the results to this file", "OUT");
+    let Some(matches) = parse(&mut options, &usage(), arguments)? else {
         return Ok(ExitStatus::Success);
     };
     if matches.opt_present("slopes") || matches.opt_present("overhead") {
         return run_slopes(&matches);
     }
-    let runs = plan(&matches)?;
+    let runs = plan_runs(&matches)?;
     let system = System::build().name("bench").build(DefaultRuntime);
     let results = system.block_on(async move {
         let mut results = Vec::new();
@@ -67,26 +67,27 @@
     })?;
     println!("{}", table(&results));
     write_json(&matches, &results)?;
-    let broken = |result: &RunResult| result.figures.doubled + result.figures.violations > 0;
-    Ok(if results.iter().any(broken) {
+    let has_violations =
+        |result: &RunResult| result.figures.doubled + result.figures.violations > 0;
+    Ok(if results.iter().any(has_violations) {
         ExitStatus::Failure
     } else {
         ExitStatus::Success
     })
 }
 
-fn brief() -> String {
-    let mut text = format!("{BRIEF}\n\nScenarios:\n");
+fn usage() -> String {
+    let mut text = format!("{USAGE}\n\nScenarios:\n");
     for scenario in SCENARIOS {
         text.push_str(&format!("  {:<11} {}\n", scenario.name, scenario.what));
     }
     text
 }
 
-fn plan(matches: &Matches) -> anyhow::Result<Vec<BenchOptions>> {
+fn plan_runs(matches: &Matches) -> anyhow::Result<Vec<BenchOptions>> {
     let deployment = deployment(matches)?;
-    let seed = number(matches, "seed")?.unwrap_or(1);
-    let seconds = number(matches, "seconds")?.unwrap_or(SECONDS);
+    let seed = parse_number(matches, "seed")?.unwrap_or(1);
+    let seconds = parse_number(matches, "seconds")?.unwrap_or(DEFAULT_SECONDS);
     let mut policies = vec![Policy::Shares];
     if matches.opt_present("baselines") {
         policies.extend([Policy::Random, Policy::RoundRobin, Policy::LeastOutstanding]);
@@ -125,7 +126,7 @@
     for name in names {
         match SCENARIOS.iter().find(|scenario| scenario.name == name) {
             Some(scenario) => found.push(*scenario),
-            None => bail!("`--scenario`: there is no scenario {name:?}; see --help"),
+            None => bail!("`--scenario`: unknown scenario {name:?}; see --help"),
         }
     }
     Ok(found)
--- a/crates/celerywinch/src/commands/check.rs
+++ b/crates/celerywinch/src/commands/check.rs
@@ -8,35 +8,34 @@
 use super::{Command, parse};
 use crate::ExitStatus;
 
-/// The command.
 pub(super) const COMMAND: Command = Command {
     name: "check",
     summary: "Check settings and catalogue files",
     run,
 };
 
-const BRIEF: &str = "Usage: celerywinch check FILE...\n\n\
-    Checks settings and catalogue files and shows all problems with file and line.\n\
-    A file with a top-level `kinds:` is taken for a catalogue.";
+const USAGE: &str = "Usage: celerywinch check FILE...\n\n\
+    Checks settings and catalogue files and prints all problems with file and line.\n\
+    A file with a top-level `kinds:` is checked as a catalogue, any other as settings.";
 
 fn run(arguments: &[String]) -> anyhow::Result<ExitStatus> {
     let mut options = getopts::Options::new();
-    let Some(matches) = parse(&mut options, BRIEF, arguments)? else {
+    let Some(matches) = parse(&mut options, USAGE, arguments)? else {
         return Ok(ExitStatus::Success);
     };
     if matches.free.is_empty() {
-        bail!("name at least one file");
+        bail!("at least one file is required");
     }
     let mut status = ExitStatus::Success;
     for file in &matches.free {
         let path = Path::new(file);
-        let checked = if is_catalogue(path) {
+        let result = if is_catalogue(path) {
             load_catalogue(path).map(drop)
         } else {
             load_settings(path).map(drop)
         };
-        match checked {
-            Ok(()) => println!("{file}: good"),
+        match result {
+            Ok(()) => println!("{file}: no problems found"),
             Err(error) => {
                 println!("{error}");
                 status = ExitStatus::Failure;
--- a/crates/celerywinch/src/commands/mod.rs
+++ b/crates/celerywinch/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one file each, and the registry that lists them.
+//! The commands, one module each, and the table that lists them.
 
 mod bench;
 mod catalogue;
@@ -13,17 +13,17 @@
 
 use crate::ExitStatus;
 
-/// One command.
+/// A subcommand.
 #[derive(Clone, Copy)]
 pub struct Command {
-    /// Its name.
+    /// Name on the command line.
     pub name: &'static str,
-    /// What it does, in one line.
+    /// One-line description for the help text.
     pub summary: &'static str,
     run: fn(&[String]) -> anyhow::Result<ExitStatus>,
 }
 
-/// All commands.
+/// All subcommands, in the order of the help text.
 pub const COMMANDS: &[Command] = &[
     try_it::COMMAND,
     check::COMMAND,
@@ -36,7 +36,7 @@
     report::COMMAND,
 ];
 
-/// Runs the command that the arguments name.
+/// Runs the subcommand that the first argument names.
 #[must_use]
 pub fn run(arguments: &[String]) -> ExitStatus {
     let Some((name, rest)) = arguments.split_first() else {
@@ -48,7 +48,7 @@
         return ExitStatus::Success;
     }
     let Some(command) = COMMANDS.iter().find(|command| command.name == name) else {
-        eprintln!("celerywinch: there is no command {name:?}\n\n{}", help());
+        eprintln!("celerywinch: unknown command {name:?}\n\n{}", help());
         return ExitStatus::Usage;
     };
     match (command.run)(rest) {
@@ -65,28 +65,28 @@
     for command in COMMANDS {
         text.push_str(&format!("  {:<10} {}\n", command.name, command.summary));
     }
-    text.push_str("\n`celerywinch COMMAND --help` tells more.\n");
-    text.push_str("Exit codes: 0 done and all checks held, 1 a check failed, 2 wrong usage.");
+    text.push_str("\nSee `celerywinch COMMAND --help` for the options of a command.\n");
+    text.push_str("Exit codes: 0 success, 1 a check failed, 2 usage error.");
     text
 }
 
-/// Parses arguments; `None` if help was asked for and shown.
+/// Parses arguments; returns `None` after printing the help text if `--help` was given.
 fn parse(
     options: &mut getopts::Options,
-    brief: &str,
+    usage: &str,
     arguments: &[String],
 ) -> anyhow::Result<Option<getopts::Matches>> {
     options.optflag("h", "help", "show this text");
     let matches = options.parse(arguments)?;
     if matches.opt_present("help") {
-        println!("{}", options.usage(brief));
+        println!("{}", options.usage(usage));
         return Ok(None);
     }
     Ok(Some(matches))
 }
 
-/// The value of a numeric option.
-fn number(matches: &getopts::Matches, name: &str) -> anyhow::Result<Option<u64>> {
+/// Returns the value of a numeric option, if given.
+fn parse_number(matches: &getopts::Matches, name: &str) -> anyhow::Result<Option<u64>> {
     let Some(text) = matches.opt_str(name) else {
         return Ok(None);
     };
--- a/crates/celerywinch/src/commands/operator.rs
+++ b/crates/celerywinch/src/commands/operator.rs
@@ -1,4 +1,4 @@
-//! What the operators' commands share: where an instance is, and the secret.
+//! Options and HTTP requests shared by the operators' commands.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,14 +8,24 @@
 use getopts::Matches;
 use ntex::rt::{DefaultRuntime, System};
 
-/// Adds the options that name an instance.
+/// Adds the options that select an instance.
 pub(super) fn options(options: &mut getopts::Options) {
-    options.optopt("", "at", "operators' address of an instance", "ADDR");
-    options.optopt("", "secret-file", "the file with the secret", "FILE");
+    options.optopt(
+        "",
+        "at",
+        "address of the operators' listener of an instance",
+        "ADDR",
+    );
+    options.optopt(
+        "",
+        "secret-file",
+        "file that contains the operators' secret",
+        "FILE",
+    );
     options.optflag("", "json", "print JSON");
 }
 
-/// An instance to ask.
+/// The instance that receives the requests.
 pub(super) struct Target {
     addr: SocketAddr,
     secret: String,
@@ -30,13 +40,13 @@
         let secret = secret.with_context(|| format!("cannot read {file}"))?;
         Ok(Self {
             addr: addr.parse().with_context(|| {
-                format!("`--at`: found {addr:?}, wanted an IP number and a port")
+                format!("`--at`: found {addr:?}, wanted an IP address and a port")
             })?,
             secret: secret.trim().to_owned(),
         })
     }
 
-    /// Gets a page.
+    /// Sends a GET request and returns the JSON body; returns an error unless the status is 200.
     pub(super) fn get(&self, path: &str) -> anyhow::Result<serde_json::Value> {
         let (addr, secret, path) = (self.addr, self.secret.clone(), path.to_owned());
         let response = block_on(async move {
@@ -44,12 +54,12 @@
             client.get(addr, &path).await
         })?;
         if response.status != 200 {
-            bail!("{} answers {}", self.addr, response.problem());
+            bail!("{} answered {}", self.addr, response.problem());
         }
         Ok(response.body)
     }
 
-    /// Puts a body.
+    /// Sends a PUT request with a JSON body.
     pub(super) fn put(&self, path: &str, body: serde_json::Value) -> anyhow::Result<Response> {
         let (addr, secret, path) = (self.addr, self.secret.clone(), path.to_owned());
         block_on(async move {
--- a/crates/celerywinch/src/commands/report.rs
+++ b/crates/celerywinch/src/commands/report.rs
@@ -1,4 +1,4 @@
-//! `celerywinch report`: results of the bench as a page with plots.
+//! `celerywinch report`: renders benchmark results as an HTML page with plots.
 
 use anyhow::{Context, bail};
 use celerywinch_bench::bench::RunResult;
@@ -7,34 +7,33 @@
 use super::{Command, parse};
 use crate::ExitStatus;
 
-/// The command.
 pub(super) const COMMAND: Command = Command {
     name: "report",
-    summary: "Draw results of the bench as one page with plots",
+    summary: "Render benchmark results as an HTML page with plots",
     run,
 };
 
-const BRIEF: &str = "Usage: celerywinch report --html OUT RUN.json...\n\n\
-    Draws what `celerywinch bench --json` wrote, and compares the first two runs as ratios.";
+const USAGE: &str = "Usage: celerywinch report --html OUT RUN.json...\n\n\
+    Plots the results written by `celerywinch bench --json`, and shows the ratios of the first two runs.";
 
 fn run(arguments: &[String]) -> anyhow::Result<ExitStatus> {
     let mut options = getopts::Options::new();
-    options.optopt("", "html", "the page to write", "OUT");
-    let Some(matches) = parse(&mut options, BRIEF, arguments)? else {
+    options.optopt("", "html", "the HTML file to write", "OUT");
+    let Some(matches) = parse(&mut options, USAGE, arguments)? else {
         return Ok(ExitStatus::Success);
     };
     let out = matches.opt_str("html").context("`--html OUT` is missing")?;
     if matches.free.is_empty() {
-        bail!("name at least one file of results");
+        bail!("at least one result file is required");
     }
     let mut results: Vec<RunResult> = Vec::new();
     for file in &matches.free {
         let text = std::fs::read_to_string(file).with_context(|| format!("cannot read {file}"))?;
-        let runs: Vec<RunResult> =
-            serde_json::from_str(&text).with_context(|| format!("{file}: no results"))?;
+        let runs: Vec<RunResult> = serde_json::from_str(&text)
+            .with_context(|| format!("{file}: not a file of benchmark results"))?;
         results.extend(runs);
     }
     std::fs::write(&out, page(&results)?).with_context(|| format!("cannot write {out}"))?;
-    println!("{} runs drawn in {out}", results.len());
+    println!("wrote {} runs to {out}", results.len());
     Ok(ExitStatus::Success)
 }
--- a/crates/celerywinch/src/commands/soak.rs
+++ b/crates/celerywinch/src/commands/soak.rs
@@ -1,145 +1,153 @@
-//! `celerywinch soak`: long randomised runs of the state machines.
-
-use celerywinch_bench::soak::{SoakOptions, run as soak, run_store};
+//! `celerywinch soak`: randomised simulations of the state machines under faults.
 
 use celerywinch_bench::members;
-
+use celerywinch_bench::soak::{SoakOptions, run as soak, run_store};
 use celerywinch_types::{DisabledMechanisms, JobId};
 
-use super::{Command, number, parse};
+use super::{Command, parse, parse_number};
 use crate::ExitStatus;
 
-/// The command.
 pub(super) const COMMAND: Command = Command {
     name: "soak",
-    summary: "Run the state machines at random under faults and check their histories",
+    summary: "Simulate the state machines under random faults and check their histories",
     run,
 };
 
-const BRIEF: &str = "Usage: celerywinch soak [--seed N] [--steps M] [--calm] [--store]\n       celerywinch soak --members [--seed N] [--runs M] [--held]\n                                  [--congested] [--refused] [--drift] [--many]\n                                  [--reborn] [--shrinking] [--crashing]\n                                  [--evacuated] [--resets]\n                                  [--without NAMES]\n\n\
-    Drives the entries' state machines with a virtual clock under lost, doubled, delayed and\n\
-    reordered messages, deaths, freezes, cuts and lost memory. One seed gives one run.\n\
-    Prints `steps=… starts=… violations=…` last and exits 1 on a violation.";
+const USAGE: &str = "Usage: celerywinch soak [--seed N] [--steps M] [--calm] [--store]\n\
+    \x20      celerywinch soak --members [--seed N] [--runs M] [--held]\n\
+    \x20                                 [--congested] [--refused] [--drift] [--many]\n\
+    \x20                                 [--reborn] [--shrinking] [--crashing]\n\
+    \x20                                 [--evacuated] [--resets]\n\
+    \x20                                 [--without NAMES]\n\n\
+    Drives the state machines of the entries with a virtual clock under lost, duplicated, delayed and\n\
+    reordered messages, crashes, freezes, partitions and lost state. Runs are deterministic per seed.\n\
+    The last line is `steps=… starts=… violations=…`; exits with 1 on a violation.";
 
-/// Ms of load in a run of members.
-const MEMBERS_LOAD: u64 = 15_000;
-/// Ms between two faults in a run of members: the first seeds get few, the later ones many.
-const MEMBERS_FAULTS: [u64; 4] = [900, 500, 300, 150];
-/// The most workers of a dispatcher, of 48: one for all, or several that hand on what finds no room.
-const MEMBERS_SHARDS: [usize; 3] = [80, 8, 16];
+/// Duration of the load in a run of members, in ms.
+const MEMBERS_LOAD_MS: u64 = 15_000;
+/// Interval between two faults in a run of members, in ms; chosen by the seed modulo 4.
+const MEMBERS_FAULT_INTERVALS_MS: [u64; 4] = [900, 500, 300, 150];
+/// Maximum number of workers per dispatcher, of 48 workers: either one dispatcher has all of them, or several
+/// dispatchers pass on tasks for which they have no capacity. Chosen by the seed modulo 3.
+const MEMBERS_SHARD_SIZES: [usize; 3] = [80, 8, 16];
 
-/// Entries of a run of members: all hear each other often, or only those do that work with each other.
+/// Number of entries in a run of members. With few entries, all exchange frequent heartbeats.
 const FEW_ENTRIES: u32 = 7;
+/// Number of entries with `--many`: only entries that work with each other exchange frequent heartbeats.
 const MANY_ENTRIES: u32 = 24;
-/// The most workers of a dispatcher where there are many entries: eight or four dispatch, of whom an origin uses six.
-const MANY_SHARDS: [usize; 3] = [6, 6, 12];
-/// The same in a run with congested paths: 4 s of the usual load, then a lull in which most workers
-/// are idle for longer than the 20 s after which a silent worker is forgotten; twice, and 4 s at the end.
-const CONGESTED_LOAD: u64 = 64_000;
-const LULL_EVERY: u64 = 30_000;
-const LULL_LASTS: u64 = 26_000;
-const LULL_CALM: u64 = 22_000;
-const LULL_LOADS: [f64; 4] = [0.05, 0.4, 0.1, 0.2];
+/// Maximum number of workers per dispatcher with `--many`: there are eight or four dispatchers, of which an
+/// origin uses at most six.
+const MANY_SHARD_SIZES: [usize; 3] = [6, 6, 12];
+/// Duration of the load with `--congested`, in ms: two periods of 4 s of normal load and a lull, then 4 s of
+/// normal load.
+const CONGESTED_LOAD_MS: u64 = 64_000;
+const LULL_PERIOD_MS: u64 = 30_000;
+/// During a lull, most workers are idle for longer than the 20 s after which a silent worker is removed.
+const LULL_DURATION_MS: u64 = 26_000;
+/// Time from the start of a lull without faults, in ms; a fault would cause calls to idle workers.
+const LULL_FAULT_FREE_MS: u64 = 22_000;
+/// Load during a lull as a fraction of normal load; chosen by the seed.
+const LULL_LOAD_FACTORS: [f64; 4] = [0.05, 0.4, 0.1, 0.2];
 
-/// What callers wait at most where messages are held up, in ms; the users' callers wait up to 8 s.
-const PATIENT: u32 = 8_000;
+/// Timeout of callers in runs where messages are delayed for seconds, in ms; the users' callers wait up to 8 s.
+const LONG_TIMEOUT_MS: u32 = 8_000;
 
-/// Events of a run where none are asked for.
-const STEPS: u64 = 200_000;
+/// Default number of events of a run.
+const DEFAULT_STEPS: u64 = 200_000;
 
 fn run(arguments: &[String]) -> anyhow::Result<ExitStatus> {
     let mut options = getopts::Options::new();
-    options.optopt("", "seed", "seed of the run; 1 without it", "N");
-    options.optopt("", "steps", "events of the run; 200000 without it", "M");
-    options.optflag("", "calm", "without faults");
+    options.optopt("", "seed", "seed of the run; default: 1", "N");
+    options.optopt("", "steps", "number of events; default: 200000", "M");
+    options.optflag("", "calm", "inject no faults");
     options.optflag(
         "",
         "store",
-        "run the keepers of the catalogue instead of the entries",
+        "simulate the keepers of the catalogue instead of the entries",
     );
     options.optflag(
         "",
         "members",
-        "run members of a fleet and their leased workers instead of the entries",
+        "simulate members of a fleet and their leased workers instead of the entries",
     );
     options.optopt(
         "",
         "runs",
-        "with --members: so many seeds in turn; 1 without it",
+        "with --members: number of consecutive seeds to run; default: 1",
         "N",
     );
     options.optflag(
         "",
         "held",
-        "with --members: cut many entries off at once and hold their messages up, too",
+        "with --members: also partition many entries at once and delay their messages",
     );
     options.optflag(
         "",
         "congested",
-        "with --members: runs of 60 s with spells of low load, and congest the paths to members, too",
+        "with --members: also congest the paths to members, in runs of 60 s with spells of low load",
     );
     options.optflag(
         "",
         "refused",
-        "with --members: have members and workers that are alive refuse connections, too",
+        "with --members: also have live members and workers refuse connections",
     );
     options.optflag(
         "",
         "drift",
-        "with --members: steady clocks of workers are up to 2% slow",
+        "with --members: run the steady clocks of workers up to 2% slow",
     );
     options.optflag(
         "",
         "reborn",
-        "with --members: workers start again under their names, and leave, too",
+        "with --members: also have workers leave, and restart under the same ID",
     );
     options.optflag(
         "",
         "shrinking",
-        "with --members: workers that do not guard their room have less of it at times",
+        "with --members: at times reduce the capacity of workers, which then accept tasks regardless of it",
     );
     options.optflag(
         "",
         "crashing",
-        "with --members: tasks of some jobs end their workers",
+        "with --members: have tasks of some jobs crash their workers",
     );
     options.optflag(
         "",
         "evacuated",
-        "with --members: operators start and end evacuations of data centres",
+        "with --members: start and end evacuations of data centres",
     );
     options.optflag(
         "",
         "resets",
-        "with --members: reset many connections at once; callers send again at once",
+        "with --members: reset many connections at once; callers retry at once",
     );
     options.optflag(
         "",
         "many",
-        "with --members: so many entries that most hear each other rarely",
+        "with --members: run so many entries that most exchange heartbeats rarely",
     );
     options.optopt(
         "",
         "without",
-        "with --members: leave these mechanisms of dispatching out",
+        "with --members: disable these dispatching mechanisms",
         "NAMES",
     );
     options.optopt(
         "",
         "follow-job",
-        "with --members: print all about a job",
+        "with --members: print all events of a job",
         "N",
     );
-    options.optopt("", "follow", "print all that happens to a key", "KEY");
-    let Some(matches) = parse(&mut options, BRIEF, arguments)? else {
+    options.optopt("", "follow", "print all events of a key", "KEY");
+    let Some(matches) = parse(&mut options, USAGE, arguments)? else {
         return Ok(ExitStatus::Success);
     };
-    let seed = number(&matches, "seed")?.unwrap_or(1);
-    let steps = number(&matches, "steps")?.unwrap_or(STEPS);
+    let seed = parse_number(&matches, "seed")?.unwrap_or(1);
+    let steps = parse_number(&matches, "steps")?.unwrap_or(DEFAULT_STEPS);
     if matches.opt_present("members") {
-        let runs = number(&matches, "runs")?.unwrap_or(1);
-        let job = number(&matches, "follow-job")?;
-        let kinds = Kinds {
+        let runs = parse_number(&matches, "runs")?.unwrap_or(1);
+        let job = parse_number(&matches, "follow-job")?;
+        let flags = FaultFlags {
             held: matches.opt_present("held"),
             congested: matches.opt_present("congested"),
             refused: matches.opt_present("refused"),
@@ -150,9 +158,9 @@
             evacuated: matches.opt_present("evacuated"),
             resets: matches.opt_present("resets"),
             many: matches.opt_present("many"),
-            without: matches.opt_str("without").unwrap_or_default().parse()?,
+            disabled: matches.opt_str("without").unwrap_or_default().parse()?,
         };
-        return Ok(members(seed, runs, kinds, job));
+        return Ok(run_members(seed, runs, flags, job));
     }
     let store = matches.opt_present("store");
     let options = SoakOptions {
@@ -171,7 +179,7 @@
     }
     let violated = !report.violations.is_empty();
     if violated {
-        println!("The last events:");
+        println!("Last events:");
         report
             .last_events
             .iter()
@@ -196,9 +204,9 @@
     })
 }
 
-/// Kinds of faults that were asked for, beside those of every run.
+/// Faults and conditions selected by flags, in addition to the faults of every run.
 #[derive(Clone, Copy, Debug)]
-struct Kinds {
+struct FaultFlags {
     held: bool,
     congested: bool,
     refused: bool,
@@ -209,91 +217,94 @@
     evacuated: bool,
     resets: bool,
     many: bool,
-    without: DisabledMechanisms,
+    disabled: DisabledMechanisms,
 }
 
-/// The brief's kinds of jobs. Where messages are late or lost for seconds their callers wait longer, or none
-/// would wait any more when they arrive.
-fn classes(kinds: Kinds) -> Vec<members::ClassPlan> {
+/// Returns the job classes of the brief. Where messages are delayed or lost for seconds, the callers get a longer
+/// timeout, as otherwise all callers would have given up before the messages arrive.
+fn job_classes(flags: FaultFlags) -> Vec<members::ClassPlan> {
     let mut classes = members::brief_classes();
-    if kinds.held || kinds.congested || kinds.refused {
-        classes.iter_mut().for_each(|class| class.timeout = PATIENT);
+    if flags.held || flags.congested || flags.refused {
+        classes
+            .iter_mut()
+            .for_each(|class| class.timeout = LONG_TIMEOUT_MS);
     }
     classes
 }
 
-fn members_options(seed: u64, kinds: Kinds, follow: Option<u64>) -> members::MembersOptions {
-    let every = MEMBERS_FAULTS[(seed % MEMBERS_FAULTS.len() as u64) as usize];
+fn members_options(seed: u64, flags: FaultFlags, follow: Option<u64>) -> members::MembersOptions {
+    let interval =
+        MEMBERS_FAULT_INTERVALS_MS[(seed % MEMBERS_FAULT_INTERVALS_MS.len() as u64) as usize];
     let lull = members::Lull {
-        every: LULL_EVERY,
-        lasts: LULL_LASTS,
-        calm: LULL_CALM,
-        factor: LULL_LOADS[(seed / 4 % LULL_LOADS.len() as u64) as usize],
+        every: LULL_PERIOD_MS,
+        lasts: LULL_DURATION_MS,
+        calm: LULL_FAULT_FREE_MS,
+        factor: LULL_LOAD_FACTORS[(seed / 4 % LULL_LOAD_FACTORS.len() as u64) as usize],
     };
-    let shards = if kinds.many {
-        MANY_SHARDS
+    let shard_sizes = if flags.many {
+        MANY_SHARD_SIZES
     } else {
-        MEMBERS_SHARDS
+        MEMBERS_SHARD_SIZES
     };
     members::MembersOptions {
         seed,
         dcs: 3,
-        entries: if kinds.many {
+        entries: if flags.many {
             MANY_ENTRIES
         } else {
             FEW_ENTRIES
         },
         workers: 48,
-        shard: shards[(seed % shards.len() as u64) as usize],
-        without: kinds.without,
+        shard: shard_sizes[(seed % shard_sizes.len() as u64) as usize],
+        without: flags.disabled,
         link: None,
-        length: if kinds.congested {
-            CONGESTED_LOAD
+        length: if flags.congested {
+            CONGESTED_LOAD_MS
         } else {
-            MEMBERS_LOAD
+            MEMBERS_LOAD_MS
         },
         load: members::LoadPlan {
-            classes: classes(kinds),
+            classes: job_classes(flags),
             cpu: members::BRIEF_CPU,
             burst: None,
-            lull: kinds.congested.then_some(lull),
+            lull: flags.congested.then_some(lull),
         },
         unanswered: None,
         faults: Some(members::FaultPlan {
-            every,
+            every: interval,
             members: true,
             workers: true,
             clocks: seed % 5 >= 3,
-            held: kinds.held,
-            congested: kinds.congested,
-            refused: kinds.refused,
-            drift: kinds.drift,
-            reborn: kinds.reborn,
-            shrinking: kinds.shrinking,
-            crashing: kinds.crashing,
-            evacuated: kinds.evacuated,
-            resets: kinds.resets,
+            held: flags.held,
+            congested: flags.congested,
+            refused: flags.refused,
+            drift: flags.drift,
+            reborn: flags.reborn,
+            shrinking: flags.shrinking,
+            crashing: flags.crashing,
+            evacuated: flags.evacuated,
+            resets: flags.resets,
         }),
         follow: follow.map(JobId),
     }
 }
 
-fn members(seed: u64, runs: u64, kinds: Kinds, follow: Option<u64>) -> ExitStatus {
-    let mut violated = 0;
+fn run_members(seed: u64, runs: u64, flags: FaultFlags, follow: Option<u64>) -> ExitStatus {
+    let mut violated_runs = 0;
     let mut starts = 0;
     for seed in seed..seed + runs {
-        let report = members::run(members_options(seed, kinds, follow));
+        let report = members::run(members_options(seed, flags, follow));
         starts += report.runs.0;
         if !report.violations.is_empty() {
-            violated += 1;
+            violated_runs += 1;
             println!("Violations, seed {seed}: {}", report.violations.len());
             for violation in &report.violations {
                 println!("  {violation:?}");
             }
         }
     }
-    println!("runs={runs} starts={starts} violated={violated}");
-    if violated > 0 {
+    println!("runs={runs} starts={starts} violated={violated_runs}");
+    if violated_runs > 0 {
         ExitStatus::Failure
     } else {
         ExitStatus::Success
--- a/crates/celerywinch/src/commands/status.rs
+++ b/crates/celerywinch/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `celerywinch status`: what an instance is doing and sees.
+//! `celerywinch status`: shows the state of an instance and its view of its peers.
 
 use serde_json::Value;
 
@@ -6,27 +6,26 @@
 use super::{Command, parse};
 use crate::ExitStatus;
 
-/// The command.
 pub(super) const COMMAND: Command = Command {
     name: "status",
-    summary: "Show what an instance is doing and what it sees of the others",
+    summary: "Show the state of an instance and its view of its peers",
     run,
 };
 
-const BRIEF: &str = "Usage: celerywinch status --at ADDR --secret-file FILE [--json]\n\n\
-    Exits 0 if the instance is ready for callers, 1 if it is not.";
+const USAGE: &str = "Usage: celerywinch status --at ADDR --secret-file FILE [--json]\n\n\
+    Exits with 0 if the instance is ready for callers, 1 if not.";
 
 fn run(arguments: &[String]) -> anyhow::Result<ExitStatus> {
     let mut options = getopts::Options::new();
     operator::options(&mut options);
-    let Some(matches) = parse(&mut options, BRIEF, arguments)? else {
+    let Some(matches) = parse(&mut options, USAGE, arguments)? else {
         return Ok(ExitStatus::Success);
     };
     let page = Target::from(&matches)?.get("/v1/status")?;
     if matches.opt_present("json") {
         println!("{}", serde_json::to_string_pretty(&page)?);
     } else {
-        print!("{}", text(&page));
+        print!("{}", render_text(&page));
     }
     Ok(if page["ready"] == true {
         ExitStatus::Success
@@ -35,8 +34,8 @@
     })
 }
 
-/// The page as lines for people.
-fn text(page: &Value) -> String {
+/// Renders the status page as text.
+fn render_text(page: &Value) -> String {
     let mut text = format!(
         "instance {}: {}\n",
         page["at"]["instance"],
@@ -46,21 +45,21 @@
             "not ready"
         }
     );
-    let figures = [
+    let fields = [
         ("catalogue version", "catalogue_version"),
         ("open jobs", "open_jobs"),
         ("queued tasks", "queued_tasks"),
-        ("remembered keys", "claim_records"),
-        ("endpoints known", "endpoints_known"),
-        ("endpoints suspended", "endpoints_suspended"),
-        ("failed assertions", "violations"),
+        ("claim records", "claim_records"),
+        ("known endpoints", "endpoints_known"),
+        ("suspended endpoints", "endpoints_suspended"),
+        ("violations", "violations"),
     ];
-    for (name, field) in figures {
+    for (name, field) in fields {
         text.push_str(&format!("  {name:<20} {}\n", page[field]));
     }
     for peer in page["peers"].as_array().into_iter().flatten() {
         text.push_str(&format!(
-            "  instance {:<4} {:<8} catalogue {:<6} heard {} ms ago{}\n",
+            "  instance {:<4} {:<8} catalogue {:<6} last contact {} ms ago{}\n",
             peer["instance"],
             peer["state"].as_str().unwrap_or(""),
             peer["catalogue_version"],
@@ -68,7 +67,7 @@
             if peer["hears_us"] == true {
                 ""
             } else {
-                ", does not hear us"
+                ", receives nothing from this instance"
             },
         ));
     }
--- a/crates/celerywinch/src/commands/timeline.rs
+++ b/crates/celerywinch/src/commands/timeline.rs
@@ -1,4 +1,4 @@
-//! `celerywinch timeline`: merges the time lines of many processes.
+//! `celerywinch timeline`: merges the time lines of several processes.
 
 use std::path::Path;
 
@@ -8,27 +8,26 @@
 use super::{Command, parse};
 use crate::ExitStatus;
 
-/// The command.
 pub(super) const COMMAND: Command = Command {
     name: "timeline",
-    summary: "Merge the time lines of many processes, as text or as a page",
+    summary: "Merge the time lines of several processes, as text or HTML",
     run,
 };
 
-const BRIEF: &str = "Usage: celerywinch timeline [--key KEY] [--endpoint ADDR] [--html OUT] FILE...\n\n\
-    Merges time lines by their hybrid clock and shows all events, or those of a key or an\n\
-    endpoint. With `--html`, writes one self-contained page with a picture.";
+const USAGE: &str = "Usage: celerywinch timeline [--key KEY] [--endpoint ADDR] [--html OUT] FILE...\n\n\
+    Merges time lines by hybrid logical clock and shows all events, or those of one key or\n\
+    endpoint. With `--html`, writes a self-contained HTML page with a diagram.";
 
 fn run(arguments: &[String]) -> anyhow::Result<ExitStatus> {
     let mut options = getopts::Options::new();
-    options.optopt("", "key", "only events of this key", "KEY");
-    options.optopt("", "endpoint", "only events of this endpoint", "ADDR");
-    options.optopt("", "html", "write a page with a picture", "OUT");
-    let Some(matches) = parse(&mut options, BRIEF, arguments)? else {
+    options.optopt("", "key", "show only events of this key", "KEY");
+    options.optopt("", "endpoint", "show only events of this endpoint", "ADDR");
+    options.optopt("", "html", "write an HTML page with a diagram", "OUT");
+    let Some(matches) = parse(&mut options, USAGE, arguments)? else {
         return Ok(ExitStatus::Success);
     };
     if matches.free.is_empty() {
-        bail!("name at least one time line");
+        bail!("at least one time line file is required");
     }
     let filter = Filter {
         key: matches.opt_str("key"),
--- a/crates/celerywinch/src/commands/try_it.rs
+++ b/crates/celerywinch/src/commands/try_it.rs
@@ -1,4 +1,4 @@
-//! `celerywinch try`: runs the main job with nothing else set up.
+//! `celerywinch try`: runs sample jobs in one process, without further setup.
 
 use std::path::PathBuf;
 
@@ -8,28 +8,27 @@
 use super::{Command, parse};
 use crate::ExitStatus;
 
-/// The command.
 pub(super) const COMMAND: Command = Command {
     name: "try",
-    summary: "Run the main job with entries and stand-in endpoints in this process",
+    summary: "Run sample jobs with entries and fake endpoints in this process",
     run,
 };
 
-const BRIEF: &str = "Usage: celerywinch try [--timeline FOLDER]\n\n\
-    Starts the entries of both example deployments and stand-in endpoints on loopback ports,\n\
-    submits jobs, a resubmission, a refusal and a failure, and shows each outcome.\n\
-    Exits 0 only if all invariants held.";
+const USAGE: &str = "Usage: celerywinch try [--timeline FOLDER]\n\n\
+    Starts the entries of both example deployments and fake endpoints on loopback ports, submits\n\
+    jobs that succeed, are resubmitted, are refused and fail, and shows each outcome.\n\
+    Exits with 0 only if all invariants hold.";
 
 fn run(arguments: &[String]) -> anyhow::Result<ExitStatus> {
     let mut options = getopts::Options::new();
-    options.optopt("", "timeline", "write time lines to a folder", "FOLDER");
-    let Some(matches) = parse(&mut options, BRIEF, arguments)? else {
+    options.optopt("", "timeline", "write time lines to this folder", "FOLDER");
+    let Some(matches) = parse(&mut options, USAGE, arguments)? else {
         return Ok(ExitStatus::Success);
     };
     let folder = matches.opt_str("timeline").map(PathBuf::from);
     let system = System::build().name("try").build(DefaultRuntime);
-    let held = system.block_on(trial::run(folder))?;
-    Ok(if held {
+    let passed = system.block_on(trial::run(folder))?;
+    Ok(if passed {
         ExitStatus::Success
     } else {
         ExitStatus::Failure
--- a/crates/celerywinch/src/lib.rs
+++ b/crates/celerywinch/src/lib.rs
@@ -1,4 +1,4 @@
-//! The command line for operators, and for trying and measuring.
+//! The command line for operators, and for trials, soaks and benchmarks.
 
 mod commands;
 
