--- a/crates/celerywinchd/src/lib.rs
+++ b/crates/celerywinchd/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon: one instance of the system, from a settings file.
+//! The daemon: runs one instance of the system, configured by a settings file.
 
 use std::path::Path;
 
@@ -13,29 +13,29 @@
 use simplelog::{ConfigBuilder, SimpleLogger};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Runs the daemon until it is told to stop (SIGTERM or SIGINT).
+/// Runs the daemon until it receives SIGTERM or SIGINT.
 #[must_use]
 pub fn run(arguments: &[String]) -> ExitStatus {
-    let options = options();
+    let options = command_options();
     let matches = match options.parse(arguments) {
         Ok(matches) => matches,
-        Err(error) => return usage(&options, &error.to_string()),
+        Err(error) => return usage_error(&options, &error.to_string()),
     };
     if matches.opt_present("help") {
         println!("{}", help(&options));
         return ExitStatus::Success;
     }
-    if let Err(error) = start_logs(&matches) {
-        return usage(&options, &error.to_string());
+    if let Err(error) = init_logging(&matches) {
+        return usage_error(&options, &error.to_string());
     }
     if matches.opt_present("platform") {
-        return match overrides(&matches) {
-            Ok(overrides) => on_platform(overrides),
-            Err(error) => usage(&options, &format!("{error:#}")),
+        return match parse_overrides(&matches) {
+            Ok(overrides) => run_on_platform(overrides),
+            Err(error) => usage_error(&options, &format!("{error:#}")),
         };
     }
     let Some(file) = matches.opt_str("settings") else {
-        return usage(&options, "`--settings FILE` is missing");
+        return usage_error(&options, "`--settings FILE` is missing");
     };
     let settings = match load_settings(Path::new(&file)) {
         Ok(settings) => settings,
@@ -44,17 +44,17 @@
             return ExitStatus::Usage;
         }
     };
-    finish(start_system().block_on(serve(settings)))
+    exit_status(start_system().block_on(serve(settings)))
 }
 
-/// Runs on the users' platform, which names the settings file by a variable.
-fn on_platform(overrides: Overrides) -> ExitStatus {
+/// Runs on the users' platform, which passes the path of the settings file in an environment variable.
+fn run_on_platform(overrides: Overrides) -> ExitStatus {
     let path = celerywinch_platform::settings_path();
     let run = async move { celerywinch_platform::run(&path, overrides).await };
-    finish(start_system().block_on(run))
+    exit_status(start_system().block_on(run))
 }
 
-fn overrides(matches: &Matches) -> anyhow::Result<Overrides> {
+fn parse_overrides(matches: &Matches) -> anyhow::Result<Overrides> {
     let names = matches.opt_str("without").unwrap_or_default();
     let offset = matches.opt_str("clock-offset");
     let offset = offset.map(|text| text.parse()).transpose();
@@ -70,7 +70,7 @@
     System::build().name("celerywinchd").build(DefaultRuntime)
 }
 
-fn finish(result: anyhow::Result<()>) -> ExitStatus {
+fn exit_status(result: anyhow::Result<()>) -> ExitStatus {
     match result {
         Ok(()) => ExitStatus::Success,
         Err(error) => {
@@ -80,13 +80,13 @@
     }
 }
 
-fn options() -> Options {
+fn command_options() -> Options {
     let mut options = Options::new();
-    options.optopt("s", "settings", "the settings file", "FILE");
+    options.optopt("s", "settings", "path of the settings file", "FILE");
     options.optopt(
         "l",
         "log",
-        "error, warn, info, debug or trace; info without it",
+        "error, warn, info, debug or trace; default: info",
         "LEVEL",
     );
     options.optflag(
@@ -97,13 +97,13 @@
     options.optopt(
         "",
         "without",
-        "with --platform: leave mechanisms of dispatching out, to measure their worth",
+        "with --platform: disable dispatching mechanisms, to measure their effect",
         "NAMES",
     );
     options.optopt(
         "",
         "clock-offset",
-        "with --platform, on loopback addresses: shift the time of day, for tests",
+        "with --platform, on loopback addresses: offset of the wall clock, for tests",
         "MS",
     );
     options.optflag("h", "help", "show this text");
@@ -113,17 +113,17 @@
 fn help(options: &Options) -> String {
     options.usage(
         "Usage: celerywinchd --settings FILE\n       celerywinchd --platform\n\n\
-         Runs one instance. SIGTERM stops it without cutting off a request in flight.\n\
-         Exit codes: 0 planned stop, 1 fault, 2 wrong arguments or settings.",
+         Runs one instance. On SIGTERM, it completes requests in flight before it stops.\n\
+         Exit codes: 0 graceful stop, 1 runtime error, 2 invalid arguments or settings.",
     )
 }
 
-fn usage(options: &Options, problem: &str) -> ExitStatus {
+fn usage_error(options: &Options, problem: &str) -> ExitStatus {
     eprintln!("celerywinchd: {problem}\n\n{}", help(options));
     ExitStatus::Usage
 }
 
-fn start_logs(matches: &Matches) -> anyhow::Result<()> {
+fn init_logging(matches: &Matches) -> anyhow::Result<()> {
     let level = matches.opt_str("log").unwrap_or_else(|| "info".into());
     let level: LevelFilter = level
         .parse()
@@ -132,17 +132,19 @@
         .set_time_format_rfc3339()
         .add_filter_allow_str("celerywinch")
         .build();
-    SimpleLogger::init(level, config).context("logs cannot be set up")
+    SimpleLogger::init(level, config).context("cannot initialise logging")
 }
 
 async fn serve(settings: Settings) -> anyhow::Result<()> {
-    let mut terminate = signal(SignalKind::terminate()).context("signals cannot be set up")?;
-    let mut interrupt = signal(SignalKind::interrupt()).context("signals cannot be set up")?;
+    let mut terminate =
+        signal(SignalKind::terminate()).context("cannot install signal handlers")?;
+    let mut interrupt =
+        signal(SignalKind::interrupt()).context("cannot install signal handlers")?;
     let node = Node::start(settings, NodeOptions::default()).await?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    log::info!("daemon: Stopping.");
+    log::info!("daemon: Received a stop signal, stopping.");
     node.stop().await
 }
