--- a/crates/celerywinchd/tests/bad_requests.rs
+++ b/crates/celerywinchd/tests/bad_requests.rs
@@ -1,14 +1,14 @@
-//! Bad requests get a clear error that names the field, and change nothing.
+//! Tests that invalid requests get an error that names the field, and have no effect.
 
 mod harness;
 
 use std::time::Duration;
 
 use celerywinch_standin::generate_key;
-use harness::{Plan, SECRET, World, run};
+use harness::{Cluster, ClusterConfig, SECRET, run_test};
 use serde_json::{Value, json};
 
-/// A request, and what is said of it.
+/// An invalid request and the expected error.
 struct Case {
     key: Option<&'static str>,
     body: Value,
@@ -72,17 +72,17 @@
 }
 
 #[test]
-fn bad_request_is_told_by_its_field() {
-    run(async {
-        let world = World::start(Plan::default()).await?;
-        let entry = world.processes[0].callers;
+fn error_of_an_invalid_request_names_the_field() {
+    run_test(async {
+        let cluster = Cluster::start(ClusterConfig::default()).await?;
+        let entry = cluster.processes[0].caller_addr;
         for (number, case) in cases().into_iter().enumerate() {
             let fresh = generate_key(None);
             let key = case
                 .key
                 .map(|key| if key.is_empty() { fresh.as_str() } else { key });
             let wait = Duration::from_secs(2);
-            let response = world
+            let response = cluster
                 .caller
                 .post(entry, "/v1/submit", key, &case.body, wait)
                 .await?;
@@ -92,48 +92,47 @@
                 "case {number}: {response:?}"
             );
         }
-        let status = world.status(0).await?;
+        let status = cluster.status(0).await?;
         assert_eq!(
             (&status["open_jobs"], &status["claim_records"]),
             (&json!(0), &json!(0))
         );
-        world.check().await
+        cluster.check_invariants().await
     });
 }
 
-/// The same key with another body is a conflict, at the same entry and at another; the first
-/// outcome stays.
+/// The same key with another body is a conflict, at the same and at other entries; the first outcome is
+/// unchanged.
 #[test]
 fn reused_key_is_a_conflict() {
-    run(async {
-        let world = World::start(Plan::default()).await?;
-        let key = world.key(0);
-        let first = world.submit(0, &key, "price-check", 2000, &[10]).await?;
+    run_test(async {
+        let cluster = Cluster::start(ClusterConfig::default()).await?;
+        let key = cluster.generate_key(0);
+        let first = cluster.submit(0, &key, "price-check", 2000, &[10]).await?;
         for entry in 0..3 {
-            let other = world
+            let other = cluster
                 .submit(entry, &key, "price-check", 2000, &[11])
                 .await?;
             assert_eq!(other.outcome(), "conflict", "{other:?}");
-            let same = world
+            let same = cluster
                 .submit(entry, &key, "price-check", 2000, &[10])
                 .await?;
             assert_eq!(same, first);
-            let found = world.lookup(entry, &key).await?;
+            let found = cluster.lookup(entry, &key).await?;
             assert_eq!(found, first);
         }
-        let unknown = world.lookup(1, &world.key(1)).await?;
+        let unknown = cluster.lookup(1, &cluster.generate_key(1)).await?;
         assert_eq!(unknown.status, 404, "{unknown:?}");
-        world.check().await
+        cluster.check_invariants().await
     });
 }
 
-/// Nobody without the secret reaches what operators are offered, and callers' and endpoints'
-/// listeners do not offer it at all.
+/// The operators' routes require the secret, and do not exist on the listeners of callers and endpoints.
 #[test]
-fn operators_routes_want_the_secret() {
-    run(async {
-        let world = World::start(Plan::default()).await?;
-        let process = &world.processes[0];
+fn operators_routes_require_the_secret() {
+    run_test(async {
+        let cluster = Cluster::start(ClusterConfig::default()).await?;
+        let process = &cluster.processes[0];
         for path in [
             "/v1/status",
             "/v1/catalogue",
@@ -141,14 +140,17 @@
             "/metrics",
         ] {
             for secret in [None, Some("wrong"), Some("")] {
-                let response = world.caller.get(process.operators, path, secret).await?;
+                let response = cluster
+                    .caller
+                    .get(process.operator_addr, path, secret)
+                    .await?;
                 assert_eq!(response.status, 401, "{path} {secret:?}");
             }
-            for addr in [process.callers, process.endpoints] {
-                let response = world.caller.get(addr, path, Some(SECRET)).await?;
+            for addr in [process.caller_addr, process.endpoint_addr] {
+                let response = cluster.caller.get(addr, path, Some(SECRET)).await?;
                 assert_eq!(response.status, 404, "{path}");
             }
         }
-        world.check().await
+        cluster.check_invariants().await
     });
 }
--- a/crates/celerywinchd/tests/catalogue.rs
+++ b/crates/celerywinchd/tests/catalogue.rs
@@ -1,195 +1,204 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! Tests that an accepted catalogue is in force at every instance within seconds and never reverts.
 
 mod harness;
 
 use std::time::{Duration, Instant};
 
-use harness::{Plan, World, run, sleep};
+use harness::{Cluster, ClusterConfig, run_test, sleep};
 use serde_json::Value;
 
-fn plan() -> Plan {
-    Plan {
+fn config() -> ClusterConfig {
+    ClusterConfig {
         dcs: vec![("bog-1", 3), ("bog-2", 2)],
         endpoints: 1,
         keepers: 3,
         diskless: &[3, 4],
-        ..Plan::default()
+        ..ClusterConfig::default()
     }
 }
 
-/// Operators at different instances change version 1 at the same moment: exactly one is accepted,
-/// the others are told which change won, and the winner is soon in force at every instance.
+/// Operators concurrently change version 1 at different instances. Exactly one change is accepted, the
+/// others are rejected with the ID of the accepted one, and that one is in force everywhere within 5 s.
 #[test]
-fn of_racing_operators_exactly_one_wins() {
-    run(async {
-        let world = World::start(plan()).await?;
+fn exactly_one_of_concurrent_changes_is_accepted() {
+    run_test(async {
+        let cluster = Cluster::start(config()).await?;
         let edits = (0..5).map(|index| {
             let change = format!("race-{index}");
             let team = format!("team-{index}");
-            let world = &world;
-            async move { world.edit(index, &change, 1, &team).await }
+            let cluster = &cluster;
+            async move { cluster.edit_catalogue(index, &change, 1, &team).await }
         });
-        let began = Instant::now();
+        let started = Instant::now();
         let responses = futures_util::future::join_all(edits).await;
         let responses: Vec<_> = responses.into_iter().collect::<anyhow::Result<_>>()?;
-        let won: Vec<_> = (0..5)
+        let accepted: Vec<_> = (0..5)
             .filter(|index| responses[*index].status == 200)
             .collect();
-        assert_eq!(won.len(), 1, "{responses:?}");
-        let winner = format!("race-{}", won[0]);
+        assert_eq!(accepted.len(), 1, "{responses:?}");
+        let winner = format!("race-{}", accepted[0]);
         for (index, response) in responses.iter().enumerate() {
-            if index != won[0] {
+            if index != accepted[0] {
                 assert_eq!(response.status, 409, "{response:?}");
                 let detail = response.body["detail"].as_str().unwrap_or("");
                 assert!(detail.contains(&winner), "{detail}");
             }
         }
-        world.in_force(&[0, 1, 2, 3, 4], 2, 5000).await?;
-        println!("in force everywhere after {:?}", began.elapsed());
-        let team = format!("team-{}", won[0]);
+        cluster.wait_in_force(&[0, 1, 2, 3, 4], 2, 5000).await?;
+        println!("in force everywhere after {:?}", started.elapsed());
+        let team = format!("team-{}", accepted[0]);
         for index in 0..5 {
-            let catalogue = world.catalogue(index).await?;
+            let catalogue = cluster.catalogue(index).await?;
             assert_ne!(catalogue["catalogue"]["teams"][&team], Value::Null);
         }
-        world.check().await
+        cluster.check_invariants().await
     });
 }
 
-/// The leader is killed right after it accepted a change; the operator, who got no answer, sends
-/// the change again to another instance and gets the first answer, not a conflict with itself.
+/// The leader is killed right after it accepted a change. The operator retries the change at another instance,
+/// as after a lost answer, and gets the first answer rather than a conflict with its own change.
 #[test]
-fn resent_change_gets_its_first_answer_after_the_leader_died() {
-    run(async {
-        let mut world = World::start(plan()).await?;
-        let leader = world.leader(&[0, 1, 2]).await?;
-        let first = world.edit(leader, "change-a", 1, "team-a").await?;
+fn retried_change_gets_its_first_answer_after_a_leader_crash() {
+    run_test(async {
+        let mut cluster = Cluster::start(config()).await?;
+        let leader = cluster.wait_for_leader(&[0, 1, 2]).await?;
+        let first = cluster
+            .edit_catalogue(leader, "change-a", 1, "team-a")
+            .await?;
         assert_eq!(first.status, 200, "{first:?}");
-        world.processes[leader].kill();
-        let began = Instant::now();
+        cluster.processes[leader].kill();
+        let started = Instant::now();
         let other = (leader + 1) % 3;
-        let again = world.edit(other, "change-a", 1, "team-a").await?;
+        let again = cluster
+            .edit_catalogue(other, "change-a", 1, "team-a")
+            .await?;
         assert_eq!(again, first);
-        let next = world.edit(4, "change-b", 2, "team-b").await?;
+        let next = cluster.edit_catalogue(4, "change-b", 2, "team-b").await?;
         assert_eq!(next.status, 200, "{next:?}");
         println!(
             "a change was accepted {:?} after the leader was killed",
-            began.elapsed()
+            started.elapsed()
         );
-        world.processes[leader].spawn()?;
-        world.in_force(&[0, 1, 2, 3, 4], 3, 8000).await?;
-        world.check().await
+        cluster.processes[leader].spawn()?;
+        cluster.wait_in_force(&[0, 1, 2, 3, 4], 3, 8000).await?;
+        cluster.check_invariants().await
     });
 }
 
-/// All keepers are killed at the same moment and come back: what was accepted is there.
+/// All keepers are killed at once and restart. All accepted changes are preserved.
 #[test]
-fn all_keepers_restart_at_once() {
-    run(async {
-        let mut world = World::start(plan()).await?;
+fn accepted_changes_survive_a_restart_of_all_keepers() {
+    run_test(async {
+        let mut cluster = Cluster::start(config()).await?;
         for version in 1..40 {
             let change = format!("change-{version}");
-            let response = world
-                .edit(version % 5, &change, version as u64, &change)
+            let response = cluster
+                .edit_catalogue(version % 5, &change, version as u64, &change)
                 .await?;
             assert_eq!(response.status, 200, "{response:?}");
         }
         for index in 0..3 {
-            world.processes[index].kill();
+            cluster.processes[index].kill();
         }
         for index in 0..3 {
-            world.processes[index].spawn()?;
+            cluster.processes[index].spawn()?;
         }
-        world.leader(&[0, 1, 2]).await?;
-        world.in_force(&[0, 1, 2, 3, 4], 40, 8000).await?;
-        let next = world.edit(0, "after", 40, "after").await?;
+        cluster.wait_for_leader(&[0, 1, 2]).await?;
+        cluster.wait_in_force(&[0, 1, 2, 3, 4], 40, 8000).await?;
+        let next = cluster.edit_catalogue(0, "after", 40, "after").await?;
         assert_eq!(next.status, 200, "{next:?}");
-        world.check().await
+        cluster.check_invariants().await
     });
 }
 
-/// A keeper's disk is lost; it comes back empty, is admitted, and as soon as it counts another
-/// keeper is lost for good: nothing that was accepted is missing, and changes go on.
+/// A keeper loses its disk, restarts empty and becomes a voter again; right then another keeper is lost for
+/// good. No accepted change is missing, and further changes are accepted.
 #[test]
-fn second_keeper_is_lost_right_after_a_repair() {
-    run(async {
-        let mut world = World::start(plan()).await?;
+fn accepted_changes_survive_a_keeper_loss_after_a_repair() {
+    run_test(async {
+        let mut cluster = Cluster::start(config()).await?;
         for version in 1..6_u64 {
             let change = format!("change-{version}");
-            let response = world.edit(0, &change, version, &change).await?;
+            let response = cluster.edit_catalogue(0, &change, version, &change).await?;
             assert_eq!(response.status, 200, "{response:?}");
         }
-        let leader = world.leader(&[0, 1, 2]).await?;
+        let leader = cluster.wait_for_leader(&[0, 1, 2]).await?;
         let lost = (leader + 1) % 3;
         let second = (leader + 2) % 3;
-        world.processes[lost].kill();
-        world.lose_disk(lost)?;
-        world.processes[lost].spawn()?;
-        let began = Instant::now();
+        cluster.processes[lost].kill();
+        cluster.delete_data(lost)?;
+        cluster.processes[lost].spawn()?;
+        let started = Instant::now();
         loop {
-            let page = world.keeper(leader).await?;
+            let page = cluster.keeper_status(leader).await?;
             let voters = page["voters"].as_array().map_or(0, Vec::len);
-            let commit = world.keeper(lost).await.unwrap_or_default();
-            if voters == 3 && commit["version"] == 6 {
+            let restarted = cluster.keeper_status(lost).await.unwrap_or_default();
+            if voters == 3 && restarted["version"] == 6 {
                 break;
             }
             anyhow::ensure!(
-                began.elapsed() < Duration::from_secs(15),
-                "not repaired: {page}"
+                started.elapsed() < Duration::from_secs(15),
+                "the keeper did not become a voter again: {page}"
             );
             sleep(50).await;
         }
-        world.processes[second].kill();
-        let next = world.edit(lost, "after", 6, "after").await?;
+        cluster.processes[second].kill();
+        let next = cluster.edit_catalogue(lost, "after", 6, "after").await?;
         assert_eq!(next.status, 200, "{next:?}");
-        world.in_force(&[leader, lost, 3, 4], 7, 8000).await?;
-        world.check().await
+        cluster
+            .wait_in_force(&[leader, lost, 3, 4], 7, 8000)
+            .await?;
+        cluster.check_invariants().await
     });
 }
 
-/// Readers at every instance see versions only rise, while instances are killed, one without a
-/// disk is restarted in a data centre that is cut off, and changes go on.
+/// Versions never decrease for readers at any instance, while changes are made, instances are killed, and an
+/// instance without a disk restarts in a partitioned data centre.
 #[test]
-fn no_reader_ever_sees_an_older_version() {
-    run(async {
-        let mut world = World::start(Plan {
+fn versions_never_decrease() {
+    run_test(async {
+        let mut cluster = Cluster::start(ClusterConfig {
             relays: true,
-            ..plan()
+            ..config()
         })
         .await?;
-        let mut seen = [0_u64; 5];
+        let mut last_versions = [0_u64; 5];
         let mut version = 1;
         for round in 0..12_u64 {
             let change = format!("change-{round}");
-            let response = world
-                .edit((round % 3) as usize, &change, version, &change)
+            let response = cluster
+                .edit_catalogue((round % 3) as usize, &change, version, &change)
                 .await;
-            // The instance may be the one that is just starting again.
+            // The request fails if the instance is just restarting.
             if let Ok(response) = response
                 && response.status == 200
             {
                 version = response.body["version"].as_u64().unwrap_or(version);
             }
             match round {
-                2 => world.cut(&[3, 4], &[0, 1, 2], true),
+                2 => cluster.set_partitioned(&[3, 4], &[0, 1, 2], true),
                 4 => {
-                    // Without a disk, cut off: only its neighbour knows what was in force.
-                    world.processes[4].kill();
-                    world.processes[4].spawn()?;
-                    let neighbour = world.version(3).await;
-                    world
-                        .wait_status(4, Duration::from_secs(8), |page| page["ready"] == true)
+                    // This instance has no disk and is partitioned: only its neighbour knows the version in force.
+                    cluster.processes[4].kill();
+                    cluster.processes[4].spawn()?;
+                    let neighbour = cluster.catalogue_version(3).await;
+                    cluster
+                        .wait_for_status(4, Duration::from_secs(8), |page| page["ready"] == true)
                         .await?;
-                    assert!(world.version(4).await >= neighbour, "it went back");
+                    assert!(
+                        cluster.catalogue_version(4).await >= neighbour,
+                        "the version decreased after the restart"
+                    );
                 }
-                6 => world.cut(&[3, 4], &[0, 1, 2], false),
+                6 => cluster.set_partitioned(&[3, 4], &[0, 1, 2], false),
                 8 => {
-                    world.processes[0].kill();
-                    world.processes[0].spawn()?;
+                    cluster.processes[0].kill();
+                    cluster.processes[0].spawn()?;
                 }
                 _ => {}
             }
-            for (index, last) in seen.iter_mut().enumerate() {
-                let Ok(page) = world.status(index).await else {
+            for (index, last) in last_versions.iter_mut().enumerate() {
+                let Ok(page) = cluster.status(index).await else {
                     continue;
                 };
                 let now = page["catalogue_version"].as_u64().unwrap_or(0);
@@ -199,8 +208,10 @@
                 }
             }
         }
-        world.in_force(&[0, 1, 2, 3, 4], version, 8000).await?;
+        cluster
+            .wait_in_force(&[0, 1, 2, 3, 4], version, 8000)
+            .await?;
         assert!(version > 8, "too few changes were accepted: {version}");
-        world.check().await
+        cluster.check_invariants().await
     });
 }
--- a/crates/celerywinchd/tests/docs.rs
+++ b/crates/celerywinchd/tests/docs.rs
@@ -1,17 +1,17 @@
-//! The examples of the pages are what the program takes.
+//! Tests that the daemon accepts the examples in the documentation.
 
 mod harness;
 
 use std::time::Duration;
 
 use celerywinch_standin::generate_key;
-use harness::{Plan, World, run};
+use harness::{Cluster, ClusterConfig, run_test};
 use serde_json::Value;
 
 const API: &str = include_str!("../../../docs/api.md");
 const PROTOCOL: &str = include_str!("../../../docs/endpoint-protocol.md");
 
-/// The first indented block of JSON on a page.
+/// Returns the first indented JSON block of a page.
 fn example(page: &str) -> Value {
     let indented = |line: &&str| line.starts_with("    ");
     let block: Vec<_> = page
@@ -24,44 +24,44 @@
 
 #[test]
 fn example_submission_is_answered() {
-    run(async {
-        let world = World::start(Plan::default()).await?;
-        let entry = world.processes[0].callers;
+    run_test(async {
+        let cluster = Cluster::start(ClusterConfig::default()).await?;
+        let entry = cluster.processes[0].caller_addr;
         let key = generate_key(Some("bog-1"));
         let wait = Duration::from_secs(2);
         let body = example(API);
-        let response = world
+        let response = cluster
             .caller
             .post(entry, "/v1/submit", Some(&key), &body, wait)
             .await?;
         assert_eq!(response.outcome(), "answer", "{response:?}");
-        let found = world.lookup(1, &key).await?;
+        let found = cluster.lookup(1, &key).await?;
         assert_eq!(found, response);
-        let cancelled = world.caller.cancel(entry, &[key]).await?;
+        let cancelled = cluster.caller.cancel(entry, &[key]).await?;
         assert_eq!(
             cancelled.body["cancelled"][0]["state"], "ended",
             "{cancelled:?}"
         );
-        world.check().await
+        cluster.check_invariants().await
     });
 }
 
 #[test]
-fn example_announcement_is_taken() {
-    run(async {
-        let world = World::start(Plan::default()).await?;
-        let entry = world.processes[0].endpoints;
+fn example_announcement_is_accepted() {
+    run_test(async {
+        let cluster = Cluster::start(ClusterConfig::default()).await?;
+        let entry = cluster.processes[0].endpoint_addr;
         let wait = Duration::from_secs(2);
         let body = example(PROTOCOL);
-        let response = world
+        let response = cluster
             .caller
             .post(entry, "/v1/announce", None, &body, wait)
             .await?;
         assert_eq!(response.status, 200, "{response:?}");
         assert_eq!(response.body["lease_ms"], 5000);
         for index in 0..3 {
-            world
-                .wait_status(index, Duration::from_secs(2), |page| {
+            cluster
+                .wait_for_status(index, Duration::from_secs(2), |page| {
                     page["endpoints_known"] == 5
                 })
                 .await?;
--- a/crates/celerywinchd/tests/harness/mod.rs
+++ b/crates/celerywinchd/tests/harness/mod.rs
@@ -1,9 +1,9 @@
-//! Real processes of the daemon, stand-in endpoints and a caller, for tests under failure.
+//! Test harness: starts processes of the daemon, fake endpoints and a caller, and injects failures.
 
 #![allow(
     dead_code,
     unreachable_pub,
-    reason = "every test file uses a part of it"
+    reason = "each test file uses only a part of the harness"
 )]
 
 use std::collections::HashMap;
@@ -20,31 +20,31 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-/// The secret of the processes of a test.
+/// The secret shared by the processes of a test.
 pub(crate) const SECRET: &str = "secret-of-the-tests";
 
 const CATALOGUE: &str = include_str!("../../../../examples/condor/catalogue.yaml");
 
-/// How a test's processes are laid out.
+/// Topology and limits of a test cluster.
 #[derive(Clone)]
-pub(crate) struct Plan {
-    /// Data centres with their numbers of entries.
+pub(crate) struct ClusterConfig {
+    /// Data centres, each with its number of entries.
     pub dcs: Vec<(&'static str, usize)>,
-    /// Endpoints in each data centre.
+    /// Number of endpoints in each data centre.
     pub endpoints: usize,
-    /// Slots of each endpoint.
+    /// Number of slots of each endpoint.
     pub slots: u16,
-    /// Whether links between processes go through relays that can cut.
+    /// Whether links between processes go through relays that can inject network faults.
     pub relays: bool,
-    /// Keys older than this are never run.
+    /// Maximum age of keys that may still run, in ms.
     pub window_ms: u64,
-    /// The first this many instances are keepers.
+    /// Number of keepers; the first instances are the keepers.
     pub keepers: usize,
-    /// Instances without a disk.
+    /// Instances without a data folder.
     pub diskless: &'static [usize],
 }
 
-impl Default for Plan {
+impl Default for ClusterConfig {
     fn default() -> Self {
         Self {
             dcs: vec![("bog-1", 3)],
@@ -58,28 +58,28 @@
     }
 }
 
-/// One process.
+/// A process of the daemon.
 pub(crate) struct Process {
-    pub callers: SocketAddr,
-    pub endpoints: SocketAddr,
-    pub operators: SocketAddr,
+    pub caller_addr: SocketAddr,
+    pub endpoint_addr: SocketAddr,
+    pub operator_addr: SocketAddr,
     pub dc: &'static str,
     settings: PathBuf,
     child: Option<Child>,
 }
 
-/// The processes of a test.
-pub(crate) struct World {
+/// The processes, fake endpoints and caller of a test.
+pub(crate) struct Cluster {
     pub processes: Vec<Process>,
     pub fleet: Fleet,
     pub caller: Caller,
-    pub folder: TempDir,
-    /// By opener and target.
+    pub dir: TempDir,
+    /// Relays by the processes that open and accept the connections.
     pub relays: HashMap<(usize, usize), Relay>,
 }
 
-/// Runs a test within an `ntex` system.
-pub(crate) fn run<F: Future<Output = anyhow::Result<()>> + 'static>(test: F) {
+/// Runs a test within an `ntex` system; panics on an error.
+pub(crate) fn run_test<F: Future<Output = anyhow::Result<()>> + 'static>(test: F) {
     let system = ntex::rt::System::build()
         .name("test")
         .build(ntex::rt::DefaultRuntime);
@@ -88,18 +88,20 @@
     }
 }
 
-/// Where the ports of the tests begin: below those that the system gives out by itself, so that no
-/// connection takes one between its choice and the start of the process that is to listen on it.
+/// First port used by the tests. The range is below the ephemeral ports of the operating system, as otherwise an
+/// outgoing connection could take a port between its selection and the start of the process that listens on it.
 const FIRST_PORT: u16 = 12_000;
-/// How many ports there are.
-const PORTS: u32 = 18_000;
+/// Number of ports in the range.
+const PORT_COUNT: u32 = 18_000;
 
-/// A port that nothing listens on, and that no other test of this run gets.
+/// Returns an address with a free port; the process ID and a counter keep other tests of the same run from getting
+/// the same port.
 fn free_port() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
         let number = std::process::id() * 211 + NEXT.fetch_add(1, Ordering::Relaxed);
-        let offset = u16::try_from(number % PORTS).expect("the range fits");
+        let offset =
+            u16::try_from(number % PORT_COUNT).expect("the offset fits into a port number");
         let addr = SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + offset));
         if TcpListener::bind(addr).is_ok() {
             return addr;
@@ -107,54 +109,54 @@
     }
 }
 
-impl World {
-    /// Starts the processes and endpoints, and waits until all know each other.
-    pub(crate) async fn start(plan: Plan) -> anyhow::Result<Self> {
-        let folder = tempfile::tempdir()?;
-        fs::write(folder.path().join("secret"), SECRET)?;
-        fs::write(folder.path().join("catalogue.yaml"), CATALOGUE)?;
-        let dcs: Vec<_> = plan
+impl Cluster {
+    /// Starts the processes and endpoints, and waits until all processes are ready and know all others.
+    pub(crate) async fn start(config: ClusterConfig) -> anyhow::Result<Self> {
+        let dir = tempfile::tempdir()?;
+        fs::write(dir.path().join("secret"), SECRET)?;
+        fs::write(dir.path().join("catalogue.yaml"), CATALOGUE)?;
+        let dcs: Vec<_> = config
             .dcs
             .iter()
             .flat_map(|(name, count)| std::iter::repeat_n(*name, *count))
             .collect();
         let peers: Vec<_> = dcs.iter().map(|_| free_port()).collect();
-        let relays = start_relays(&plan, &peers).await?;
+        let relays = start_relays(&config, &peers).await?;
         let mut processes = Vec::new();
         for (index, dc) in dcs.iter().enumerate() {
             let process = Process {
-                callers: free_port(),
-                endpoints: free_port(),
-                operators: free_port(),
+                caller_addr: free_port(),
+                endpoint_addr: free_port(),
+                operator_addr: free_port(),
                 dc,
-                settings: folder.path().join(format!("settings-{index}.yaml")),
+                settings: dir.path().join(format!("settings-{index}.yaml")),
                 child: None,
             };
-            let text = settings(&plan, index, &dcs, &peers, &relays, &process);
+            let text = render_settings(&config, index, &dcs, &peers, &relays, &process);
             fs::write(&process.settings, text)?;
             processes.push(process);
         }
         for process in &mut processes {
             process.spawn()?;
         }
-        let fleet = start_fleet(&plan, &processes)?;
-        let world = Self {
+        let fleet = start_fleet(&config, &processes)?;
+        let cluster = Self {
             processes,
             fleet,
             caller: Caller::new().await?,
-            folder,
+            dir,
             relays,
         };
-        world.settle(&plan).await?;
-        Ok(world)
+        cluster.wait_until_ready(&config).await?;
+        Ok(cluster)
     }
 
-    async fn settle(&self, plan: &Plan) -> anyhow::Result<()> {
+    async fn wait_until_ready(&self, config: &ClusterConfig) -> anyhow::Result<()> {
         for index in 0..self.processes.len() {
-            self.wait_status(index, Duration::from_secs(15), |page| {
+            self.wait_for_status(index, Duration::from_secs(15), |page| {
                 let alive = alive_peers(page);
                 page["ready"] == true
-                    && page["endpoints_known"] == plan.endpoints
+                    && page["endpoints_known"] == config.endpoints
                     && alive + 1 == self.processes.len()
             })
             .await?;
@@ -162,29 +164,31 @@
         Ok(())
     }
 
-    /// Waits until the status page of a process is as wanted.
-    pub(crate) async fn wait_status(
+    /// Waits until the status page of a process satisfies a condition.
+    pub(crate) async fn wait_for_status(
         &self,
         index: usize,
         limit: Duration,
-        wanted: impl Fn(&Value) -> bool,
+        condition: impl Fn(&Value) -> bool,
     ) -> anyhow::Result<Value> {
-        let began = Instant::now();
+        let started = Instant::now();
         let mut last = Value::Null;
-        while began.elapsed() < limit {
+        while started.elapsed() < limit {
             if let Ok(page) = self.status(index).await {
-                if wanted(&page) {
+                if condition(&page) {
                     return Ok(page);
                 }
                 last = page;
             }
             sleep(25).await;
         }
-        anyhow::bail!("process {index} is not as wanted after {limit:?}: {last:#}")
+        anyhow::bail!(
+            "process {index} did not reach the expected status within {limit:?}: {last:#}"
+        )
     }
 
     pub(crate) async fn status(&self, index: usize) -> anyhow::Result<Value> {
-        let operators = self.processes[index].operators;
+        let operators = self.processes[index].operator_addr;
         let response = self
             .caller
             .get(operators, "/v1/status", Some(SECRET))
@@ -192,7 +196,7 @@
         Ok(response.body)
     }
 
-    /// Submits tasks that run `run_ms` each.
+    /// Submits a job with one task for each run time in `run_ms`.
     pub(crate) async fn submit(
         &self,
         index: usize,
@@ -201,19 +205,19 @@
         deadline_ms: u64,
         run_ms: &[u32],
     ) -> anyhow::Result<Response> {
-        let entry = self.processes[index].callers;
+        let entry = self.processes[index].caller_addr;
         submit(&self.caller, entry, key, kind, deadline_ms, run_ms).await
     }
 
     pub(crate) async fn lookup(&self, index: usize, key: &str) -> anyhow::Result<Response> {
         let path = format!("/v1/outcomes/{key}");
         self.caller
-            .get(self.processes[index].callers, &path, None)
+            .get(self.processes[index].caller_addr, &path, None)
             .await
     }
 
-    /// Changes the catalogue as an operator at a process.
-    pub async fn edit(
+    /// Adds a team to the catalogue as an operator, through a process.
+    pub async fn edit_catalogue(
         &self,
         index: usize,
         change: &str,
@@ -223,15 +227,15 @@
         let mut catalogue = self.catalogue(index).await?["catalogue"].clone();
         catalogue["teams"][team] = json!({ "quota": 1 });
         let body = json!({ "change": change, "base": base, "document": catalogue });
-        let operators = self.processes[index].operators;
+        let operators = self.processes[index].operator_addr;
         self.caller
             .put(operators, "/v1/catalogue", SECRET, &body)
             .await
     }
 
-    /// The catalogue in force at a process, with its version.
+    /// Returns the catalogue in force at a process, with its version.
     pub async fn catalogue(&self, index: usize) -> anyhow::Result<Value> {
-        let operators = self.processes[index].operators;
+        let operators = self.processes[index].operator_addr;
         let response = self
             .caller
             .get(operators, "/v1/catalogue", Some(SECRET))
@@ -239,16 +243,21 @@
         Ok(response.body)
     }
 
-    /// The version in force at a process; 0 if it does not answer.
-    pub async fn version(&self, index: usize) -> u64 {
+    /// Returns the catalogue version in force at a process; 0 if it does not answer.
+    pub async fn catalogue_version(&self, index: usize) -> u64 {
         let catalogue = self.catalogue(index).await.unwrap_or_default();
         catalogue["version"].as_u64().unwrap_or(0)
     }
 
-    /// Waits until a version, or a later one, is in force at these processes.
-    pub async fn in_force(&self, at: &[usize], version: u64, limit_ms: u64) -> anyhow::Result<()> {
-        for index in at {
-            self.wait_status(*index, Duration::from_millis(limit_ms), |page| {
+    /// Waits until a catalogue version, or a later one, is in force at these processes.
+    pub async fn wait_in_force(
+        &self,
+        indexes: &[usize],
+        version: u64,
+        limit_ms: u64,
+    ) -> anyhow::Result<()> {
+        for index in indexes {
+            self.wait_for_status(*index, Duration::from_millis(limit_ms), |page| {
                 page["catalogue_version"].as_u64().unwrap_or(0) >= version
             })
             .await?;
@@ -256,11 +265,11 @@
         Ok(())
     }
 
-    /// The process whose keeper leads.
-    pub async fn leader(&self, among: &[usize]) -> anyhow::Result<usize> {
+    /// Waits until one of these processes is the leader of the keepers, and returns it.
+    pub async fn wait_for_leader(&self, indexes: &[usize]) -> anyhow::Result<usize> {
         for _ in 0..400 {
-            for index in among {
-                let operators = self.processes[*index].operators;
+            for index in indexes {
+                let operators = self.processes[*index].operator_addr;
                 let page = self.caller.get(operators, "/v1/keeper", Some(SECRET)).await;
                 if page.is_ok_and(|page| page.body["role"] == "leader") {
                     return Ok(*index);
@@ -268,12 +277,12 @@
             }
             sleep(25).await;
         }
-        anyhow::bail!("no keeper leads")
+        anyhow::bail!("the keepers elected no leader")
     }
 
-    /// The keeper's page of a process.
-    pub async fn keeper(&self, index: usize) -> anyhow::Result<Value> {
-        let operators = self.processes[index].operators;
+    /// Returns the keeper status of a process.
+    pub async fn keeper_status(&self, index: usize) -> anyhow::Result<Value> {
+        let operators = self.processes[index].operator_addr;
         let response = self
             .caller
             .get(operators, "/v1/keeper", Some(SECRET))
@@ -281,32 +290,35 @@
         Ok(response.body)
     }
 
-    /// Removes everything that a process has on its disk.
-    pub fn lose_disk(&self, index: usize) -> anyhow::Result<()> {
-        fs::remove_dir_all(self.folder.path().join(format!("data-{index}")))?;
+    /// Deletes the data folder of a process.
+    pub fn delete_data(&self, index: usize) -> anyhow::Result<()> {
+        fs::remove_dir_all(self.dir.path().join(format!("data-{index}")))?;
         Ok(())
     }
 
-    /// A key whose home is the data centre of a process.
-    pub(crate) fn key(&self, index: usize) -> String {
+    /// Generates a key whose home is the data centre of a process.
+    pub(crate) fn generate_key(&self, index: usize) -> String {
         generate_key(Some(self.processes[index].dc))
     }
 
-    /// Cuts or heals all links between two sets of processes, both ways.
-    pub(crate) fn cut(&self, one: &[usize], other: &[usize], cut: bool) {
+    /// Starts or ends a partition between two sets of processes, in both directions.
+    pub(crate) fn set_partitioned(&self, one: &[usize], other: &[usize], partitioned: bool) {
         for ((from, to), relay) in &self.relays {
             let across = one.contains(from) && other.contains(to)
                 || other.contains(from) && one.contains(to);
             if across {
-                relay.set_partitioned(cut);
+                relay.set_partitioned(partitioned);
             }
         }
     }
 
-    /// Checks what must hold whatever happened: no task started twice, no assertion failed.
-    pub(crate) async fn check(&self) -> anyhow::Result<()> {
-        let doubled = self.fleet.execution_log().duplicate_starts();
-        anyhow::ensure!(doubled.is_empty(), "started more than once: {doubled:?}");
+    /// Checks that no task was started more than once and that no process reports a violated invariant.
+    pub(crate) async fn check_invariants(&self) -> anyhow::Result<()> {
+        let duplicates = self.fleet.execution_log().duplicate_starts();
+        anyhow::ensure!(
+            duplicates.is_empty(),
+            "started more than once: {duplicates:?}"
+        );
         for index in 0..self.processes.len() {
             if self.processes[index].child.is_none() {
                 continue;
@@ -324,7 +336,7 @@
 }
 
 impl Process {
-    /// Starts (again).
+    /// Starts or restarts the process.
     pub(crate) fn spawn(&mut self) -> anyhow::Result<()> {
         let log = std::env::var("CELERYWINCH_TEST_LOG").unwrap_or_else(|_| "warn".into());
         let child = Command::new(env!("CARGO_BIN_EXE_celerywinchd"))
@@ -344,7 +356,7 @@
         }
     }
 
-    /// SIGKILL, and waits until the process is gone.
+    /// Sends SIGKILL and waits for the exit.
     pub(crate) fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -352,25 +364,25 @@
         }
     }
 
-    /// SIGSTOP.
-    pub(crate) fn freeze(&self) {
+    /// Sends SIGSTOP.
+    pub(crate) fn suspend(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// SIGCONT.
-    pub(crate) fn thaw(&self) {
+    /// Sends SIGCONT.
+    pub(crate) fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// SIGTERM.
+    /// Sends SIGTERM.
     pub(crate) fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Waits for the end; the exit code.
-    pub(crate) async fn ended(&mut self, limit: Duration) -> anyhow::Result<Option<i32>> {
-        let began = Instant::now();
-        while began.elapsed() < limit {
+    /// Waits for the exit and returns the exit code; `None` if the process is not running or was ended by a signal.
+    pub(crate) async fn wait_for_exit(&mut self, limit: Duration) -> anyhow::Result<Option<i32>> {
+        let started = Instant::now();
+        while started.elapsed() < limit {
             let Some(child) = &mut self.child else {
                 return Ok(None);
             };
@@ -380,13 +392,13 @@
             }
             sleep(20).await;
         }
-        anyhow::bail!("the process did not end within {limit:?}")
+        anyhow::bail!("the process did not exit within {limit:?}")
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        self.thaw();
+        self.resume();
         self.kill();
     }
 }
@@ -414,11 +426,11 @@
 }
 
 async fn start_relays(
-    plan: &Plan,
+    config: &ClusterConfig,
     peers: &[SocketAddr],
 ) -> anyhow::Result<HashMap<(usize, usize), Relay>> {
     let mut relays = HashMap::new();
-    if !plan.relays {
+    if !config.relays {
         return Ok(relays);
     }
     for from in 0..peers.len() {
@@ -429,9 +441,9 @@
     Ok(relays)
 }
 
-fn settings(
-    plan: &Plan,
-    me: usize,
+fn render_settings(
+    config: &ClusterConfig,
+    index: usize,
     dcs: &[&str],
     peers: &[SocketAddr],
     relays: &HashMap<(usize, usize), Relay>,
@@ -439,47 +451,53 @@
 ) -> String {
     let mut text = format!(
         "instance: {}\nroles: [entry{}]\ncallers: {}\nendpoints: {}\noperators: {}\n\
-         secret_file: secret\n{}timeline_file: timeline-{me}.jsonl\n\
+         secret_file: secret\n{}timeline_file: timeline-{index}.jsonl\n\
          first_catalogue: catalogue.yaml\nhttp_threads: 1\nlimits:\n  window_ms: {}\n\
          data_centres:\n",
-        me + 1,
-        if me < plan.keepers { ", keeper" } else { "" },
-        process.callers,
-        process.endpoints,
-        process.operators,
-        if plan.diskless.contains(&me) {
+        index + 1,
+        if index < config.keepers {
+            ", keeper"
+        } else {
+            ""
+        },
+        process.caller_addr,
+        process.endpoint_addr,
+        process.operator_addr,
+        if config.diskless.contains(&index) {
             String::new()
         } else {
-            format!("data_folder: data-{me}\n")
+            format!("data_folder: data-{index}\n")
         },
-        plan.window_ms,
+        config.window_ms,
     );
-    for (number, (name, _)) in plan.dcs.iter().enumerate() {
+    for (number, (name, _)) in config.dcs.iter().enumerate() {
         text.push_str(&format!("  {name}: {}\n", number + 1));
     }
     text.push_str("instances:\n");
     for (other, dc) in dcs.iter().enumerate() {
-        let addr = relays.get(&(me, other)).map_or(peers[other], Relay::addr);
+        let addr = relays
+            .get(&(index, other))
+            .map_or(peers[other], Relay::addr);
         text.push_str(&format!(
             "  - {{ instance: {}, data_centre: {dc}, peers: {addr}, keeper: {} }}\n",
             other + 1,
-            other < plan.keepers,
+            other < config.keepers,
         ));
     }
     text
 }
 
-fn start_fleet(plan: &Plan, processes: &[Process]) -> anyhow::Result<Fleet> {
+fn start_fleet(config: &ClusterConfig, processes: &[Process]) -> anyhow::Result<Fleet> {
     let mut entries: HashMap<String, Vec<SocketAddr>> = HashMap::new();
     for process in processes {
         entries
             .entry(process.dc.to_owned())
             .or_default()
-            .push(process.endpoints);
+            .push(process.endpoint_addr);
     }
     let mut endpoints = Vec::new();
-    for (dc, _) in &plan.dcs {
-        for index in 0..plan.endpoints {
+    for (dc, _) in &config.dcs {
+        for index in 0..config.endpoints {
             endpoints.push(EndpointPlan {
                 dc: (*dc).to_owned(),
                 rack: format!("rack-{}", index / 2),
@@ -488,7 +506,7 @@
                     "scan-match".into(),
                     "stock-hold".into(),
                 ],
-                slots: plan.slots,
+                slots: config.slots,
             });
         }
     }
--- a/crates/celerywinchd/tests/leaving.rs
+++ b/crates/celerywinchd/tests/leaving.rs
@@ -1,27 +1,27 @@
-//! Endpoints that leave get no new work, and planned stops cut nothing off.
+//! Tests that leaving endpoints get no new tasks, and that a graceful stop interrupts no job.
 
 mod harness;
 
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::{Duration, Instant};
 
-use harness::{Plan, World, run, sleep};
+use harness::{Cluster, ClusterConfig, run_test, sleep};
 
-/// An endpoint says at one entry that it leaves, while callers keep all entries busy. Two seconds
-/// later no entry sends it anything, and what it was running has been finished and answered.
+/// An endpoint announces to one entry that it is leaving, while callers keep all entries busy. After two
+/// seconds no entry sends it any task, and the tasks that it was running have been completed and answered.
 #[test]
-fn leaving_endpoint_gets_no_new_work() {
-    run(async {
-        let world = World::start(Plan::default()).await?;
-        let began = Instant::now();
-        let mut left_at = None;
-        let mut refused_by_then = 0;
-        while began.elapsed() < Duration::from_millis(4500) {
+fn leaving_endpoint_gets_no_new_tasks() {
+    run_test(async {
+        let cluster = Cluster::start(ClusterConfig::default()).await?;
+        let started = Instant::now();
+        let mut leaving_since = None;
+        let mut refused_within_limit = 0;
+        while started.elapsed() < Duration::from_millis(4500) {
             let wave = (0..6).map(|number| {
-                let world = &world;
+                let cluster = &cluster;
                 async move {
-                    let key = world.key(0);
-                    world
+                    let key = cluster.generate_key(0);
+                    cluster
                         .submit(number % 3, &key, "price-check", 4000, &[40; 3])
                         .await
                 }
@@ -30,33 +30,37 @@
                 let response = response?;
                 assert_eq!(response.outcome(), "answer", "{response:?}");
             }
-            if left_at.is_none() && began.elapsed() > Duration::from_millis(500) {
-                world.fleet.set_leaving(0);
-                left_at = Some(Instant::now());
+            if leaving_since.is_none() && started.elapsed() > Duration::from_millis(500) {
+                cluster.fleet.set_leaving(0);
+                leaving_since = Some(Instant::now());
             }
-            let two_seconds = left_at.is_some_and(|at| at.elapsed() < Duration::from_secs(2));
-            if two_seconds {
-                refused_by_then = world.fleet.execution_log().refused_leaving.load(Relaxed);
+            let within_limit =
+                leaving_since.is_some_and(|at| at.elapsed() < Duration::from_secs(2));
+            if within_limit {
+                refused_within_limit = cluster.fleet.execution_log().refused_leaving.load(Relaxed);
             }
         }
-        let refused = world.fleet.execution_log().refused_leaving.load(Relaxed);
-        assert_eq!(refused, refused_by_then, "work was sent after two seconds");
-        world.check().await
+        let refused = cluster.fleet.execution_log().refused_leaving.load(Relaxed);
+        assert_eq!(
+            refused, refused_within_limit,
+            "tasks were sent to the leaving endpoint after two seconds"
+        );
+        cluster.check_invariants().await
     });
 }
 
-/// The entry that took an endpoint's last announcement is killed at once: the others know that the
-/// endpoint is leaving.
+/// The entry that received the last announcement of an endpoint is killed soon after it. The other entries
+/// know that the endpoint is leaving.
 #[test]
-fn leaving_survives_the_loss_of_the_entry_that_heard_of_it() {
-    run(async {
-        let mut world = World::start(Plan::default()).await?;
-        world.fleet.set_leaving(1);
+fn leaving_state_survives_the_entry_that_received_it() {
+    run_test(async {
+        let mut cluster = Cluster::start(ClusterConfig::default()).await?;
+        cluster.fleet.set_leaving(1);
         sleep(700).await;
-        world.processes[0].kill();
+        cluster.processes[0].kill();
         for entry in [1, 2] {
-            world
-                .wait_status(entry, Duration::from_millis(1500), |page| {
+            cluster
+                .wait_for_status(entry, Duration::from_millis(1500), |page| {
                     let endpoints = page["endpoints"].as_array().cloned().unwrap_or_default();
                     endpoints
                         .iter()
@@ -64,21 +68,21 @@
                 })
                 .await?;
         }
-        world.check().await
+        cluster.check_invariants().await
     });
 }
 
-/// SIGTERM while jobs run at the entry: all of them are answered whole, the balancer is told not to
-/// send more, the process ends with exit code 0 and the rest serve on.
+/// An entry gets SIGTERM while it has running jobs. All of them get complete answers, the readiness check
+/// fails, the process exits with code 0, and the other entries still serve the keys.
 #[test]
-fn planned_stop_cuts_nothing_off() {
-    run(async {
-        let mut world = World::start(Plan::default()).await?;
-        let keys: Vec<_> = (0..12).map(|_| world.key(0)).collect();
+fn graceful_stop_completes_jobs_in_flight() {
+    run_test(async {
+        let mut cluster = Cluster::start(ClusterConfig::default()).await?;
+        let keys: Vec<_> = (0..12).map(|_| cluster.generate_key(0)).collect();
         let in_flight: Vec<_> = keys
             .iter()
             .map(|key| {
-                let (caller, entry) = (world.caller.clone(), world.processes[0].callers);
+                let (caller, entry) = (cluster.caller.clone(), cluster.processes[0].caller_addr);
                 let key = key.clone();
                 tokio::task::spawn_local(async move {
                     harness::submit(&caller, entry, &key, "scan-match", 6000, &[900, 700]).await
@@ -86,29 +90,31 @@
             })
             .collect();
         sleep(300).await;
-        world.processes[0].terminate();
+        cluster.processes[0].terminate();
         sleep(100).await;
-        let ready = world
+        let ready = cluster
             .caller
-            .get(world.processes[0].callers, "/readyz", None)
+            .get(cluster.processes[0].caller_addr, "/readyz", None)
             .await;
         assert!(
             ready.is_err() || ready.is_ok_and(|r| r.status == 503),
-            "still ready"
+            "the readiness check still succeeds"
         );
         for response in in_flight {
             let response = response.await??;
             assert_eq!(response.outcome(), "answer", "{response:?}");
         }
-        let code = world.processes[0].ended(Duration::from_secs(8)).await?;
+        let code = cluster.processes[0]
+            .wait_for_exit(Duration::from_secs(8))
+            .await?;
         assert_eq!(code, Some(0));
         for key in &keys {
-            assert_eq!(world.fleet.execution_log().key_starts(key), 2);
-            let again = world
+            assert_eq!(cluster.fleet.execution_log().key_starts(key), 2);
+            let again = cluster
                 .submit(1, key, "scan-match", 6000, &[900, 700])
                 .await?;
             assert_eq!(again.outcome(), "answer", "{again:?}");
         }
-        world.check().await
+        cluster.check_invariants().await
     });
 }
--- a/crates/celerywinchd/tests/whole_path.rs
+++ b/crates/celerywinchd/tests/whole_path.rs
@@ -1,41 +1,43 @@
-//! The whole path through real processes: three entries, stand-in endpoints, a caller.
+//! Tests of the whole path through real processes: entries, fake endpoints and a caller.
 
 mod harness;
 
-use harness::{Plan, World, run};
+use harness::{Cluster, ClusterConfig, run_test};
 
-/// A job of sixty tasks goes to one endpoint with which no connection is open yet, at the moment at
-/// which the lone entry says that it is ready. It once was told as undecided: the entry was ready a
-/// few milliseconds before its replica stopped to abstain on keys that old.
+/// A job of sixty tasks is submitted right when the only entry becomes ready, for an endpoint to which no
+/// connection is open yet. Guards against the outcome `undecided`, which occurred when the entry reported
+/// ready a few milliseconds before its replica stopped abstaining on keys of that age.
 #[test]
 fn burst_to_one_endpoint_is_answered() {
-    run(async {
-        let world = World::start(Plan {
+    run_test(async {
+        let cluster = Cluster::start(ClusterConfig {
             dcs: vec![("bog-1", 1)],
             endpoints: 1,
             slots: 64,
-            ..Plan::default()
+            ..ClusterConfig::default()
         })
         .await?;
-        let key = world.key(0);
-        let response = world
+        let key = cluster.generate_key(0);
+        let response = cluster
             .submit(0, &key, "scan-match", 3000, &[300; 60])
             .await?;
         assert_eq!(response.outcome(), "answer", "{response:?}");
-        world.check().await
+        cluster.check_invariants().await
     });
 }
 
-/// A caller submits a job of eight tasks to each entry in turn and gets the whole answer, in the
-/// order submitted, although the endpoints announced themselves to any entry.
+/// A caller submits a job of eight tasks to each entry in turn and gets the complete answer, in the order of
+/// the tasks, although each endpoint announces itself to changing entries.
 #[test]
-fn job_is_answered_whole_by_every_entry() {
-    run(async {
-        let world = World::start(Plan::default()).await?;
+fn every_entry_answers_a_job_completely() {
+    run_test(async {
+        let cluster = Cluster::start(ClusterConfig::default()).await?;
         for entry in 0..3 {
-            let key = world.key(entry);
+            let key = cluster.generate_key(entry);
             let runs = [40, 10, 60, 20, 30, 50, 15, 25];
-            let response = world.submit(entry, &key, "scan-match", 3000, &runs).await?;
+            let response = cluster
+                .submit(entry, &key, "scan-match", 3000, &runs)
+                .await?;
             assert_eq!(response.outcome(), "answer", "{response:?}");
             let results = response.body["results"]
                 .as_array()
@@ -45,17 +47,17 @@
                 .iter()
                 .map(|result| result["task"].as_u64())
                 .collect();
-            let wanted: Vec<_> = (0..8).map(Some).collect();
-            assert_eq!(order, wanted);
-            let again = world
+            let expected: Vec<_> = (0..8).map(Some).collect();
+            assert_eq!(order, expected);
+            let again = cluster
                 .submit((entry + 1) % 3, &key, "scan-match", 3000, &runs)
                 .await?;
             assert_eq!(
                 again, response,
-                "a resubmission elsewhere gets the same answer"
+                "a resubmission to another entry gets the same answer"
             );
-            assert_eq!(world.fleet.execution_log().key_starts(&key), 8);
+            assert_eq!(cluster.fleet.execution_log().key_starts(&key), 8);
         }
-        world.check().await
+        cluster.check_invariants().await
     });
 }
