--- a/crates/celerywinch/src/commands/soak.rs
+++ b/crates/celerywinch/src/commands/soak.rs
@@ -44,7 +44,7 @@
 const LULL_PERIOD_MS: u64 = 30_000;
 /// During a lull, most workers are idle for longer than the 20 s after which a silent worker is removed.
 const LULL_DURATION_MS: u64 = 26_000;
-/// Time from the start of a lull without faults, in ms; a fault would cause calls to idle workers.
+/// Time from the start of a lull without faults, in ms: a fault causes calls to workers, so they would not stay idle.
 const LULL_FAULT_FREE_MS: u64 = 22_000;
 /// Load during a lull as a fraction of normal load; chosen by the seed.
 const LULL_LOAD_FACTORS: [f64; 4] = [0.05, 0.4, 0.1, 0.2];
