--- a/crates/celerywinch_claims/src/claim.rs
+++ b/crates/celerywinch_claims/src/claim.rs
@@ -33,7 +33,9 @@
 #[derive(Debug)]
 pub struct Voting {
     holder: Holder,
+    /// The replica that is asked before all others.
     first: Option<InstanceId>,
+    /// The answers so far; `None` is an abstention.
     answers: Vec<(InstanceId, Option<Grant>)>,
 }
 
@@ -163,8 +165,8 @@
 
     /// Records a replica's answer; `None` is an abstention.
     pub fn answer(&mut self, from: InstanceId, grant: Option<Grant>) -> Progress<Verdict> {
-        let known = self.state.answers.iter().any(|(id, _)| *id == from);
-        if known || !self.group.contains(from) {
+        let answered = self.state.answers.iter().any(|(id, _)| *id == from);
+        if answered || !self.group.contains(from) {
             return Progress::Pending;
         }
         let taken = match &grant {
@@ -193,8 +195,8 @@
         if granted >= self.group.majority() {
             return Progress::Done(Verdict::Won);
         }
-        let open = self.group.members().len() - self.state.answers.len();
-        if granted + open >= self.group.majority() {
+        let outstanding = self.group.members().len() - self.state.answers.len();
+        if granted + outstanding >= self.group.majority() {
             return Progress::Pending;
         }
         Progress::Done(self.failed_vote())
--- a/crates/celerywinch_dispatch/src/dispatch.rs
+++ b/crates/celerywinch_dispatch/src/dispatch.rs
@@ -84,13 +84,18 @@
 #[derive(Debug)]
 pub(crate) struct Endpoint {
     pub(crate) announcement: EndpointAnnouncement,
+    /// The number of its slots that this entry owns.
     pub(crate) share: u16,
+    /// The number of slots lent to other entries.
     pub(crate) lent: u16,
+    /// The number of slots borrowed from other entries.
     pub(crate) borrowed: u16,
+    /// The number of calls of this entry in flight.
     pub(crate) in_flight: u16,
     pub(crate) health: Health,
-    /// It gets no tasks until then, because it refused one as full.
+    /// The time until which it gets no tasks, because it refused one as full.
     pub(crate) full_until: Time,
+    /// Whether its lease has expired or another incarnation has replaced it.
     pub(crate) gone: bool,
     /// When each call in flight was sent.
     pub(crate) sent: Vec<Time>,
@@ -105,16 +110,18 @@
             .count()
     }
 
-    fn usable(&self) -> bool {
+    fn is_usable(&self) -> bool {
         !self.gone && self.announcement.state == EndpointState::Serving
     }
 
+    /// Returns the number of slots that this entry may use: those owned and borrowed, less those lent.
     pub(crate) fn own_slots(&self) -> u16 {
         (self.share + self.borrowed).saturating_sub(self.lent)
     }
 
+    /// Returns the number of tasks that this entry may send to the endpoint now.
     pub(crate) fn free(&self, now: Time) -> u16 {
-        if !self.usable() || self.full_until > now {
+        if !self.is_usable() || self.full_until > now {
             return 0;
         }
         let own = self.own_slots();
@@ -140,17 +147,21 @@
 pub struct Dispatch {
     instance: InstanceId,
     policy: Policy,
+    /// The entries that share the slots of the data centre.
     owners: Vec<InstanceId>,
     pub(crate) endpoints: SlotMap<EndpointId, Endpoint>,
     pub(crate) by_addr: BTreeMap<SocketAddr, EndpointId>,
     pub(crate) kinds: BTreeMap<KindName, KindState>,
     pub(crate) queue: Queue,
     jobs: HashMap<JobId, Work>,
+    /// The number of running tasks of this entry, by team.
     running: HashMap<Arc<str>, u32>,
+    /// The quota of each team, for all entries together.
     quotas: HashMap<Arc<str>, u32>,
     pub(crate) lent: BTreeMap<u64, Loan>,
     pub(crate) borrowed: Vec<Loan>,
     pub(crate) next_loan: u64,
+    /// The position of [`Policy::RoundRobin`].
     next_index: usize,
     random: ChaCha8Rng,
 }
@@ -238,7 +249,7 @@
                 );
                 endpoint.announcement = announcement.clone();
                 endpoint.gone = false;
-                self.index();
+                self.rebuild_index();
                 return;
             }
             endpoint.gone = true;
@@ -261,15 +272,15 @@
         });
         self.by_addr.insert(announcement.addr, id);
         self.remove_gone();
-        self.index();
+        self.rebuild_index();
     }
 
-    /// Removes an endpoint whose lease has expired; it gets no new tasks.
+    /// Removes an endpoint whose lease has expired: it gets no new tasks, and its calls in flight continue.
     pub fn remove(&mut self, addr: SocketAddr) {
         if let Some(id) = self.by_addr.remove(&addr) {
             self.endpoints[id].gone = true;
             self.remove_gone();
-            self.index();
+            self.rebuild_index();
         }
     }
 
@@ -279,7 +290,7 @@
             .retain(|_, endpoint| !endpoint.gone || endpoint.in_flight > 0);
     }
 
-    fn index(&mut self) {
+    fn rebuild_index(&mut self) {
         for (name, kind) in &mut self.kinds {
             kind.endpoints = endpoints_of(&self.endpoints, name);
         }
@@ -440,12 +451,12 @@
             state.failure_rate =
                 state.failure_rate * (1.0 - FAILURE_WEIGHT) + failed * FAILURE_WEIGHT;
         }
-        let blame = self.at_fault(kind);
+        let may_quarantine = self.is_endpoint_fault(kind);
         let state = self.kinds.get_mut(kind)?;
         let endpoint = self.endpoints.get_mut(id)?;
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-        if let Some(place) = endpoint.sent.iter().position(|at| *at == sent) {
-            endpoint.sent.swap_remove(place);
+        if let Some(position) = endpoint.sent.iter().position(|at| *at == sent) {
+            endpoint.sent.swap_remove(position);
         }
         let change = match end {
             CallEnd::Done(run) => {
@@ -454,7 +465,7 @@
                 let ratio = run.as_secs_f64() / median.as_secs_f64();
                 endpoint.health.record_success(now, ratio)
             }
-            CallEnd::Failed => endpoint.health.record_failure(now, blame),
+            CallEnd::Failed => endpoint.health.record_failure(now, may_quarantine),
             CallEnd::Refused => {
                 endpoint.full_until = now + FULL_BACKOFF;
                 None
@@ -474,13 +485,13 @@
         };
         if endpoint.gone && endpoint.in_flight == 0 {
             self.endpoints.remove(id);
-            self.index();
+            self.rebuild_index();
         }
         change
     }
 
     /// Whether a failure is attributed to the endpoint rather than to the kind.
-    fn at_fault(&self, kind: &str) -> bool {
+    fn is_endpoint_fault(&self, kind: &str) -> bool {
         let Some(state) = self.kinds.get(kind) else {
             return false;
         };
@@ -524,9 +535,9 @@
     /// Returns the number of serving endpoints, and how many of them are quarantined or on probation.
     #[must_use]
     pub fn endpoint_counts(&self) -> (usize, usize) {
-        let known = self.endpoints.values().filter(|e| e.usable());
-        let suspended = known.clone().filter(|e| e.health.is_suspended());
-        (known.count(), suspended.count())
+        let serving = self.endpoints.values().filter(|e| e.is_usable());
+        let suspended = serving.clone().filter(|e| e.health.is_suspended());
+        (serving.count(), suspended.count())
     }
 
     /// Returns the announcement of an endpoint, as long as it has calls in flight or a lease.
@@ -539,7 +550,9 @@
 }
 
 fn endpoints_of(endpoints: &SlotMap<EndpointId, Endpoint>, kind: &str) -> Vec<EndpointId> {
-    let usable = endpoints.iter().filter(|(_, endpoint)| endpoint.usable());
+    let usable = endpoints
+        .iter()
+        .filter(|(_, endpoint)| endpoint.is_usable());
     usable
         .filter(|(_, endpoint)| endpoint.announcement.kinds.iter().any(|k| &**k == kind))
         .map(|(id, _)| id)
--- a/crates/celerywinch_member/src/heartbeats.rs
+++ b/crates/celerywinch_member/src/heartbeats.rs
@@ -73,7 +73,7 @@
 impl Member {
     /// Determines the dispatcher of each domain by the highest fencing token that any live peer reports.
     pub(crate) fn update_holders(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.config.part != ProcessKind::Entry {
+        if self.config.kind != ProcessKind::Entry {
             return;
         }
         self.holders_stale = false;
@@ -137,12 +137,12 @@
 
     /// Whether a process is in this data centre, so that callers' jobs are submitted to it first.
     fn is_local(&self, peer: InstanceId) -> bool {
-        let here = peer == self.config.me.instance
+        let same_dc = peer == self.config.me.instance
             || self
                 .peers
                 .get(peer)
                 .is_some_and(|view| view.heartbeat.dc == self.config.dc);
-        here && !self.config.pool.disabled.contains(Mechanism::Locality)
+        same_dc && !self.config.pool.disabled.contains(Mechanism::Locality)
     }
 
     /// Requests frequent heartbeats from a dispatcher before it gets work: it starts the work only with a
@@ -162,11 +162,11 @@
     /// its last heartbeat, seconds ago. Callers' jobs submitted to such a dispatcher would wait there for as
     /// long, and so would a shard whose takeover waits for such an entry because it ranks before this one.
     fn request_heartbeat(&mut self, now: Time, peer: InstanceId, out: &mut Vec<Output>) {
-        let known = self
+        let has_long_timeout = self
             .peers
             .get(peer)
             .is_some_and(|view| !view.has_short_timeout());
-        if known && !self.is_small_fleet() {
+        if has_long_timeout && !self.is_small_fleet() {
             self.update_announced(now, peer);
             self.send_probe(now, peer, out);
         }
@@ -205,7 +205,7 @@
         self.is_small_fleet() || self.frequent.dispatchers.contains(&dispatcher)
     }
 
-    /// Updates the reported room of the domains it dispatches for. Called once per tick, because it reads the
+    /// Updates the reported load of the domains it dispatches for. Called once per tick, because it reads the
     /// state of each worker.
     pub(crate) fn update_owned_domains(&mut self, now: Time) {
         let owned = self.domains.owned().iter();
@@ -217,7 +217,7 @@
         self.owned_domains = owned.map(report).collect();
     }
 
-    /// Updates the room of a dispatcher whose domains did not change.
+    /// Updates the load of a dispatcher whose domains did not change.
     pub(crate) fn update_loads(
         &mut self,
         now: Time,
@@ -225,7 +225,7 @@
         owned_domains: Vec<OwnedDomain>,
         out: &mut Vec<Output>,
     ) {
-        if self.config.part == ProcessKind::Entry && !owned_domains.is_empty() {
+        if self.config.kind == ProcessKind::Entry && !owned_domains.is_empty() {
             let input = OriginInput::Loads(dispatcher, owned_domains);
             self.origin_input(now, input, out);
         }
@@ -248,7 +248,7 @@
             self.slow_interval()
         };
         FleetHeartbeat {
-            kind: self.config.part,
+            kind: self.config.kind,
             dc: self.config.dc,
             stage: self.stage,
             owned_domains: self.owned_domains.clone(),
@@ -318,8 +318,8 @@
 
     /// Sends the heartbeats that are due: to frequent peers at once, to the others one after the other.
     pub(crate) fn send_due_heartbeats(&mut self, now: Time, out: &mut Vec<Output>) {
-        let often = self.is_small_fleet() && !self.domains.owned().is_empty();
-        let interval = if often {
+        let is_dispatcher = self.is_small_fleet() && !self.domains.owned().is_empty();
+        let interval = if is_dispatcher {
             DISPATCHER_INTERVAL
         } else {
             HEARTBEAT_INTERVAL
@@ -380,8 +380,8 @@
     /// Probes all processes of a data centre if the peers with frequent heartbeats there have fallen silent.
     ///
     /// Processes that exchange rare heartbeats would notice a network partition only after seconds: meanwhile
-    /// a partitioned entry would rely on dispatchers, and wait for better placed entries, that it cannot
-    /// reach. The partition of a data centre shows at the peers with frequent heartbeats, of which there are
+    /// a partitioned entry would rely on dispatchers that it cannot reach, and wait for unreachable entries that
+    /// rank before it. The partition of a data centre shows at the peers with frequent heartbeats, of which there are
     /// nearly always some. A probe and its answer cost one message each; in steady service there are none.
     pub(crate) fn probe_silent_data_centres(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.is_small_fleet() {
@@ -389,10 +389,10 @@
         }
         let mut silent: BTreeMap<DataCentreId, bool> = BTreeMap::new();
         for (_, view) in self.peers.all() {
-            let quiet = now.since(view.last_contact);
-            if view.has_short_timeout() && !view.refused && quiet < PROBE_INTERVAL {
+            let silence = now.since(view.last_contact);
+            if view.has_short_timeout() && !view.refused && silence < PROBE_INTERVAL {
                 let all = silent.entry(view.heartbeat.dc).or_insert(true);
-                *all &= quiet >= SUSPECT_AFTER;
+                *all &= silence >= SUSPECT_AFTER;
             }
         }
         for (dc, _) in silent.into_iter().filter(|(_, all)| *all) {
@@ -407,8 +407,8 @@
     /// Probes the live peers of a data centre that do not send frequent heartbeats.
     fn probe_data_centre(&mut self, now: Time, dc: DataCentreId, out: &mut Vec<Output>) {
         let alive = self.peers.alive(now);
-        let there = alive.filter(|(_, view)| view.heartbeat.dc == dc && !view.has_short_timeout());
-        let peers: Vec<_> = there.map(|(peer, _)| peer).collect();
+        let in_dc = alive.filter(|(_, view)| view.heartbeat.dc == dc && !view.has_short_timeout());
+        let peers: Vec<_> = in_dc.map(|(peer, _)| peer).collect();
         for peer in peers {
             self.send_probe(now, peer, out);
         }
--- a/crates/celerywinch_pool/src/leases.rs
+++ b/crates/celerywinch_pool/src/leases.rs
@@ -53,20 +53,20 @@
         if worker.ownership == Ownership::None || worker.long_poll.is_some() || !due {
             return;
         }
-        let own = worker.ownership == Ownership::Owned && !worker.runs.is_empty();
+        let has_own_runs = worker.ownership == Ownership::Owned && !worker.runs.is_empty();
         let responsive = worker.missed_calls == 0
             && worker.foreign_runs == 0
-            && !self.has_suspended(now, worker);
+            && !self.has_suspended_run(now, worker);
         // A poll that may get no answer does not extend the lease, or the tasks of an unresponsive worker could not be
         // started elsewhere while it is polled. A lease covers all runs on a worker. So it is not extended while a
         // foreign run is there, which its own dispatcher, on the other side of a network partition, expects to end with
         // the lease that it gave; nor while a task runs there that its origin may have started elsewhere.
-        let deadline = if own && responsive {
+        let deadline = if has_own_runs && responsive {
             worker.deadline(now, self.config.lease)
         } else {
             None
         };
-        let waits = own && worker.missed_calls == 0;
+        let waits = has_own_runs && worker.missed_calls == 0;
         self.send_poll(now, key, deadline, waits, out);
     }
 
@@ -108,8 +108,10 @@
         let runs = self.workers[key].runs.iter().map(|run| &self.runs[*run]);
         let remaining =
             runs.map(|run| (run.started + run.expected.mul_f64(WAIT_FACTOR)).since(now));
-        let first = remaining.min().unwrap_or_default();
-        let wait = first.max(self.config.min_wait).min(self.config.poll_wait);
+        let earliest = remaining.min().unwrap_or_default();
+        let wait = earliest
+            .max(self.config.min_wait)
+            .min(self.config.poll_wait);
         wait.as_millis() as u32
     }
 
@@ -165,8 +167,8 @@
         if self.is_reachable(now, domain, self.config.reach_window) {
             return;
         }
-        let there = self.workers.iter().filter(|(_, w)| w.domain == domain);
-        let mut owned = there.filter(|(_, w)| w.ownership == Ownership::Owned);
+        let in_domain = self.workers.iter().filter(|(_, w)| w.domain == domain);
+        let mut owned = in_domain.filter(|(_, w)| w.ownership == Ownership::Owned);
         // Workers that have missed a call are polled again anyway. An outstanding poll to one of them is no reason to
         // wait: with a few dead workers there always is one, and a domain whose other workers would answer would be
         // resigned.
@@ -184,13 +186,14 @@
         self.poll(now, key, out);
     }
 
-    /// The lease of an unresponsive worker has expired: nothing runs there any more.
+    /// Ends the runs of an unresponsive worker whose lease has expired, so that nothing runs there any more.
     fn expire_lease(&mut self, now: Time, key: WorkerKey, out: &mut Vec<Output>) {
         for run in self.workers[key].runs.clone() {
             self.lose_run(now, run, Loss::LeaseExpired, out);
         }
     }
 
+    /// Ends a run whose end its worker has not listed, and requeues its task unless that is given up.
     pub(crate) fn lose_run(&mut self, now: Time, key: RunKey, loss: Loss, out: &mut Vec<Output>) {
         let Some(run) = self.remove_run(key) else {
             return;
@@ -198,13 +201,13 @@
         out.push(Output::Event(PoolEvent::RunEnded {
             task: run.task,
             run: run.number,
-            worker: self.workers[run.worker].note.id.clone(),
+            worker: self.workers[run.worker].announcement.id.clone(),
             how: loss.label(),
             took: now.since(run.started).as_millis() as u32,
         }));
         match loss {
-            Loss::LeaseExpired => self.lease_expired_with(now, &run, out),
-            Loss::Crashed => self.crashed_with(now, &run, out),
+            Loss::LeaseExpired => self.record_lease_expiry(now, &run, out),
+            Loss::Crashed => self.record_crash(now, &run, out),
             Loss::Left => {}
         }
         if let Some(batch) = run.batch
@@ -225,10 +228,10 @@
         let Some(worker) = self.workers.get(key) else {
             return;
         };
-        let id = worker.note.id.clone();
-        let addr = worker.note.addr;
+        let id = worker.announcement.id.clone();
+        let addr = worker.announcement.addr;
         let runs = worker.runs.clone();
-        let stage = worker.note.stage;
+        let stage = worker.announcement.stage;
         out.push(Output::Event(PoolEvent::WorkerGone {
             worker: id.clone(),
             why,
@@ -306,7 +309,7 @@
         }
         out.push(Output::Event(PoolEvent::Moved {
             task: run.task,
-            worker: worker.note.id.clone(),
+            worker: worker.announcement.id.clone(),
             took: took.as_millis() as u32,
             expected: run.expected.as_millis() as u32,
             percent,
--- a/crates/celerywinch_pool/src/origins.rs
+++ b/crates/celerywinch_pool/src/origins.rs
@@ -1,4 +1,4 @@
-//! Tasks that their origins do not want any more, or may not.
+//! Removal of tasks that their origins no longer want, and resyncs with origins after lost messages.
 
 use std::collections::BTreeSet;
 
@@ -11,9 +11,9 @@
 impl Pool {
     /// Asks an origin which tasks it wants here.
     ///
-    /// A broken connection may have lost the message that a caller has left. Its tasks would continue, and run a second
-    /// time when the caller sends the job again elsewhere. So whenever messages may have been lost, the origin names
-    /// the tasks that it wants, and all others are stopped.
+    /// A broken connection may have lost the cancellation of a job whose caller has left. Its tasks would continue,
+    /// and run a second time when the caller sends the job again elsewhere. So whenever messages may have been lost,
+    /// the origin names the tasks that it wants, and all others are stopped.
     pub(crate) fn request_resync(&mut self, origin: InstanceId, out: &mut Vec<Output>) {
         self.resync_count += 1;
         self.resyncs.insert(origin, self.resync_count);
@@ -36,23 +36,23 @@
         &mut self,
         now: Time,
         origin: InstanceId,
-        ask: u64,
+        request: u64,
         unsure: &[TaskId],
         out: &mut Vec<Output>,
     ) {
         // This answers an earlier request, which does not cover tasks submitted after it.
-        if self.resyncs.get(&origin) != Some(&ask) {
+        if self.resyncs.get(&origin) != Some(&request) {
             return;
         }
         self.resyncs.remove(&origin);
         let unsure: BTreeSet<_> = unsure.iter().copied().collect();
-        let mut left = Vec::new();
+        let mut unnamed_tasks = Vec::new();
         for batch in self.batches.values().filter(|b| b.origin == origin) {
             let unnamed = batch.tasks.iter().filter(|(_, task)| task.unconfirmed);
-            left.extend(unnamed.map(|(index, _)| batch.task_id(*index)));
+            unnamed_tasks.extend(unnamed.map(|(index, _)| batch.task_id(*index)));
         }
-        left.retain(|task| !unsure.contains(task));
-        self.drop_tasks(now, origin, &left, u32::MAX, out);
+        unnamed_tasks.retain(|task| !unsure.contains(task));
+        self.drop_tasks(now, origin, &unnamed_tasks, u32::MAX, out);
     }
 
     /// Drops tasks that their origin does not want here any more and stops their runs, unless they were submitted after
@@ -70,8 +70,8 @@
             let Some(key) = known.filter(|key| self.batches[*key].origin == origin) else {
                 continue;
             };
-            let here = self.batches[key].tasks.get(&task.index);
-            if here.is_some_and(|here| here.submission <= last) {
+            let current = self.batches[key].tasks.get(&task.index);
+            if current.is_some_and(|current| current.submission <= last) {
                 self.drop_task(now, key, task.index, out);
             }
         }
@@ -88,6 +88,7 @@
         }
     }
 
+    /// Drops the steps of a job, except those with a task that was submitted after `last`.
     pub(crate) fn cancel(
         &mut self,
         now: Time,
@@ -96,20 +97,21 @@
         last: u32,
         out: &mut Vec<Output>,
     ) {
-        let meant = |batch: &Batch| {
+        let is_cancelled = |batch: &Batch| {
             let before = batch.tasks.values().all(|task| task.submission <= last);
             batch.order.job == job && batch.origin == from && before
         };
-        let batches = self.batches.iter().filter(|(_, batch)| meant(batch));
+        let batches = self.batches.iter().filter(|(_, batch)| is_cancelled(batch));
         let keys: Vec<_> = batches.map(|(key, _)| key).collect();
         for key in keys {
             self.drop_batch(now, key, out);
         }
     }
 
+    /// Drops all tasks of a lost origin.
     pub(crate) fn drop_origin(&mut self, now: Time, origin: InstanceId, out: &mut Vec<Output>) {
         // The next incarnation of the origin numbers its submissions from the beginning.
-        let returned = |sent: &SentEnd| sent.origin == origin && sent.news.returns_task();
+        let returned = |sent: &SentEnd| sent.origin == origin && sent.report.returns_task();
         self.sent_ends.retain(|_, sent| !returned(sent));
         let keys: Vec<_> = self
             .batches
--- a/crates/celerywinch_pool/src/place.rs
+++ b/crates/celerywinch_pool/src/place.rs
@@ -11,8 +11,8 @@
 
 /// Assumed factor by which a task takes longer on another rack than the one near its data.
 const REMOTE_RACK_FACTOR: f64 = 1.5;
-/// Cost of a pace that is higher by one, in shares of a worker left empty. A slow worker is chosen when placement elsewhere
-/// would waste more than that.
+/// Cost of a worker per unit of its pace, in shares of a worker left empty, like all costs of a placement. A slow worker
+/// is chosen only if any other placement would leave more capacity unused than that.
 const PACE_COST: f64 = 2.0;
 /// Cost of a worker in another data centre than the dispatcher's, in shares of a worker left empty: less than that of
 /// data on another rack, and more than the differences that packing makes.
@@ -55,8 +55,8 @@
         let mut placed_all = true;
         if self.needs_probe(batch) {
             let running = |task: &Task| matches!(task.state, TaskState::Running(_));
-            let first = !batch.tasks.values().any(running);
-            waiting.truncate(usize::from(first));
+            let none_running = !batch.tasks.values().any(running);
+            waiting.truncate(usize::from(none_running));
         }
         for index in waiting {
             let Some(worker) = self.choose_worker(now, &self.batches[key], index) else {
@@ -79,7 +79,7 @@
         let fitting = workers.filter(|(key, worker)| {
             self.accepts_tasks(now, worker)
                 && self.can_run(batch, *key, worker)
-                && !self.has_suspended(now, worker)
+                && !self.has_suspended_run(now, worker)
                 && !self.shares_with_suspect(task.crashes, worker)
         });
         let packs = !self.config.disabled.contains(Mechanism::Packing);
@@ -103,7 +103,10 @@
     fn locality_cost(&self, worker: &Worker, probing: bool) -> f64 {
         let prefers_local =
             self.shards > 1 && !probing && !self.config.disabled.contains(Mechanism::Locality);
-        let elsewhere = self.config.dc.is_some_and(|dc| dc != worker.note.dc);
+        let elsewhere = self
+            .config
+            .dc
+            .is_some_and(|dc| dc != worker.announcement.dc);
         if prefers_local && elsewhere {
             REMOTE_DC_COST
         } else {
@@ -128,9 +131,9 @@
     /// Returns whether a worker offers the service, the label and the free capacity that a task of the batch needs.
     pub(crate) fn can_run(&self, batch: &Batch, key: WorkerKey, worker: &Worker) -> bool {
         let order = &batch.order;
-        let service = worker.note.service == order.service;
+        let service = worker.announcement.service == order.service;
         let label = order.label.as_ref();
-        let labelled = label.is_none_or(|label| worker.note.labels.contains(label));
+        let labelled = label.is_none_or(|label| worker.announcement.labels.contains(label));
         service
             && labelled
             && worker.free().fits(order.need)
@@ -143,11 +146,11 @@
             return true;
         };
         let (job, step) = (batch.order.job, batch.order.step);
-        let here = worker.runs.iter().filter(|run| {
+        let runs_of_step = worker.runs.iter().filter(|run| {
             let task = self.runs[**run].task;
             (task.job, task.step) == (job, step)
         });
-        here.count() < usize::from(most)
+        runs_of_step.count() < usize::from(most)
     }
 
     /// Starts a task on a worker. Returns false if no lease can be given, as the worker's clock was never read.
@@ -165,7 +168,9 @@
             self.may_start(now, batch.origin, &batch.tasks[&index])
         };
         assert!(granted, "a task is started only under its origin's grant");
-        let evacuated = self.evacuated.contains(&self.workers[worker_key].note.dc);
+        let evacuated = self
+            .evacuated
+            .contains(&self.workers[worker_key].announcement.dc);
         assert!(!evacuated, "no task is started in an evacuated data centre");
         let worker = &mut self.workers[worker_key];
         let Some(deadline) = worker.deadline(now, lease) else {
@@ -199,7 +204,7 @@
         out.push(Output::Event(PoolEvent::Started {
             task: run.task,
             run: run.number,
-            worker: self.workers[worker_key].note.id.clone(),
+            worker: self.workers[worker_key].announcement.id.clone(),
             expected: run.expected.as_millis() as u32,
         }));
         let number = run.number;
@@ -227,9 +232,9 @@
 /// Returns the cost of a task on a worker: the share of the worker left empty, its pace, and whether the task failed
 /// there last.
 fn placement_cost(batch: &Batch, task: &Task, key: WorkerKey, worker: &Worker, packs: bool) -> f64 {
-    let left = worker.free().saturating_sub(batch.order.need).cpu;
+    let remaining = worker.free().saturating_sub(batch.order.need).cpu;
     let empty = if packs {
-        f64::from(left) / f64::from(worker.note.capacity.cpu.max(1))
+        f64::from(remaining) / f64::from(worker.announcement.capacity.cpu.max(1))
     } else {
         0.0
     };
--- a/crates/celerywinch_pool/tests/runs.rs
+++ b/crates/celerywinch_pool/tests/runs.rs
@@ -5,8 +5,8 @@
 use celerywinch_pool::{Answer, EndedRow, Input, Rejection, Request, RunEnd, RunningRow};
 use celerywinch_types::{JobId, PriorRuns, RunNumber, TaskEnd, WorkMsg};
 use rig::{
-    JOB, ORIGIN, Rig, clock, ended_row, is_look, is_start, is_stop, lists, running_row, step, task,
-    worker_note,
+    JOB, ORIGIN, Rig, clock, ended_row, is_poll, is_start, is_stop, lists, running_row, step, task,
+    worker_announcement,
 };
 use rstest::rstest;
 
@@ -19,9 +19,9 @@
     again: bool,
 }
 
-fn is_check(order: &Request) -> bool {
+fn is_short_poll(request: &Request) -> bool {
     matches!(
-        order,
+        request,
         Request::Poll {
             deadline: None,
             wait: 0,
@@ -34,26 +34,26 @@
 /// only a refusal is certain. The worker is polled, and a run that it does not list is stopped, before the task is started
 /// again.
 #[rstest]
-#[case::taken(Case { answer: Answer::Accepted(clock()), stops: false, again: false })]
-#[case::silent(Case { answer: Answer::NoAnswer, stops: true, again: false })]
-#[case::late(Case {
+#[case::accepted(Case { answer: Answer::Accepted(clock()), stops: false, again: false })]
+#[case::no_answer(Case { answer: Answer::NoAnswer, stops: true, again: false })]
+#[case::lease_expired(Case {
     answer: Answer::Rejected(Rejection::LeaseExpired, Some(clock())), stops: false, again: true,
 })]
-#[case::old(Case {
+#[case::stale_run(Case {
     answer: Answer::Rejected(Rejection::StaleRun, Some(clock())), stops: false, again: true,
 })]
-#[case::unwell(Case {
+#[case::unhealthy(Case {
     answer: Answer::Rejected(Rejection::Unhealthy, None), stops: false, again: false,
 })]
 fn answer_to_a_start(#[case] case: Case) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
-    let before = rig.count_calls(is_check);
+    let before = rig.count_calls(is_short_poll);
     rig.answer(&start, case.answer);
-    assert_eq!(rig.count_calls(is_check) > before, case.stops);
+    assert_eq!(rig.count_calls(is_short_poll) > before, case.stops);
     if case.stops {
-        let check = rig.last_call(is_check);
+        let check = rig.last_call(is_short_poll);
         rig.answer(&check, lists(Vec::new(), Vec::new()));
     }
     rig.handle(Input::Tick);
@@ -66,7 +66,7 @@
 #[rstest]
 #[case::running(lists(vec![running_row(1)], Vec::new()), 0)]
 #[case::no_answer(Answer::NoAnswer, 1)]
-fn order_without_an_answer_is_settled_by_what_the_worker_has(
+fn start_without_an_answer_is_settled_by_what_the_worker_has(
     #[case] answer: Answer,
     #[case] stops: usize,
 ) {
@@ -74,7 +74,7 @@
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::NoAnswer);
-    let check = rig.last_call(is_check);
+    let check = rig.last_call(is_short_poll);
     rig.answer(&check, answer);
     rig.handle(Input::Tick);
     assert_eq!(
@@ -102,7 +102,7 @@
     rig.answer(&start, Answer::NoAnswer);
     for _ in 0..6 {
         rig.advance(60);
-        let poll = rig.last_call(is_look);
+        let poll = rig.last_call(is_poll);
         rig.answer(&poll, lists(Vec::new(), Vec::new()));
     }
     assert_eq!(rig.pool.counts().1, 0, "no run is left");
@@ -130,13 +130,13 @@
     prior_runs: PriorRuns::Unknown, running: None, ended: Some((7, RunEnd::Done)), starts: false,
     reported: Some(TaskEnd::Done),
 })]
-#[case::cut_and_no_later_run(Found {
+#[case::interrupted_and_no_later_run(Found {
     prior_runs: PriorRuns::Last, running: None, ended: Some((7, RunEnd::Interrupted)), starts: true, reported: None,
 })]
-#[case::cut_and_a_later_run(Found {
+#[case::interrupted_and_a_later_run(Found {
     prior_runs: PriorRuns::Last, running: None, ended: Some((6, RunEnd::Interrupted)), starts: false, reported: None,
 })]
-#[case::cut_and_perhaps_a_later_run(Found {
+#[case::interrupted_and_perhaps_a_later_run(Found {
     prior_runs: PriorRuns::Unknown, running: None, ended: Some((7, RunEnd::Interrupted)), starts: false, reported: None,
 })]
 #[case::nothing(Found {
@@ -178,15 +178,15 @@
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
-    let other = rig.last_call(is_look);
+    rig.handle(Input::Workers(vec![worker_announcement("w2", 2)]));
+    let other = rig.last_call(is_poll);
     assert_eq!(other.worker, "w2");
     rig.answer(&other, lists(Vec::new(), Vec::new()));
     for _ in 0..20 {
         let polls: Vec<_> = rig
             .calls
             .iter()
-            .filter(|c| c.worker == "w1" && is_look(&c.request))
+            .filter(|c| c.worker == "w1" && is_poll(&c.request))
             .cloned()
             .collect();
         for poll in polls {
@@ -257,7 +257,7 @@
     rig.submit(step(PriorRuns::Unknown, 7));
     for _ in 0..10 {
         rig.advance(20);
-        let poll = rig.last_call(is_look);
+        let poll = rig.last_call(is_poll);
         let Request::Poll { deadline, .. } = poll.request else {
             panic!("{poll:?}");
         };
@@ -269,9 +269,9 @@
     }
     assert_eq!(rig.count_calls(is_stop), 1, "no origin wants task 1");
     rig.advance(60);
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists(vec![row(0)], Vec::new()));
-    let Request::Poll { deadline, .. } = rig.last_call(is_look).request else {
+    let Request::Poll { deadline, .. } = rig.last_call(is_poll).request else {
         panic!("a poll");
     };
     assert!(deadline.is_some());
@@ -288,14 +288,14 @@
         percent: 20,
     };
     let mut rig = Rig::new(vec![row(0), row(1)], Vec::new());
-    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
-    let other = rig.last_call(is_look);
+    rig.handle(Input::Workers(vec![worker_announcement("w2", 2)]));
+    let other = rig.last_call(is_poll);
     rig.answer(&other, lists(Vec::new(), Vec::new()));
     rig.submit(step(PriorRuns::Unknown, 7));
     let mut polls = rig
         .calls
         .iter()
-        .filter(|call| call.worker == "w1" && is_look(&call.request));
+        .filter(|call| call.worker == "w1" && is_poll(&call.request));
     let poll = polls.next_back().expect("a poll").clone();
     rig.answer(&poll, Answer::NoAnswer);
     rig.advance(930);
@@ -337,8 +337,8 @@
     rig.submit(again);
     let reported = rig.ends.first().map(|(_, end)| *end);
     assert_eq!(reported, case.reported);
-    let starts =
-        rig.count_calls(|order| matches!(order, Request::Start { task, .. } if task.job == JOB));
+    let starts = rig
+        .count_calls(|request| matches!(request, Request::Start { task, .. } if task.job == JOB));
     assert_eq!(starts, 0);
 }
 
@@ -375,7 +375,7 @@
     let unsure = case.unsure.then_some(task(0)).into_iter().collect();
     let named = WorkMsg::ResyncDone { request: 1, unsure };
     rig.handle(Input::Work(ORIGIN, named));
-    let stops = rig.count_calls(|order| matches!(order, Request::Stop { .. }));
+    let stops = rig.count_calls(|request| matches!(request, Request::Stop { .. }));
     assert_eq!(stops, usize::from(case.stopped));
 }
 
@@ -386,8 +386,8 @@
 #[case::of_the_run_itself(7, 1)]
 fn end_on_another_worker_leaves_a_run_running(#[case] run: u64, #[case] serial: u64) {
     let mut rig = Rig::new(vec![running_row(7)], Vec::new());
-    rig.handle(Input::Workers(vec![worker_note("w2", 2)]));
-    let poll = rig.last_call(is_look);
+    rig.handle(Input::Workers(vec![worker_announcement("w2", 2)]));
+    let poll = rig.last_call(is_poll);
     assert_eq!(poll.worker, "w2");
     let end = EndedRow {
         serial: serial + 1,
@@ -406,7 +406,7 @@
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.advance(500);
     rig.handle(Input::CheckReachable(rig::DOMAIN));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     rig.answer(&poll, lists(vec![running_row(3)], Vec::new()));
     rig.advance(200);
     let stop = rig.last_call(is_stop);
@@ -425,10 +425,10 @@
     rig.submit(step(PriorRuns::None, 0));
     let start = rig.last_call(is_start);
     rig.answer(&start, Answer::Accepted(clock()));
-    let late = rig.last_call(is_look);
+    let late = rig.last_call(is_poll);
     rig.handle(Input::Resign(rig::DOMAIN));
     rig.handle(Input::Acquire(rig::DOMAIN, rig::LATER_FENCE));
-    let poll = rig.last_call(is_look);
+    let poll = rig.last_call(is_poll);
     assert_ne!(poll.key, late.key);
     rig.answer(&late, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
     rig.answer(&poll, lists(Vec::new(), vec![ended_row(1, RunEnd::Done)]));
--- a/crates/celerywinch_registry/src/registry.rs
+++ b/crates/celerywinch_registry/src/registry.rs
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Handles a request. A keeper that does not lead forwards the requests of its own instance to the
-    /// leader, and rejects those of others.
+    /// Handles a request. A keeper that is not the leader forwards the requests of its own instance to the leader,
+    /// if it knows one, and answers all others with an unknown outcome.
     pub fn request(&mut self, now: Time, request: Request, out: &mut Vec<RegistryOutput>) {
         if self.raft.role() != Role::Leader {
             let leader = self.raft.leader().map(|keeper| keeper.instance);
@@ -255,7 +255,7 @@
         self.pending.entry(index).or_default().push(pending);
     }
 
-    /// Answers a request with the current state, once a majority has confirmed that this keeper leads.
+    /// Answers a request with the current state, once a majority has confirmed that this keeper is the leader.
     fn read(&mut self, now: Time, pending: Pending, out: &mut Vec<RegistryOutput>) {
         self.next_read += 1;
         self.pending_reads.insert(self.next_read, pending);
@@ -269,8 +269,8 @@
     fn propose(&mut self, now: Time, command: &Command, out: &mut Vec<RegistryOutput>) -> u64 {
         let command = bincode::serde::encode_to_vec(command, standard());
         let command = command.expect("plain data encodes");
-        let mut open = self.pending.keys().rev().copied();
-        let same = open.find(|index| self.raft.uncommitted_command(*index) == Some(&command));
+        let mut pending = self.pending.keys().rev().copied();
+        let same = pending.find(|index| self.raft.uncommitted_command(*index) == Some(&command));
         same.unwrap_or_else(|| {
             self.handle(now, Input::Propose(command), out);
             self.last_proposed
@@ -310,8 +310,8 @@
     /// acknowledged. The commit of the one proposed here is in progress by then.
     fn repropose_if_late(&mut self, now: Time, order: EvacuationOrder, waiting: &[Pending]) {
         let late = |pending: &Pending| now.since(pending.received) >= REQUEST_TIMEOUT;
-        let leads = self.raft.role() == Role::Leader;
-        if leads && !waiting.is_empty() && waiting.iter().all(late) {
+        let is_leader = self.raft.role() == Role::Leader;
+        if is_leader && !waiting.is_empty() && waiting.iter().all(late) {
             let base = self.evacuations.revision;
             self.reproposals.push(EvacuationOrder { base, ..order });
         }
@@ -419,7 +419,7 @@
     }
 }
 
-/// Decodes a snapshot. Those of releases without evacuations end after the document.
+/// Decodes a snapshot. Snapshots of releases without evacuations end after the document.
 fn decode_state(snapshot: &Snapshot) -> anyhow::Result<(VersionedDocument, Evacuations)> {
     let state = &snapshot.state;
     if state.is_empty() {
