--- a/crates/celerywinch_bench/src/bench/drive.rs
+++ b/crates/celerywinch_bench/src/bench/drive.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use celerywinch_dispatch::Policy;
-use celerywinch_standin::fresh_key;
+use celerywinch_standin::generate_key;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -131,12 +131,12 @@
     let core_after = thread_seconds("core-");
     let after = traffic(&cluster).await?;
     let mut figures = tally.borrow().finish();
-    let ledger = cluster.fleet.ledger();
-    figures.starts = ledger.started.load(Relaxed);
-    figures.full = ledger.refused_full.load(Relaxed);
-    figures.leaving = ledger.refused_leaving.load(Relaxed);
-    figures.late_tasks = ledger.late.load(Relaxed);
-    figures.doubled = ledger.doubled().len() as u64;
+    let log = cluster.fleet.execution_log();
+    figures.starts = log.started.load(Relaxed);
+    figures.full = log.refused_full.load(Relaxed);
+    figures.leaving = log.refused_leaving.load(Relaxed);
+    figures.late_tasks = log.late.load(Relaxed);
+    figures.doubled = log.duplicate_starts().len() as u64;
     figures.violations = cluster.violations().await?;
     let starts = figures.starts.max(1) as f64;
     figures.peer_messages = (after.0 - before.0) / starts;
@@ -232,7 +232,7 @@
     times: (Instant, usize),
     tally: Rc<RefCell<Tally>>,
 ) -> impl Future<Output = ()> + 'static {
-    let key = fresh_key(Some(cluster.home(arrival.entry)));
+    let key = generate_key(Some(cluster.home(arrival.entry)));
     let entry = cluster.callers(arrival.entry);
     let caller = cluster.caller.clone();
     let (kind, team) = work;
--- a/crates/celerywinch_bench/src/members/faults.rs
+++ b/crates/celerywinch_bench/src/members/faults.rs
@@ -130,12 +130,12 @@
             Fault::Cut => self.cut_data_centre(duration),
             Fault::CutEntries => self.isolate_entries(duration),
             Fault::Crash => self.crash_random_worker(duration),
-            Fault::Hang => self.impair_worker(Health::Hangs, duration),
+            Fault::Hang => self.impair_worker(Health::Hung, duration),
             Fault::Slow => {
                 let slower = self.random.random_range(2.0..8.0);
-                self.impair_worker(Health::Sound(slower), duration);
+                self.impair_worker(Health::Healthy(slower), duration);
             }
-            Fault::Fail => self.impair_worker(Health::Fails, duration),
+            Fault::Fail => self.impair_worker(Health::Failing, duration),
             Fault::LoseCalls => self.lose_calls(duration),
             Fault::LateOrders => self.delay_requests(duration),
             Fault::Congest => self.congest(duration),
--- a/crates/celerywinch_bench/src/members/lifecycle.rs
+++ b/crates/celerywinch_bench/src/members/lifecycle.rs
@@ -74,7 +74,7 @@
             service: "catalogue".to_owned(),
             addr: ([127, 0, 0, 1], 1 + index as u16).into(),
             dc: celerywinch_types::DataCentreId(host.dc),
-            capacity: host.worker.room,
+            capacity: host.worker.capacity,
             labels: Vec::new(),
             stage: host.announced.stage,
             version: AnnouncementVersion {
@@ -139,7 +139,7 @@
             format!("worker-{index}-{}", host.restarts)
         };
         let mut next = LeasedWorker::new(host.local(now), &id, host.announced.full_capacity);
-        next.guards = host.worker.guards;
+        next.checks_capacity = host.worker.checks_capacity;
         next.incarnation = incarnation;
         host.announced = AnnouncedState::new(host.announced.full_capacity);
         self.history.extend(host.history());
@@ -220,7 +220,7 @@
         if !host.up {
             return;
         }
-        host.worker.room.cpu = cpu;
+        host.worker.capacity.cpu = cpu;
         host.announced.capacity_since = now;
         self.announce_change(index);
     }
@@ -251,7 +251,7 @@
             self.violations.push(violation);
         }
         let host = &self.workers[index];
-        let exceeded = !host.worker.room.fits(host.worker.taken());
+        let exceeded = !host.worker.capacity.fits(host.worker.reserved());
         if exceeded && now.since(host.announced.capacity_since) > SHRINK_GRACE + extra_delay {
             let violation = Violation::OverRoom(task, host.worker.id.clone());
             self.violations.push(violation);
@@ -282,7 +282,7 @@
         let now = self.now;
         let host = &mut self.workers[index];
         host.worker.advance(host.local(now));
-        let is_running = host.up && host.restarts == restarts && host.worker.has(task);
+        let is_running = host.up && host.restarts == restarts && host.worker.has_task(task);
         if is_running {
             self.worker_crashes.entry(task).or_default().push(now);
             let duration = Duration::from_millis(self.random.random_range(DOWN_MS));
--- a/crates/celerywinch_bench/src/members/workers.rs
+++ b/crates/celerywinch_bench/src/members/workers.rs
@@ -146,7 +146,7 @@
             let local = self.workers[index].local(self.now);
             self.workers[index].worker.advance(local);
             let until = in_flight.sent_at + Duration::from_millis(wait.into());
-            if self.now < until && !self.workers[index].worker.has_news(cursor) {
+            if self.now < until && !self.workers[index].worker.has_ends_after(cursor) {
                 self.extend_lease(index, &in_flight);
                 self.schedule(
                     self.now + POLL_INTERVAL,
@@ -200,7 +200,7 @@
             return Answer::OtherIncarnation;
         }
         let started_before = worker.started;
-        let answer = worker.order(now, call.fence, &call.request, need, run_time);
+        let answer = worker.handle_request(now, call.fence, &call.request, need, run_time);
         if let Request::Start { task, .. } = &call.request
             && worker.started > started_before
         {
@@ -272,7 +272,7 @@
         let local = self.workers[index].local(self.now);
         let worker = &mut self.workers[index].worker;
         worker.advance(local);
-        worker.health = Health::Sound(1.0);
+        worker.health = Health::Healthy(1.0);
     }
 
     pub(crate) fn lose_calls(&mut self, duration: Duration) {
--- a/crates/celerywinch_bench/src/members/world.rs
+++ b/crates/celerywinch_bench/src/members/world.rs
@@ -265,7 +265,7 @@
             };
             let plan = world.options.faults.unwrap_or_default();
             let mut worker = LeasedWorker::new(Time(0), &format!("worker-{index}-0"), capacity);
-            worker.guards = !plan.shrinking;
+            worker.checks_capacity = !plan.shrinking;
             worker.incarnation = plan.reused_names.then_some(Incarnation(START_WALL_MS));
             world.workers.push(WorkerHost {
                 worker,
@@ -565,7 +565,7 @@
         let host = &self.members[index];
         let config = MemberConfig {
             me,
-            part: ProcessKind::Entry,
+            kind: ProcessKind::Entry,
             dc: DataCentreId(host.dc),
             dcs: (0..self.options.dcs).map(DataCentreId).collect(),
             shard_size: self.options.shard_size,
--- a/crates/celerywinch_member/src/member.rs
+++ b/crates/celerywinch_member/src/member.rs
@@ -51,7 +51,7 @@
     /// This process.
     pub me: Process,
     /// Whether it is an entry or a keeper.
-    pub part: ProcessKind,
+    pub kind: ProcessKind,
     /// Its data centre.
     pub dc: DataCentreId,
     /// All data centres of the fleet.
@@ -90,8 +90,8 @@
     Flush,
     /// The result of a call to a worker.
     Answered(CallKey, Answer),
-    /// A worker's answer arrived after the timeout of its call: the time since the call, less the time that the
-    /// worker was told to wait.
+    /// A worker answered after the timeout of its call. The duration is the time from the call to the answer,
+    /// less the wait that the call asked for.
     AnsweredLate(Duration),
     /// The version of the configuration that is in force here.
     ConfigVersion(u64),
@@ -162,7 +162,7 @@
     succession_updated: Time,
     /// When the domains to dispatch for were last evaluated.
     domains_updated: Time,
-    /// The domains it dispatches for, with their room at the last tick.
+    /// The domains it dispatches for, with their load at the last tick.
     pub(crate) owned_domains: Vec<OwnedDomain>,
     /// Workers that crashed under tasks, to be reported to other dispatchers.
     pub(crate) crashes: BTreeMap<TaskId, Crashes>,
@@ -180,7 +180,7 @@
     /// Creates a member. The wall clock makes fencing tokens increase over restarts of all members.
     #[must_use]
     pub fn new(config: MemberConfig, now: Time, wall: WallMs) -> Self {
-        let stage = match config.part {
+        let stage = match config.kind {
             ProcessKind::Entry => Stage::Joining,
             ProcessKind::Keeper => Stage::Ready,
         };
@@ -240,7 +240,7 @@
             .peers
             .get(peer)
             .is_some_and(|view| !view.just_started());
-        self.config.part == ProcessKind::Keeper || !was_there
+        self.config.kind == ProcessKind::Keeper || !was_there
     }
 
     /// Returns the number of callers' jobs that are open.
@@ -315,7 +315,9 @@
                 self.origin_input(now, OriginInput::LinkReset(peer), out);
             }
             Input::Work(from, msg) => self.handle_work(now, from, msg, out),
-            Input::Workers(notes) => self.pool_input(now, PoolInput::Workers(notes), out),
+            Input::Workers(announcements) => {
+                self.pool_input(now, PoolInput::Workers(announcements), out)
+            }
             Input::Learned(learned) => self.pool.learn_from(learned),
             Input::Crashes(crashes) => self.pool_input(now, PoolInput::Crashes(crashes), out),
             Input::ProbeQueues(queues) => self.pool_input(now, PoolInput::ProbeQueues(queues), out),
@@ -331,7 +333,7 @@
             Input::ConfigVersion(version) => self.version = version,
             Input::Evacuations(evacuations) => {
                 let adopted = self.adopt_evacuations(now, &evacuations, out);
-                if adopted && self.config.part == ProcessKind::Keeper {
+                if adopted && self.config.kind == ProcessKind::Keeper {
                     self.broadcast_heartbeat(now, out);
                 }
             }
@@ -404,7 +406,7 @@
             self.lost.remove(&peer);
             out.push(Output::RemovePeer(peer));
         }
-        if self.config.part == ProcessKind::Entry {
+        if self.config.kind == ProcessKind::Entry {
             self.join_when_ready(now, out);
             if now.since(self.domains_updated) >= UPDATE_INTERVAL {
                 self.update_domains(now, out);
@@ -437,8 +439,8 @@
         } else {
             JOIN_DELAY
         };
-        let known = self.version > 0 && now.since(self.started) >= wait;
-        if self.stage == Stage::Joining && known {
+        let may_join = self.version > 0 && now.since(self.started) >= wait;
+        if self.stage == Stage::Joining && may_join {
             self.set_stage(Stage::Ready, out);
             self.broadcast_heartbeat(now, out);
         }
@@ -472,7 +474,7 @@
         self.domains.observe(heartbeat.fence);
         let timeout = Self::timeout_after(&heartbeat);
         let (echo, loads) = (heartbeat.echo, heartbeat.owned_domains.clone());
-        let answer = heartbeat.probe;
+        let is_probe = heartbeat.probe;
         if !self.peers.record_heartbeat(now, from, heartbeat, timeout) {
             return;
         }
@@ -493,7 +495,7 @@
             // need the echo to start what was submitted to it.
             let now_frequent = timeout <= FREQUENT_TIMEOUT && !was_frequent;
             self.holders_stale |= now_frequent;
-            if answer || now_frequent {
+            if is_probe || now_frequent {
                 self.send_heartbeat(now, from.instance, out);
             }
         }
@@ -583,7 +585,7 @@
 
     /// Re-evaluates which domains this entry dispatches for, and applies the changes.
     fn update_domains(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.config.part != ProcessKind::Entry {
+        if self.config.kind != ProcessKind::Entry {
             return;
         }
         self.domains_updated = now;
--- a/crates/celerywinch_pool/src/worker.rs
+++ b/crates/celerywinch_pool/src/worker.rs
@@ -40,7 +40,7 @@
 /// A worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
-    pub(crate) note: WorkerAnnouncement,
+    pub(crate) announcement: WorkerAnnouncement,
     /// The last announcements of other incarnations. One of them may be the incarnation that is running.
     pub(crate) other_incarnations: OtherIncarnations,
     /// How the previous incarnation ended, if this dispatcher had one.
@@ -66,7 +66,7 @@
     pub(crate) long_poll: Option<CallKey>,
     /// The outstanding short poll, which settles a request without an answer.
     pub(crate) short_poll: Option<CallKey>,
-    /// The count of inputs when the newest list that was applied was requested.
+    /// The input count at which the newest applied list was requested.
     pub(crate) list_input: u64,
     /// The times that the worker took to answer start requests.
     pub(crate) answer_times: AnswerTimes,
@@ -88,11 +88,11 @@
 }
 
 impl Worker {
-    pub(crate) fn new(now: Time, note: WorkerAnnouncement, shards: u8) -> Self {
+    pub(crate) fn new(now: Time, announcement: WorkerAnnouncement, shards: u8) -> Self {
         Self {
-            domain: domain_of(&note, shards),
+            domain: domain_of(&announcement, shards),
             used: Resources::default(),
-            note,
+            announcement,
             other_incarnations: OtherIncarnations::default(),
             previous_loss: None,
             ownership: Ownership::None,
@@ -141,7 +141,7 @@
 
     /// Returns whether an answer comes from another incarnation than the known one.
     pub(crate) fn is_other_incarnation(&self, incarnation: Incarnation) -> bool {
-        let known = self.note.version.incarnation;
+        let known = self.announcement.version.incarnation;
         known != Incarnation::default() && incarnation != known
     }
 
@@ -153,13 +153,13 @@
             && self.cursor == self.acked_cursor
     }
 
-    /// Returns the time between polls of an idle worker: `most` less up to a quarter, by a hash of its id. Otherwise
-    /// workers that were taken over together would always be polled together, and a process that stalls for 100 ms at
-    /// that moment would consider all of them silent and refuse callers.
-    pub(crate) fn idle_interval(&self, most: Duration) -> Duration {
+    /// Returns the time between polls of an idle worker: `max`, shortened by up to a quarter by a hash of its id.
+    /// Otherwise workers that were taken over together would always be polled together, and a process that stalls for
+    /// 100 ms at that moment would consider all of them silent and refuse callers.
+    pub(crate) fn idle_interval(&self, max: Duration) -> Duration {
         let spread = u64::from(u32::MAX);
-        let share = stable_hash(self.note.id.as_bytes()) % spread;
-        most - most.mul_f64(share as f64 / spread as f64 / 4.0)
+        let share = stable_hash(self.announcement.id.as_bytes()) % spread;
+        max - max.mul_f64(share as f64 / spread as f64 / 4.0)
     }
 
     /// Returns the outstanding poll of a kind.
@@ -178,18 +178,18 @@
         self.missed_calls += 1;
     }
 
-    /// Returns whether calls have failed for longer than `forget` and no run of this dispatcher can be active there.
+    /// Returns whether calls have failed for longer than `remove_after` and no run of this dispatcher can be active there.
     ///
     /// The age of the last contact does not matter, since an idle worker is polled rarely. A dispatcher that counted
     /// from the last answer removed such a worker together with its run when the answer to the first start was late,
     /// and the task ran a second time elsewhere. Runs are given up only when their lease expires.
-    pub(crate) fn is_lost(&self, now: Time, forget: Duration) -> bool {
-        self.missed_calls > 0 && self.runs.is_empty() && now.since(self.first_miss) > forget
+    pub(crate) fn is_lost(&self, now: Time, remove_after: Duration) -> bool {
+        self.missed_calls > 0 && self.runs.is_empty() && now.since(self.first_miss) > remove_after
     }
 
     /// Returns whether the clock reading is recent enough for a lease. A lease counted from a reading that is minutes
     /// old could last seconds longer than a successor waits for it, and the task would run on both.
-    fn has_clock(&self, now: Time) -> bool {
+    fn has_recent_clock(&self, now: Time) -> bool {
         let read = self.clock.map(|(read, _)| now.since(read));
         read.is_some_and(|age| age <= MAX_READING_AGE)
     }
@@ -218,23 +218,23 @@
     /// Returns the free capacity. It is zero if the capacity has shrunk below what is in use: those runs continue, and
     /// new tasks wait.
     pub(crate) fn free(&self) -> Resources {
-        self.note.capacity.saturating_sub(self.used)
+        self.announcement.capacity.saturating_sub(self.used)
     }
 
     /// Returns whether a new task may be sent to the worker.
     pub(crate) fn accepts_tasks(&self, now: Time) -> bool {
-        let sound =
+        let available =
             self.ownership == Ownership::Owned && self.missed_calls == 0 && self.foreign_runs == 0;
         let idle = !self.probation || self.runs.is_empty();
-        sound
+        available
             && idle
-            && self.has_clock(now)
-            && self.note.stage == WorkerStage::Ready
+            && self.has_recent_clock(now)
+            && self.announcement.stage == WorkerStage::Ready
             && self.quarantined_until <= now
     }
 
     pub(crate) fn is_in_rack(&self, rack: &str) -> bool {
-        self.note.labels.iter().any(|label| label == rack)
+        self.announcement.labels.iter().any(|label| label == rack)
     }
 
     /// Records a run time as a ratio to the expected time on a usual worker.
@@ -252,17 +252,17 @@
         self.failure_rate = self.failure_rate * (1.0 - FAILURE_WEIGHT) + FAILURE_WEIGHT;
     }
 
-    /// Takes a failure back that turned out to be the fault of the task.
+    /// Takes back a failure that turned out to be the fault of the task.
     pub(crate) fn retract_failure(&mut self) {
         self.failure_rate = (self.failure_rate - FAILURE_WEIGHT).max(0.0);
     }
 }
 
 /// Returns the domain of a worker, by a hash of its address, which stays the same over its incarnations.
-pub(crate) fn domain_of(note: &WorkerAnnouncement, shards: u8) -> Domain {
-    let hash = stable_hash(note.addr.to_string().as_bytes());
+pub(crate) fn domain_of(announcement: &WorkerAnnouncement, shards: u8) -> Domain {
+    let hash = stable_hash(announcement.addr.to_string().as_bytes());
     Domain {
-        dc: note.dc,
+        dc: announcement.dc,
         shard: (hash % u64::from(shards.max(1))) as u8,
     }
 }
--- a/crates/celerywinch_pool/tests/reachability.rs
+++ b/crates/celerywinch_pool/tests/reachability.rs
@@ -6,7 +6,7 @@
 
 use celerywinch_pool::{Answer, CallKey, Input};
 use celerywinch_types::Time;
-use rig::{DOMAIN, Rig, lists, worker_note};
+use rig::{DOMAIN, Rig, lists, worker_announcement};
 use rstest::rstest;
 
 /// Timeout of a call without an answer: that of a poll that does not wait, plus the time for which an answer may lie
@@ -61,12 +61,15 @@
 #[case::all_alive(0)]
 #[case::one_dead(1)]
 #[case::some_dead(12)]
-fn worker_that_answers_is_asked_beside_dead_ones(#[case] dead: u16) {
+fn worker_that_answers_is_polled_beside_dead_ones(#[case] dead: u16) {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     let mut open = OpenCalls::default();
     open.answer(&mut rig, true);
     for port in 2..2 + dead {
-        rig.handle(Input::Workers(vec![worker_note(&format!("w{port}"), port)]));
+        rig.handle(Input::Workers(vec![worker_announcement(
+            &format!("w{port}"),
+            port,
+        )]));
         open.answer(&mut rig, true);
         open.advance(&mut rig, 30, true);
     }
