--- a/crates/celerywinch/src/commands/bench.rs
+++ b/crates/celerywinch/src/commands/bench.rs
@@ -67,7 +67,8 @@
     })?;
     println!("{}", table(&results));
     write_json(&matches, &results)?;
-    let broken = |result: &RunResult| result.figures.doubled + result.figures.violations > 0;
+    let broken =
+        |result: &RunResult| result.metrics.duplicate_starts + result.metrics.violations > 0;
     Ok(if results.iter().any(broken) {
         ExitStatus::Failure
     } else {
@@ -78,7 +79,7 @@
 fn brief() -> String {
     let mut text = format!("{BRIEF}\n\nScenarios:\n");
     for scenario in SCENARIOS {
-        text.push_str(&format!("  {:<11} {}\n", scenario.name, scenario.what));
+        text.push_str(&format!("  {:<11} {}\n", scenario.name, scenario.summary));
     }
     text
 }
@@ -99,7 +100,7 @@
                 scenario,
                 policy: *policy,
                 seed,
-                span: Duration::from_secs(seconds),
+                duration: Duration::from_secs(seconds),
             });
         }
     }
--- a/crates/celerywinch_bench/src/bench/drive.rs
+++ b/crates/celerywinch_bench/src/bench/drive.rs
@@ -1,4 +1,4 @@
-//! One run: a cluster, the load in an open loop, and the figures.
+//! One run: a cluster, the load in an open loop, and the metrics.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -36,12 +36,12 @@
     /// The seed of the load.
     pub seed: u64,
     /// How long callers submit.
-    pub span: Duration,
+    pub duration: Duration,
 }
 
 /// Figures of one run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Figures {
+pub struct RunMetrics {
     /// Submissions.
     pub submitted: u64,
     /// Answered on time.
@@ -65,13 +65,16 @@
     /// Tasks that belong to answers on time.
     pub useful: u64,
     /// Messages to endpoints that were refused as full.
-    pub full: u64,
+    #[serde(rename = "full")]
+    pub refused_full: u64,
     /// Messages to endpoints that were refused as leaving.
-    pub leaving: u64,
+    #[serde(rename = "leaving")]
+    pub refused_leaving: u64,
     /// Tasks whose result came after its deadline.
     pub late_tasks: u64,
     /// Tasks that were started more than once.
-    pub doubled: u64,
+    #[serde(rename = "doubled")]
+    pub duplicate_starts: u64,
     /// Assertions that failed.
     pub violations: u64,
     /// Messages between entries for each start.
@@ -99,12 +102,13 @@
     pub seed: u64,
     /// How long callers submitted, in seconds.
     pub seconds: f64,
-    /// The figures.
-    pub figures: Figures,
+    /// The metrics.
+    #[serde(rename = "figures")]
+    pub metrics: RunMetrics,
 }
 
 struct Tally {
-    figures: Figures,
+    metrics: RunMetrics,
     ratios: Histogram<u64>,
     refusals: Histogram<u64>,
 }
@@ -119,7 +123,7 @@
     let cluster = Cluster::start(&options.deployment, endpoints, None, options.policy).await?;
     let arrivals = draw(Plan {
         seed: options.seed,
-        span: options.span,
+        span: options.duration,
         dcs: options.deployment.dcs,
         slots: endpoints * SLOTS,
         load: options.scenario.load,
@@ -130,27 +134,27 @@
     submit_all(&cluster, &options, &arrivals, &tally).await;
     let core_after = thread_seconds("core-");
     let after = traffic(&cluster).await?;
-    let mut figures = tally.borrow().finish();
+    let mut metrics = tally.borrow().finish();
     let ledger = cluster.fleet.ledger();
-    figures.starts = ledger.started.load(Relaxed);
-    figures.full = ledger.refused_full.load(Relaxed);
-    figures.leaving = ledger.refused_leaving.load(Relaxed);
-    figures.late_tasks = ledger.late.load(Relaxed);
-    figures.doubled = ledger.doubled().len() as u64;
-    figures.violations = cluster.violations().await?;
-    let starts = figures.starts.max(1) as f64;
-    figures.peer_messages = (after.0 - before.0) / starts;
-    figures.peer_bytes = (after.1 - before.1) / starts;
-    figures.core_us = (core_after - core_before) * 1e6 / starts;
-    figures.ideal_ratio = quantiles(&central_queue(&arrivals, endpoints * SLOTS));
+    metrics.starts = ledger.started.load(Relaxed);
+    metrics.refused_full = ledger.refused_full.load(Relaxed);
+    metrics.refused_leaving = ledger.refused_leaving.load(Relaxed);
+    metrics.late_tasks = ledger.late.load(Relaxed);
+    metrics.duplicate_starts = ledger.doubled().len() as u64;
+    metrics.violations = cluster.violations().await?;
+    let starts = metrics.starts.max(1) as f64;
+    metrics.peer_messages = (after.0 - before.0) / starts;
+    metrics.peer_bytes = (after.1 - before.1) / starts;
+    metrics.core_us = (core_after - core_before) * 1e6 / starts;
+    metrics.ideal_ratio = quantiles(&central_queue(&arrivals, endpoints * SLOTS));
     cluster.stop().await?;
     Ok(RunResult {
         deployment: options.deployment.name.into(),
         scenario: options.scenario.name.into(),
         policy: format!("{:?}", options.policy),
         seed: options.seed,
-        seconds: options.span.as_secs_f64(),
-        figures,
+        seconds: options.duration.as_secs_f64(),
+        metrics,
     })
 }
 
@@ -184,9 +188,9 @@
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
         }
-        let now = tenth_of(arrival, options.span);
+        let now = tenth_of(arrival, options.duration);
         while tenth <= now {
-            (options.scenario.befall)(tenth, &cluster.fleet);
+            (options.scenario.inject_faults)(tenth, &cluster.fleet);
             tenth += 1;
         }
         let kind = kinds[number % kinds.len()].clone();
@@ -261,7 +265,7 @@
 impl Tally {
     fn new() -> anyhow::Result<Self> {
         Ok(Self {
-            figures: Figures::default(),
+            metrics: RunMetrics::default(),
             ratios: Histogram::new_with_bounds(1, RATIO_MOST, 3)?,
             refusals: Histogram::new_with_bounds(1, 60_000_000, 3)?,
         })
@@ -274,37 +278,37 @@
         took: Duration,
         response: Option<celerywinch_standin::Response>,
     ) {
-        let figures = &mut self.figures;
-        figures.submitted += 1;
-        figures.submitted_by_tenth[tenth] += 1;
+        let metrics = &mut self.metrics;
+        metrics.submitted += 1;
+        metrics.submitted_by_tenth[tenth] += 1;
         let outcome = response.as_ref().map_or("none", |r| r.outcome());
         match outcome {
             "answer" if took <= arrival.deadline => {
-                figures.answered += 1;
-                figures.answered_by_tenth[tenth] += 1;
-                figures.useful += arrival.run_ms.len() as u64;
+                metrics.answered += 1;
+                metrics.answered_by_tenth[tenth] += 1;
+                metrics.useful += arrival.run_ms.len() as u64;
                 let longest = arrival.run_ms.iter().copied().fold(0.0, f64::max);
                 let ratio = took.as_secs_f64() * 1000.0 / longest;
                 self.ratios.saturating_record((ratio * RATIO_SCALE) as u64);
             }
-            "answer" => figures.late += 1,
-            "failure" => figures.failed += 1,
+            "answer" => metrics.late += 1,
+            "failure" => metrics.failed += 1,
             "refusal" => {
-                figures.refused += 1;
+                metrics.refused += 1;
                 let micros = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
                 self.refusals.saturating_record(micros);
             }
-            _ => figures.undecided += 1,
+            _ => metrics.undecided += 1,
         }
     }
 
-    fn finish(&self) -> Figures {
+    fn finish(&self) -> RunMetrics {
         let ratio = |q: f64| self.ratios.value_at_quantile(q) as f64 / RATIO_SCALE;
         let refusal = |q: f64| self.refusals.value_at_quantile(q) as f64 / 1000.0;
-        Figures {
+        RunMetrics {
             ratio: [ratio(0.5), ratio(0.99), ratio(0.999)],
             refusal_ms: [refusal(0.5), refusal(0.99)],
-            ..self.figures.clone()
+            ..self.metrics.clone()
         }
     }
 }
@@ -342,14 +346,14 @@
         "double"
     );
     for result in results {
-        let f = &result.figures;
-        let wasted = (f.starts + f.full + f.leaving).saturating_sub(f.useful);
+        let f = &result.metrics;
+        let wasted = (f.starts + f.refused_full + f.refused_leaving).saturating_sub(f.useful);
         let wasted = wasted as f64 * 100.0 / f.useful.max(1) as f64;
         text.push_str(&format!(
             "{:<11} {:<17} {:>6} {:>6} {:>5} {:>6} {:>7} {:>5} {:>7.3} {:>7.3} {:>7.3} {:>7.3} {:>7.3} {:>7.3} {:>6.1} {:>6.1} {:>5.2}% {:>7.1} {:>6}\n",
             result.scenario, result.policy, f.submitted, f.answered, f.late, f.failed, f.refused,
             f.undecided, f.ratio[0], f.ratio[1], f.ratio[2], f.ideal_ratio[0], f.ideal_ratio[1],
-            f.ideal_ratio[2], f.refusal_ms[0], f.refusal_ms[1], wasted, f.core_us, f.doubled + f.violations,
+            f.ideal_ratio[2], f.refusal_ms[0], f.refusal_ms[1], wasted, f.core_us, f.duplicate_starts + f.violations,
         ));
     }
     text
--- a/crates/celerywinch_bench/src/bench/mod.rs
+++ b/crates/celerywinch_bench/src/bench/mod.rs
@@ -6,6 +6,6 @@
 mod scenario;
 mod usage;
 
-pub use drive::{BenchOptions, Figures, RunResult, run, table};
+pub use drive::{BenchOptions, RunMetrics, RunResult, run, table};
 pub use scenario::{SCENARIOS, Scenario};
 pub use usage::{resident_bytes, thread_seconds};
--- a/crates/celerywinch_bench/src/bench/scenario.rs
+++ b/crates/celerywinch_bench/src/bench/scenario.rs
@@ -8,31 +8,31 @@
     /// Its name.
     pub name: &'static str,
     /// What it shows, in one line.
-    pub what: &'static str,
+    pub summary: &'static str,
     pub(super) load: fn(f64) -> f64,
     /// Called at each tenth of the run, with the tenth and the fleet.
-    pub(super) befall: fn(usize, &Fleet),
+    pub(super) inject_faults: fn(usize, &Fleet),
 }
 
 /// All scenarios.
 pub const SCENARIOS: &[Scenario] = &[
     Scenario {
         name: "calm",
-        what: "80% load without faults",
+        summary: "80% load without faults",
         load: |_| 0.8,
-        befall: |_, _| {},
+        inject_faults: |_, _| {},
     },
     Scenario {
         name: "half",
-        what: "50% load without faults",
+        summary: "50% load without faults",
         load: |_| 0.5,
-        befall: |_, _| {},
+        inject_faults: |_, _| {},
     },
     Scenario {
         name: "failing",
-        what: "4% of the workers fail every task at once, at 70% load",
+        summary: "4% of the workers fail every task at once, at 70% load",
         load: |_| 0.7,
-        befall: |tenth, fleet| {
+        inject_faults: |tenth, fleet| {
             if tenth == 1 {
                 every_25th(fleet, Mode::Fail);
             }
@@ -40,9 +40,9 @@
     },
     Scenario {
         name: "stragglers",
-        what: "4% of the workers run ten times as long, at 70% load",
+        summary: "4% of the workers run ten times as long, at 70% load",
         load: |_| 0.7,
-        befall: |tenth, fleet| {
+        inject_faults: |tenth, fleet| {
             if tenth == 1 {
                 every_25th(fleet, Mode::Slow);
             }
@@ -50,15 +50,15 @@
     },
     Scenario {
         name: "burst",
-        what: "three times the capacity for three tenths of the run, 60% before and after",
+        summary: "three times the capacity for three tenths of the run, 60% before and after",
         load: |at| if (0.3..0.6).contains(&at) { 3.0 } else { 0.6 },
-        befall: |_, _| {},
+        inject_faults: |_, _| {},
     },
     Scenario {
         name: "leaving",
-        what: "a tenth of the workers says at a time that it leaves, at 60% load",
+        summary: "a tenth of the workers says at a time that it leaves, at 60% load",
         load: |_| 0.6,
-        befall: |tenth, fleet| {
+        inject_faults: |tenth, fleet| {
             if tenth == 3 {
                 let count = fleet.addrs().len() / 10;
                 (0..count.max(1)).for_each(|index| fleet.leave(index));
--- a/crates/celerywinch_bench/src/report.rs
+++ b/crates/celerywinch_bench/src/report.rs
@@ -3,7 +3,7 @@
 use anyhow::Context;
 use plotters::prelude::*;
 
-use crate::bench::{Figures, RunResult};
+use crate::bench::{RunMetrics, RunResult};
 
 /// Size of a plot, in pixels.
 const SIZE: (u32, u32) = (720, 320);
@@ -41,36 +41,36 @@
 }
 
 /// Messages to endpoints beyond those of answers on time, for each of those.
-fn wasted(figures: &Figures) -> f64 {
-    let sent = figures.starts + figures.full + figures.leaving;
-    sent.saturating_sub(figures.useful) as f64 / figures.useful.max(1) as f64
+fn wasted(metrics: &RunMetrics) -> f64 {
+    let sent = metrics.starts + metrics.refused_full + metrics.refused_leaving;
+    sent.saturating_sub(metrics.useful) as f64 / metrics.useful.max(1) as f64
 }
 
 /// What is shown of a run, by name.
-fn columns(figures: &Figures) -> [(&'static str, f64); 10] {
+fn columns(metrics: &RunMetrics) -> [(&'static str, f64); 10] {
     [
-        ("submitted", figures.submitted as f64),
-        ("on time", figures.answered as f64),
-        ("failed", figures.failed as f64),
-        ("refused", figures.refused as f64),
-        ("useful tasks", figures.useful as f64),
-        ("ratio p50", figures.ratio[0]),
-        ("ratio p99", figures.ratio[1]),
-        ("ideal p99", figures.ideal_ratio[1]),
-        ("wasted", wasted(figures)),
-        ("core us a start", figures.core_us),
+        ("submitted", metrics.submitted as f64),
+        ("on time", metrics.answered as f64),
+        ("failed", metrics.failed as f64),
+        ("refused", metrics.refused as f64),
+        ("useful tasks", metrics.useful as f64),
+        ("ratio p50", metrics.ratio[0]),
+        ("ratio p99", metrics.ratio[1]),
+        ("ideal p99", metrics.ideal_ratio[1]),
+        ("wasted", wasted(metrics)),
+        ("core us a start", metrics.core_us),
     ]
 }
 
 fn table(results: &[RunResult]) -> String {
     let mut html = String::from("<table><tr><th>run</th>");
-    for (name, _) in columns(&Figures::default()) {
+    for (name, _) in columns(&RunMetrics::default()) {
         html.push_str(&format!("<th>{name}</th>"));
     }
     html.push_str("</tr>\n");
     for result in results {
         html.push_str(&format!("<tr><td>{}</td>", name(result)));
-        for (_, value) in columns(&result.figures) {
+        for (_, value) in columns(&result.metrics) {
             html.push_str(&format!("<td>{}</td>", (value * 1000.0).round() / 1000.0));
         }
         html.push_str("</tr>\n");
@@ -82,9 +82,9 @@
 /// Two runs as ratios: machines are noisy, so only runs of one call compare.
 fn comparison(first: &RunResult, second: &RunResult) -> String {
     let mut html = format!("<h2>{} over {}</h2>\n<ul>\n", name(second), name(first));
-    let pairs = columns(&first.figures)
+    let pairs = columns(&first.metrics)
         .into_iter()
-        .zip(columns(&second.figures));
+        .zip(columns(&second.metrics));
     for ((name, one), (_, other)) in pairs {
         if one > 0.0 {
             html.push_str(&format!("<li>{name}: {:.3}</li>\n", other / one));
@@ -94,10 +94,10 @@
     html
 }
 
-fn bars(results: &[RunResult], value: impl Fn(&Figures) -> f64) -> anyhow::Result<String> {
+fn bars(results: &[RunResult], value: impl Fn(&RunMetrics) -> f64) -> anyhow::Result<String> {
     let most = results
         .iter()
-        .map(|r| value(&r.figures))
+        .map(|r| value(&r.metrics))
         .fold(0.0, f64::max);
     let mut svg = String::new();
     {
@@ -116,7 +116,7 @@
             .context("report: cannot draw a plot")?;
         for (place, result) in results.iter().enumerate() {
             let (left, right) = (place as f64 + 0.1, place as f64 + 0.9);
-            let corners = [(left, 0.0), (right, value(&result.figures))];
+            let corners = [(left, 0.0), (right, value(&result.metrics))];
             let colour = Palette99::pick(place).filled();
             chart
                 .draw_series([Rectangle::new(corners, colour)])
@@ -127,7 +127,7 @@
 }
 
 fn lines(results: &[RunResult]) -> anyhow::Result<String> {
-    let tenths = results.iter().flat_map(|r| r.figures.answered_by_tenth);
+    let tenths = results.iter().flat_map(|r| r.metrics.answered_by_tenth);
     let most = tenths.max().unwrap_or(1).max(1);
     let mut svg = String::new();
     {
@@ -143,7 +143,7 @@
             .draw()
             .context("report: cannot draw a plot")?;
         for (place, result) in results.iter().enumerate() {
-            let points = result.figures.answered_by_tenth.into_iter().enumerate();
+            let points = result.metrics.answered_by_tenth.into_iter().enumerate();
             let series = LineSeries::new(points, Palette99::pick(place).stroke_width(2));
             chart
                 .draw_series(series)
