--- a/crates/celerywinch_bench/src/bench/drive.rs
+++ b/crates/celerywinch_bench/src/bench/drive.rs
@@ -236,8 +236,8 @@
     times: (Instant, usize),
     tally: Rc<RefCell<Tally>>,
 ) -> impl Future<Output = ()> + 'static {
-    let key = fresh_key(Some(cluster.home(arrival.entry)));
-    let entry = cluster.callers(arrival.entry);
+    let key = fresh_key(Some(cluster.dc_name(arrival.entry)));
+    let entry = cluster.caller_addr(arrival.entry);
     let caller = cluster.caller.clone();
     let (kind, team) = work;
     let (began, tenth) = times;
--- a/crates/celerywinch_bench/src/cluster.rs
+++ b/crates/celerywinch_bench/src/cluster.rs
@@ -97,7 +97,7 @@
             caller,
             instances,
         };
-        cluster.ready(deployment, endpoints).await?;
+        cluster.wait_until_ready(deployment, endpoints).await?;
         Ok(cluster)
     }
 
@@ -109,20 +109,24 @@
 
     /// Where callers of entry `index` go.
     #[must_use]
-    pub fn callers(&self, index: usize) -> SocketAddr {
+    pub fn caller_addr(&self, index: usize) -> SocketAddr {
         self.listen_addrs(index).callers
     }
 
     /// The name of the data centre of entry `index`.
     #[must_use]
-    pub fn home(&self, index: usize) -> &str {
+    pub fn dc_name(&self, index: usize) -> &str {
         &self.instances[index].dc_name
     }
 
-    async fn ready(&self, deployment: &Deployment, endpoints: usize) -> anyhow::Result<()> {
+    async fn wait_until_ready(
+        &self,
+        deployment: &Deployment,
+        endpoints: usize,
+    ) -> anyhow::Result<()> {
         for index in 0..self.nodes.len() {
             let wanted = (0..endpoints)
-                .filter(|e| deployment.dcs[e % deployment.dcs.len()].0 == self.home(index))
+                .filter(|e| deployment.dcs[e % deployment.dcs.len()].0 == self.dc_name(index))
                 .count();
             let mut seen = 0;
             for _ in 0..200 {
@@ -240,7 +244,7 @@
     let kinds: Vec<_> = deployment.document()?.kinds.keys().cloned().collect();
     let plan = (0..endpoints).map(|index| EndpointPlan {
         dc: deployment.dcs[index % deployment.dcs.len()].0.into(),
-        rack: format!("rack-{}", index / deployment.rack),
+        rack: format!("rack-{}", index / deployment.rack_size),
         kinds: kinds.clone(),
         slots: SLOTS,
     });
--- a/crates/celerywinch_bench/src/deployment.rs
+++ b/crates/celerywinch_bench/src/deployment.rs
@@ -14,7 +14,7 @@
     /// How many endpoints it has.
     pub endpoints: usize,
     /// How many endpoints share a rack.
-    pub rack: usize,
+    pub rack_size: usize,
 }
 
 /// Sells stamps online: three data centres.
@@ -23,7 +23,7 @@
     dcs: &[("bog-1", 3), ("bog-2", 2), ("bog-3", 2)],
     catalogue: include_str!("../../../examples/condor/catalogue.yaml"),
     endpoints: 50,
-    rack: 8,
+    rack_size: 8,
 };
 
 /// Values trade-in consoles: four data centres.
@@ -32,7 +32,7 @@
     dcs: &[("bkk-1", 2), ("bkk-2", 2), ("bkk-3", 2), ("bkk-4", 1)],
     catalogue: include_str!("../../../examples/siam/catalogue.yaml"),
     endpoints: 50,
-    rack: 6,
+    rack_size: 6,
 };
 
 /// Both.
--- a/crates/celerywinch_bench/src/slopes/overhead.rs
+++ b/crates/celerywinch_bench/src/slopes/overhead.rs
@@ -88,7 +88,7 @@
     let began = Instant::now();
     let workers = (0..width).map(|worker| {
         let target = match tasks {
-            Some(_) => cluster.callers(worker % cluster.nodes.len()),
+            Some(_) => cluster.caller_addr(worker % cluster.nodes.len()),
             None => cluster.fleet.addrs()[worker % ENDPOINTS],
         };
         let (client, times) = (client.clone(), times.clone());
--- a/crates/celerywinch_bench/src/trial.rs
+++ b/crates/celerywinch_bench/src/trial.rs
@@ -157,7 +157,7 @@
 }
 
 async fn run_case(cluster: &Cluster, case: &Case) -> anyhow::Result<bool> {
-    let key = fresh_key(Some(cluster.home(case.entries[0])));
+    let key = fresh_key(Some(cluster.dc_name(case.entries[0])));
     let tasks: Vec<Value> = case
         .run_ms
         .iter()
@@ -166,7 +166,7 @@
     let began = Instant::now();
     let deadline = Duration::from_millis(case.deadline_ms);
     let submissions = case.entries.iter().map(|entry| {
-        let addr = cluster.callers(*entry);
+        let addr = cluster.caller_addr(*entry);
         cluster
             .caller
             .submit(addr, &key, case.kind, deadline, &tasks)
