--- a/crates/celerywinch/src/commands/report.rs
+++ b/crates/celerywinch/src/commands/report.rs
@@ -2,7 +2,7 @@
 
 use anyhow::{Context, bail};
 use celerywinch_bench::bench::RunResult;
-use celerywinch_bench::report::page;
+use celerywinch_bench::report::render_html;
 
 use super::{Command, parse};
 use crate::ExitStatus;
@@ -34,7 +34,7 @@
             serde_json::from_str(&text).with_context(|| format!("{file}: no results"))?;
         results.extend(runs);
     }
-    std::fs::write(&out, page(&results)?).with_context(|| format!("cannot write {out}"))?;
+    std::fs::write(&out, render_html(&results)?).with_context(|| format!("cannot write {out}"))?;
     println!("{} runs drawn in {out}", results.len());
     Ok(ExitStatus::Success)
 }
--- a/crates/celerywinch_bench/src/bench/drive.rs
+++ b/crates/celerywinch_bench/src/bench/drive.rs
@@ -14,7 +14,7 @@
 use super::ideal::central_queue;
 use super::load::{Arrival, Plan, draw};
 use super::scenario::Scenario;
-use super::usage::thread_seconds;
+use super::usage::thread_cpu_seconds;
 use crate::cluster::Cluster;
 use crate::deployment::Deployment;
 
@@ -130,9 +130,9 @@
     });
     let tally = Rc::new(RefCell::new(Tally::new()?));
     let before = traffic(&cluster).await?;
-    let core_before = thread_seconds("core-");
+    let core_before = thread_cpu_seconds("core-");
     submit_all(&cluster, &options, &arrivals, &tally).await;
-    let core_after = thread_seconds("core-");
+    let core_after = thread_cpu_seconds("core-");
     let after = traffic(&cluster).await?;
     let mut metrics = tally.borrow().finish();
     let ledger = cluster.fleet.ledger();
--- a/crates/celerywinch_bench/src/bench/mod.rs
+++ b/crates/celerywinch_bench/src/bench/mod.rs
@@ -8,4 +8,4 @@
 
 pub use drive::{BenchOptions, RunMetrics, RunResult, run, table};
 pub use scenario::{SCENARIOS, Scenario};
-pub use usage::{resident_bytes, thread_seconds};
+pub use usage::{resident_bytes, thread_cpu_seconds};
--- a/crates/celerywinch_bench/src/bench/usage.rs
+++ b/crates/celerywinch_bench/src/bench/usage.rs
@@ -9,7 +9,7 @@
 
 /// Processor seconds of all threads whose name starts with `prefix`.
 #[must_use]
-pub fn thread_seconds(prefix: &str) -> f64 {
+pub fn thread_cpu_seconds(prefix: &str) -> f64 {
     let Ok(tasks) = fs::read_dir("/proc/self/task") else {
         return 0.0;
     };
--- a/crates/celerywinch_bench/src/report.rs
+++ b/crates/celerywinch_bench/src/report.rs
@@ -13,7 +13,7 @@
 /// # Errors
 ///
 /// A plot cannot be drawn.
-pub fn page(results: &[RunResult]) -> anyhow::Result<String> {
+pub fn render_html(results: &[RunResult]) -> anyhow::Result<String> {
     let mut html = String::from(
         "<!doctype html>\n<html lang=\"en\"><meta charset=\"utf-8\"><title>Bench</title>\n\
          <style>body{font:14px sans-serif;margin:2em}td,th{padding:2px 10px;text-align:right}\
--- a/crates/celerywinch_bench/src/slopes/overhead.rs
+++ b/crates/celerywinch_bench/src/slopes/overhead.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 
 use super::Row;
-use crate::bench::thread_seconds;
+use crate::bench::thread_cpu_seconds;
 use crate::cluster::Cluster;
 use crate::deployment::{CONDOR, Deployment};
 
@@ -54,10 +54,10 @@
             ));
         }
     }
-    let before = thread_seconds("core-");
+    let before = thread_cpu_seconds("core-");
     let began = Instant::now();
     let jobs = closed_loop(&cluster, 4, Some(LARGE)).await?;
-    let core = thread_seconds("core-") - before;
+    let core = thread_cpu_seconds("core-") - before;
     let starts = (jobs.len() * LARGE) as f64 * SPAN.as_secs_f64() / (SPAN - WARM_UP).as_secs_f64();
     let sizes = format!("jobs of {LARGE}, 4 at a time, 3 entries");
     let rate = starts / began.elapsed().as_secs_f64();
--- a/crates/celerywinch_bench/src/slopes/real.rs
+++ b/crates/celerywinch_bench/src/slopes/real.rs
@@ -5,7 +5,7 @@
 use celerywinch_dispatch::Policy;
 
 use super::Row;
-use crate::bench::{resident_bytes, thread_seconds};
+use crate::bench::{resident_bytes, thread_cpu_seconds};
 use crate::cluster::Cluster;
 use crate::deployment::{CONDOR, Deployment};
 
@@ -34,9 +34,9 @@
     let cluster = Cluster::start(&deployment, endpoints, None, Policy::default()).await?;
     let nodes = cluster.nodes.len();
     let bytes_before = bytes_sent(&cluster).await?;
-    let core_before = thread_seconds("core-");
+    let core_before = thread_cpu_seconds("core-");
     tokio::time::sleep(WATCHED).await;
-    let core = (thread_seconds("core-") - core_before) / nodes as f64;
+    let core = (thread_cpu_seconds("core-") - core_before) / nodes as f64;
     let bytes = (bytes_sent(&cluster).await? - bytes_before) / nodes as f64;
     let memory = resident_bytes().saturating_sub(before) as f64 / nodes as f64;
     cluster.stop().await?;
