--- a/crates/celerywinch_bench/src/soak/endpoints.rs
+++ b/crates/celerywinch_bench/src/soak/endpoints.rs
@@ -1,4 +1,4 @@
-//! Fake endpoints: what becomes of a task that was sent.
+//! Fake endpoints, which decide how each call with a task ends.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 
 use super::history::result_text;
 
-/// Slots of every fake endpoint.
+/// Number of slots of every fake endpoint.
 const SLOTS: u16 = 3;
 
-/// How long a refusal takes.
-const REFUSAL: Duration = Duration::from_micros(300);
+/// Time until the caller learns that a task was not run.
+const REFUSAL_DELAY: Duration = Duration::from_micros(300);
 
 /// One fake endpoint.
 #[derive(Debug)]
@@ -25,14 +25,14 @@
     running: u16,
 }
 
-/// What becomes of a task.
+/// How a call with a task ends.
 #[derive(Debug)]
-pub(crate) struct Fate {
-    /// Whether the endpoint starts it.
-    pub(crate) starts: bool,
-    /// How long until the caller of the endpoint learns the end.
-    pub(crate) after: Duration,
-    /// The end.
+pub(crate) struct CallResult {
+    /// Whether the endpoint starts the task.
+    pub(crate) started: bool,
+    /// Time until the calling entry learns the end.
+    pub(crate) delay: Duration,
+    /// The end that the calling entry learns.
     pub(crate) end: CallEnd,
 }
 
@@ -50,7 +50,8 @@
         self.addr
     }
 
-    pub(crate) fn announce(&mut self, kind: &str) -> EndpointAnnouncement {
+    /// Returns the next announcement, for an endpoint that serves only `kind`.
+    pub(crate) fn next_announcement(&mut self, kind: &str) -> EndpointAnnouncement {
         self.sequence += 1;
         EndpointAnnouncement {
             addr: self.addr,
@@ -66,11 +67,16 @@
         }
     }
 
-    /// A task arrives.
-    pub(crate) fn receive(&mut self, key: &Key, task: u32, random: &mut ChaCha8Rng) -> Fate {
-        let not_run = |refused: bool| Fate {
-            starts: false,
-            after: REFUSAL,
+    /// Draws how the call with `task` of `key` ends, and occupies a slot if the task starts.
+    pub(crate) fn handle_task(
+        &mut self,
+        key: &Key,
+        task: u32,
+        random: &mut ChaCha8Rng,
+    ) -> CallResult {
+        let not_run = |refused: bool| CallResult {
+            started: false,
+            delay: REFUSAL_DELAY,
             end: CallEnd::NotRun {
                 refused,
                 detail: "not run".into(),
@@ -79,38 +85,39 @@
         if self.running >= SLOTS {
             return not_run(true);
         }
-        let dice: f64 = random.random();
-        if dice < 0.01 {
+        let roll: f64 = random.random();
+        if roll < 0.01 {
             return not_run(false);
         }
         let run = Duration::from_micros(random.random_range(5_000..120_000));
-        if dice < 0.02 {
-            // The connection broke on the way: it never started, but nobody can know.
-            return Fate {
-                starts: false,
-                after: run,
+        if roll < 0.02 {
+            // The connection broke before the task arrived. It never started, but the calling entry cannot know that.
+            return CallResult {
+                started: false,
+                delay: run,
                 end: CallEnd::Lost("lost on the way".into()),
             };
         }
         self.running += 1;
-        let end = if dice < 0.03 {
+        let end = if roll < 0.03 {
             CallEnd::Lost("lost on the way back".into())
-        } else if dice < 0.05 {
+        } else if roll < 0.05 {
             CallEnd::TaskFailed {
-                task_fault: dice < 0.04,
+                task_fault: roll < 0.04,
                 detail: "failed".into(),
             }
         } else {
             CallEnd::Done(TaskBody(result_text(key, task).into()))
         };
-        Fate {
-            starts: true,
-            after: run,
+        CallResult {
+            started: true,
+            delay: run,
             end,
         }
     }
 
-    pub(crate) fn end(&mut self) {
+    /// Frees the slot of a task that was started.
+    pub(crate) fn finish_task(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 }
--- a/crates/celerywinch_bench/src/soak/faults.rs
+++ b/crates/celerywinch_bench/src/soak/faults.rs
@@ -1,38 +1,38 @@
-//! Which faults happen when.
+//! The faults that a simulation injects.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// A fault, by the index of the entry it strikes.
+/// A fault, with the indices of the entries that it affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// The process dies and comes back without memory after this many milliseconds.
+    /// The process crashes, and restarts without its memory after this many milliseconds.
     Kill(usize, u64),
-    /// The process stands still for this many milliseconds.
+    /// The process is suspended for this many milliseconds.
     Freeze(usize, u64),
-    /// Nothing passes between a data centre and the rest.
+    /// The entry's data centre is partitioned from the others.
     CutCentre(usize),
-    /// Nothing passes from one entry to another; the way back works.
+    /// Messages from the first entry to the second are dropped; the opposite direction works.
     CutOneWay(usize, usize),
-    /// All cuts end.
+    /// All partitions end.
     Heal,
-    /// A planned stop, and a new process afterwards.
+    /// The process drains and stops as planned, and a new one starts afterwards.
     Stop(usize),
 }
 
-/// Draws the next fault.
-pub(crate) fn draw(entries: usize, whole: bool, random: &mut ChaCha8Rng) -> Fault {
-    let one = random.random_range(0..entries);
+/// Draws the next fault. While a partition exists (`connected` is false), half of the draws end it.
+pub(crate) fn draw_fault(entries: usize, connected: bool, random: &mut ChaCha8Rng) -> Fault {
+    let entry = random.random_range(0..entries);
     let other = random.random_range(0..entries);
-    let pause = random.random_range(10..3_000);
-    if !whole && random.random_bool(0.5) {
+    let pause_ms = random.random_range(10..3_000);
+    if !connected && random.random_bool(0.5) {
         return Fault::Heal;
     }
     match random.random_range(0..10) {
-        0..=2 => Fault::Kill(one, pause),
-        3..=4 => Fault::Freeze(one, pause),
-        5..=6 => Fault::CutCentre(one),
-        7..=8 => Fault::CutOneWay(one, other),
-        _ => Fault::Stop(one),
+        0..=2 => Fault::Kill(entry, pause_ms),
+        3..=4 => Fault::Freeze(entry, pause_ms),
+        5..=6 => Fault::CutCentre(entry),
+        7..=8 => Fault::CutOneWay(entry, other),
+        _ => Fault::Stop(entry),
     }
 }
--- a/crates/celerywinch_bench/src/soak/history.rs
+++ b/crates/celerywinch_bench/src/soak/history.rs
@@ -1,14 +1,14 @@
-//! What callers and endpoints saw, and whether it can be true.
+//! The history that callers and endpoints observed, and the check of its consistency.
 
 use std::collections::BTreeMap;
 
 use celerywinch_types::{Key, Outcome};
 
-/// How "outcome unknown" begins: said of keys too old to be remembered, it is no outcome that all
-/// submitters must share.
-const UNKNOWN: &str = "outcome unknown";
+/// The prefix of the details of failures that report the outcome as unknown. Entries answer so for keys that
+/// are too old to be remembered; submitters of a key need not all receive this answer.
+const UNKNOWN_OUTCOME: &str = "outcome unknown";
 
-/// One key's history.
+/// The history of one key.
 #[derive(Debug, Default)]
 struct KeyHistory {
     tasks: u32,
@@ -25,20 +25,20 @@
 }
 
 impl History {
-    /// A submission was sent for the first time.
-    pub(crate) fn submitted(&mut self, key: &Key, tasks: u32) {
+    /// Records that a submission was sent for the first time.
+    pub(crate) fn record_submission(&mut self, key: &Key, tasks: u32) {
         self.keys.entry(key.clone()).or_default().tasks = tasks;
     }
 
-    /// An endpoint started a task.
-    pub(crate) fn started(&mut self, key: &Key, task: u32) {
+    /// Records that an endpoint started a task.
+    pub(crate) fn record_start(&mut self, key: &Key, task: u32) {
         self.starts += 1;
         let history = self.keys.entry(key.clone()).or_default();
         *history.starts.entry(task).or_default() += 1;
     }
 
-    /// A caller was told an outcome.
-    pub(crate) fn told(&mut self, key: &Key, outcome: &Outcome) {
+    /// Records an outcome that a caller received.
+    pub(crate) fn record_outcome(&mut self, key: &Key, outcome: &Outcome) {
         self.outcomes += 1;
         let history = self.keys.entry(key.clone()).or_default();
         if !history.outcomes.contains(outcome) {
@@ -46,37 +46,40 @@
         }
     }
 
-    /// Everything that cannot be true.
-    pub(crate) fn problems(&self) -> Vec<String> {
-        let mut problems = Vec::new();
+    /// Returns all violations of the guarantees: tasks that were started twice, different outcomes of one key, refused
+    /// jobs that ran, and incomplete answers.
+    pub(crate) fn violations(&self) -> Vec<String> {
+        let mut violations = Vec::new();
         for (key, history) in &self.keys {
-            check_key(key, history, &mut problems);
+            check_key(key, history, &mut violations);
         }
-        problems
+        violations
     }
 }
 
-fn check_key(key: &Key, history: &KeyHistory, problems: &mut Vec<String>) {
+fn check_key(key: &Key, history: &KeyHistory, violations: &mut Vec<String>) {
     for (task, count) in &history.starts {
         if *count > 1 {
-            problems.push(format!("{key}: task {task} was started {count} times"));
+            violations.push(format!("{key}: task {task} was started {count} times"));
         }
     }
-    let known = history
+    let known_outcomes = history
         .outcomes
         .iter()
         .filter(|outcome| !is_unknown(outcome));
-    let known: Vec<_> = known.collect();
-    if known.len() > 1 {
-        problems.push(format!("{key}: different outcomes were told: {known:?}"));
+    let known_outcomes: Vec<_> = known_outcomes.collect();
+    if known_outcomes.len() > 1 {
+        violations.push(format!(
+            "{key}: different outcomes were told: {known_outcomes:?}"
+        ));
     }
-    for outcome in known {
+    for outcome in known_outcomes {
         match outcome {
-            Outcome::Answer(results) => check_answer(key, history, results, problems),
+            Outcome::Answer(results) => check_answer(key, history, results, violations),
             Outcome::Refusal(refusal) => {
                 if !history.starts.is_empty() {
                     let reason = refusal.reason;
-                    problems.push(format!(
+                    violations.push(format!(
                         "{key}: refused as not run ({reason:?}), but it ran"
                     ));
                 }
@@ -90,26 +93,26 @@
     key: &Key,
     history: &KeyHistory,
     results: &[celerywinch_types::TaskBody],
-    problems: &mut Vec<String>,
+    violations: &mut Vec<String>,
 ) {
-    let wanted: Vec<_> = (0..history.tasks)
+    let expected: Vec<_> = (0..history.tasks)
         .map(|task| result_text(key, task))
         .collect();
-    let whole = results.len() == wanted.len()
+    let complete = results.len() == expected.len()
         && results
             .iter()
-            .zip(&wanted)
-            .all(|(got, want)| *got.0 == **want);
-    if !whole {
-        problems.push(format!("{key}: the answer is not whole: {results:?}"));
+            .zip(&expected)
+            .all(|(result, text)| *result.0 == **text);
+    if !complete {
+        violations.push(format!("{key}: the answer is not whole: {results:?}"));
     }
 }
 
 fn is_unknown(outcome: &Outcome) -> bool {
-    matches!(outcome, Outcome::Failure(failure) if failure.detail.starts_with(UNKNOWN))
+    matches!(outcome, Outcome::Failure(failure) if failure.detail.starts_with(UNKNOWN_OUTCOME))
 }
 
-/// The result that a fake endpoint gives for a task.
+/// Returns the result that a fake endpoint gives for a task.
 pub(crate) fn result_text(key: &Key, task: u32) -> String {
     format!("\"{key}#{task}\"")
 }
--- a/crates/celerywinch_bench/src/soak/mod.rs
+++ b/crates/celerywinch_bench/src/soak/mod.rs
@@ -1,15 +1,15 @@
-//! Long randomised runs of the entries' state machines, and the check of their histories.
+//! Randomised simulations of the state machines of entries and keepers, with checks of their histories.
 //!
-//! The very code that the daemon drives is driven here with a virtual clock, a fake network that
-//! loses, doubles, delays and reorders, fake endpoints, and instances that die, freeze and lose
-//! their memory. One seed gives one run.
+//! The simulations drive the same state machines as the daemon, but with a virtual clock, a fake
+//! network that loses, duplicates, delays and reorders messages, fake endpoints, and instances that
+//! crash, freeze and restart without their memory. Runs are deterministic: a seed always gives the same run.
 
 mod endpoints;
 mod faults;
 mod history;
 mod network;
+mod simulation;
 mod store;
-mod world;
 
+pub use simulation::{Report, SoakOptions, run};
 pub use store::run_store;
-pub use world::{Report, SoakOptions, run};
--- a/crates/celerywinch_bench/src/soak/network.rs
+++ b/crates/celerywinch_bench/src/soak/network.rs
@@ -1,4 +1,4 @@
-//! The fake network: what becomes of a message.
+//! The fake network, which decides when each message arrives, if at all.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,75 +6,78 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// How a network behaves.
+/// Probabilities of faults, each between 0 and 1 for every message.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Weather {
-    /// Share of messages that are lost.
+pub(crate) struct FaultRates {
+    /// Probability that a message is lost.
     pub(crate) loss: f64,
-    /// Share of messages that arrive twice.
-    pub(crate) doubled: f64,
-    /// Share of messages that arrive very late.
-    pub(crate) straggling: f64,
+    /// Probability that a message arrives twice.
+    pub(crate) duplicated: f64,
+    /// Probability that a copy of a message takes a delay of `LATE_DELAY_US`.
+    pub(crate) late: f64,
 }
 
 /// The fake network between entries.
 #[derive(Debug)]
 pub(crate) struct Network {
-    pub(crate) weather: Weather,
-    /// Pairs (from, to) between which nothing passes.
-    cuts: BTreeSet<(usize, usize)>,
+    pub(crate) rates: FaultRates,
+    /// Pairs (from, to) of nodes between which all messages are dropped.
+    blocked: BTreeSet<(usize, usize)>,
 }
 
-/// The shortest and longest usual delay, in microseconds.
-const USUAL: std::ops::Range<u64> = 100..2_000;
-/// The delay of a straggler, in microseconds.
-const LATE: std::ops::Range<u64> = 20_000..4_000_000;
+/// Range of usual delays, in microseconds.
+const NORMAL_DELAY_US: std::ops::Range<u64> = 100..2_000;
+/// Range of the delays of late messages, in microseconds.
+const LATE_DELAY_US: std::ops::Range<u64> = 20_000..4_000_000;
 
 impl Network {
     pub(crate) fn new() -> Self {
-        let weather = Weather {
+        let rates = FaultRates {
             loss: 0.01,
-            doubled: 0.02,
-            straggling: 0.01,
+            duplicated: 0.02,
+            late: 0.01,
         };
         Self {
-            weather,
-            cuts: BTreeSet::new(),
+            rates,
+            blocked: BTreeSet::new(),
         }
     }
 
-    /// When the copies of a message arrive, counted from now.
+    /// Draws the delay of each copy of a message; empty if the message is lost.
     pub(crate) fn deliveries(
         &self,
         from: usize,
         to: usize,
         random: &mut ChaCha8Rng,
     ) -> Vec<Duration> {
-        if self.cuts.contains(&(from, to)) || random.random_bool(self.weather.loss) {
+        if self.blocked.contains(&(from, to)) || random.random_bool(self.rates.loss) {
             return Vec::new();
         }
-        let copies = 1 + usize::from(random.random_bool(self.weather.doubled));
+        let copies = 1 + usize::from(random.random_bool(self.rates.duplicated));
         (0..copies).map(|_| self.delay(random)).collect()
     }
 
     fn delay(&self, random: &mut ChaCha8Rng) -> Duration {
-        let range = if random.random_bool(self.weather.straggling) {
-            LATE
+        let range = if random.random_bool(self.rates.late) {
+            LATE_DELAY_US
         } else {
-            USUAL
+            NORMAL_DELAY_US
         };
         Duration::from_micros(random.random_range(range))
     }
 
-    pub(crate) fn cut(&mut self, from: usize, to: usize) {
-        self.cuts.insert((from, to));
+    /// Drops all further messages from one node to another.
+    pub(crate) fn block(&mut self, from: usize, to: usize) {
+        self.blocked.insert((from, to));
     }
 
+    /// Ends all partitions.
     pub(crate) fn heal(&mut self) {
-        self.cuts.clear();
+        self.blocked.clear();
     }
 
-    pub(crate) fn whole(&self) -> bool {
-        self.cuts.is_empty()
+    /// Returns whether no pair of nodes is partitioned.
+    pub(crate) fn is_connected(&self) -> bool {
+        self.blocked.is_empty()
     }
 }
--- a/crates/celerywinch_bench/src/soak/world.rs
+++ b/crates/celerywinch_bench/src/soak/simulation.rs
@@ -1,4 +1,4 @@
-//! The driver of a run.
+//! The simulation of a deployment's entries.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
@@ -19,52 +19,52 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::endpoints::Endpoint;
-use super::faults::{Fault, draw};
+use super::faults::{Fault, draw_fault};
 use super::history::History;
 use super::network::Network;
 use crate::deployment::CONDOR;
 
-/// What a run is told.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
-    /// The seed.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// How many events are handled.
+    /// Number of events to handle.
     pub steps: u64,
-    /// Whether faults happen.
+    /// Whether faults are injected.
     pub faults: bool,
-    /// A key whose messages and events, and all faults, are printed as they happen.
+    /// A key whose messages and events are printed as they happen, with all faults.
     pub follow: Option<String>,
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Events handled.
+    /// Number of events handled.
     pub steps: u64,
-    /// Tasks started.
+    /// Number of task starts.
     pub starts: u64,
-    /// Outcomes told to callers.
+    /// Number of outcomes that callers received.
     pub outcomes: u64,
-    /// Replies by name.
+    /// Number of replies by name.
     pub replies: std::collections::BTreeMap<String, u64>,
-    /// Everything that cannot be true.
+    /// Violations of the guarantees, one text for each.
     pub violations: Vec<String>,
-    /// The last events of the time line.
+    /// The last events before the end of the run.
     pub last_events: Vec<String>,
 }
 
-/// Data centres of the run with their entries: every layout of replicas is among them.
+/// Data centres with their numbers of entries, such that every layout of replicas occurs.
 const LAYOUT: &[(&str, usize)] = &[("a", 3), ("b", 2), ("c", 1)];
-/// Endpoints of each data centre.
+/// Number of endpoints of each data centre.
 const ENDPOINTS: u16 = 3;
-/// The kind that is submitted.
+/// The kind of all submitted jobs.
 const KIND: &str = "stock-hold";
-/// The wall clock at the start, in milliseconds.
-const EPOCH: u64 = 1_700_000_000_000;
-/// Events kept for the report.
-const KEPT_EVENTS: usize = 60;
-/// Bounds on keys; shorter than in operation, so that keys get too old, and are forgotten, while
+/// Wall-clock time at the start, in milliseconds since the Unix epoch.
+const START_WALL_MS: u64 = 1_700_000_000_000;
+/// Number of recent events kept for the report.
+const MAX_RECENT_EVENTS: usize = 60;
+/// Limits on the age of keys, shorter than in production, so that keys expire and are forgotten while
 /// they are still resubmitted.
 const LIMITS: Limits = Limits {
     window: Duration::from_secs(8),
@@ -76,6 +76,7 @@
 enum Event {
     Deliver(usize, Process, Box<PeerMsg>),
     Arrive(usize, Incarnation, Box<Call>),
+    /// A call of a node ends; the last field is the endpoint whose slot becomes free, if it started the task.
     CallEnds(usize, Incarnation, CallId, Box<CallEnd>, Option<usize>),
     Tick(usize, u64),
     Announce(usize),
@@ -84,39 +85,43 @@
     Cancel(Key),
     Lookup(Key),
     Start(usize),
-    Thaw(usize),
+    Resume(usize),
     Fault,
 }
 
 struct Node {
     id: InstanceId,
     dc: DataCentreId,
-    /// How far its wall clock is ahead, in milliseconds.
-    skew: u64,
-    life: u64,
+    /// How far the wall clock of this node is ahead, in milliseconds.
+    skew_ms: u64,
+    incarnation: u64,
     entry: Option<Entry>,
-    frozen: Vec<Event>,
+    /// Events that a frozen process handles after it resumes.
+    deferred_events: Vec<Event>,
     is_frozen: bool,
     waiters: HashMap<WaiterId, Key>,
-    /// The latest process of each other instance that a message came from.
-    latest: BTreeMap<InstanceId, Incarnation>,
+    /// The latest incarnation of each other instance from which a message was received.
+    latest_incarnations: BTreeMap<InstanceId, Incarnation>,
 }
 
 impl Node {
-    /// Links drop what a process had sent that another one of its instance has replaced.
+    /// Returns whether a message of `from` is delivered: links drop messages of a process whose instance has been
+    /// restarted since.
     fn accepts(&mut self, from: Process) -> bool {
-        let latest = self.latest.entry(from.instance);
+        let latest = self.latest_incarnations.entry(from.instance);
         let latest = latest.or_insert(from.incarnation);
         *latest = from.incarnation.max(*latest);
         *latest == from.incarnation
     }
 }
 
-struct World {
+struct Simulation {
     now: Time,
     random: ChaCha8Rng,
-    events: BinaryHeap<Reverse<(Time, u64)>>,
-    bodies: HashMap<u64, Event>,
+    /// Scheduled events by time and serial number.
+    queue: BinaryHeap<Reverse<(Time, u64)>>,
+    /// The events of `queue` by serial number.
+    events: HashMap<u64, Event>,
     serial: u64,
     nodes: Vec<Node>,
     endpoints: Vec<Endpoint>,
@@ -124,27 +129,27 @@
     history: History,
     catalogue: Arc<Catalogue>,
     report: Report,
-    recent: VecDeque<String>,
-    keys: u64,
+    recent_events: VecDeque<String>,
+    key_count: u64,
     options: SoakOptions,
 }
 
-/// Runs and checks.
+/// Simulates the entries of a deployment and checks the resulting history.
 ///
 /// # Errors
 ///
-/// The shipped catalogue has a fault.
+/// Returns an error if the shipped catalogue is invalid.
 pub fn run(options: SoakOptions) -> anyhow::Result<Report> {
     let document = CONDOR.document()?;
     let catalogue = Catalogue::check(1, document)
         .map_err(|problems| anyhow::anyhow!("catalogue: {problems:?}"))?;
     let steps = options.steps;
-    let mut world = World::new(options, Arc::new(catalogue));
-    while world.report.steps < steps && world.step() {}
-    Ok(world.finish())
+    let mut simulation = Simulation::new(options, Arc::new(catalogue));
+    while simulation.report.steps < steps && simulation.step() {}
+    Ok(simulation.finish())
 }
 
-impl World {
+impl Simulation {
     fn new(options: SoakOptions, catalogue: Arc<Catalogue>) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(options.seed);
         let mut nodes = Vec::new();
@@ -153,25 +158,25 @@
                 nodes.push(Node {
                     id: InstanceId(u32::try_from(nodes.len() + 1).unwrap_or(u32::MAX)),
                     dc: DataCentreId(u8::try_from(number + 1).unwrap_or(u8::MAX)),
-                    skew: random.random_range(0..200),
-                    life: 0,
+                    skew_ms: random.random_range(0..200),
+                    incarnation: 0,
                     entry: None,
-                    frozen: Vec::new(),
+                    deferred_events: Vec::new(),
                     is_frozen: false,
                     waiters: HashMap::new(),
-                    latest: BTreeMap::new(),
+                    latest_incarnations: BTreeMap::new(),
                 });
             }
         }
-        let centres = u16::try_from(LAYOUT.len()).unwrap_or(1);
-        let endpoints = (0..ENDPOINTS * centres)
-            .map(|i| Endpoint::new(i, DataCentreId(u8::try_from(i % centres + 1).unwrap_or(1))));
+        let dc_count = u16::try_from(LAYOUT.len()).unwrap_or(1);
+        let endpoints = (0..ENDPOINTS * dc_count)
+            .map(|i| Endpoint::new(i, DataCentreId(u8::try_from(i % dc_count + 1).unwrap_or(1))));
         let endpoints = endpoints.collect();
-        let mut world = Self {
+        let mut simulation = Self {
             now: Time(1_000_000),
             random,
-            events: BinaryHeap::new(),
-            bodies: HashMap::new(),
+            queue: BinaryHeap::new(),
+            events: HashMap::new(),
             serial: 0,
             nodes,
             endpoints,
@@ -179,54 +184,54 @@
             history: History::default(),
             catalogue,
             report: Report::default(),
-            recent: VecDeque::new(),
-            keys: 0,
+            recent_events: VecDeque::new(),
+            key_count: 0,
             options,
         };
-        world.prepare();
-        world
+        simulation.schedule_initial_events();
+        simulation
     }
 
-    fn prepare(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for node in 0..self.nodes.len() {
             self.start(node);
         }
         for endpoint in 0..self.endpoints.len() {
-            self.after(
+            self.schedule(
                 Duration::from_millis(endpoint as u64 + 1),
                 Event::Announce(endpoint),
             );
         }
-        self.after(Duration::from_secs(1), Event::Submit);
+        self.schedule(Duration::from_secs(1), Event::Submit);
         if self.options.faults {
-            self.after(Duration::from_secs(2), Event::Fault);
+            self.schedule(Duration::from_secs(2), Event::Fault);
         }
     }
 
-    fn after(&mut self, span: Duration, event: Event) {
+    fn schedule(&mut self, delay: Duration, event: Event) {
         self.serial += 1;
-        self.events.push(Reverse((self.now + span, self.serial)));
-        self.bodies.insert(self.serial, event);
+        self.queue.push(Reverse((self.now + delay, self.serial)));
+        self.events.insert(self.serial, event);
     }
 
     fn step(&mut self) -> bool {
-        let Some(Reverse((at, serial))) = self.events.pop() else {
+        let Some(Reverse((at, serial))) = self.queue.pop() else {
             return false;
         };
-        let Some(event) = self.bodies.remove(&serial) else {
+        let Some(event) = self.events.remove(&serial) else {
             return true;
         };
         self.now = at;
         self.report.steps += 1;
-        self.happen(event);
+        self.handle_event(event);
         true
     }
 
-    fn happen(&mut self, event: Event) {
-        if let Some(node) = struck(&event)
+    fn handle_event(&mut self, event: Event) {
+        if let Some(node) = suspendable_node(&event)
             && self.nodes[node].is_frozen
         {
-            self.nodes[node].frozen.push(event);
+            self.nodes[node].deferred_events.push(event);
             return;
         }
         match event {
@@ -237,20 +242,23 @@
                 if self.options.follow.is_some() {
                     let to = self.nodes[node].id;
                     let from = (from.instance.0, from.incarnation.0);
-                    self.follow(&format!("{:>10} {from:?} to {to}: {msg:?}", self.now.0));
+                    self.print_if_followed(&format!(
+                        "{:>10} {from:?} to {to}: {msg:?}",
+                        self.now.0
+                    ));
                 }
-                self.input(node, Input::PeerMessage(from, *msg));
+                self.handle_input(node, Input::PeerMessage(from, *msg));
             }
-            Event::Arrive(node, life, call) => self.arrive(node, life, &call),
-            Event::CallEnds(node, life, call, end, endpoint) => {
+            Event::Arrive(node, incarnation, call) => self.handle_call(node, incarnation, &call),
+            Event::CallEnds(node, incarnation, call, end, endpoint) => {
                 if let Some(endpoint) = endpoint {
-                    self.endpoints[endpoint].end();
+                    self.endpoints[endpoint].finish_task();
                 }
-                if self.nodes[node].life == life.0 {
-                    self.input(node, Input::CallEnded(call, *end));
+                if self.nodes[node].incarnation == incarnation.0 {
+                    self.handle_input(node, Input::CallEnded(call, *end));
                 }
             }
-            Event::Tick(node, life) => self.tick(node, life),
+            Event::Tick(node, incarnation) => self.tick(node, incarnation),
             Event::Announce(endpoint) => self.announce(endpoint),
             Event::Submit => self.submit(),
             Event::Resubmit(submission, deadline) => {
@@ -258,11 +266,11 @@
                 submission.remaining = deadline.since(self.now).max(Duration::from_millis(60));
                 self.send_submission(submission);
             }
-            Event::Cancel(key) => self.ask(|id| Input::Cancel(id, vec![key.clone()]), &key),
-            Event::Lookup(key) => self.ask(|id| Input::Lookup(id, key.clone()), &key),
+            Event::Cancel(key) => self.request(|id| Input::Cancel(id, vec![key.clone()]), &key),
+            Event::Lookup(key) => self.request(|id| Input::Lookup(id, key.clone()), &key),
             Event::Start(node) => self.start(node),
-            Event::Thaw(node) => self.thaw(node),
-            Event::Fault => self.fault(),
+            Event::Resume(node) => self.resume(node),
+            Event::Fault => self.inject_fault(),
         }
     }
 
@@ -274,76 +282,76 @@
         });
         let me = Process {
             instance: node.id,
-            incarnation: Incarnation(node.life),
+            incarnation: Incarnation(node.incarnation),
         };
-        let wall = WallMs(EPOCH + self.now.0 / 1000 + node.skew);
+        let wall = WallMs(START_WALL_MS + self.now.0 / 1000 + node.skew_ms);
         ConfigBuilder::new(me, node.dc, wall, instances.collect())
-            .seed(self.options.seed ^ node.life << 8 ^ u64::from(node.id.0))
+            .seed(self.options.seed ^ node.incarnation << 8 ^ u64::from(node.id.0))
             .limits(LIMITS)
             .build()
     }
 
     fn start(&mut self, index: usize) {
-        // One that still drains, or that a second fault has started before, goes on.
+        // The node is already running if it still drains, or if another fault has led to a start before.
         if self.nodes[index].entry.is_some() {
             return;
         }
-        self.nodes[index].life += 1;
-        self.nodes[index].latest.clear();
+        self.nodes[index].incarnation += 1;
+        self.nodes[index].latest_incarnations.clear();
         let config = self.config(&self.nodes[index]);
         let entry = Entry::new(config, self.now);
         self.nodes[index].entry = Some(entry);
         let catalogue = self.catalogue.clone();
-        self.input(index, Input::InitialCatalogue(catalogue));
-        self.after(
+        self.handle_input(index, Input::InitialCatalogue(catalogue));
+        self.schedule(
             Duration::from_millis(1),
-            Event::Tick(index, self.nodes[index].life),
+            Event::Tick(index, self.nodes[index].incarnation),
         );
     }
 
-    fn tick(&mut self, node: usize, life: u64) {
-        if self.nodes[node].entry.is_none() || self.nodes[node].life != life {
+    fn tick(&mut self, node: usize, incarnation: u64) {
+        if self.nodes[node].entry.is_none() || self.nodes[node].incarnation != incarnation {
             return;
         }
-        self.input(node, Input::Tick);
+        self.handle_input(node, Input::Tick);
         if self.nodes[node]
             .entry
             .as_ref()
             .is_some_and(Entry::is_drained)
         {
             self.nodes[node].entry = None;
-            // Whatever the planned stop was to be followed by.
-            self.after(Duration::from_millis(100), Event::Start(node));
+            // Start a new process after the planned stop.
+            self.schedule(Duration::from_millis(100), Event::Start(node));
             return;
         }
         let due = self.nodes[node].entry.as_ref().and_then(Entry::next_due);
         let wait = due.unwrap_or(Time::NEVER).since(self.now);
         let wait = wait.clamp(Duration::from_micros(200), Duration::from_millis(20));
-        self.after(wait, Event::Tick(node, life));
+        self.schedule(wait, Event::Tick(node, incarnation));
     }
 
-    fn input(&mut self, node: usize, input: Input) {
+    fn handle_input(&mut self, node: usize, input: Input) {
         let now = self.now;
         let Some(entry) = &mut self.nodes[node].entry else {
             return;
         };
-        let mut out = Vec::new();
-        entry.handle(now, input, &mut out);
-        for output in out {
-            self.output(node, output);
+        let mut outputs = Vec::new();
+        entry.handle(now, input, &mut outputs);
+        for output in outputs {
+            self.handle_output(node, output);
         }
     }
 
-    fn output(&mut self, node: usize, output: Output) {
+    fn handle_output(&mut self, node: usize, output: Output) {
         match output {
             Output::Send(to, msg) => self.send(node, to, msg),
             Output::Start(call) => {
-                let life = Incarnation(self.nodes[node].life);
+                let incarnation = Incarnation(self.nodes[node].incarnation);
                 let delay = Duration::from_micros(self.random.random_range(50..400));
-                self.after(delay, Event::Arrive(node, life, Box::new(call)));
+                self.schedule(delay, Event::Arrive(node, incarnation, Box::new(call)));
             }
-            Output::Reply(waiter, reply) => self.reply(node, waiter, &reply),
-            Output::Event(event) => self.event(node, &event),
+            Output::Reply(waiter, reply) => self.handle_reply(node, waiter, &reply),
+            Output::Event(event) => self.handle_entry_event(node, &event),
             Output::SaveCatalogue(_) | Output::Probe(_) | Output::Abort(_) => {}
         }
     }
@@ -354,58 +362,58 @@
         };
         let from = Process {
             instance: self.nodes[node].id,
-            incarnation: Incarnation(self.nodes[node].life),
+            incarnation: Incarnation(self.nodes[node].incarnation),
         };
         for delay in self.network.deliveries(node, target, &mut self.random) {
             let msg = Box::new(msg.clone());
-            self.after(delay, Event::Deliver(target, from, msg));
+            self.schedule(delay, Event::Deliver(target, from, msg));
         }
     }
 
-    fn event(&mut self, node: usize, event: &EntryEvent) {
+    fn handle_entry_event(&mut self, node: usize, event: &EntryEvent) {
         let line = format!("{:>10} {}: {event:?}", self.now.0, self.nodes[node].id);
         if let EntryEvent::Violation { .. } = event {
             self.report.violations.push(line.clone());
         }
-        self.note(line);
+        self.record_line(line);
     }
 
-    /// Keeps a line for the report, and prints it if it is of the key that is followed.
-    fn note(&mut self, line: String) {
-        self.follow(&line);
-        self.recent.push_back(line);
-        if self.recent.len() > KEPT_EVENTS {
-            self.recent.pop_front();
+    /// Keeps a line for the report, and prints it if it concerns the followed key or a fault.
+    fn record_line(&mut self, line: String) {
+        self.print_if_followed(&line);
+        self.recent_events.push_back(line);
+        if self.recent_events.len() > MAX_RECENT_EVENTS {
+            self.recent_events.pop_front();
         }
     }
 
-    fn follow(&self, line: &str) {
-        let wanted = self.options.follow.as_deref();
-        if wanted.is_some_and(|key| line.contains(key) || line.contains("Fault")) {
+    fn print_if_followed(&self, line: &str) {
+        let followed = self.options.follow.as_deref();
+        if followed.is_some_and(|key| line.contains(key) || line.contains("Fault")) {
             println!("{line}");
         }
     }
 
-    fn arrive(&mut self, node: usize, life: Incarnation, call: &Call) {
+    fn handle_call(&mut self, node: usize, incarnation: Incarnation, call: &Call) {
         let Some(index) = self.endpoints.iter().position(|e| e.addr() == call.addr) else {
             return;
         };
-        let fate = self.endpoints[index].receive(&call.key, call.index, &mut self.random);
-        if fate.starts {
-            self.history.started(&call.key, call.index);
+        let result = self.endpoints[index].handle_task(&call.key, call.index, &mut self.random);
+        if result.started {
+            self.history.record_start(&call.key, call.index);
         }
-        let endpoint = fate.starts.then_some(index);
-        let end = Box::new(fate.end);
-        self.after(
-            fate.after,
-            Event::CallEnds(node, life, call.id, end, endpoint),
+        let endpoint = result.started.then_some(index);
+        let end = Box::new(result.end);
+        self.schedule(
+            result.delay,
+            Event::CallEnds(node, incarnation, call.id, end, endpoint),
         );
     }
 
     fn announce(&mut self, endpoint: usize) {
-        self.after(Duration::from_millis(700), Event::Announce(endpoint));
+        self.schedule(Duration::from_millis(700), Event::Announce(endpoint));
         let dc = self.endpoints[endpoint].dc;
-        let note = self.endpoints[endpoint].announce(KIND);
+        let announcement = self.endpoints[endpoint].next_announcement(KIND);
         let local: Vec<_> = (0..self.nodes.len())
             .filter(|node| self.nodes[*node].dc == dc && self.nodes[*node].entry.is_some())
             .collect();
@@ -414,15 +422,15 @@
         }
         let node = local[self.random.random_range(0..local.len())];
         if !self.nodes[node].is_frozen {
-            self.input(node, Input::Announce(note));
+            self.handle_input(node, Input::Announce(announcement));
         }
     }
 
     fn submit(&mut self) {
-        self.keys += 1;
-        let born = EPOCH + self.now.0 / 1000;
-        let home = ["a:", "b:", "c:", ""][self.random.random_range(0..4)];
-        let text = format!("{home}k{}@{born}", self.keys);
+        self.key_count += 1;
+        let created_at = START_WALL_MS + self.now.0 / 1000;
+        let home_prefix = ["a:", "b:", "c:", ""][self.random.random_range(0..4)];
+        let text = format!("{home_prefix}k{}@{created_at}", self.key_count);
         let Ok(key) = Key::parse(&text) else {
             return;
         };
@@ -432,20 +440,20 @@
             key: key.clone(),
             kind: KIND.into(),
             team: "checkout".into(),
-            digest: self.keys,
+            digest: self.key_count,
             remaining: deadline,
             tasks: vec![TaskBody("1".into()); tasks],
         };
         let count = u32::try_from(tasks).unwrap_or(u32::MAX);
-        self.history.submitted(&key, count);
-        self.plan_more(&submission, deadline);
+        self.history.record_submission(&key, count);
+        self.schedule_follow_ups(&submission, deadline);
         self.send_submission(submission);
         let next = Duration::from_micros(self.random.random_range(1_000..40_000));
-        self.after(next, Event::Submit);
+        self.schedule(next, Event::Submit);
     }
 
-    /// Resubmissions at the same moment and later, lookups, and cancels.
-    fn plan_more(&mut self, submission: &Submission, deadline: Duration) {
+    /// Schedules resubmissions, at the same moment and later, and sometimes a lookup or a cancellation.
+    fn schedule_follow_ups(&mut self, submission: &Submission, deadline: Duration) {
         let until = self.now + deadline;
         let copies = self.random.random_range(0..4);
         for _ in 0..copies {
@@ -455,37 +463,38 @@
                 2 => Duration::from_millis(self.random.random_range(0..2_000)),
                 _ => Duration::from_millis(self.random.random_range(0..15_000)),
             };
-            self.after(delay, Event::Resubmit(Box::new(submission.clone()), until));
+            self.schedule(delay, Event::Resubmit(Box::new(submission.clone()), until));
         }
         let later = Duration::from_millis(self.random.random_range(0..4_000));
         if self.random.random_bool(0.1) {
-            self.after(later / 20, Event::Cancel(submission.key.clone()));
+            self.schedule(later / 20, Event::Cancel(submission.key.clone()));
         }
         if self.random.random_bool(0.2) {
-            self.after(later, Event::Lookup(submission.key.clone()));
+            self.schedule(later, Event::Lookup(submission.key.clone()));
         }
     }
 
     fn send_submission(&mut self, submission: Submission) {
         let key = submission.key.clone();
-        self.ask(|id| Input::Submit(id, submission.clone()), &key);
+        self.request(|id| Input::Submit(id, submission.clone()), &key);
     }
 
-    fn ask(&mut self, input: impl Fn(WaiterId) -> Input, key: &Key) {
-        let alive: Vec<_> = (0..self.nodes.len())
+    /// Sends a caller's request about `key` to a random entry that runs.
+    fn request(&mut self, input: impl Fn(WaiterId) -> Input, key: &Key) {
+        let running: Vec<_> = (0..self.nodes.len())
             .filter(|node| self.nodes[*node].entry.is_some() && !self.nodes[*node].is_frozen)
             .collect();
-        if alive.is_empty() {
+        if running.is_empty() {
             return;
         }
-        let node = alive[self.random.random_range(0..alive.len())];
+        let node = running[self.random.random_range(0..running.len())];
         self.serial += 1;
         let waiter = WaiterId(self.serial);
         self.nodes[node].waiters.insert(waiter, key.clone());
-        self.input(node, input(waiter));
+        self.handle_input(node, input(waiter));
     }
 
-    fn reply(&mut self, node: usize, waiter: WaiterId, reply: &Reply) {
+    fn handle_reply(&mut self, node: usize, waiter: WaiterId, reply: &Reply) {
         let Some(key) = self.nodes[node].waiters.remove(&waiter) else {
             let line = format!("a second reply to {waiter:?}: {reply:?}");
             self.report.violations.push(line);
@@ -493,7 +502,7 @@
         };
         let name = match reply {
             Reply::Outcome(outcome) => {
-                self.history.told(&key, outcome);
+                self.history.record_outcome(&key, outcome);
                 outcome.name()
             }
             Reply::Conflict => "conflict",
@@ -510,76 +519,82 @@
         *self.report.replies.entry(name.into()).or_default() += 1;
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         let next = Duration::from_millis(self.random.random_range(100..4_000));
-        self.after(next, Event::Fault);
-        let fault = draw(self.nodes.len(), self.network.whole(), &mut self.random);
-        self.note(format!("{:>10} Fault::{fault:?}", self.now.0));
+        self.schedule(next, Event::Fault);
+        let fault = draw_fault(
+            self.nodes.len(),
+            self.network.is_connected(),
+            &mut self.random,
+        );
+        self.record_line(format!("{:>10} Fault::{fault:?}", self.now.0));
         match fault {
-            Fault::Kill(node, pause) => self.kill(node, pause),
-            Fault::Freeze(node, pause) => {
+            Fault::Kill(node, pause_ms) => self.kill(node, pause_ms),
+            Fault::Freeze(node, pause_ms) => {
                 self.nodes[node].is_frozen = true;
-                self.after(Duration::from_millis(pause), Event::Thaw(node));
+                self.schedule(Duration::from_millis(pause_ms), Event::Resume(node));
             }
-            Fault::CutCentre(node) => self.cut_centre(self.nodes[node].dc),
-            Fault::CutOneWay(from, to) => self.network.cut(from, to),
+            Fault::CutCentre(node) => self.isolate_dc(self.nodes[node].dc),
+            Fault::CutOneWay(from, to) => self.network.block(from, to),
             Fault::Heal => self.network.heal(),
             Fault::Stop(node) => {
                 if !self.nodes[node].is_frozen {
-                    self.input(node, Input::Stop);
+                    self.handle_input(node, Input::Stop);
                 }
             }
         }
     }
 
-    fn kill(&mut self, node: usize, pause: u64) {
-        let dead = &mut self.nodes[node];
-        if dead.entry.take().is_none() {
+    fn kill(&mut self, node: usize, pause_ms: u64) {
+        let node_state = &mut self.nodes[node];
+        if node_state.entry.take().is_none() {
             return;
         }
-        dead.waiters.clear();
-        dead.is_frozen = false;
-        // Calls under way go on at their endpoints, whoever sent them.
-        let held = std::mem::take(&mut dead.frozen);
-        for event in held {
+        node_state.waiters.clear();
+        node_state.is_frozen = false;
+        // Calls in flight continue at their endpoints, so the ends that the frozen process has not handled
+        // still free their slots.
+        let deferred = std::mem::take(&mut node_state.deferred_events);
+        for event in deferred {
             if let Event::CallEnds(_, _, _, _, Some(endpoint)) = event {
-                self.endpoints[endpoint].end();
+                self.endpoints[endpoint].finish_task();
             }
         }
-        self.after(Duration::from_millis(pause), Event::Start(node));
+        self.schedule(Duration::from_millis(pause_ms), Event::Start(node));
     }
 
-    fn cut_centre(&mut self, dc: DataCentreId) {
+    /// Partitions a data centre from all others.
+    fn isolate_dc(&mut self, dc: DataCentreId) {
         for from in 0..self.nodes.len() {
             for to in 0..self.nodes.len() {
                 if (self.nodes[from].dc == dc) != (self.nodes[to].dc == dc) {
-                    self.network.cut(from, to);
+                    self.network.block(from, to);
                 }
             }
         }
     }
 
-    fn thaw(&mut self, node: usize) {
+    fn resume(&mut self, node: usize) {
         if !self.nodes[node].is_frozen {
             return;
         }
         self.nodes[node].is_frozen = false;
-        for event in std::mem::take(&mut self.nodes[node].frozen) {
-            self.happen(event);
+        for event in std::mem::take(&mut self.nodes[node].deferred_events) {
+            self.handle_event(event);
         }
     }
 
     fn finish(mut self) -> Report {
-        self.report.violations.extend(self.history.problems());
+        self.report.violations.extend(self.history.violations());
         self.report.starts = self.history.starts;
         self.report.outcomes = self.history.outcomes;
-        self.report.last_events = self.recent.into();
+        self.report.last_events = self.recent_events.into();
         self.report
     }
 }
 
-/// The entry that an event happens at, if a frozen one does not notice it.
-fn struck(event: &Event) -> Option<usize> {
+/// Returns the node that handles an event, if a frozen process must handle it only after it resumes.
+fn suspendable_node(event: &Event) -> Option<usize> {
     match event {
         Event::Deliver(node, ..) | Event::CallEnds(node, ..) | Event::Tick(node, _) => Some(*node),
         _ => None,
