--- a/crates/celerywinch_bench/src/bench/drive.rs
+++ b/crates/celerywinch_bench/src/bench/drive.rs
@@ -1,4 +1,4 @@
-//! One run: a cluster, the load in an open loop, and the metrics.
+//! Runs a scenario: starts a cluster, submits the load in an open loop, and collects metrics.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,96 +11,97 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use super::ideal::central_queue;
-use super::load::{Arrival, Plan, draw};
+use super::ideal::simulate_central_queue;
+use super::load::{Arrival, LoadPlan, draw_arrivals};
 use super::scenario::Scenario;
 use super::usage::thread_cpu_seconds;
 use crate::cluster::Cluster;
 use crate::deployment::Deployment;
 
-/// Slots of every endpoint.
+/// Number of slots of every endpoint.
 const SLOTS: usize = 8;
-/// Histograms hold ratios in thousandths, up to a thousand times the ideal.
+/// Histograms store ratios in thousandths.
 const RATIO_SCALE: f64 = 1000.0;
-const RATIO_MOST: u64 = 1_000_000;
+/// The highest ratio that histograms store, in thousandths; higher ones are recorded as this.
+const MAX_SCALED_RATIO: u64 = 1_000_000;
 
-/// What a run is told.
+/// Options of a run.
 #[derive(Clone, Copy)]
 pub struct BenchOptions {
     /// The deployment.
     pub deployment: Deployment,
     /// The scenario.
     pub scenario: Scenario,
-    /// How endpoints are chosen.
+    /// The policy by which entries choose endpoints.
     pub policy: Policy,
-    /// The seed of the load.
+    /// The seed from which the load is drawn.
     pub seed: u64,
-    /// How long callers submit.
+    /// Time during which callers submit.
     pub duration: Duration,
 }
 
-/// Figures of one run.
+/// Metrics of one run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RunMetrics {
-    /// Submissions.
+    /// Number of submissions.
     pub submitted: u64,
-    /// Answered on time.
+    /// Submissions that were answered on time.
     pub answered: u64,
-    /// Answered after the deadline.
+    /// Submissions that were answered after the deadline.
     pub late: u64,
-    /// Failed.
+    /// Submissions that failed.
     pub failed: u64,
-    /// Refused as not run.
+    /// Submissions that were refused, of which no task was run.
     pub refused: u64,
-    /// Undecided, or no reply at all.
+    /// Submissions whose outcome was undecided, or that got no reply.
     pub undecided: u64,
-    /// Response time over the longest task's run time: p50, p99, p99.9.
+    /// Response time divided by the run time of the longest task: p50, p99, p99.9.
     pub ratio: [f64; 3],
-    /// The same, computed for one central queue that knows everything.
+    /// The same ratios, computed for one ideal central queue.
     pub ideal_ratio: [f64; 3],
-    /// Time until a refusal was told, in milliseconds: p50, p99.
+    /// Time until a refusal arrived, in milliseconds: p50, p99.
     pub refusal_ms: [f64; 2],
-    /// Tasks started at endpoints.
+    /// Task starts at endpoints.
     pub starts: u64,
-    /// Tasks that belong to answers on time.
+    /// Tasks of the submissions that were answered on time.
     pub useful: u64,
-    /// Messages to endpoints that were refused as full.
+    /// Tasks that endpoints refused because all slots were in use.
     #[serde(rename = "full")]
     pub refused_full: u64,
-    /// Messages to endpoints that were refused as leaving.
+    /// Tasks that endpoints refused because they were leaving.
     #[serde(rename = "leaving")]
     pub refused_leaving: u64,
-    /// Tasks whose result came after its deadline.
+    /// Tasks whose result came after the deadline.
     pub late_tasks: u64,
     /// Tasks that were started more than once.
     #[serde(rename = "doubled")]
     pub duplicate_starts: u64,
-    /// Assertions that failed.
+    /// Violations of invariants that the entries reported.
     pub violations: u64,
-    /// Messages between entries for each start.
+    /// Messages between entries per task start.
     pub peer_messages: f64,
-    /// Bytes between entries for each start.
+    /// Bytes between entries per task start.
     pub peer_bytes: f64,
-    /// Processor time of the core threads for each start, in microseconds.
+    /// Processor time of the core threads per task start, in microseconds.
     pub core_us: f64,
-    /// Answered on time in each tenth of the run, by time of submission.
+    /// Submissions that were answered on time, by the tenth of the run in which they were sent.
     pub answered_by_tenth: [u64; 10],
-    /// Submitted in each tenth of the run.
+    /// Submissions in each tenth of the run.
     pub submitted_by_tenth: [u64; 10],
 }
 
-/// One run with what it was told.
+/// The metrics of one run with its options.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunResult {
     /// The deployment.
     pub deployment: String,
     /// The scenario.
     pub scenario: String,
-    /// How endpoints were chosen.
+    /// The policy by which entries chose endpoints.
     pub policy: String,
-    /// The seed.
+    /// The seed of the load.
     pub seed: u64,
-    /// How long callers submitted, in seconds.
+    /// Time during which callers submitted, in seconds.
     pub seconds: f64,
     /// The metrics.
     #[serde(rename = "figures")]
@@ -121,9 +122,9 @@
 pub async fn run(options: BenchOptions) -> anyhow::Result<RunResult> {
     let endpoints = options.deployment.endpoints;
     let cluster = Cluster::start(&options.deployment, endpoints, None, options.policy).await?;
-    let arrivals = draw(Plan {
+    let arrivals = draw_arrivals(LoadPlan {
         seed: options.seed,
-        span: options.duration,
+        duration: options.duration,
         dcs: options.deployment.dcs,
         slots: endpoints * SLOTS,
         load: options.scenario.load,
@@ -134,7 +135,7 @@
     submit_all(&cluster, &options, &arrivals, &tally).await;
     let core_after = thread_cpu_seconds("core-");
     let after = traffic(&cluster).await?;
-    let mut metrics = tally.borrow().finish();
+    let mut metrics = tally.borrow().metrics();
     let ledger = cluster.fleet.ledger();
     metrics.starts = ledger.started.load(Relaxed);
     metrics.refused_full = ledger.refused_full.load(Relaxed);
@@ -146,7 +147,7 @@
     metrics.peer_messages = (after.0 - before.0) / starts;
     metrics.peer_bytes = (after.1 - before.1) / starts;
     metrics.core_us = (core_after - core_before) * 1e6 / starts;
-    metrics.ideal_ratio = quantiles(&central_queue(&arrivals, endpoints * SLOTS));
+    metrics.ideal_ratio = quantiles(&simulate_central_queue(&arrivals, endpoints * SLOTS));
     cluster.stop().await?;
     Ok(RunResult {
         deployment: options.deployment.name.into(),
@@ -158,7 +159,7 @@
     })
 }
 
-/// Messages and bytes that the entries sent to each other.
+/// Returns the messages and the bytes that the entries have sent to each other.
 async fn traffic(cluster: &Cluster) -> anyhow::Result<(f64, f64)> {
     let mut sums = (0.0, 0.0);
     for index in 0..cluster.nodes.len() {
@@ -170,8 +171,8 @@
     Ok(sums)
 }
 
-/// Submits each arrival at its time, whatever became of the ones before: response times count from
-/// the time an arrival was due, so that a stall is not forgiven.
+/// Submits each arrival at its scheduled time, without waiting for earlier responses. Response times
+/// count from the scheduled time, so a stall of the load generator is included in them (no coordinated omission).
 async fn submit_all(
     cluster: &Cluster,
     options: &BenchOptions,
@@ -180,16 +181,16 @@
 ) {
     let kinds = kinds(options.deployment);
     let teams = teams(options.deployment);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut tenth = 0;
     let mut running = Vec::new();
     for (number, arrival) in arrivals.iter().enumerate() {
-        let wait = arrival.at.saturating_sub(began.elapsed());
+        let wait = arrival.at.saturating_sub(started_at.elapsed());
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
         }
-        let now = tenth_of(arrival, options.duration);
-        while tenth <= now {
+        let current_tenth = tenth_of(arrival, options.duration);
+        while tenth <= current_tenth {
             (options.scenario.inject_faults)(tenth, &cluster.fleet);
             tenth += 1;
         }
@@ -199,7 +200,7 @@
             cluster,
             arrival.clone(),
             (kind, team),
-            (began, now),
+            (started_at, current_tenth),
             tally.clone(),
         );
         running.push(tokio::task::spawn_local(task));
@@ -209,12 +210,13 @@
     }
 }
 
-fn tenth_of(arrival: &Arrival, span: Duration) -> usize {
-    let share = arrival.at.as_secs_f64() / span.as_secs_f64();
+/// Returns the tenth of the run, 0 to 9, in which an arrival is due.
+fn tenth_of(arrival: &Arrival, duration: Duration) -> usize {
+    let share = arrival.at.as_secs_f64() / duration.as_secs_f64();
     ((share * 10.0) as usize).min(9)
 }
 
-/// Kinds that allow jobs of any size of the load.
+/// Returns the kinds that allow the largest jobs of the load.
 fn kinds(deployment: Deployment) -> Vec<String> {
     let document = deployment.document().unwrap_or_default();
     let large = document
@@ -240,7 +242,7 @@
     let entry = cluster.caller_addr(arrival.entry);
     let caller = cluster.caller.clone();
     let (kind, team) = work;
-    let (began, tenth) = times;
+    let (started_at, tenth) = times;
     async move {
         let tasks: Vec<_> = arrival
             .run_ms
@@ -255,10 +257,10 @@
         });
         let sent = caller.post(entry, "/v1/submit", Some(&key), &body, arrival.deadline);
         let response = sent.await;
-        let took = began.elapsed().saturating_sub(arrival.at);
+        let elapsed = started_at.elapsed().saturating_sub(arrival.at);
         tally
             .borrow_mut()
-            .take(&arrival, tenth, took, response.ok());
+            .record(&arrival, tenth, elapsed, response.ok());
     }
 }
 
@@ -266,16 +268,17 @@
     fn new() -> anyhow::Result<Self> {
         Ok(Self {
             metrics: RunMetrics::default(),
-            ratios: Histogram::new_with_bounds(1, RATIO_MOST, 3)?,
+            ratios: Histogram::new_with_bounds(1, MAX_SCALED_RATIO, 3)?,
             refusals: Histogram::new_with_bounds(1, 60_000_000, 3)?,
         })
     }
 
-    fn take(
+    /// Records the outcome of an arrival; `None` if there was no response.
+    fn record(
         &mut self,
         arrival: &Arrival,
         tenth: usize,
-        took: Duration,
+        elapsed: Duration,
         response: Option<celerywinch_standin::Response>,
     ) {
         let metrics = &mut self.metrics;
@@ -283,26 +286,26 @@
         metrics.submitted_by_tenth[tenth] += 1;
         let outcome = response.as_ref().map_or("none", |r| r.outcome());
         match outcome {
-            "answer" if took <= arrival.deadline => {
+            "answer" if elapsed <= arrival.deadline => {
                 metrics.answered += 1;
                 metrics.answered_by_tenth[tenth] += 1;
                 metrics.useful += arrival.run_ms.len() as u64;
                 let longest = arrival.run_ms.iter().copied().fold(0.0, f64::max);
-                let ratio = took.as_secs_f64() * 1000.0 / longest;
+                let ratio = elapsed.as_secs_f64() * 1000.0 / longest;
                 self.ratios.saturating_record((ratio * RATIO_SCALE) as u64);
             }
             "answer" => metrics.late += 1,
             "failure" => metrics.failed += 1,
             "refusal" => {
                 metrics.refused += 1;
-                let micros = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
+                let micros = u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX);
                 self.refusals.saturating_record(micros);
             }
             _ => metrics.undecided += 1,
         }
     }
 
-    fn finish(&self) -> RunMetrics {
+    fn metrics(&self) -> RunMetrics {
         let ratio = |q: f64| self.ratios.value_at_quantile(q) as f64 / RATIO_SCALE;
         let refusal = |q: f64| self.refusals.value_at_quantile(q) as f64 / 1000.0;
         RunMetrics {
@@ -313,6 +316,7 @@
     }
 }
 
+/// Returns p50, p99 and p99.9; 0 if there are no values.
 fn quantiles(values: &[f64]) -> [f64; 3] {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -325,7 +329,7 @@
     [0.5, 0.99, 0.999].map(|q| at(q).unwrap_or(0.0))
 }
 
-/// Runs side by side, as a table.
+/// Formats runs as a table, one row for each.
 #[must_use]
 pub fn table(results: &[RunResult]) -> String {
     let mut text = format!(
--- a/crates/celerywinch_bench/src/bench/load.rs
+++ b/crates/celerywinch_bench/src/bench/load.rs
@@ -1,4 +1,4 @@
-//! What callers submit, and when: drawn before the run, so that every policy gets the same.
+//! The load: all submissions with their times, drawn before the run so that every policy gets the same load.
 
 use std::time::Duration;
 
@@ -8,84 +8,84 @@
 /// One submission.
 #[derive(Clone, Debug)]
 pub(super) struct Arrival {
-    /// When, from the start of the run.
+    /// Time of the submission, from the start of the run.
     pub(super) at: Duration,
     /// The entry it is sent to.
     pub(super) entry: usize,
-    /// How long each task runs, in milliseconds.
+    /// Run time of each task, in milliseconds.
     pub(super) run_ms: Vec<f64>,
-    /// Time until the answer is due.
+    /// Time from the submission until the answer is due.
     pub(super) deadline: Duration,
-    /// Index of the team.
+    /// Number of the team, taken modulo the number of teams.
     pub(super) team: usize,
 }
 
-/// How the load is laid out.
+/// The parameters from which the load is drawn.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Plan {
+pub(super) struct LoadPlan {
     pub(super) seed: u64,
-    pub(super) span: Duration,
-    /// Entries of each data centre; the data centres have equal shares of the endpoints, and so of
-    /// the callers.
+    pub(super) duration: Duration,
+    /// Names of the data centres, each with its number of entries. The data centres have equal shares of
+    /// the endpoints, and therefore of the callers.
     pub(super) dcs: &'static [(&'static str, usize)],
     pub(super) slots: usize,
-    /// Offered load as a share of capacity, by time from 0 to 1 of the run.
+    /// Offered load as a share of the capacity, by the elapsed share of the run (0 to 1).
     pub(super) load: fn(f64) -> f64,
 }
 
-/// Shortest and longest usual run time, in milliseconds.
-const SHORTEST: f64 = 50.0;
-const LONGEST: f64 = 1000.0;
-/// Share of tasks that take several seconds.
-const GIANTS: f64 = 0.002;
-/// Mean run time that follows, in milliseconds; checked by a test.
+/// Minimum and maximum of usual run times, in milliseconds.
+const MIN_RUN_MS: f64 = 50.0;
+const MAX_RUN_MS: f64 = 1000.0;
+/// Share of tasks that run for several seconds.
+const LONG_TASK_SHARE: f64 = 0.002;
+/// Mean of the run times that are drawn, in milliseconds; a test checks that it matches.
 pub(super) const MEAN_MS: f64 = 255.0;
-/// Mean number of tasks that follows; checked by a test.
+/// Mean of the numbers of tasks that are drawn; a test checks that it matches.
 pub(super) const MEAN_TASKS: f64 = 5.15;
-/// The least time that a caller grants beyond the longest task, in milliseconds.
-const GRACE_MS: f64 = 500.0;
+/// Minimum time between the end of the longest task and the deadline, in milliseconds.
+const MIN_SLACK_MS: f64 = 500.0;
 
 /// Draws all arrivals of a run.
-pub(super) fn draw(plan: Plan) -> Vec<Arrival> {
+pub(super) fn draw_arrivals(plan: LoadPlan) -> Vec<Arrival> {
     let mut random = ChaCha8Rng::seed_from_u64(plan.seed);
     let capacity = plan.slots as f64 * 1000.0 / MEAN_MS / MEAN_TASKS;
     let mut arrivals = Vec::new();
     let mut at = 0.0;
-    let span = plan.span.as_secs_f64();
+    let duration = plan.duration.as_secs_f64();
     loop {
-        let rate = capacity * (plan.load)(at / span);
+        let rate = capacity * (plan.load)(at / duration);
         let uniform: f64 = random.random_range(f64::EPSILON..1.0);
         at -= uniform.ln() / rate.max(0.001);
-        if at >= span {
+        if at >= duration {
             return arrivals;
         }
-        arrivals.push(arrival(&mut random, at, plan.dcs));
+        arrivals.push(draw_arrival(&mut random, at, plan.dcs));
     }
 }
 
-fn arrival(random: &mut ChaCha8Rng, at: f64, dcs: &[(&str, usize)]) -> Arrival {
-    let count = tasks(random);
-    let run_ms: Vec<_> = (0..count).map(|_| run_time(random)).collect();
+fn draw_arrival(random: &mut ChaCha8Rng, at: f64, dcs: &[(&str, usize)]) -> Arrival {
+    let count = draw_task_count(random);
+    let run_ms: Vec<_> = (0..count).map(|_| draw_run_ms(random)).collect();
     let longest = run_ms.iter().copied().fold(0.0, f64::max);
-    let deadline = (longest * 2.0).max(longest + GRACE_MS).min(9_900.0);
+    let deadline = (longest * 2.0).max(longest + MIN_SLACK_MS).min(9_900.0);
     Arrival {
         at: Duration::from_secs_f64(at),
-        entry: entry(random, dcs),
+        entry: draw_entry(random, dcs),
         run_ms,
         deadline: Duration::from_secs_f64(deadline / 1000.0),
         team: random.random_range(0..3),
     }
 }
 
-/// Any data centre, then any entry of it.
-fn entry(random: &mut ChaCha8Rng, dcs: &[(&str, usize)]) -> usize {
+/// Draws a data centre and then one of its entries, so that each data centre gets an equal share.
+fn draw_entry(random: &mut ChaCha8Rng, dcs: &[(&str, usize)]) -> usize {
     let dc = random.random_range(0..dcs.len());
     let before: usize = dcs[..dc].iter().map(|(_, entries)| entries).sum();
     before + random.random_range(0..dcs[dc].1)
 }
 
-/// Most requests are small; a few jobs are large.
-fn tasks(random: &mut ChaCha8Rng) -> usize {
+/// Draws the number of tasks of a job: most jobs are small, a few are large.
+fn draw_task_count(random: &mut ChaCha8Rng) -> usize {
     match random.random_range(0..1000) {
         0..500 => 1,
         500..800 => random.random_range(2..6),
@@ -95,14 +95,15 @@
     }
 }
 
-/// A heavy tail: the logarithm is spread evenly, with the short end drawn more often.
-fn run_time(random: &mut ChaCha8Rng) -> f64 {
-    if random.random_bool(GIANTS) {
+/// Draws a run time in milliseconds from a heavy-tailed distribution: the logarithm is skewed towards short
+/// run times.
+fn draw_run_ms(random: &mut ChaCha8Rng) -> f64 {
+    if random.random_bool(LONG_TASK_SHARE) {
         return random.random_range(2000.0..4000.0);
     }
-    let low: f64 = random.random();
-    let skewed = low.powf(1.5);
-    SHORTEST * (LONGEST / SHORTEST).powf(skewed)
+    let uniform: f64 = random.random();
+    let skewed = uniform.powf(1.5);
+    MIN_RUN_MS * (MAX_RUN_MS / MIN_RUN_MS).powf(skewed)
 }
 
 #[cfg(test)]
--- a/crates/celerywinch_bench/src/bench/load_tests.rs
+++ b/crates/celerywinch_bench/src/bench/load_tests.rs
@@ -1,12 +1,12 @@
-//! The means that the load is laid out by are the means of what is drawn.
+//! Tests that the stated means, from which the arrival rate is computed, match the load that is drawn.
 
 use super::*;
 
 #[test]
-fn means_are_as_stated() {
-    let arrivals = draw(Plan {
+fn drawn_load_has_the_stated_means() {
+    let arrivals = draw_arrivals(LoadPlan {
         seed: 7,
-        span: Duration::from_secs(400),
+        duration: Duration::from_secs(400),
         dcs: &[("a", 3), ("b", 2)],
         slots: 400,
         load: |_| 1.0,
--- a/crates/celerywinch_bench/src/bench/mod.rs
+++ b/crates/celerywinch_bench/src/bench/mod.rs
@@ -1,4 +1,4 @@
-//! Load and experiments: real entries over loopback, stand-in endpoints, an open loop of callers.
+//! Load tests with real entries over loopback, stand-in endpoints and an open loop of callers.
 
 mod drive;
 mod ideal;
--- a/crates/celerywinch_bench/src/bench/scenario.rs
+++ b/crates/celerywinch_bench/src/bench/scenario.rs
@@ -1,16 +1,16 @@
-//! The scenarios, and the registry that lists them.
+//! The scenarios of the bench.
 
 use celerywinch_standin::{Fleet, Mode};
 
-/// One scenario: an offered load, and what befalls the endpoints.
+/// A scenario: an offered load and the faults of the endpoints.
 #[derive(Clone, Copy)]
 pub struct Scenario {
     /// Its name.
     pub name: &'static str,
-    /// What it shows, in one line.
+    /// The load and the faults, in one line.
     pub summary: &'static str,
     pub(super) load: fn(f64) -> f64,
-    /// Called at each tenth of the run, with the tenth and the fleet.
+    /// Called at the start of each tenth of the run (0 to 9), with the fleet of endpoints.
     pub(super) inject_faults: fn(usize, &Fleet),
 }
 
@@ -40,7 +40,7 @@
     },
     Scenario {
         name: "stragglers",
-        summary: "4% of the workers run ten times as long, at 70% load",
+        summary: "4% of the workers take ten times as long, at 70% load",
         load: |_| 0.7,
         inject_faults: |tenth, fleet| {
             if tenth == 1 {
@@ -50,13 +50,13 @@
     },
     Scenario {
         name: "burst",
-        summary: "three times the capacity for three tenths of the run, 60% before and after",
+        summary: "300% load for three tenths of the run, 60% before and after",
         load: |at| if (0.3..0.6).contains(&at) { 3.0 } else { 0.6 },
         inject_faults: |_, _| {},
     },
     Scenario {
         name: "leaving",
-        summary: "a tenth of the workers says at a time that it leaves, at 60% load",
+        summary: "10% of the workers start to leave at the same time, at 60% load",
         load: |_| 0.6,
         inject_faults: |tenth, fleet| {
             if tenth == 3 {
@@ -67,6 +67,7 @@
     },
 ];
 
+/// Sets the mode of every 25th endpoint, which is 4% of them.
 fn every_25th(fleet: &Fleet, mode: Mode) {
     for index in (0..fleet.addrs().len()).step_by(25) {
         fleet.set_mode(index, mode);
--- a/crates/celerywinch_bench/src/bench/usage.rs
+++ b/crates/celerywinch_bench/src/bench/usage.rs
@@ -1,13 +1,13 @@
-//! What the process used, as the system tells it.
+//! Processor time and memory of the process, read from `/proc`.
 
 use std::fs;
 
-/// Clock ticks of processor time in a second, as the system counts them.
-const TICKS: f64 = 100.0;
-/// Bytes of a page of memory.
-const PAGE: u64 = 4096;
+/// Clock ticks per second of the processor times in `/proc`.
+const TICKS_PER_SECOND: f64 = 100.0;
+/// Size of a memory page, in bytes.
+const PAGE_BYTES: u64 = 4096;
 
-/// Processor seconds of all threads whose name starts with `prefix`.
+/// Returns the processor time of all threads whose name starts with `prefix`, in seconds.
 #[must_use]
 pub fn thread_cpu_seconds(prefix: &str) -> f64 {
     let Ok(tasks) = fs::read_dir("/proc/self/task") else {
@@ -23,8 +23,9 @@
         .sum()
 }
 
+/// Returns the user and system time of a thread from its `stat` file, in seconds.
 fn seconds(stat: &str) -> f64 {
-    // The name may hold blanks; the fields after its closing bracket do not.
+    // The thread name may contain spaces, so the fields are counted from its closing parenthesis.
     let fields = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
     let numbers: Vec<f64> = fields
         .split_whitespace()
@@ -32,14 +33,14 @@
         .take(2)
         .filter_map(|field| field.parse().ok())
         .collect();
-    numbers.iter().sum::<f64>() / TICKS
+    numbers.iter().sum::<f64>() / TICKS_PER_SECOND
 }
 
-/// Resident memory of the process, in bytes.
+/// Returns the resident memory of the process, in bytes.
 #[must_use]
 pub fn resident_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1);
     let pages: u64 = pages.and_then(|field| field.parse().ok()).unwrap_or(0);
-    pages * PAGE
+    pages * PAGE_BYTES
 }
