--- a/crates/celerywinch_bench/src/cluster.rs
+++ b/crates/celerywinch_bench/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Entries and stand-in endpoints of a deployment in one process.
+//! A cluster in one process: the entries of a deployment with stand-in endpoints and a caller.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener};
@@ -12,71 +12,72 @@
 
 use crate::deployment::Deployment;
 
-/// The secret of clusters in one process.
+/// The secret of all clusters that are started here.
 pub const SECRET: &str = "only-for-one-process";
-/// Slots of every endpoint.
+/// Number of slots of every endpoint.
 const SLOTS: u16 = 8;
-/// Threads that serve the endpoints.
+/// Number of threads that serve the endpoints.
 const FLEET_THREADS: usize = 2;
 
 /// A running cluster.
 pub struct Cluster {
-    /// The entries, in order of their numbers.
+    /// The entries, in the order of their instance IDs.
     pub nodes: Vec<Node>,
     /// The endpoints.
     pub fleet: Fleet,
-    /// A caller.
+    /// An HTTP client that acts as caller and operator.
     pub caller: Caller,
     instances: Vec<Instance>,
 }
 
 impl Cluster {
-    /// Starts all entries and `endpoints` endpoints, and waits until every entry knows those of
-    /// its data centre.
+    /// Starts all entries and `endpoints` endpoints, and waits until every entry knows all endpoints of
+    /// its data centre. With `dir`, every entry writes its timeline to a file there.
     ///
     /// # Errors
     ///
-    /// A port cannot be bound, or the entries do not become ready.
+    /// Returns an error if a port cannot be bound, or if an entry does not learn its endpoints in time.
     pub async fn start(
         deployment: &Deployment,
         endpoints: usize,
-        folder: Option<&Path>,
+        dir: Option<&Path>,
         policy: Policy,
     ) -> anyhow::Result<Self> {
-        Self::start_with(deployment, endpoints, folder, policy, 0).await
+        Self::start_with(deployment, endpoints, dir, policy, 0).await
     }
 
-    /// Starts a cluster whose first `keepers` entries keep the catalogue below `folder`.
+    /// Starts a cluster whose first `keepers` entries are keepers of the catalogue, with their data below `dir`.
     ///
     /// # Errors
     ///
-    /// As for [`Self::start`].
+    /// See [`Self::start`].
     pub async fn start_keepers(
         deployment: &Deployment,
         endpoints: usize,
-        folder: &Path,
+        dir: &Path,
         policy: Policy,
         keepers: usize,
     ) -> anyhow::Result<Self> {
-        Self::start_with(deployment, endpoints, Some(folder), policy, keepers).await
+        Self::start_with(deployment, endpoints, Some(dir), policy, keepers).await
     }
 
     async fn start_with(
         deployment: &Deployment,
         endpoints: usize,
-        folder: Option<&Path>,
+        dir: Option<&Path>,
         policy: Policy,
         keepers: usize,
     ) -> anyhow::Result<Self> {
-        let (mut instances, listeners) = lay_out(deployment)?;
-        for one in instances.iter_mut().take(keepers) {
-            one.keeper = true;
+        let (mut instances, listeners) = plan_instances(deployment)?;
+        for instance in instances.iter_mut().take(keepers) {
+            instance.keeper = true;
         }
         let mut nodes = Vec::new();
         for (me, listener) in instances.iter().zip(listeners) {
-            let data = folder.filter(|_| keepers > 0);
-            let data = data.map(|f| f.join(format!("data-{}", me.id.0)));
-            let timeline = folder.map(|f| f.join(format!("{}-{}.jsonl", deployment.name, me.id.0)));
+            let data = dir.filter(|_| keepers > 0);
+            let data = data.map(|dir| dir.join(format!("data-{}", me.id.0)));
+            let timeline =
+                dir.map(|dir| dir.join(format!("{}-{}.jsonl", deployment.name, me.id.0)));
             let settings = SettingsBuilder::new(me.clone(), instances.clone(), Secret::new(SECRET))
                 .timeline_file(timeline)
                 .data_folder(data)
@@ -101,58 +102,60 @@
         Ok(cluster)
     }
 
-    /// The addresses of entry `index`.
+    /// Returns the addresses on which entry `index` listens.
     #[must_use]
     pub fn listen_addrs(&self, index: usize) -> ListenAddrs {
         self.nodes[index].listen_addrs()
     }
 
-    /// Where callers of entry `index` go.
+    /// Returns the address of entry `index` for callers.
     #[must_use]
     pub fn caller_addr(&self, index: usize) -> SocketAddr {
         self.listen_addrs(index).callers
     }
 
-    /// The name of the data centre of entry `index`.
+    /// Returns the name of the data centre of entry `index`.
     #[must_use]
     pub fn dc_name(&self, index: usize) -> &str {
         &self.instances[index].dc_name
     }
 
+    /// Waits until every entry is ready, sees all peers alive and knows the endpoints of its data centre. After 200
+    /// attempts, 50 ms apart, only missing endpoints are an error.
     async fn wait_until_ready(
         &self,
         deployment: &Deployment,
         endpoints: usize,
     ) -> anyhow::Result<()> {
         for index in 0..self.nodes.len() {
-            let wanted = (0..endpoints)
+            let expected = (0..endpoints)
                 .filter(|e| deployment.dcs[e % deployment.dcs.len()].0 == self.dc_name(index))
                 .count();
-            let mut seen = 0;
+            let mut known = 0;
             for _ in 0..200 {
-                let page = self.status(index).await?;
-                seen = page["endpoints_known"].as_u64().unwrap_or(0);
-                let peers = page["peers"].as_array().map_or(0, |peers| {
+                let status = self.status(index).await?;
+                known = status["endpoints_known"].as_u64().unwrap_or(0);
+                let peers = status["peers"].as_array().map_or(0, |peers| {
                     peers.iter().filter(|peer| peer["state"] == "alive").count()
                 });
-                let ready = page["ready"] == true;
-                if ready && seen == wanted as u64 && peers + 1 == self.nodes.len() {
+                let ready = status["ready"] == true;
+                if ready && known == expected as u64 && peers + 1 == self.nodes.len() {
                     break;
                 }
                 tokio::time::sleep(std::time::Duration::from_millis(50)).await;
             }
-            if seen != wanted as u64 {
-                anyhow::bail!("entry {index} knows {seen} of {wanted} endpoints");
+            if known != expected as u64 {
+                anyhow::bail!("entry {index} knows {known} of {expected} endpoints");
             }
         }
         Ok(())
     }
 
-    /// The metrics of entry `index`, by name, labels summed up.
+    /// Returns the metrics of entry `index` by name, each summed over its labels.
     ///
     /// # Errors
     ///
-    /// The entry does not answer.
+    /// Returns an error if the entry does not answer.
     pub async fn metrics(&self, index: usize) -> anyhow::Result<HashMap<String, f64>> {
         let operators = self.listen_addrs(index).operators;
         let text = self.caller.text(operators, "/metrics", SECRET).await?;
@@ -167,25 +170,25 @@
         Ok(sums)
     }
 
-    /// The status page of entry `index`.
+    /// Returns the status of entry `index`, as its HTTP API reports it.
     ///
     /// # Errors
     ///
-    /// The entry does not answer.
+    /// Returns an error if the entry does not answer.
     pub async fn status(&self, index: usize) -> anyhow::Result<serde_json::Value> {
         let operators = self.listen_addrs(index).operators;
-        let page = self
+        let response = self
             .caller
             .get(operators, "/v1/status", Some(SECRET))
             .await?;
-        Ok(page.body)
+        Ok(response.body)
     }
 
-    /// Assertions that failed, over all entries.
+    /// Returns the number of violated invariants, summed over all entries.
     ///
     /// # Errors
     ///
-    /// An entry does not answer.
+    /// Returns an error if an entry does not answer.
     pub async fn violations(&self) -> anyhow::Result<u64> {
         let mut sum = 0;
         for index in 0..self.nodes.len() {
@@ -196,22 +199,23 @@
         Ok(sum)
     }
 
-    /// Stops everything, entries first.
+    /// Stops the entries and then the endpoints.
     ///
     /// # Errors
     ///
-    /// An entry did not end as planned.
+    /// Returns an error if an entry does not stop cleanly.
     pub async fn stop(self) -> anyhow::Result<()> {
         let stops = self.nodes.into_iter().map(Node::stop);
-        for stopped in futures_util::future::join_all(stops).await {
-            stopped?;
+        for result in futures_util::future::join_all(stops).await {
+            result?;
         }
         self.fleet.stop().await;
         Ok(())
     }
 }
 
-fn lay_out(deployment: &Deployment) -> anyhow::Result<(Vec<Instance>, Vec<TcpListener>)> {
+/// Assigns IDs and data centres to the instances, and binds a listener for the peers of each.
+fn plan_instances(deployment: &Deployment) -> anyhow::Result<(Vec<Instance>, Vec<TcpListener>)> {
     let mut instances = Vec::new();
     let mut listeners = Vec::new();
     for (number, (name, entries)) in deployment.dcs.iter().enumerate() {
@@ -237,8 +241,8 @@
     nodes: &[Node],
 ) -> anyhow::Result<Fleet> {
     let mut entries: HashMap<String, Vec<SocketAddr>> = HashMap::new();
-    for (one, node) in instances.iter().zip(nodes) {
-        let addrs = entries.entry(one.dc_name.clone()).or_default();
+    for (instance, node) in instances.iter().zip(nodes) {
+        let addrs = entries.entry(instance.dc_name.clone()).or_default();
         addrs.push(node.listen_addrs().endpoints);
     }
     let kinds: Vec<_> = deployment.document()?.kinds.keys().cloned().collect();
--- a/crates/celerywinch_bench/src/deployment.rs
+++ b/crates/celerywinch_bench/src/deployment.rs
@@ -1,23 +1,23 @@
-//! The two deployments that are shipped as examples.
+//! The two example deployments, with the catalogues of `examples/`.
 
 use celerywinch_catalogue::Document;
 
-/// One deployment.
+/// A deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
-    /// Its name.
+    /// The name.
     pub name: &'static str,
-    /// Data centres, each with its number of entries.
+    /// Names of the data centres, each with its number of entries.
     pub dcs: &'static [(&'static str, usize)],
-    /// Its catalogue, in YAML.
+    /// The catalogue in YAML.
     pub catalogue: &'static str,
-    /// How many endpoints it has.
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// How many endpoints share a rack.
+    /// Number of endpoints in a rack.
     pub rack_size: usize,
 }
 
-/// Sells stamps online: three data centres.
+/// An online shop for stamps, in three data centres.
 pub const CONDOR: Deployment = Deployment {
     name: "condor",
     dcs: &[("bog-1", 3), ("bog-2", 2), ("bog-3", 2)],
@@ -26,7 +26,7 @@
     rack_size: 8,
 };
 
-/// Values trade-in consoles: four data centres.
+/// A service that values used game consoles for trade-in, in four data centres.
 pub const SIAM: Deployment = Deployment {
     name: "siam",
     dcs: &[("bkk-1", 2), ("bkk-2", 2), ("bkk-3", 2), ("bkk-4", 1)],
@@ -35,15 +35,15 @@
     rack_size: 6,
 };
 
-/// Both.
+/// All example deployments.
 pub const ALL: &[Deployment] = &[CONDOR, SIAM];
 
 impl Deployment {
-    /// The catalogue's document.
+    /// Parses the catalogue.
     ///
     /// # Errors
     ///
-    /// The shipped file has a fault.
+    /// Returns an error if the shipped file is invalid.
     pub fn document(&self) -> anyhow::Result<Document> {
         celerywinch_settings::parse_catalogue(self.catalogue)
             .map_err(|error| anyhow::anyhow!("{}: {error}", self.name))
--- a/crates/celerywinch_bench/src/lib.rs
+++ b/crates/celerywinch_bench/src/lib.rs
@@ -1,4 +1,4 @@
-//! Trying, soaking and measuring.
+//! Test rigs: a trial of the main job, randomised simulations (soaks), load tests and scaling measurements.
 
 pub mod bench;
 pub mod cluster;
--- a/crates/celerywinch_bench/src/trial.rs
+++ b/crates/celerywinch_bench/src/trial.rs
@@ -1,4 +1,4 @@
-//! The main job, with nothing else set up.
+//! A trial of the main job that needs no other set-up (`celerywinch try`).
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -10,132 +10,132 @@
 use crate::cluster::Cluster;
 use crate::deployment::{ALL, CONDOR, Deployment};
 
-/// Endpoints of a trial.
+/// Number of endpoints of each cluster.
 const ENDPOINTS: usize = 8;
 
-/// One submission of a trial.
+/// One submission of a trial, with its expected outcome.
 struct Case {
-    what: &'static str,
+    description: &'static str,
     kind: &'static str,
-    /// Entries it is sent to at the same moment, with the same key.
+    /// The entries to which it is sent at the same time, with the same key.
     entries: &'static [usize],
     run_ms: &'static [f64],
-    fail: bool,
+    fails: bool,
     deadline_ms: u64,
-    wanted: &'static str,
+    expected: &'static str,
 }
 
 const CONDOR_CASES: &[Case] = &[
     Case {
-        what: "a price check",
+        description: "a price check",
         kind: "price-check",
         entries: &[0],
         run_ms: &[60.0],
-        fail: false,
+        fails: false,
         deadline_ms: 1000,
-        wanted: "answer",
+        expected: "answer",
     },
     Case {
-        what: "a scan match of eight tasks",
+        description: "a scan match of eight tasks",
         kind: "scan-match",
         entries: &[1],
         run_ms: &[50.0, 80.0, 120.0, 90.0, 60.0, 70.0, 200.0, 50.0],
-        fail: false,
+        fails: false,
         deadline_ms: 2000,
-        wanted: "answer",
+        expected: "answer",
     },
     Case {
-        what: "a stock hold, resubmitted to two other entries",
+        description: "a stock hold, resubmitted to two other entries",
         kind: "stock-hold",
         entries: &[0, 2, 4],
         run_ms: &[100.0],
-        fail: false,
+        fails: false,
         deadline_ms: 1500,
-        wanted: "answer",
+        expected: "answer",
     },
     Case {
-        what: "a scan match too large for its deadline",
+        description: "a scan match too large for its deadline",
         kind: "scan-match",
         entries: &[0],
         run_ms: &[600.0; 240],
-        fail: false,
+        fails: false,
         deadline_ms: 700,
-        wanted: "refusal",
+        expected: "refusal",
     },
     Case {
-        what: "a price check that fails",
+        description: "a price check that fails",
         kind: "price-check",
         entries: &[1],
         run_ms: &[50.0],
-        fail: true,
+        fails: true,
         deadline_ms: 1000,
-        wanted: "failure",
+        expected: "failure",
     },
 ];
 
 const SIAM_CASES: &[Case] = &[
     Case {
-        what: "a condition check of four tasks",
+        description: "a condition check of four tasks",
         kind: "condition-check",
         entries: &[0],
         run_ms: &[80.0, 100.0, 60.0, 120.0],
-        fail: false,
+        fails: false,
         deadline_ms: 1500,
-        wanted: "answer",
+        expected: "answer",
     },
     Case {
-        what: "a full quote",
+        description: "a full quote",
         kind: "full-quote",
         entries: &[2],
         run_ms: &[150.0, 90.0],
-        fail: false,
+        fails: false,
         deadline_ms: 2000,
-        wanted: "answer",
+        expected: "answer",
     },
     Case {
-        what: "a serial lookup at the data centre with one entry",
+        description: "a serial lookup at the data centre with one entry",
         kind: "serial-lookup",
         entries: &[6],
         run_ms: &[50.0],
-        fail: false,
+        fails: false,
         deadline_ms: 1000,
-        wanted: "answer",
+        expected: "answer",
     },
     Case {
-        what: "a payout booking, resubmitted to two other entries",
+        description: "a payout booking, resubmitted to two other entries",
         kind: "payout-booking",
         entries: &[0, 1, 6],
         run_ms: &[100.0],
-        fail: false,
+        fails: false,
         deadline_ms: 1500,
-        wanted: "answer",
+        expected: "answer",
     },
 ];
 
-/// Runs the main job of both deployments; true if everything held. Time lines are written to
-/// `folder`, if there is one.
+/// Runs the main job of both example deployments, and returns whether all outcomes were as expected and no
+/// invariant was violated. With `dir`, the entries write their timelines there.
 ///
 /// # Errors
 ///
-/// A part could not be started or did not answer.
-pub async fn run(folder: Option<PathBuf>) -> anyhow::Result<bool> {
-    let mut held = true;
+/// Returns an error if a cluster cannot be started or does not answer.
+pub async fn run(dir: Option<PathBuf>) -> anyhow::Result<bool> {
+    let mut ok = true;
     for deployment in ALL {
-        held &= run_one(deployment, folder.as_deref()).await?;
+        ok &= run_one(deployment, dir.as_deref()).await?;
     }
     println!(
         "{}",
-        if held {
+        if ok {
             "All invariants held."
         } else {
             "An invariant was violated."
         }
     );
-    Ok(held)
+    Ok(ok)
 }
 
-async fn run_one(deployment: &Deployment, folder: Option<&Path>) -> anyhow::Result<bool> {
-    let cluster = Cluster::start(deployment, ENDPOINTS, folder, Policy::default()).await?;
+async fn run_one(deployment: &Deployment, dir: Option<&Path>) -> anyhow::Result<bool> {
+    let cluster = Cluster::start(deployment, ENDPOINTS, dir, Policy::default()).await?;
     println!(
         "{}: {} entries in {} data centres, {ENDPOINTS} endpoints",
         deployment.name,
@@ -147,13 +147,13 @@
     } else {
         SIAM_CASES
     };
-    let mut held = true;
+    let mut ok = true;
     for case in cases {
-        held &= run_case(&cluster, case).await?;
+        ok &= run_case(&cluster, case).await?;
     }
-    held &= report(&cluster).await?;
+    ok &= report(&cluster).await?;
     cluster.stop().await?;
-    Ok(held)
+    Ok(ok)
 }
 
 async fn run_case(cluster: &Cluster, case: &Case) -> anyhow::Result<bool> {
@@ -161,9 +161,9 @@
     let tasks: Vec<Value> = case
         .run_ms
         .iter()
-        .map(|run_ms| json!({ "run_ms": run_ms, "fail": case.fail }))
+        .map(|run_ms| json!({ "run_ms": run_ms, "fail": case.fails }))
         .collect();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let deadline = Duration::from_millis(case.deadline_ms);
     let submissions = case.entries.iter().map(|entry| {
         let addr = cluster.caller_addr(*entry);
@@ -172,44 +172,44 @@
             .submit(addr, &key, case.kind, deadline, &tasks)
     });
     let responses = futures_util::future::join_all(submissions).await;
-    let took = began.elapsed().as_secs_f64() * 1000.0;
+    let elapsed_ms = started_at.elapsed().as_secs_f64() * 1000.0;
     let responses: Vec<_> = responses.into_iter().collect::<anyhow::Result<_>>()?;
     let first = &responses[0];
-    let same = responses.iter().all(|response| response == first);
+    let identical = responses.iter().all(|response| response == first);
     let starts = cluster.fleet.ledger().starts_of(&key);
-    let ideal = case.run_ms.iter().copied().fold(0.0, f64::max);
-    println!("  {}: {}", case.what, first.outcome());
+    let longest_ms = case.run_ms.iter().copied().fold(0.0, f64::max);
+    println!("  {}: {}", case.description, first.outcome());
     println!(
-        "    status {}, took {took:.1} ms, the longest task {ideal:.0} ms",
+        "    status {}, took {elapsed_ms:.1} ms, the longest task {longest_ms:.0} ms",
         first.status
     );
     println!(
-        "    submitters {}, all told the same: {same}, starts {starts}",
+        "    submitters {}, same outcome for all: {identical}, starts {starts}",
         responses.len()
     );
     if let Some(detail) = first.body["detail"].as_str() {
         println!("    {detail}");
     }
-    let expected = first.outcome() == case.wanted;
-    let true_refusal = first.ran() != "no" || starts == 0;
-    if !expected {
-        println!("    WRONG: wanted {}", case.wanted);
+    let as_expected = first.outcome() == case.expected;
+    let refusal_is_true = first.ran() != "no" || starts == 0;
+    if !as_expected {
+        println!("    FAILED: expected {}", case.expected);
     }
-    Ok(same && expected && true_refusal && starts as usize <= case.run_ms.len())
+    Ok(identical && as_expected && refusal_is_true && starts as usize <= case.run_ms.len())
 }
 
 async fn report(cluster: &Cluster) -> anyhow::Result<bool> {
     use std::sync::atomic::Ordering::Relaxed;
     let ledger = cluster.fleet.ledger();
-    let doubled = ledger.doubled();
+    let duplicates = ledger.doubled();
     let violations = cluster.violations().await?;
     println!(
-        "  starts {}, wasted: {} refused as full, {} refused as leaving, {} late; doubled {}, violations {violations}",
+        "  starts {}, wasted: {} refused as full, {} refused as leaving, {} late; started more than once {}, violations {violations}",
         ledger.started.load(Relaxed),
         ledger.refused_full.load(Relaxed),
         ledger.refused_leaving.load(Relaxed),
         ledger.late.load(Relaxed),
-        doubled.len(),
+        duplicates.len(),
     );
-    Ok(doubled.is_empty() && violations == 0)
+    Ok(duplicates.is_empty() && violations == 0)
 }
