--- a/crates/celerywinch_bench/src/slopes/mod.rs
+++ b/crates/celerywinch_bench/src/slopes/mod.rs
@@ -1,28 +1,27 @@
-//! What control costs by number of instances, endpoints, open jobs and changes.
+//! Measures how control costs scale with the number of instances, endpoints, open jobs and changes.
 //!
-//! `docs/CAPACITY.md` is worked out from the table that this prints. Heartbeats, announcements and
-//! the spreading of catalogues are measured on the state machines with a virtual clock, so that a
-//! few hundred instances fit one process; what needs a disk or sockets is measured on the real
-//! thing.
+//! `docs/CAPACITY.md` is derived from the table that this prints. Heartbeats, announcements and catalogue
+//! propagation are measured on the state machines with a virtual clock, so that hundreds of instances fit
+//! in one process. Everything that needs a disk or sockets is measured on real instances and files.
 
 mod control;
+mod idle;
 mod memory;
 mod overhead;
-mod real;
 mod store;
 
 use serde::Serialize;
 
-/// One measured figure.
+/// One measured value.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     /// What was measured.
     pub measure: &'static str,
-    /// At which sizes.
+    /// The sizes at which it was measured.
     pub sizes: String,
-    /// The figure.
+    /// The value.
     pub value: f64,
-    /// Its unit.
+    /// The unit of the value.
     pub unit: &'static str,
 }
 
@@ -37,31 +36,31 @@
     }
 }
 
-/// Measures everything.
+/// Runs all measurements.
 ///
 /// # Errors
 ///
-/// The shipped catalogue has a fault, or a disk or socket cannot be used.
+/// Returns an error if the shipped catalogue is invalid, or if a disk or socket cannot be used.
 pub async fn run() -> anyhow::Result<Vec<Row>> {
-    // Memory first: later on the allocator hands out what was used before.
+    // Memory is measured first, because later the allocator reuses memory that earlier measurements have freed.
     let mut rows = memory::measure()?;
     rows.extend(overhead::measure().await?);
-    rows.extend(real::measure().await?);
+    rows.extend(idle::measure().await?);
     rows.extend(store::measure().await?);
     rows.extend(control::measure()?);
     Ok(rows)
 }
 
-/// Measures only what the whole path adds to a direct call.
+/// Measures only the latency that entries add to a direct call, and the processor time of a task start.
 ///
 /// # Errors
 ///
-/// The cluster cannot be started.
+/// Returns an error if the cluster cannot be started.
 pub async fn overhead() -> anyhow::Result<Vec<Row>> {
     overhead::measure().await
 }
 
-/// The rows as a table.
+/// Formats rows as a table.
 #[must_use]
 pub fn table(rows: &[Row]) -> String {
     let mut text = String::new();
--- a/crates/celerywinch_bench/src/slopes/overhead.rs
+++ b/crates/celerywinch_bench/src/slopes/overhead.rs
@@ -1,4 +1,4 @@
-//! What the whole path adds to the same call made directly.
+//! Measures the latency that a call through an entry adds to the same call made directly to an endpoint.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -16,15 +16,15 @@
 use crate::cluster::Cluster;
 use crate::deployment::{CONDOR, Deployment};
 
-/// How long each load lasts, and the part at its start that is not counted.
-const SPAN: Duration = Duration::from_secs(4);
+/// Duration of each load, and of the part at its start that is not counted.
+const LOAD_TIME: Duration = Duration::from_secs(4);
 const WARM_UP: Duration = Duration::from_secs(1);
-/// How long each task runs.
+/// Run time of each task, in milliseconds.
 const RUN_MS: u64 = 20;
-/// Endpoints, enough for a thousand tasks at once.
+/// Number of endpoints, enough for a thousand tasks at once.
 const ENDPOINTS: usize = 130;
-/// Tasks of the larger jobs.
-const LARGE: usize = 240;
+/// Number of tasks of the large jobs.
+const JOB_TASKS: usize = 240;
 
 type Times = Rc<RefCell<Vec<Duration>>>;
 
@@ -35,12 +35,12 @@
     };
     let cluster = Cluster::start(&deployment, ENDPOINTS, None, Policy::default()).await?;
     let mut rows = Vec::new();
-    for width in [1_usize, 64, 600] {
-        let direct = closed_loop(&cluster, width, None).await?;
-        let through = closed_loop(&cluster, width, Some(1)).await?;
-        let sizes = format!("{width} in flight, tasks of {RUN_MS} ms, 3 entries");
+    for concurrency in [1_usize, 64, 600] {
+        let direct_times = run_closed_loop(&cluster, concurrency, None).await?;
+        let routed_times = run_closed_loop(&cluster, concurrency, Some(1)).await?;
+        let sizes = format!("{concurrency} in flight, tasks of {RUN_MS} ms, 3 entries");
         for (name, q) in [("p50", 0.5), ("p99", 0.99)] {
-            let (near, far) = (quantile(&direct, q), quantile(&through, q));
+            let (direct_ms, routed_ms) = (quantile(&direct_times, q), quantile(&routed_times, q));
             let measure = if name == "p50" {
                 "added to a direct call, p50"
             } else {
@@ -48,19 +48,20 @@
             };
             rows.push(Row::new(
                 measure,
-                format!("{sizes}; direct {near:.2} ms"),
-                far - near,
+                format!("{sizes}; direct {direct_ms:.2} ms"),
+                routed_ms - direct_ms,
                 "ms",
             ));
         }
     }
     let before = thread_cpu_seconds("core-");
-    let began = Instant::now();
-    let jobs = closed_loop(&cluster, 4, Some(LARGE)).await?;
-    let core = thread_cpu_seconds("core-") - before;
-    let starts = (jobs.len() * LARGE) as f64 * SPAN.as_secs_f64() / (SPAN - WARM_UP).as_secs_f64();
-    let sizes = format!("jobs of {LARGE}, 4 at a time, 3 entries");
-    let rate = starts / began.elapsed().as_secs_f64();
+    let started_at = Instant::now();
+    let job_times = run_closed_loop(&cluster, 4, Some(JOB_TASKS)).await?;
+    let core_seconds = thread_cpu_seconds("core-") - before;
+    let starts = (job_times.len() * JOB_TASKS) as f64 * LOAD_TIME.as_secs_f64()
+        / (LOAD_TIME - WARM_UP).as_secs_f64();
+    let sizes = format!("jobs of {JOB_TASKS}, 4 at a time, 3 entries");
+    let rate = starts / started_at.elapsed().as_secs_f64();
     rows.push(Row::new(
         "task starts in a second",
         sizes.clone(),
@@ -70,46 +71,48 @@
     rows.push(Row::new(
         "core threads for a task start",
         sizes,
-        core * 1e6 / starts,
+        core_seconds * 1e6 / starts,
         "us",
     ));
     cluster.stop().await?;
     Ok(rows)
 }
 
-/// Keeps `width` requests under way; each goes to an endpoint, or as a job of `tasks` to an entry.
-async fn closed_loop(
+/// Runs a closed loop with `concurrency` requests in flight and returns their sorted response times. Requests go
+/// directly to endpoints, or with `tasks` to entries as jobs of so many tasks.
+async fn run_closed_loop(
     cluster: &Cluster,
-    width: usize,
+    concurrency: usize,
     tasks: Option<usize>,
 ) -> anyhow::Result<Vec<Duration>> {
     let client = Client::new(None).await?;
     let times: Times = Rc::default();
-    let began = Instant::now();
-    let workers = (0..width).map(|worker| {
+    let started_at = Instant::now();
+    let workers = (0..concurrency).map(|worker| {
         let target = match tasks {
             Some(_) => cluster.caller_addr(worker % cluster.nodes.len()),
             None => cluster.fleet.addrs()[worker % ENDPOINTS],
         };
         let (client, times) = (client.clone(), times.clone());
         async move {
-            while began.elapsed() < SPAN {
-                let sent = Instant::now();
-                let good = call(&client, target, tasks).await;
-                if good && sent.duration_since(began) > WARM_UP {
-                    times.borrow_mut().push(sent.elapsed());
+            while started_at.elapsed() < LOAD_TIME {
+                let sent_at = Instant::now();
+                let ok = send_request(&client, target, tasks).await;
+                if ok && sent_at.duration_since(started_at) > WARM_UP {
+                    times.borrow_mut().push(sent_at.elapsed());
                 }
             }
         }
     });
     futures_util::future::join_all(workers).await;
     let mut times = times.take();
-    anyhow::ensure!(!times.is_empty(), "nothing was answered");
+    anyhow::ensure!(!times.is_empty(), "no request succeeded after the warm-up");
     times.sort_unstable();
     Ok(times)
 }
 
-async fn call(client: &Client, target: SocketAddr, tasks: Option<usize>) -> bool {
+/// Sends one request; returns whether it succeeded.
+async fn send_request(client: &Client, target: SocketAddr, tasks: Option<usize>) -> bool {
     let key = fresh_key(Some("a"));
     let body = json!({ "run_ms": RUN_MS });
     let response = match tasks {
@@ -135,6 +138,7 @@
     response.is_ok_and(|response| response.status == 200)
 }
 
+/// Returns a quantile of sorted times, in milliseconds.
 fn quantile(sorted: &[Duration], q: f64) -> f64 {
     let index = (sorted.len() as f64 * q) as usize;
     sorted[index.min(sorted.len() - 1)].as_secs_f64() * 1000.0
--- a/crates/celerywinch_bench/src/slopes/store.rs
+++ b/crates/celerywinch_bench/src/slopes/store.rs
@@ -1,4 +1,5 @@
-//! Commit time against one synced write, and restart time by number of changes.
+//! Measures the commit time of changes, the time of one synced write for comparison, and the restart time of a
+//! keeper by the number of changes.
 
 use std::io::Write;
 use std::path::Path;
@@ -15,38 +16,38 @@
 use crate::cluster::{Cluster, SECRET};
 use crate::deployment::{CONDOR, Deployment};
 
-/// Changes whose commit is timed.
+/// Number of changes whose commit is measured, and of synced writes.
 const CHANGES: u64 = 60;
 
 pub(super) async fn measure() -> anyhow::Result<Vec<Row>> {
-    let folder = std::env::temp_dir().join(format!("celerywinch-slopes-{}", std::process::id()));
-    std::fs::create_dir_all(&folder)?;
-    let measured = measure_in(&folder).await;
-    std::fs::remove_dir_all(&folder)?;
+    let dir = std::env::temp_dir().join(format!("celerywinch-slopes-{}", std::process::id()));
+    std::fs::create_dir_all(&dir)?;
+    let measured = measure_in(&dir).await;
+    std::fs::remove_dir_all(&dir)?;
     measured
 }
 
-async fn measure_in(folder: &Path) -> anyhow::Result<Vec<Row>> {
-    let mut rows = vec![synced_write(folder)?];
-    rows.extend(commits(folder).await?);
+async fn measure_in(dir: &Path) -> anyhow::Result<Vec<Row>> {
+    let mut rows = vec![measure_synced_write(dir)?];
+    rows.extend(measure_commits(dir).await?);
     for changes in [0_u64, 1000, 5000] {
-        rows.push(restart(
-            &folder.join(format!("restart-{changes}")),
+        rows.push(measure_restart(
+            &dir.join(format!("restart-{changes}")),
             changes,
         )?);
     }
     Ok(rows)
 }
 
-fn synced_write(folder: &Path) -> anyhow::Result<Row> {
-    let mut file = std::fs::File::create(folder.join("synced"))?;
+fn measure_synced_write(dir: &Path) -> anyhow::Result<Row> {
+    let mut file = std::fs::File::create(dir.join("synced"))?;
     let mut times = Vec::new();
     let bytes = vec![7_u8; 12_000];
     for _ in 0..CHANGES {
-        let began = Instant::now();
+        let started_at = Instant::now();
         file.write_all(&bytes)?;
         file.sync_data()?;
-        times.push(began.elapsed());
+        times.push(started_at.elapsed());
     }
     Ok(Row::new(
         "one synced write of 12 kB, p50",
@@ -56,17 +57,18 @@
     ))
 }
 
+/// Returns the median in milliseconds.
 fn median(mut times: Vec<Duration>) -> f64 {
     times.sort_unstable();
     times[times.len() / 2].as_secs_f64() * 1000.0
 }
 
-async fn commits(folder: &Path) -> anyhow::Result<Vec<Row>> {
+async fn measure_commits(dir: &Path) -> anyhow::Result<Vec<Row>> {
     let deployment = Deployment {
         dcs: &[("bog-1", 3), ("bog-2", 2), ("bog-3", 2)],
         ..CONDOR
     };
-    let cluster = Cluster::start_keepers(&deployment, 1, folder, Policy::default(), 3).await?;
+    let cluster = Cluster::start_keepers(&deployment, 1, dir, Policy::default(), 3).await?;
     let operators = cluster.listen_addrs(0).operators;
     let page = cluster
         .caller
@@ -77,52 +79,53 @@
         document["teams"][format!("team-{team}")] = json!({ "quota": 10 });
     }
     let mut version = page.body["version"].as_u64().unwrap_or(0);
-    let (mut commits, mut in_force) = (Vec::new(), Vec::new());
+    let (mut commit_times, mut apply_times) = (Vec::new(), Vec::new());
     for change in 0..CHANGES {
         document["teams"][format!("extra-{change}")] = json!({ "quota": 1 });
         let edit = json!({ "change": format!("c{change}"), "base": version, "document": document });
-        let began = Instant::now();
+        let started_at = Instant::now();
         let answer = cluster
             .caller
             .put(operators, "/v1/catalogue", SECRET, &edit)
             .await?;
-        commits.push(began.elapsed());
+        commit_times.push(started_at.elapsed());
         version = answer.body["version"].as_u64().unwrap_or(version);
         wait_in_force(&cluster, version).await?;
-        in_force.push(began.elapsed());
+        apply_times.push(started_at.elapsed());
     }
     cluster.stop().await?;
     let sizes = "3 keepers, 7 entries, 15 kB catalogue".to_owned();
-    let worst = in_force.iter().max().copied().unwrap_or_default();
+    let max = apply_times.iter().max().copied().unwrap_or_default();
     Ok(vec![
         Row::new(
             "change until accepted, p50",
             sizes.clone(),
-            median(commits),
+            median(commit_times),
             "ms",
         ),
         Row::new(
             "change until in force everywhere, p50",
             sizes.clone(),
-            median(in_force),
+            median(apply_times),
             "ms",
         ),
         Row::new(
             "change until in force everywhere, worst",
             sizes,
-            worst.as_secs_f64() * 1000.0,
+            max.as_secs_f64() * 1000.0,
             "ms",
         ),
     ])
 }
 
+/// Waits until a version of the catalogue is in force at every entry.
 async fn wait_in_force(cluster: &Cluster, version: u64) -> anyhow::Result<()> {
     for index in 0..cluster.nodes.len() {
-        let began = Instant::now();
+        let started_at = Instant::now();
         while cluster.status(index).await?["catalogue_version"].as_u64() < Some(version) {
             anyhow::ensure!(
-                began.elapsed() < Duration::from_secs(9),
-                "entry {index} lags"
+                started_at.elapsed() < Duration::from_secs(9),
+                "entry {index} has not applied version {version} within 9 s"
             );
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -130,8 +133,9 @@
     Ok(())
 }
 
-/// Time to read the log and rebuild the state, with snapshots as the daemon makes them.
-fn restart(folder: &Path, changes: u64) -> anyhow::Result<Row> {
+/// Measures the time to read the log and rebuild the state, with the daemon's snapshot settings. The log that is
+/// read has no snapshot; see `write_log`.
+fn measure_restart(dir: &Path, changes: u64) -> anyhow::Result<Row> {
     let config = RaftConfig {
         me: KeeperId {
             instance: InstanceId(1),
@@ -145,24 +149,24 @@
         compact_after: 128,
         seed: 1,
     };
-    write_log(folder, changes)?;
-    let began = Instant::now();
-    let (_, _, loaded) = Disk::open(folder, 1)?;
-    let mut keeper = Keeper::new(config, Time(0), loaded)?;
+    write_log(dir, changes)?;
+    let started_at = Instant::now();
+    let (_, _, persisted) = Disk::open(dir, 1)?;
+    let mut keeper = Keeper::new(config, Time(0), persisted)?;
     keeper.handle(Time(1), Input::Tick, &mut Vec::new());
-    let took = began.elapsed().as_secs_f64() * 1000.0;
+    let elapsed_ms = started_at.elapsed().as_secs_f64() * 1000.0;
     let sizes = format!("{changes} changes of 6 kB, log without snapshot");
     Ok(Row::new(
         "restart of a keeper, until it can vote",
         sizes,
-        took,
+        elapsed_ms,
         "ms",
     ))
 }
 
-/// A log with all changes in it: the worst case, in which no snapshot was made for long.
-fn write_log(folder: &Path, changes: u64) -> anyhow::Result<()> {
-    let (mut disk, _, _) = Disk::open(folder, 1)?;
+/// Writes a log that contains all changes. This is the worst case, in which no snapshot has been made for a long time.
+fn write_log(dir: &Path, changes: u64) -> anyhow::Result<()> {
+    let (mut disk, _, _) = Disk::open(dir, 1)?;
     let mut document: Document = CONDOR.document()?;
     for team in 0..270 {
         document
@@ -182,8 +186,8 @@
             payload: Payload::Command(serde_json::to_vec(&edit)?),
         }));
     }
-    for part in records.chunks(256) {
-        disk.append(part)?;
+    for chunk in records.chunks(256) {
+        disk.append(chunk)?;
     }
     Ok(())
 }
