--- a/crates/celerywinch_bench/src/bench/drive.rs
+++ b/crates/celerywinch_bench/src/bench/drive.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use celerywinch_dispatch::Policy;
-use celerywinch_standin::fresh_key;
+use celerywinch_standin::generate_key;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -136,12 +136,12 @@
     let core_after = thread_cpu_seconds("core-");
     let after = traffic(&cluster).await?;
     let mut metrics = tally.borrow().metrics();
-    let ledger = cluster.fleet.ledger();
-    metrics.starts = ledger.started.load(Relaxed);
-    metrics.refused_full = ledger.refused_full.load(Relaxed);
-    metrics.refused_leaving = ledger.refused_leaving.load(Relaxed);
-    metrics.late_tasks = ledger.late.load(Relaxed);
-    metrics.duplicate_starts = ledger.doubled().len() as u64;
+    let log = cluster.fleet.execution_log();
+    metrics.starts = log.started.load(Relaxed);
+    metrics.refused_full = log.refused_full.load(Relaxed);
+    metrics.refused_leaving = log.refused_leaving.load(Relaxed);
+    metrics.late_tasks = log.late.load(Relaxed);
+    metrics.duplicate_starts = log.duplicate_starts().len() as u64;
     metrics.violations = cluster.violations().await?;
     let starts = metrics.starts.max(1) as f64;
     metrics.peer_messages = (after.0 - before.0) / starts;
@@ -238,7 +238,7 @@
     times: (Instant, usize),
     tally: Rc<RefCell<Tally>>,
 ) -> impl Future<Output = ()> + 'static {
-    let key = fresh_key(Some(cluster.dc_name(arrival.entry)));
+    let key = generate_key(Some(cluster.dc_name(arrival.entry)));
     let entry = cluster.caller_addr(arrival.entry);
     let caller = cluster.caller.clone();
     let (kind, team) = work;
--- a/crates/celerywinch_bench/src/slopes/overhead.rs
+++ b/crates/celerywinch_bench/src/slopes/overhead.rs
@@ -7,7 +7,7 @@
 
 use celerywinch_client::{Client, read_response};
 use celerywinch_dispatch::Policy;
-use celerywinch_standin::fresh_key;
+use celerywinch_standin::generate_key;
 use ntex::http::Method;
 use serde_json::json;
 
@@ -113,7 +113,7 @@
 
 /// Sends one request; returns whether it succeeded.
 async fn send_request(client: &Client, target: SocketAddr, tasks: Option<usize>) -> bool {
-    let key = fresh_key(Some("a"));
+    let key = generate_key(Some("a"));
     let body = json!({ "run_ms": RUN_MS });
     let response = match tasks {
         None => {
--- a/crates/celerywinch_bench/src/trial.rs
+++ b/crates/celerywinch_bench/src/trial.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use celerywinch_dispatch::Policy;
-use celerywinch_standin::fresh_key;
+use celerywinch_standin::generate_key;
 use serde_json::{Value, json};
 
 use crate::cluster::Cluster;
@@ -157,7 +157,7 @@
 }
 
 async fn run_case(cluster: &Cluster, case: &Case) -> anyhow::Result<bool> {
-    let key = fresh_key(Some(cluster.dc_name(case.entries[0])));
+    let key = generate_key(Some(cluster.dc_name(case.entries[0])));
     let tasks: Vec<Value> = case
         .run_ms
         .iter()
@@ -176,7 +176,7 @@
     let responses: Vec<_> = responses.into_iter().collect::<anyhow::Result<_>>()?;
     let first = &responses[0];
     let identical = responses.iter().all(|response| response == first);
-    let starts = cluster.fleet.ledger().starts_of(&key);
+    let starts = cluster.fleet.execution_log().key_starts(&key);
     let longest_ms = case.run_ms.iter().copied().fold(0.0, f64::max);
     println!("  {}: {}", case.description, first.outcome());
     println!(
@@ -200,15 +200,15 @@
 
 async fn report(cluster: &Cluster) -> anyhow::Result<bool> {
     use std::sync::atomic::Ordering::Relaxed;
-    let ledger = cluster.fleet.ledger();
-    let duplicates = ledger.doubled();
+    let log = cluster.fleet.execution_log();
+    let duplicates = log.duplicate_starts();
     let violations = cluster.violations().await?;
     println!(
         "  starts {}, wasted: {} refused as full, {} refused as leaving, {} late; started more than once {}, violations {violations}",
-        ledger.started.load(Relaxed),
-        ledger.refused_full.load(Relaxed),
-        ledger.refused_leaving.load(Relaxed),
-        ledger.late.load(Relaxed),
+        log.started.load(Relaxed),
+        log.refused_full.load(Relaxed),
+        log.refused_leaving.load(Relaxed),
+        log.late.load(Relaxed),
         duplicates.len(),
     );
     Ok(duplicates.is_empty() && violations == 0)
--- a/crates/celerywinch_fleet/src/core.rs
+++ b/crates/celerywinch_fleet/src/core.rs
@@ -286,7 +286,7 @@
         let now = clock.now();
         let member = MemberConfig {
             me,
-            part: config.kind,
+            kind: config.kind,
             dc: config.dc,
             dcs: config.dcs.clone(),
             shard_size: max_shard_size(config.cores, config.link_rate),
--- a/crates/celerywinch_pool/src/takeover.rs
+++ b/crates/celerywinch_pool/src/takeover.rs
@@ -38,6 +38,7 @@
 }
 
 impl Pool {
+    /// Becomes the dispatcher of a domain and takes over its workers.
     pub(crate) fn acquire(
         &mut self,
         now: Time,
@@ -46,8 +47,8 @@
         out: &mut Vec<Output>,
     ) {
         self.owned.insert(domain, fence);
-        let here = |worker: &Worker| worker.domain == domain;
-        let workers = self.workers.iter().filter(|(_, w)| here(w));
+        let in_domain = |worker: &Worker| worker.domain == domain;
+        let workers = self.workers.iter().filter(|(_, w)| in_domain(w));
         let keys: Vec<_> = workers.map(|(key, _)| key).collect();
         out.push(Output::Event(PoolEvent::Acquired {
             domain,
@@ -68,6 +69,8 @@
         self.poll(now, key, out);
     }
 
+    /// Applies the list with which a worker accepted the fencing token. The runs in it that this dispatcher did not start
+    /// wait until an origin claims them or `PoolConfig::adopt_timeout` expires.
     pub(crate) fn worker_taken_over(
         &mut self,
         now: Time,
@@ -110,7 +113,7 @@
         worker.foreign_runs = running.len();
         worker.next_poll = now + self.config.ack_delay;
         out.push(Output::Event(PoolEvent::WorkerHeld {
-            worker: worker.note.id.clone(),
+            worker: worker.announcement.id.clone(),
             found: running.len(),
         }));
         // Tasks that origins resubmitted before this poll was answered wait for its result.
@@ -138,11 +141,11 @@
             self.takeover.ends.remove(&id);
             return;
         }
-        let open = task.doubt == PriorRuns::Unknown;
+        let runs_unknown = task.prior_runs == PriorRuns::Unknown;
         match self.takeover.foreign_runs.get(&id).copied() {
             Some(foreign)
                 if !foreign.stopped
-                    && (open || foreign.run == task.run)
+                    && (runs_unknown || foreign.run == task.run)
                     && !self.config.disabled.contains(Mechanism::Adoption) =>
             {
                 self.takeover.foreign_runs.remove(&id);
@@ -171,7 +174,7 @@
         let Some(task) = self.batches[key].tasks.get_mut(&index) else {
             return false;
         };
-        let last = task.doubt == PriorRuns::Last && run == task.run && !no_shortcuts;
+        let last = task.prior_runs == PriorRuns::Last && run == task.run && !no_shortcuts;
         match end {
             RunEnd::Done => self.finish_task(now, key, index, TaskEnd::Done),
             RunEnd::Failed | RunEnd::Interrupted if last => {
@@ -183,6 +186,7 @@
         true
     }
 
+    /// Assigns a task the run that another dispatcher started.
     fn adopt_run(&mut self, now: Time, key: BatchKey, index: u16, foreign: ForeignRun) {
         let batch = &self.batches[key];
         let run = Run {
@@ -219,6 +223,8 @@
         self.requeue(key);
     }
 
+    /// Handles the end of a run that this dispatcher did not start. If it does not settle its task, it is retained for
+    /// [`END_RETENTION`].
     pub(crate) fn foreign_run_ended(&mut self, now: Time, key: WorkerKey, row: &EndedRow) {
         // An earlier run of the task may have ended on another worker; only the end of this run removes it.
         let this_run = |foreign: &ForeignRun| foreign.worker == key && foreign.run == row.run;
@@ -233,12 +239,12 @@
             worker.foreign_runs = worker.foreign_runs.saturating_sub(1);
         }
         let batch = self.batch_keys.get(&(row.task.job, row.task.step)).copied();
-        let doubtful = batch.is_some_and(|batch| {
+        let maybe_running = batch.is_some_and(|batch| {
             let task = self.batches[batch].tasks.get(&row.task.index);
             task.is_some_and(|task| matches!(task.state, TaskState::MaybeRunning(_)))
         });
         let settled = match batch {
-            Some(batch) if doubtful => {
+            Some(batch) if maybe_running => {
                 self.settle_by_end(now, batch, row.task.index, row.end, row.run)
             }
             _ => false,
@@ -274,11 +280,11 @@
                 stopped: false,
             });
         }
-        let left = foreign_runs
+        let count = foreign_runs
             .values()
             .filter(|foreign| foreign.worker == key)
             .count();
-        self.workers[key].foreign_runs = left;
+        self.workers[key].foreign_runs = count;
     }
 
     /// Stops foreign runs that no origin has claimed, and releases tasks whose earlier runs must have ended by now.
@@ -286,7 +292,7 @@
         let ends = &mut self.takeover.ends;
         ends.retain(|_, (at, _, _)| now.since(*at) <= END_RETENTION);
         self.stop_foreign_runs(now, out);
-        self.release_doubtful(now);
+        self.release_maybe_running(now);
     }
 
     fn stop_foreign_runs(&mut self, now: Time, out: &mut Vec<Output>) {
@@ -312,12 +318,13 @@
         }
     }
 
-    fn release_doubtful(&mut self, now: Time) {
+    fn release_maybe_running(&mut self, now: Time) {
         let keys: Vec<_> = self.batches.keys().collect();
         for key in keys {
-            let over = |state: &TaskState| matches!(state, TaskState::MaybeRunning(t) if *t <= now);
+            let is_due =
+                |state: &TaskState| matches!(state, TaskState::MaybeRunning(t) if *t <= now);
             let batch = &self.batches[key];
-            let tasks = batch.tasks.iter().filter(|(_, task)| over(&task.state));
+            let tasks = batch.tasks.iter().filter(|(_, task)| is_due(&task.state));
             let due: Vec<u16> = tasks.map(|(index, _)| *index).collect();
             for index in due {
                 if let Some(task) = self.batches[key].tasks.get_mut(&index) {
@@ -332,8 +339,8 @@
     /// returned too if no domain is owned any more.
     pub(crate) fn resign(&mut self, now: Time, domain: Domain, out: &mut Vec<Output>) {
         self.owned.remove(&domain);
-        let here = |worker: &Worker| worker.domain == domain;
-        let workers = self.workers.iter().filter(|(_, w)| here(w));
+        let in_domain = |worker: &Worker| worker.domain == domain;
+        let workers = self.workers.iter().filter(|(_, w)| in_domain(w));
         let keys: Vec<_> = workers.map(|(key, _)| key).collect();
         let mut returned = 0;
         for key in keys {
