--- a/crates/celerywinch_bench/src/bench/mod.rs
+++ b/crates/celerywinch_bench/src/bench/mod.rs
@@ -1,4 +1,4 @@
-//! Load and experiments: real entries over loopback, stand-in endpoints, an open loop of callers.
+//! Load tests with real entries over loopback, stand-in endpoints and an open loop of callers.
 
 mod drive;
 mod ideal;
@@ -6,6 +6,6 @@
 mod scenario;
 mod usage;
 
-pub use drive::{BenchOptions, Figures, RunResult, run, table};
+pub use drive::{BenchOptions, RunMetrics, RunResult, run, table};
 pub use scenario::{SCENARIOS, Scenario};
-pub use usage::{resident_bytes, thread_seconds};
+pub use usage::{resident_bytes, thread_cpu_seconds};
