--- a/crates/celerywinch/src/commands/bench.rs
+++ b/crates/celerywinch/src/commands/bench.rs
@@ -68,7 +68,7 @@
     println!("{}", table(&results));
     write_json(&matches, &results)?;
     let has_violations =
-        |result: &RunResult| result.figures.doubled + result.figures.violations > 0;
+        |result: &RunResult| result.metrics.duplicate_starts + result.metrics.violations > 0;
     Ok(if results.iter().any(has_violations) {
         ExitStatus::Failure
     } else {
@@ -79,7 +79,7 @@
 fn usage() -> String {
     let mut text = format!("{USAGE}\n\nScenarios:\n");
     for scenario in SCENARIOS {
-        text.push_str(&format!("  {:<11} {}\n", scenario.name, scenario.what));
+        text.push_str(&format!("  {:<11} {}\n", scenario.name, scenario.summary));
     }
     text
 }
@@ -100,7 +100,7 @@
                 scenario,
                 policy: *policy,
                 seed,
-                span: Duration::from_secs(seconds),
+                duration: Duration::from_secs(seconds),
             });
         }
     }
--- a/crates/celerywinch/src/commands/report.rs
+++ b/crates/celerywinch/src/commands/report.rs
@@ -2,7 +2,7 @@
 
 use anyhow::{Context, bail};
 use celerywinch_bench::bench::RunResult;
-use celerywinch_bench::report::page;
+use celerywinch_bench::report::render_html;
 
 use super::{Command, parse};
 use crate::ExitStatus;
@@ -33,7 +33,7 @@
             .with_context(|| format!("{file}: not a file of benchmark results"))?;
         results.extend(runs);
     }
-    std::fs::write(&out, page(&results)?).with_context(|| format!("cannot write {out}"))?;
+    std::fs::write(&out, render_html(&results)?).with_context(|| format!("cannot write {out}"))?;
     println!("wrote {} runs to {out}", results.len());
     Ok(ExitStatus::Success)
 }
