--- a/crates/celerywinch/src/commands/soak.rs
+++ b/crates/celerywinch/src/commands/soak.rs
@@ -220,25 +220,25 @@
     disabled: DisabledMechanisms,
 }
 
-/// Returns the job classes of the brief. Where messages are delayed or lost for seconds, the callers get a longer
+/// Returns the job classes of the reference service. Where messages are delayed or lost for seconds, the callers get a longer
 /// timeout, as otherwise all callers would have given up before the messages arrive.
 fn job_classes(flags: FaultFlags) -> Vec<members::ClassPlan> {
-    let mut classes = members::brief_classes();
+    let mut classes = members::reference_classes();
     if flags.held || flags.congested || flags.refused {
         classes
             .iter_mut()
-            .for_each(|class| class.timeout = LONG_TIMEOUT_MS);
+            .for_each(|class| class.timeout_ms = LONG_TIMEOUT_MS);
     }
     classes
 }
 
 fn members_options(seed: u64, flags: FaultFlags, follow: Option<u64>) -> members::MembersOptions {
-    let interval =
+    let interval_ms =
         MEMBERS_FAULT_INTERVALS_MS[(seed % MEMBERS_FAULT_INTERVALS_MS.len() as u64) as usize];
     let lull = members::Lull {
-        every: LULL_PERIOD_MS,
-        lasts: LULL_DURATION_MS,
-        calm: LULL_FAULT_FREE_MS,
+        period_ms: LULL_PERIOD_MS,
+        length_ms: LULL_DURATION_MS,
+        calm_ms: LULL_FAULT_FREE_MS,
         factor: LULL_LOAD_FACTORS[(seed / 4 % LULL_LOAD_FACTORS.len() as u64) as usize],
     };
     let shard_sizes = if flags.many {
@@ -255,31 +255,31 @@
             FEW_ENTRIES
         },
         workers: 48,
-        shard: shard_sizes[(seed % shard_sizes.len() as u64) as usize],
-        without: flags.disabled,
-        link: None,
-        length: if flags.congested {
+        shard_size: shard_sizes[(seed % shard_sizes.len() as u64) as usize],
+        disabled: flags.disabled,
+        link_rate: None,
+        load_ms: if flags.congested {
             CONGESTED_LOAD_MS
         } else {
             MEMBERS_LOAD_MS
         },
         load: members::LoadPlan {
             classes: job_classes(flags),
-            cpu: members::BRIEF_CPU,
+            cpu: members::REFERENCE_CPU,
             burst: None,
             lull: flags.congested.then_some(lull),
         },
         unanswered: None,
         faults: Some(members::FaultPlan {
-            every: interval,
+            interval_ms,
             members: true,
             workers: true,
-            clocks: seed % 5 >= 3,
-            held: flags.held,
+            clock_skew: seed % 5 >= 3,
+            partitioned: flags.held,
             congested: flags.congested,
             refused: flags.refused,
             drift: flags.drift,
-            reborn: flags.reborn,
+            reused_names: flags.reborn,
             shrinking: flags.shrinking,
             crashing: flags.crashing,
             evacuated: flags.evacuated,
--- a/crates/celerywinch_bench/src/members/faults.rs
+++ b/crates/celerywinch_bench/src/members/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that strike members, workers and the paths between them.
+//! Fault injection into members, workers and the links between them.
 
 use std::time::Duration;
 
@@ -8,43 +8,44 @@
 
 use super::world::World;
 
-/// Which faults strike; one of them every `every` ms.
+/// Kinds of faults that are injected, one fault at a time at a fixed interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultPlan {
-    /// Ms between two faults.
-    pub every: u64,
-    /// Whether members are killed, stopped as planned and frozen, and data centres are cut off.
+    /// Interval between two faults, in ms.
+    pub interval_ms: u64,
+    /// Whether members are killed, stopped as planned and frozen, and data centres are partitioned.
     pub members: bool,
-    /// Whether the wall clocks of members are wrong, each life of one by another time.
-    pub clocks: bool,
-    /// Whether workers crash, hang, slow down and fail, and their calls are lost or carried out late.
+    /// Whether the wall clocks of members are wrong, by a different offset in each incarnation. Restarted workers that
+    /// reuse their names may have their clocks set back.
+    pub clock_skew: bool,
+    /// Whether workers crash, hang, slow down and fail, and calls to them are lost or executed late.
     pub workers: bool,
-    /// Whether many entries at once are cut off from all other members, while workers and callers
-    /// reach them; what was sent as the cut began arrives up to some seconds after it has healed.
-    pub held: bool,
-    /// Whether the incoming paths of members are congested: answers of workers, messages and heartbeats
-    /// reach them up to 2 s late, in order, while what they send goes out in time; and whether answers of
-    /// single workers are lost though their orders were carried out.
+    /// Whether many entries at once are partitioned from all other members, while workers and callers can still reach
+    /// them. Messages sent as the partition began arrive up to some seconds after it has healed.
+    pub partitioned: bool,
+    /// Whether the incoming paths of members are congested: answers of workers, messages and heartbeats reach them up to
+    /// 2 s late, in order, while what they send is not delayed. Also, answers of single workers are lost although their
+    /// calls were executed.
     pub congested: bool,
-    /// Whether members that are alive are refused connections by others: those count as lost at once; and
-    /// whether calls are refused by workers that are down, and by some that are alive.
+    /// Whether connections between members that are alive are refused, so that the refusing member counts as lost at
+    /// once. Also, calls are refused by workers that are down and by some that are alive.
     pub refused: bool,
-    /// Whether workers keep their names when they start again, may say that they leave, and are heard of out of order.
-    pub reborn: bool,
-    /// Whether workers do not guard their room, and it shrinks and grows.
+    /// Whether workers keep their names when they restart, may drain, and have announcements that arrive out of order.
+    pub reused_names: bool,
+    /// Whether workers accept tasks that exceed their capacity, and the capacity shrinks and grows.
     pub shrinking: bool,
-    /// Whether the tasks of some jobs end their workers.
+    /// Whether the tasks of some jobs crash their workers.
     pub crashing: bool,
     /// Whether operators start and end evacuations of data centres.
     pub evacuated: bool,
-    /// Whether many connections are reset at once, and callers whose connections broke as they sent their jobs send them
-    /// again at once.
+    /// Whether many connections are reset at once, and callers whose connections broke while they submitted their jobs
+    /// submit them again within 25 ms.
     pub resets: bool,
-    /// Whether the steady clocks of workers are up to 2% slow, each by its own share.
+    /// Whether the monotonic clocks of workers are up to 2% slow, each at its own rate.
     pub drift: bool,
 }
 
-/// A fault.
+/// Fault to be injected. Traces print its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     Kill,
@@ -69,8 +70,8 @@
 }
 
 const MEMBER_FAULTS: [Fault; 4] = [Fault::Kill, Fault::Leave, Fault::Freeze, Fault::Cut];
-const HELD_FAULTS: [Fault; 1] = [Fault::CutEntries];
-/// Congestion as often as three others, or it would rarely strike the dispatcher beside all else.
+const PARTITION_FAULTS: [Fault; 1] = [Fault::CutEntries];
+/// Congestion is listed three times; otherwise it would rarely affect the dispatcher among all other faults.
 const CONGESTED_FAULTS: [Fault; 4] = [
     Fault::Congest,
     Fault::Congest,
@@ -78,7 +79,7 @@
     Fault::LoseAnswers,
 ];
 const REFUSED_FAULTS: [Fault; 3] = [Fault::Refuse, Fault::Refuse, Fault::RefuseCalls];
-const REBORN_FAULTS: [Fault; 4] = [Fault::Drain, Fault::Drain, Fault::Crash, Fault::Crash];
+const NAME_REUSE_FAULTS: [Fault; 4] = [Fault::Drain, Fault::Drain, Fault::Crash, Fault::Crash];
 const SHRINKING_FAULTS: [Fault; 4] = [Fault::Shrink; 4];
 const EVACUATED_FAULTS: [Fault; 3] = [Fault::Evacuate; 3];
 const RESET_FAULTS: [Fault; 3] = [Fault::Reset; 3];
@@ -92,25 +93,26 @@
 ];
 
 impl World {
-    pub(crate) fn strike(&mut self, plan: FaultPlan) {
+    /// Injects a random fault of the plan, unless the load is in its calm time.
+    pub(crate) fn inject_fault(&mut self, plan: FaultPlan) {
         if self.options.load.is_calm(self.now) {
             return;
         }
         let members = MEMBER_FAULTS.iter().filter(|_| plan.members);
         let workers = WORKER_FAULTS.iter().filter(|_| plan.workers);
-        let held = HELD_FAULTS.iter().filter(|_| plan.held);
+        let partitioned = PARTITION_FAULTS.iter().filter(|_| plan.partitioned);
         let congested = CONGESTED_FAULTS.iter().filter(|_| plan.congested);
         let refused = REFUSED_FAULTS.iter().filter(|_| plan.refused);
-        let reborn = REBORN_FAULTS.iter().filter(|_| plan.reborn);
+        let reused_names = NAME_REUSE_FAULTS.iter().filter(|_| plan.reused_names);
         let shrinking = SHRINKING_FAULTS.iter().filter(|_| plan.shrinking);
         let evacuated = EVACUATED_FAULTS.iter().filter(|_| plan.evacuated);
         let resets = RESET_FAULTS.iter().filter(|_| plan.resets);
         let Some(fault) = members
             .chain(workers)
-            .chain(held)
+            .chain(partitioned)
             .chain(congested)
             .chain(refused)
-            .chain(reborn)
+            .chain(reused_names)
             .chain(shrinking)
             .chain(evacuated)
             .chain(resets)
@@ -119,29 +121,29 @@
         else {
             return;
         };
-        let lasts = Duration::from_millis(self.random.random_range(200..2_500));
-        self.say(|| format!("fault: {fault:?} for {lasts:?}"));
+        let duration = Duration::from_millis(self.random.random_range(200..2_500));
+        self.trace(|| format!("fault: {fault:?} for {duration:?}"));
         match fault {
-            Fault::Kill => self.kill_member(lasts),
+            Fault::Kill => self.kill_member(duration),
             Fault::Leave => self.stop_member(),
-            Fault::Freeze => self.freeze_member(lasts),
-            Fault::Cut => self.cut(lasts),
-            Fault::CutEntries => self.cut_entries(lasts),
-            Fault::Crash => self.crash_worker(lasts),
-            Fault::Hang => self.weaken(Health::Hung, lasts),
+            Fault::Freeze => self.freeze_member(duration),
+            Fault::Cut => self.cut_data_centre(duration),
+            Fault::CutEntries => self.isolate_entries(duration),
+            Fault::Crash => self.crash_random_worker(duration),
+            Fault::Hang => self.impair_worker(Health::Hung, duration),
             Fault::Slow => {
                 let slower = self.random.random_range(2.0..8.0);
-                self.weaken(Health::Healthy(slower), lasts);
+                self.impair_worker(Health::Healthy(slower), duration);
             }
-            Fault::Fail => self.weaken(Health::Failing, lasts),
-            Fault::LoseCalls => self.lose_calls(lasts),
-            Fault::LateOrders => self.late_orders(lasts),
-            Fault::Congest => self.congest(lasts),
-            Fault::LoseAnswers => self.lose_answers(lasts),
-            Fault::Refuse => self.refuse_links(lasts),
-            Fault::RefuseCalls => self.refuse_calls(lasts),
+            Fault::Fail => self.impair_worker(Health::Failing, duration),
+            Fault::LoseCalls => self.lose_calls(duration),
+            Fault::LateOrders => self.delay_requests(duration),
+            Fault::Congest => self.congest(duration),
+            Fault::LoseAnswers => self.lose_answers(duration),
+            Fault::Refuse => self.refuse_links(duration),
+            Fault::RefuseCalls => self.refuse_calls(duration),
             Fault::Drain => self.drain_worker(),
-            Fault::Shrink => self.shrink_worker(lasts),
+            Fault::Shrink => self.shrink_worker(duration),
             Fault::Evacuate => self.evacuate(),
             Fault::Reset => self.reset_connections(),
         }
--- a/crates/celerywinch_bench/src/members/mod.rs
+++ b/crates/celerywinch_bench/src/members/mod.rs
@@ -1,24 +1,24 @@
-//! Members of a fleet and their workers in simulated time, without network: for randomised runs with
-//! faults, whose histories are checked, and for loads, whose service is measured.
+//! Simulation of the members of a fleet and their workers, with a virtual clock and without a network: for randomised
+//! runs under faults, whose histories are checked, and for loads, whose service is measured.
 
 mod callers;
 mod congestion;
-mod cuts;
 mod evacuations;
 mod faults;
 mod history;
-mod judge;
-mod lives;
+mod lifecycle;
+mod links;
 mod load;
+mod partitions;
 mod refusals;
+mod report;
 mod resets;
-mod wire;
 mod workers;
 mod world;
 
 pub use faults::FaultPlan;
 pub use history::{Violation, overlaps};
-pub use load::{BRIEF_CPU, ClassFigures, ClassPlan, LoadPlan, Lull, brief_classes};
-pub use wire::Control;
-pub use workers::Unanswered;
+pub use links::ControlTraffic;
+pub use load::{ClassPlan, ClassStats, LoadPlan, Lull, REFERENCE_CPU, reference_classes};
+pub use workers::UnansweredCalls;
 pub use world::{MembersOptions, MembersReport, run};
