--- a/crates/celerywinch_bench/src/members/callers.rs
+++ b/crates/celerywinch_bench/src/members/callers.rs
@@ -21,7 +21,6 @@
 /// Relative variation of the run times of the tasks of one job.
 const TASK_SPREAD: f64 = 0.15;
 /// Relative variation of the run times and the task counts of jobs of one class, and of estimates around run times.
-/// Relative variation of the run times and the task counts of jobs of one class, and of estimates around run times.
 const JOB_SPREAD: f64 = 0.4;
 
 /// Job from the point of view of its caller.
@@ -30,21 +29,16 @@
     pub(crate) id: JobId,
     pub(crate) class: usize,
     /// Time of the first attempt.
-    /// Time of the first attempt.
     pub(crate) first_sent: Time,
     /// Time of the latest attempt.
-    /// Time of the latest attempt.
     pub(crate) sent_at: Time,
     pub(crate) attempts: u32,
     /// Entry of the latest attempt.
-    /// Entry of the latest attempt.
     pub(crate) entry: usize,
     /// Incarnation of that entry.
-    /// Incarnation of that entry.
     pub(crate) incarnation: u64,
     pub(crate) end: Option<(Time, JobEnd)>,
     /// Whether the caller has stopped waiting for a result.
-    /// Whether the caller has stopped waiting for a result.
     pub(crate) abandoned: bool,
     /// Time by which the job meets its objective.
     pub(crate) due: Time,
@@ -70,7 +64,6 @@
         );
     }
 
-    /// Draws a factor between `1 - spread` and `1 + spread`.
     /// Draws a factor between `1 - spread` and `1 + spread`.
     fn jitter(&mut self, spread: f64) -> f64 {
         self.random.random_range(1.0 - spread..1.0 + spread)
@@ -128,7 +121,6 @@
         }
     }
 
-    /// Submits a job to a random entry, or tries again later if no entry accepts callers.
     /// Submits a job to a random entry, or tries again later if no entry accepts callers.
     pub(crate) fn submit(&mut self, index: usize) {
         let Some(entry) = self.pick_entry() else {
@@ -171,7 +163,6 @@
         }
     }
 
-    /// Handles the answer to the latest attempt of a job; answers to earlier attempts are ignored.
     /// Handles the answer to the latest attempt of a job; answers to earlier attempts are ignored.
     pub(crate) fn receive_answer(&mut self, caller: CallerId, end: JobEnd) {
         let index = (caller.0 / 1_000) as usize;
--- a/crates/celerywinch_bench/src/members/lifecycle.rs
+++ b/crates/celerywinch_bench/src/members/lifecycle.rs
@@ -30,7 +30,6 @@
 /// Time from the start of such a task until it crashes its worker, in ms.
 const CRASH_DELAY_MS: std::ops::Range<u64> = 5..40;
 /// Time that a worker is down after such a crash or after it has drained, in ms.
-/// Time that a worker is down after such a crash or after it has drained, in ms.
 const DOWN_MS: std::ops::Range<u64> = 500..3_000;
 
 /// State that a worker has announced in its present incarnation.
@@ -59,7 +58,6 @@
 }
 
 impl World {
-    /// Returns whether workers keep their names when they start again.
     /// Returns whether workers keep their names when they start again.
     fn reuses_names(&self) -> bool {
         self.options.faults.is_some_and(|plan| plan.reused_names)
@@ -98,7 +96,6 @@
         }
     }
 
-    /// Announces a worker under the next sequence number.
     /// Announces a worker under the next sequence number.
     fn announce_change(&mut self, index: usize) {
         self.workers[index].announced.sequence += 1;
@@ -122,7 +119,6 @@
         self.schedule(now + duration, Event::RestartWorker(index));
     }
 
-    /// Starts a worker again. In runs with reused names a late announcement of the previous incarnation follows.
     /// Starts a worker again. In runs with reused names a late announcement of the previous incarnation follows.
     pub(crate) fn restart_worker(&mut self, index: usize) {
         let now = self.now;
@@ -182,7 +178,6 @@
         );
     }
 
-    /// Stops a worker that has drained, unless it has restarted meanwhile.
     /// Stops a worker that has drained, unless it has restarted meanwhile.
     pub(crate) fn finish_draining(&mut self, index: usize, restarts: u32) {
         let host = &mut self.workers[index];
@@ -206,7 +201,6 @@
         self.schedule(self.now + duration, Event::RestoreCapacity(index, restarts));
     }
 
-    /// Restores the full capacity of a worker, unless it has restarted meanwhile.
     /// Restores the full capacity of a worker, unless it has restarted meanwhile.
     pub(crate) fn restore_capacity(&mut self, index: usize, restarts: u32) {
         if self.workers[index].restarts == restarts {
@@ -269,7 +263,6 @@
         enabled && self.random.random_bool(CRASHING_JOB_SHARE)
     }
 
-    /// Returns whether a task crashes its worker.
     /// Returns whether a task crashes its worker.
     fn crashes_workers(&self, task: TaskId) -> bool {
         let plan = self.options.faults;
--- a/crates/celerywinch_bench/src/members/partitions.rs
+++ b/crates/celerywinch_bench/src/members/partitions.rs
@@ -46,13 +46,11 @@
 }
 
 impl World {
-    /// Returns whether two data centres are partitioned from each other.
     /// Returns whether two data centres are partitioned from each other.
     pub(crate) fn is_cut(&self, from: u8, to: u8) -> bool {
         from != to && (self.cut_dcs.contains(&from) || self.cut_dcs.contains(&to))
     }
 
-    /// Partitions a random data centre from all others, unless one is partitioned already.
     /// Partitions a random data centre from all others, unless one is partitioned already.
     pub(crate) fn cut_data_centre(&mut self, duration: Duration) {
         let dc = self.random.random_range(0..self.options.dcs);
@@ -63,7 +61,6 @@
         }
     }
 
-    /// Ends the partition of a data centre.
     /// Ends the partition of a data centre.
     pub(crate) fn heal_data_centre(&mut self, dc: u8) {
         self.cut_dcs.remove(&dc);
@@ -72,7 +69,6 @@
         self.send_evacuations();
     }
 
-    /// Isolates some entries from all other members, unless some are isolated already.
     /// Isolates some entries from all other members, unless some are isolated already.
     pub(crate) fn isolate_entries(&mut self, duration: Duration) {
         if !self.isolated.entries.is_empty() {
--- a/crates/celerywinch_bench/src/members/workers.rs
+++ b/crates/celerywinch_bench/src/members/workers.rs
@@ -28,7 +28,6 @@
 }
 
 impl UnansweredCalls {
-    /// Returns the share at a time, or `None` outside of the interval.
     /// Returns the share at a time, or `None` outside of the interval.
     fn share_at(self, now: Time) -> Option<f64> {
         let interval = self.start_ms * 1_000..self.end_ms * 1_000;
@@ -46,7 +45,6 @@
     /// Start of the present incarnation.
     pub(crate) started_at: Time,
     /// Whether the present incarnation has executed a call that was issued since its start.
-    /// Whether the present incarnation has executed a call that was issued since its start.
     pub(crate) received_call: bool,
     /// Calls to the worker are lost until then.
     pub(crate) drop_until: Time,
@@ -85,14 +83,12 @@
     pub(crate) incarnation: u64,
     pub(crate) call: Call,
     /// Time at which the member issued the call.
-    /// Time at which the member issued the call.
     pub(crate) issued_at: Time,
     /// Time at which the call had left the member's outgoing link.
     pub(crate) sent_at: Time,
 }
 
 impl World {
-    /// Sends a call to a worker and schedules its timeout.
     /// Sends a call to a worker and schedules its timeout.
     pub(crate) fn call(&mut self, from: usize, call: Call) {
         let incarnation = self.members[from].incarnation();
@@ -167,7 +163,6 @@
         false
     }
 
-    /// Draws whether a call gets no answer.
     /// Draws whether a call gets no answer.
     fn draw_unanswered(&mut self) -> bool {
         let plan = self.options.unanswered;
@@ -216,7 +211,6 @@
         self.execute(index, &in_flight.call)
     }
 
-    /// Returns the resources and the run time of a task.
     /// Returns the resources and the run time of a task.
     fn work_for(&self, task: TaskId) -> (Resources, Duration) {
         let job = self.jobs.iter().rev().find(|job| job.id == task.job);
@@ -225,7 +219,6 @@
         (job.plan.steps[0].need, run_time)
     }
 
-    /// Sends an answer back to the member.
     /// Sends an answer back to the member.
     fn reply(&mut self, index: usize, in_flight: &CallInFlight, answer: Answer) {
         if self.workers[index].mute_until > self.now {
